--- a/benchmarks/coming_back.py
+++ b/benchmarks/coming_back.py
@@ -70,24 +70,45 @@
 
     drained = at(0.2, "drain", [1, 2], "servers")
     still = (at(0.0, "stop"), at(0.5, "drain", [1], "servers"), at(STILL_S, "wake"))
-    often = tuple(at(0.4 * number + back, do) for number in range(10)
-                  for do, back in (("kill", 0.0), ("start", 0.2)))
+    often = tuple(
+        at(0.4 * number + back, do) for number in range(10) for do, back in (("kill", 0.0), ("start", 0.2))
+    )
     return [
         Case("killed, with state", killed(), BACK_S, WITH_STATE_S),
         Case("killed, state lost", killed(at(0.1, "lose_state")), BACK_S, WITHOUT_S),
-        Case("killed, state from before a drain",
-             (at(0.0, "keep_state"), drained, *later(killed(at(0.1, "old_state")))), BACK_S + 0.6,
-             WITH_STATE_S, SERVERS - 2),
-        Case("killed, half of the servers replaced meanwhile",
-             killed(at(0.2, "replace", list(range(SERVERS // 2)), "servers")), BACK_S,
-             servers=SERVERS / 2 * (1 + COLD_SHARE)),
-        Case("killed, disk full while servers drain", (at(0.0, "fill_disk"), drained, *later(killed())),
-             BACK_S + 0.6, WITH_STATE_S, SERVERS - 2),
-        Case("killed, no list until 3 s after the start",
-             killed(at(0.1, "hide_list")) + (at(BACK_S + 3.0, "show_list"),), BACK_S, WITH_STATE_S),
+        Case(
+            "killed, state from before a drain",
+            (at(0.0, "keep_state"), drained, *later(killed(at(0.1, "old_state")))),
+            BACK_S + 0.6,
+            WITH_STATE_S,
+            SERVERS - 2,
+        ),
+        Case(
+            "killed, half of the servers replaced meanwhile",
+            killed(at(0.2, "replace", list(range(SERVERS // 2)), "servers")),
+            BACK_S,
+            servers=SERVERS / 2 * (1 + COLD_SHARE),
+        ),
+        Case(
+            "killed, disk full while servers drain",
+            (at(0.0, "fill_disk"), drained, *later(killed())),
+            BACK_S + 0.6,
+            WITH_STATE_S,
+            SERVERS - 2,
+        ),
+        Case(
+            "killed, no list until 3 s after the start",
+            killed(at(0.1, "hide_list")) + (at(BACK_S + 3.0, "show_list"),),
+            BACK_S,
+            WITH_STATE_S,
+        ),
         Case("killed ten times in a row", often, 0.4 * 9 + 0.2, WITH_STATE_S),
-        Case("killed, and the others begin only then",
-             (at(-3.0, "kill", late), *killed(), at(BACK_S, "start", late)), BACK_S, WITH_STATE_S),
+        Case(
+            "killed, and the others begin only then",
+            (at(-3.0, "kill", late), *killed(), at(BACK_S, "start", late)),
+            BACK_S,
+            WITH_STATE_S,
+        ),
         Case("killed for 3 s, clients come again", killed(after=3.0), 3.0, WITHOUT_S, tries=4),
         Case("the same without slow start", killed(after=3.0), 3.0, tries=4, slow_start=False),
         Case("stood still, one server drained meanwhile", still, STILL_S, WITH_STATE_S, SERVERS - 1),
@@ -97,11 +118,22 @@
 
 def schedule(case: Case, instances: int, seed: int, after_s: float) -> Schedule:
     events = [event | {"at": FAULT_S + event["at"]} for event in case.events]
-    return checked({
-        "seed": seed, "seconds": FAULT_S + case.begins_s + after_s, "instances": instances,
-        "servers": SERVERS, "per_s": LOAD * SERVERS * SLOTS / ANSWER_S, "deadline_s": 3.0,
-        "plain_loop": case.plain_loop, "slow_start": case.slow_start, "tries": case.tries,
-        "slots": SLOTS, "answer_s": ANSWER_S, "events": events})
+    return checked(
+        {
+            "seed": seed,
+            "seconds": FAULT_S + case.begins_s + after_s,
+            "instances": instances,
+            "servers": SERVERS,
+            "per_s": LOAD * SERVERS * SLOTS / ANSWER_S,
+            "deadline_s": 3.0,
+            "plain_loop": case.plain_loop,
+            "slow_start": case.slow_start,
+            "tries": case.tries,
+            "slots": SLOTS,
+            "answer_s": ANSWER_S,
+            "events": events,
+        }
+    )
 
 
 def served_part(sent: Sequence[Sent], begins: float, ends: float) -> float:
@@ -147,8 +179,14 @@
     sent = it.load.sent
     before = served_part(sent, it.begins + 1.0, fault)
     worst_before = max(shop.worst_second(until=fault) for shop in it.shops)
-    return Told(verdict, before, back_after_s(sent, start, end, SERVED_AGAIN * before),
-                max(shop.worst_second(since=fault) for shop in it.shops), worst_before, gaps)
+    return Told(
+        verdict,
+        before,
+        back_after_s(sent, start, end, SERVED_AGAIN * before),
+        max(shop.worst_second(since=fault) for shop in it.shops),
+        worst_before,
+        gaps,
+    )
 
 
 def main() -> int:
@@ -165,24 +203,59 @@
         rules = each.verdict.rules
         late = len(each.verdict.broken) - len(rules)
         counts = each.verdict.counts
-        rows.append([case.name, each.before, each.back_s, each.worst_before, each.worst, counts["refused"],
-                     counts["failed"], late, len(rules), each.gaps])
-        figures[case.name] = {"served_before": round(each.before, 3), "back_s": round(each.back_s, 2),
-                              "worst_second_before": each.worst_before, "worst_second": each.worst,
-                              "refused": counts["refused"], "failed": counts["failed"], "late": late,
-                              "broken": len(rules)}
+        rows.append(
+            [
+                case.name,
+                each.before,
+                each.back_s,
+                each.worst_before,
+                each.worst,
+                counts["refused"],
+                counts["failed"],
+                late,
+                len(rules),
+                each.gaps,
+            ]
+        )
+        figures[case.name] = {
+            "served_before": round(each.before, 3),
+            "back_s": round(each.back_s, 2),
+            "worst_second_before": each.worst_before,
+            "worst_second": each.worst,
+            "refused": counts["refused"],
+            "failed": counts["failed"],
+            "late": late,
+            "broken": len(rules),
+        }
         for line in rules[:5]:
             print(f"{case.name}: {line}", file=sys.stderr)
         if case.tries == 1 and not case.plain_loop:
-            bars.append(Bar(f"{case.name}: worst second at a server, by the one before",
-                            each.worst * case.servers / SERVERS / max(1, each.worst_before),
-                            MOST_AT_A_SERVER))
+            bars.append(
+                Bar(
+                    f"{case.name}: worst second at a server, by the one before",
+                    each.worst * case.servers / SERVERS / max(1, each.worst_before),
+                    MOST_AT_A_SERVER,
+                )
+            )
         if not case.plain_loop:
             broken += len(rules)
         if case.back_s:
             bars.append(Bar(f"{case.name}: s to 95 %", each.back_s, case.back_s))
-    table(["case", "before", "95 % after s", "worst second before", "after", "refused", "failed", "late",
-           "broken", "gaps"], rows)
+    table(
+        [
+            "case",
+            "before",
+            "95 % after s",
+            "worst second before",
+            "after",
+            "refused",
+            "failed",
+            "late",
+            "broken",
+            "gaps",
+        ],
+        rows,
+    )
     return close("coming_back", figures, [Bar("rules broken", broken, 0.0), *bars])
 
 
--- a/benchmarks/coming_back_model.py
+++ b/benchmarks/coming_back_model.py
@@ -70,9 +70,14 @@
     case, instances, on, after_s, seed = job
     per_s = LOAD * SERVERS * SLOTS * SECOND_US / ANSWER_US
     plan = FleetPlan(
-        instances=instances, servers=SERVERS,
+        instances=instances,
+        servers=SERVERS,
         server=ServerPlan(slots=SLOTS, answer_us=ANSWER_US, thrash=case.thrash, longest_queue=QUEUE),
-        clients=ClientPlan(per_s=per_s), bounds=BOUNDS, admits=on, by_list=on)
+        clients=ClientPlan(per_s=per_s),
+        bounds=BOUNDS,
+        admits=on,
+        by_list=on,
+    )
     fleet = Fleet(plan, seed)
     down_s = case.again * case.down_s
     fleet.clients.play(START_US + int((FAULT_S + down_s + after_s) * SECOND_US))
@@ -90,11 +95,15 @@
     end = back + int(after_s * BINS)
     fleet.play(plan.clients.deadline_us / SECOND_US)
     return Told(
-        fleet.back_after_s(back, end - BINS, SERVED_AGAIN * before), fleet.clients.given_up,
+        fleet.back_after_s(back, end - BINS, SERVED_AGAIN * before),
+        fleet.clients.given_up,
         sum(fleet.clients.came.values()),
         fleet.worst_second("requests", back // BINS, end // BINS) / max(1, worst_before),
         fleet.worst_second("dials", back // BINS, end // BINS),
-        max(server.in_work_most for server in fleet.servers.values()), fleet.clients.late, fleet.clock.ran)
+        max(server.in_work_most for server in fleet.servers.values()),
+        fleet.clients.late,
+        fleet.clock.ran,
+    )
 
 
 def bound_s(instances: int) -> float:
@@ -111,8 +120,12 @@
     parser.add_argument("--case", type=int, help="one case only, by its place")
     parser.add_argument("--jobs", type=int, default=4)
     asked = parser.parse_args()
-    jobs = [(case, size, on, asked.seconds, asked.seed)
-            for size in asked.sizes for case in chosen(list(CASES), asked.case) for on in (True, False)]
+    jobs = [
+        (case, size, on, asked.seconds, asked.seed)
+        for size in asked.sizes
+        for case in chosen(list(CASES), asked.case)
+        for on in (True, False)
+    ]
     with multiprocessing.Pool(asked.jobs) as pool:
         found = dict(zip(jobs, pool.map(played, jobs, chunksize=1), strict=True))
     rows: list[list[object]] = []
@@ -120,12 +133,26 @@
     figures: dict[str, object] = {}
     for (case, size, on, _, _), told in found.items():
         name = f"{size}: {case.name}"
-        rows.append([name, "on" if on else "off", told.back_s, told.worst_requests, told.worst_dials,
-                     told.most_in_work, 100.0 * told.given_up / told.asked])
+        rows.append(
+            [
+                name,
+                "on" if on else "off",
+                told.back_s,
+                told.worst_requests,
+                told.worst_dials,
+                told.most_in_work,
+                100.0 * told.given_up / told.asked,
+            ]
+        )
         figures[f"{name}, {'on' if on else 'off'}"] = {
-            "back_s": told.back_s, "worst_requests": round(told.worst_requests, 2),
-            "worst_dials": told.worst_dials, "most_in_work": told.most_in_work, "given_up": told.given_up,
-            "asked": told.asked, "events": told.events}
+            "back_s": told.back_s,
+            "worst_requests": round(told.worst_requests, 2),
+            "worst_dials": told.worst_dials,
+            "most_in_work": told.most_in_work,
+            "given_up": told.given_up,
+            "asked": told.asked,
+            "events": told.events,
+        }
         if on:
             aim_s = WITH_STATE_S if case.with_state else WITHOUT_S
             off = found[case, size, False, asked.seconds, asked.seed]
@@ -133,11 +160,18 @@
             bars.append(Bar(f"{name}: given up, more than without", max(0.0, less), MOST_LESS_SERVED))
             if not case.thrash:
                 bars.append(Bar(f"{name}: s to 95 %", told.back_s, max(aim_s, bound_s(size))))
-            bars += [Bar(f"{name}: dials at a server, the worst second, of the bound",
-                         told.worst_dials / BOUNDS.dials_per_s, 1.0),
-                     Bar(f"{name}: late", told.late, 0.0)]
-    table(["case", "", "95 % after s", "worst second, by before", "dials", "most at a server",
-           "% given up"], rows)
+            bars += [
+                Bar(
+                    f"{name}: dials at a server, the worst second, of the bound",
+                    told.worst_dials / BOUNDS.dials_per_s,
+                    1.0,
+                ),
+                Bar(f"{name}: late", told.late, 0.0),
+            ]
+    table(
+        ["case", "", "95 % after s", "worst second, by before", "dials", "most at a server", "% given up"],
+        rows,
+    )
     return close("coming_back_model", figures, bars)
 
 
--- a/benchmarks/fair_door.py
+++ b/benchmarks/fair_door.py
@@ -76,12 +76,14 @@
             await asyncio.sleep(WORK_S)
         return OK
 
-    async def ask(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter,
-                  tenant: str, told: bool = False) -> tuple[int, float]:
+    async def ask(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, tenant: str, told: bool = False
+    ) -> tuple[int, float]:
         """One request: its status, and when to come back; raises ConnectionError and the like."""
         began = time.monotonic()
-        writer.write(f"POST /buy HTTP/1.1\r\nHost: a\r\nX-Tenant: {tenant}\r\n"
-                     "Content-Length: 0\r\n\r\n".encode())
+        writer.write(
+            f"POST /buy HTTP/1.1\r\nHost: a\r\nX-Tenant: {tenant}\r\nContent-Length: 0\r\n\r\n".encode()
+        )
         try:
             async with asyncio.timeout(DEADLINE_S + 2):
                 head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
@@ -141,17 +143,25 @@
         names = [*(f"small{n}" for n in range(SMALL)), "flood"]
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "site.toml"
-            path.write_text(FILE.format(
-                port=port, fair="fair = {}" if self.fair else "",
-                servers=", ".join(f'{{ id = "s{n}", address = "{server.address}" }}'
-                                  for n, server in enumerate(self.servers)),
-                tenants="".join(f"[tenants.{name}]\nallowance_per_s = 10\n" for name in names)))
+            path.write_text(
+                FILE.format(
+                    port=port,
+                    fair="fair = {}" if self.fair else "",
+                    servers=", ".join(
+                        f'{{ id = "s{n}", address = "{server.address}" }}'
+                        for n, server in enumerate(self.servers)
+                    ),
+                    tenants="".join(f"[tenants.{name}]\nallowance_per_s = 10\n" for name in names),
+                )
+            )
             with child("-m", "plovertrail.cli", "serve", str(path), cpu=2):
                 await asyncio.to_thread(wait_for, port)
                 self.begins = time.monotonic() + WARM_S
                 self.ends = self.begins + self.seconds
-                await asyncio.gather(*(self.small(port, name) for name in names[:-1]),
-                                     *(self.flood(port, number) for number in range(FLOOD_CLIENTS)))
+                await asyncio.gather(
+                    *(self.small(port, name) for name in names[:-1]),
+                    *(self.flood(port, number) for number in range(FLOOD_CLIENTS)),
+                )
         for server in self.servers:
             server.stop()
 
@@ -194,25 +204,30 @@
     off, on = plays[False], plays[True]
     rows: list[list[object]] = [
         ["worst small tenant served", off.worst_small(), on.worst_small()],
-        ["small tenants, requests served",
-         *(sum(each.served[f"small{n}"] for n in range(SMALL)) for each in (off, on))],
+        [
+            "small tenants, requests served",
+            *(sum(each.served[f"small{n}"] for n in range(SMALL)) for each in (off, on)),
+        ],
         ["flood, requests served", off.served["flood"], on.served["flood"]],
         ["flood, requests", off.asked["flood"], on.asked["flood"]],
         ["came back when told", off.came_back, on.came_back],
         ["of these served", *(each.let_in / max(1, each.came_back) for each in (off, on))],
         ["late", off.late, on.late],
-        ["no answer", off.missing, on.missing]]
+        ["no answer", off.missing, on.missing],
+    ]
     table(["", "without", "fair"], rows)
-    print(f"state: {first} bytes after {int(options.names * SETTLED):,} made-up names, {last} after "
-          f"{options.names:,}")
+    print(
+        f"state: {first} bytes after {int(options.names * SETTLED):,} made-up names, {last} after "
+        f"{options.names:,}"
+    )
     whole = {each: sum(each.served.values()) for each in (off, on)}
     bars = [
         Bar("worst small tenant, points under what it asks for", 100 * (1 - on.worst_small()), 5),
         Bar("sum of service lost, percent", 100 * max(0.0, 1 - whole[on] / whole[off]), 3),
-        Bar("came back when told and not served, percent",
-            100 * (1 - on.let_in / max(1, on.came_back)), 20),
+        Bar("came back when told and not served, percent", 100 * (1 - on.let_in / max(1, on.came_back)), 20),
         Bar("late or no answer", on.late + on.missing, 0),
-        Bar("state at the end beside a fifth of the way", last / first, 1.1)]
+        Bar("state at the end beside a fifth of the way", last / first, 1.1),
+    ]
     figures: dict[str, object] = {str(row[0]): row[1:] for row in rows}
     return close("fair_door", figures | {"state": [first, last]}, bars)
 
--- a/benchmarks/fellows.py
+++ b/benchmarks/fellows.py
@@ -53,12 +53,15 @@
 
     def __init__(self, size: int, real: int, seed: int) -> None:
         super().__init__(real, seed=seed, known=False, judge=False)
-        self.rest = [Word(f"x{n}", (f"11.{n >> 16}.{n >> 8 & 255}.{n & 255}", 7400), 1, State.ALIVE)
-                     for n in range(size - real)]
+        self.rest = [
+            Word(f"x{n}", (f"11.{n >> 16}.{n >> 8 & 255}.{n & 255}", 7400), 1, State.ALIVE)
+            for n in range(size - real)
+        ]
         self.by_address = {word.address: word for word in self.rest}
         for number, ship in enumerate(self.ships):
-            ship.fellows.take([other.fellows.me for other in self.ships if other is not ship], "",
-                              self.local_us(number))
+            ship.fellows.take(
+                [other.fellows.me for other in self.ships if other is not ship], "", self.local_us(number)
+            )
             ship.fellows.take(self.rest, "", self.local_us(number))
             ship.fellows.words.clear()
             self.at(int(self.rng.random() * S), self.probed, number)
@@ -80,8 +83,9 @@
             self.octets[number] += len(data)
             asked = self.codec.read(data, frozenset({short(told(address))}))
             if asked.kind is Kind.PROBE:
-                answer = self.codec.write(short(told(self.addresses[number])),
-                                          Datagram(Kind.ACK, asked.number, word))
+                answer = self.codec.write(
+                    short(told(self.addresses[number])), Datagram(Kind.ACK, asked.number, word)
+                )
                 self.at(self.now_us + 5_000, self.deliver, number, answer, address)
 
 
@@ -111,32 +115,48 @@
     for loss in LOSSES:
         took, given_up, suspected, stated_s = detection(24, loss, asked.seeds)
         formula = false_suspicion(loss)
-        rows.append([f"24 instances, {loss:.0%} lost", statistics.median(took), max(took), stated_s,
-                     f"{suspected:.2%}", f"{formula:.2%}", given_up])
-        figures[f"loss {loss:g}"] = {"median_s": statistics.median(took), "worst_s": max(took),
-                                     "stated_s": round(stated_s, 1), "suspected": round(suspected, 5),
-                                     "formula": round(formula, 5), "given_up": given_up}
-        bars += [Bar(f"{loss:.0%} lost: s to silent at all", max(took), stated_s),
-                 Bar(f"{loss:.0%} lost: live ones given up", given_up, 0.0),
-                 Bar(f"{loss:.0%} lost: suspicions a probe", suspected, MOST_SUSPECTED * formula + 0.002)]
+        rows.append(
+            [
+                f"24 instances, {loss:.0%} lost",
+                statistics.median(took),
+                max(took),
+                stated_s,
+                f"{suspected:.2%}",
+                f"{formula:.2%}",
+                given_up,
+            ]
+        )
+        figures[f"loss {loss:g}"] = {
+            "median_s": statistics.median(took),
+            "worst_s": max(took),
+            "stated_s": round(stated_s, 1),
+            "suspected": round(suspected, 5),
+            "formula": round(formula, 5),
+            "given_up": given_up,
+        }
+        bars += [
+            Bar(f"{loss:.0%} lost: s to silent at all", max(took), stated_s),
+            Bar(f"{loss:.0%} lost: live ones given up", given_up, 0.0),
+            Bar(f"{loss:.0%} lost: suspicions a probe", suspected, MOST_SUSPECTED * formula + 0.002),
+        ]
     table(["", "dead to silent s", "worst", "stated", "suspected", "SWIM", "given up"], rows)
     rows, loads = [], {}
     fleets: list[tuple[str, FellowsModel]] = [
-        (f"{size}", FellowsModel(size, seed=1, judge=False))
-        for size in (SIZES[:2] if asked.short else SIZES)]
+        (f"{size}", FellowsModel(size, seed=1, judge=False)) for size in (SIZES[:2] if asked.short else SIZES)
+    ]
     if not asked.short:
         fleets.append((f"{CROWD}", Crowd(CROWD, REAL, 1)))
     for name, fleet in fleets:
         found = loads[name] = load(fleet, asked.seconds)
         rows.append([name, *found])
         if not isinstance(fleet, Crowd):
-            rows.append([f"{name}, a tenth restarts",
-                         *load(fleet, asked.seconds, max(1, fleet.size // 10))])
+            rows.append([f"{name}, a tenth restarts", *load(fleet, asked.seconds, max(1, fleet.size // 10))])
     table(["instances", "datagrams/s", "bytes/s", "CPU ms/s"], rows)
     figures["load"] = {str(row[0]): [round(float(str(each)), 2) for each in row[1:]] for row in rows}
     largest = list(loads)[-1]
-    bars.append(Bar(f"datagrams a second at {largest}, of those at 24", loads[largest][0] / loads["24"][0],
-                    MOST_LOAD))
+    bars.append(
+        Bar(f"datagrams a second at {largest}, of those at 24", loads[largest][0] / loads["24"][0], MOST_LOAD)
+    )
     return close("fellows", figures, bars)
 
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -122,30 +122,49 @@
     )
     if plan.connections * plan.servers > most:
         raise SystemExit(f"{hard} descriptors are too few for {options.instances} instances")
-    found = {size: figures(plan, play(replace(plan, instances=size), options.processes))
-             for size in (options.base, options.instances)}
+    found = {
+        size: figures(plan, play(replace(plan, instances=size), options.processes))
+        for size in (options.base, options.instances)
+    }
     few, many = found[options.base], found[options.instances]
-    table(["", f"{options.base:,} instances", f"{options.instances:,}"],
-          [[name, float(few[name]), float(many[name])] for name in few])
+    table(
+        ["", f"{options.base:,} instances", f"{options.instances:,}"],
+        [[name, float(few[name]), float(many[name])] for name in few],
+    )
     bars = []
     for size, each in found.items():
         bars += [
-            Bar(f"{size}: connections a server, the worst second, of the cap",
-                each["connections_most"] / plan.connections, 1.0),
-            Bar(f"{size}: dials a server, the worst second, of the cap",
-                each["dials_most"] / plan.dials_per_s, 1.0),
+            Bar(
+                f"{size}: connections a server, the worst second, of the cap",
+                each["connections_most"] / plan.connections,
+                1.0,
+            ),
+            Bar(
+                f"{size}: dials a server, the worst second, of the cap",
+                each["dials_most"] / plan.dials_per_s,
+                1.0,
+            ),
             Bar(f"{size}: probes", each["probes"], 0.0),
-            Bar(f"{size}: calls to discovery, the worst second, of its capacity",
-                each["calls_most"] / plan.list_calls_per_s, 1.0),
+            Bar(
+                f"{size}: calls to discovery, the worst second, of its capacity",
+                each["calls_most"] / plan.list_calls_per_s,
+                1.0,
+            ),
             Bar(f"{size}: the cold server, of what pushes it over", each["cold_of_bound"], 1.0),
             Bar(f"{size}: late, twice or no answer", each["late"] + each["twice"] + each["unanswered"], 0.0),
         ]
     change = many["connections_mean"] / few["connections_mean"]
     bars.append(Bar("connections held, one fleet beside the other", max(change, 1 / change), 1.1))
-    bars.append(Bar("share of requests not served, more than with the few",
-                    max(0.0, few["served"] - many["served"]), 0.02))
-    told: dict[str, object] = {f"{size}, {name}": round(figure, 4)
-                               for size, each in found.items() for name, figure in each.items()}
+    bars.append(
+        Bar(
+            "share of requests not served, more than with the few",
+            max(0.0, few["served"] - many["served"]),
+            0.02,
+        )
+    )
+    told: dict[str, object] = {
+        f"{size}, {name}": round(figure, 4) for size, each in found.items() for name, figure in each.items()
+    }
     return close("fleet", told, bars)
 
 
--- a/benchmarks/fleet_budgets.py
+++ b/benchmarks/fleet_budgets.py
@@ -105,8 +105,13 @@
     model.play(seconds)
     took_s = (model.clock.now_us - began_us) / SECOND_US
     messages = (sum(member.sent for member in model.members) - sent) / len(model.members) / took_s
-    return Told(model.worst, case.plan.rules.total, model.let_in / max(1, model.ideal),
-                model.fixed / max(1, model.ideal), messages)
+    return Told(
+        model.worst,
+        case.plan.rules.total,
+        model.let_in / max(1, model.ideal),
+        model.fixed / max(1, model.ideal),
+        messages,
+    )
 
 
 def explored(job: tuple[str, int]) -> Found:
@@ -129,19 +134,35 @@
     for case, each in zip(cases, told, strict=True):
         bars.append(Bar(f"{case.name}: in use at one moment, of the budget", each.worst / each.total, 1.0))
         if case.least:
-            bars.append(Bar(f"{case.name}: not let in, of what one who knows all lets in",
-                            round(1.0 - each.share, 4), round(1.0 - case.least, 4)))
-    table(["case", "most in use", "budget", "let in, of one who knows all", "fixed parts", "messages/s"],
-          [[case.name, each.worst, each.total, each.share, each.fixed, each.messages]
-           for case, each in zip(cases, told, strict=True)])
+            bars.append(
+                Bar(
+                    f"{case.name}: not let in, of what one who knows all lets in",
+                    round(1.0 - each.share, 4),
+                    round(1.0 - case.least, 4),
+                )
+            )
+    table(
+        ["case", "most in use", "budget", "let in, of one who knows all", "fixed parts", "messages/s"],
+        [
+            [case.name, each.worst, each.total, each.share, each.fixed, each.messages]
+            for case, each in zip(cases, told, strict=True)
+        ],
+    )
     for name, history in zip(LIMITS, found, strict=True):
-        print(f"checked: {name}: {history.states:,} states, to {history.depth} steps, "
-              f"{history.seconds:.0f} s")
+        print(
+            f"checked: {name}: {history.states:,} states, to {history.depth} steps, {history.seconds:.0f} s"
+        )
         bars.append(Bar(f"histories that overspend: {name}", float(bool(history.history)), 0.0))
-    figures: dict[str, object] = {case.name: {
-        "worst": each.worst, "budget": each.total, "share": round(each.share, 3),
-        "fixed": round(each.fixed, 3), "messages_per_s": round(each.messages, 1)}
-        for case, each in zip(cases, told, strict=True)}
+    figures: dict[str, object] = {
+        case.name: {
+            "worst": each.worst,
+            "budget": each.total,
+            "share": round(each.share, 3),
+            "fixed": round(each.fixed, 3),
+            "messages_per_s": round(each.messages, 1),
+        }
+        for case, each in zip(cases, told, strict=True)
+    }
     return close("fleet_budgets", figures, bars)
 
 
--- a/benchmarks/hook_cost.py
+++ b/benchmarks/hook_cost.py
@@ -32,9 +32,15 @@
     (global (export "plovertrail_buffer_size") i32 (i32.const 65536))
     (func (export "on_request") (result i32) (i32.const 0)))"""
 HEADERS = [
-    (b"Host", b"shop.example"), (b"User-Agent", b"reader/3"), (b"Accept", b"*/*"),
-    (b"Accept-Encoding", b"gzip"), (b"Cookie", b"session=0123456789abcdef"), (b"X-Promo-Code", b"NONE"),
-    (b"X-Request-Id", b"9b1f03aa5c7e2d41"), (b"Content-Length", b"0")]
+    (b"Host", b"shop.example"),
+    (b"User-Agent", b"reader/3"),
+    (b"Accept", b"*/*"),
+    (b"Accept-Encoding", b"gzip"),
+    (b"Cookie", b"session=0123456789abcdef"),
+    (b"X-Promo-Code", b"NONE"),
+    (b"X-Request-Id", b"9b1f03aa5c7e2d41"),
+    (b"Content-Length", b"0"),
+]
 ROUNDS = 20
 INSTANCES = 50
 
@@ -42,8 +48,15 @@
 def chain(runtime: Runtime, module: bytes, hooks: int, reuse: int = 1000) -> Chain:
     """So many hooks of one module."""
     compiled = runtime.compile_module(module)
-    made = [Hook(runtime, HookSetup(f"h{n}", "", 500_000, 1 << 20, reuse, 0, (("codes", "A,B,C"),),
-                                    ("blocked", "tagged")), compiled, clock_us) for n in range(hooks)]
+    made = [
+        Hook(
+            runtime,
+            HookSetup(f"h{n}", "", 500_000, 1 << 20, reuse, 0, (("codes", "A,B,C"),), ("blocked", "tagged")),
+            compiled,
+            clock_us,
+        )
+        for n in range(hooks)
+    ]
     return make_chain("r", made, frozenset(), "buy", {"buy": RequestClass("buy", 1, 1)}, False)
 
 
@@ -110,8 +123,9 @@
                     trail(through)
             found[name].append((time.perf_counter() - began) / count * 1e6)
     took = {name: statistics.median(each) for name, each in found.items()}
-    open_bytes = {name: request_bytes(through) for name in ("none", "one", "five")
-                  for through in [chains[name]]}
+    open_bytes = {
+        name: request_bytes(through) for name in ("none", "one", "five") for through in [chains[name]]
+    }
     of_instance = instance_bytes(runtime)
     runtime.stop()
     table(["hooks", "us a request"], [[name, each] for name, each in took.items()])
--- a/benchmarks/hostile_hooks.py
+++ b/benchmarks/hostile_hooks.py
@@ -69,8 +69,10 @@
 
 def site(folder: Path, port: int, servers: list[WebServer], hooked: bool) -> str:
     """The operator's file."""
-    rows = ", ".join(f'{{ id = "s{n}", address = "{server.address}", cell = "{n % CELLS}" }}'
-                     for n, server in enumerate(servers))
+    rows = ", ".join(
+        f'{{ id = "s{n}", address = "{server.address}", cell = "{n % CELLS}" }}'
+        for n, server in enumerate(servers)
+    )
     text = HEAD.format(port=port, folder=folder, servers=rows)
     for number, hostile in enumerate(HOSTILE):
         if hooked:
@@ -78,15 +80,18 @@
             path.write_bytes(module(hostile))
             text += f'[hooks.{hostile.name}]\nfile = "{path}"\nfuel = {hostile.fuel}\n'
         for kind in CLASSES:
-            text += (f'[[routes]]\nname = "{hostile.name}-{kind}"\npath = "/{hostile.name}/{kind}"\n'
-                     f'class = "{kind}"\npools = ["main"]\n')
+            text += (
+                f'[[routes]]\nname = "{hostile.name}-{kind}"\npath = "/{hostile.name}/{kind}"\n'
+                f'class = "{kind}"\npools = ["main"]\n'
+            )
             if hooked:
                 policy = "pass" if number % 2 else "fail"
                 text += f'hooks = ["{hostile.name}"]\non_hook_fault = "{policy}"\n'
                 text += 'hook_classes = ["buy"]\n' if kind != "buy" else ""
     for kind in CLASSES:
-        text += (f'[[routes]]\nname = "good-{kind}"\npath = "/good/{kind}"\nclass = "{kind}"\n'
-                 'pools = ["main"]\n')
+        text += (
+            f'[[routes]]\nname = "good-{kind}"\npath = "/good/{kind}"\nclass = "{kind}"\npools = ["main"]\n'
+        )
     return text
 
 
@@ -131,14 +136,17 @@
             return b""  # silent
         return ERROR if draw < 0.07 else OK
 
-    async def ask(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, target: str, kind: str,
-                  good: bool) -> bool:
+    async def ask(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, target: str, kind: str, good: bool
+    ) -> bool:
         """One request; whether its connection goes on."""
         number = next(self.numbers)
         began = time.monotonic()
         key = f"Idempotency-Key: k{number}\r\n" if kind == "mark" else ""
-        writer.write(f"{CLASSES[kind]} {target} HTTP/1.1\r\nHost: a\r\nX-Request-Id: r{number}\r\n{key}"
-                     "Content-Length: 0\r\n\r\n".encode())
+        writer.write(
+            f"{CLASSES[kind]} {target} HTTP/1.1\r\nHost: a\r\nX-Request-Id: r{number}\r\n{key}"
+            "Content-Length: 0\r\n\r\n".encode()
+        )
         try:
             async with asyncio.timeout(DEADLINE_S + 2):
                 head = await reader.readuntil(b"\r\n\r\n")
@@ -208,14 +216,19 @@
             folder = Path(name)
             path = folder / "site.toml"
             path.write_text(site(folder, port, self.servers, self.hooked))
-            with (folder / "log").open("wb") as log, child(
-                    "-m", "plovertrail.cli", "serve", str(path), cpu=self.cpu, log=log.fileno()) as daemon:
+            with (
+                (folder / "log").open("wb") as log,
+                child("-m", "plovertrail.cli", "serve", str(path), cpu=self.cpu, log=log.fileno()) as daemon,
+            ):
                 await asyncio.to_thread(wait_for, port)
                 self.ends = time.monotonic() + self.seconds
                 await asyncio.gather(
                     *(self.client(port, True) for _ in range(GOOD_CLIENTS)),
                     *(self.client(port, False) for _ in range(HOSTILE_CLIENTS)),
-                    self.drains(folder), self.reloads(folder, daemon.pid), self.watch(daemon))
+                    self.drains(folder),
+                    self.reloads(folder, daemon.pid),
+                    self.watch(daemon),
+                )
                 daemon.send_signal(signal.SIGTERM)
                 ended = await asyncio.to_thread(daemon.wait, 20)
             log_bytes = (folder / "log").stat().st_size
@@ -224,16 +237,22 @@
             server.stop()
         quarter = max(1, len(self.memory) // 4)
         return {
-            "answers": dict(self.answers), "purchases": len(self.ran),
+            "answers": dict(self.answers),
+            "purchases": len(self.ran),
             "twice": sum(count > 1 for count in self.ran.values()),
             "two_cells": sum(len(cells) > 1 for cells in self.cells.values()),
-            "to_drained": self.to_drained, "late": self.late, "missing": self.missing, "ended": ended,
-            "memory_second": statistics.median(self.memory[quarter:2 * quarter]) / 1e6,
+            "to_drained": self.to_drained,
+            "late": self.late,
+            "missing": self.missing,
+            "ended": ended,
+            "memory_second": statistics.median(self.memory[quarter : 2 * quarter]) / 1e6,
             "memory_last": statistics.median(self.memory[-quarter:]) / 1e6,
             "good_p50_ms": statistics.median(self.good_s) * 1e3,
             "good_p99_ms": sorted(self.good_s)[int(len(self.good_s) * 0.99)] * 1e3,
-            "log_bytes_s": log_bytes / self.seconds, "switched_off": text.count("switched off"),
-            "tracebacks": text.count("Traceback")}
+            "log_bytes_s": log_bytes / self.seconds,
+            "switched_off": text.count("switched off"),
+            "tracebacks": text.count("Traceback"),
+        }
 
 
 def worker(hooked: bool, seconds: float, seed: int) -> None:
@@ -251,24 +270,41 @@
     if options.worker:
         worker(options.worker == "hooked", options.seconds, options.seed)
         return 0
-    command = [sys.executable, "-m", "benchmarks.hostile_hooks", "--seconds", str(options.seconds),
-               "--seed", str(options.seed), "--worker"]
-    workers = {name: subprocess.Popen([*command, name], stdout=subprocess.PIPE) for name in
-               ("plain", "hooked")}
+    command = [
+        sys.executable,
+        "-m",
+        "benchmarks.hostile_hooks",
+        "--seconds",
+        str(options.seconds),
+        "--seed",
+        str(options.seed),
+        "--worker",
+    ]
+    workers = {
+        name: subprocess.Popen([*command, name], stdout=subprocess.PIPE) for name in ("plain", "hooked")
+    }
     try:
-        found = {name: json.loads(process.communicate(timeout=options.seconds + 120)[0])
-                 for name, process in workers.items()}
+        found = {
+            name: json.loads(process.communicate(timeout=options.seconds + 120)[0])
+            for name, process in workers.items()
+        }
     finally:
         for process in workers.values():
             if process.poll() is None:
                 process.kill()
                 process.wait()
     plain, hooked = found["plain"], found["hooked"]
-    table(["", "no hooks", "hostile hooks"],
-          [[name, plain[name], hooked[name]] for name in plain if name != "answers"])
-    table(["answers", "no hooks", "hostile hooks"],
-          [[name, plain["answers"].get(name, 0), hooked["answers"].get(name, 0)]
-           for name in sorted(plain["answers"] | hooked["answers"])])
+    table(
+        ["", "no hooks", "hostile hooks"],
+        [[name, plain[name], hooked[name]] for name in plain if name != "answers"],
+    )
+    table(
+        ["answers", "no hooks", "hostile hooks"],
+        [
+            [name, plain["answers"].get(name, 0), hooked["answers"].get(name, 0)]
+            for name in sorted(plain["answers"] | hooked["answers"])
+        ],
+    )
     bars = [
         Bar("purchases that ran twice", hooked["twice"], 0),
         Bar("keys that ran in two cells", hooked["two_cells"], 0),
@@ -277,8 +313,9 @@
         Bar("sent to a drained server", hooked["to_drained"], 0),
         Bar("tracebacks in the log", hooked["tracebacks"], 0),
         Bar("exit status", abs(hooked["ended"]), 0),
-        Bar("memory, the last quarter beside the second",
-            hooked["memory_last"] / hooked["memory_second"], 1.1),
+        Bar(
+            "memory, the last quarter beside the second", hooked["memory_last"] / hooked["memory_second"], 1.1
+        ),
         Bar("median of good routes, beside no hooks", hooked["good_p50_ms"] / plain["good_p50_ms"], 1.1),
     ]
     return close("hostile_hooks", {"no hooks": plain, "hostile hooks": hooked}, bars)
--- a/benchmarks/limits_cost.py
+++ b/benchmarks/limits_cost.py
@@ -88,17 +88,24 @@
     parser.add_argument("--requests", type=int, default=50_000, help="of each round")
     parser.add_argument("--names", type=int, default=1_000_000, help="made up")
     options = parser.parse_args()
-    costs = {"none": cost_us([], options.requests), "one": cost_us([limiter(1e6)], options.requests),
-             "five": cost_us([limiter(1e6) for _ in range(5)], options.requests),
-             "over one": cost_us([limiter(0.01)], options.requests)}
+    costs = {
+        "none": cost_us([], options.requests),
+        "one": cost_us([limiter(1e6)], options.requests),
+        "five": cost_us([limiter(1e6) for _ in range(5)], options.requests),
+        "over one": cost_us([limiter(0.01)], options.requests),
+    }
     table(["limiters", "us a request"], [[name, cost] for name, cost in costs.items()])
     each = full_table(4096)
     print(f"a full table of 4,096: {each:.0f} bytes a key")
     floods = {rate: flooded(options.names, rate) for rate in (5_000, 50_000)}
-    table(["made-up names a second", "bytes after a fifth", "at the end", "keys", "honest refused, %"],
-          [[rate, *found[:3], 100 * found[3]] for rate, found in floods.items()])
-    bars = [Bar(f"state at the end beside a fifth of the way, {rate} names/s", last / first, 1.1)
-            for rate, (first, last, _, _) in floods.items()]
+    table(
+        ["made-up names a second", "bytes after a fifth", "at the end", "keys", "honest refused, %"],
+        [[rate, *found[:3], 100 * found[3]] for rate, found in floods.items()],
+    )
+    bars = [
+        Bar(f"state at the end beside a fifth of the way, {rate} names/s", last / first, 1.1)
+        for rate, (first, last, _, _) in floods.items()
+    ]
     bars.append(Bar("honest refused, percent, 5000 names/s", 100 * floods[5_000][3], 0))
     bars += [Bar(f"keys, {rate} names/s", found[2], 4096) for rate, found in floods.items()]
     refused = {str(rate): found[3] for rate, found in floods.items()}
--- a/benchmarks/long_lists.py
+++ b/benchmarks/long_lists.py
@@ -97,8 +97,9 @@
 async def measure(servers: int, port: int, go: Any) -> dict[str, list[tuple[float, float]]]:
     """Of each kind of step: the longest stall, and the time until it was in force, in ms."""
     host = Host()
-    settings = api.Settings([api.RequestClass("read", 300_000, 1_500_000)], list_on_request=True,
-                            ask_within_us=60_000_000)
+    settings = api.Settings(
+        [api.RequestClass("read", 300_000, 1_500_000)], list_on_request=True, ask_within_us=60_000_000
+    )
     pool = host.add_pool("", settings, 1, ConnectionPool(10_000_000, 1_000_000, 100))
     told: list[int] = []
 
@@ -148,12 +149,16 @@
     ]
     table([f"{options.servers:,} servers", "longest stall, ms", "in force after, ms"], rows)
     figures: dict[str, object] = {
-        name: {"stall_ms": round(max(stall for stall, _ in each), 1),
-               "in_force_ms": round(max(took for _, took in each), 1)}
+        name: {
+            "stall_ms": round(max(stall for stall, _ in each), 1),
+            "in_force_ms": round(max(took for _, took in each), 1),
+        }
         for name, each in found.items()
     }
-    bars = [Bar(f"{name}: stall, ms", max(stall for stall, _ in each), MOST_STALL_MS)
-            for name, each in found.items()]
+    bars = [
+        Bar(f"{name}: stall, ms", max(stall for stall, _ in each), MOST_STALL_MS)
+        for name, each in found.items()
+    ]
     return close("long_lists", figures, bars)
 
 
--- a/benchmarks/nginx_equivalence.py
+++ b/benchmarks/nginx_equivalence.py
@@ -60,8 +60,13 @@
         """One request over loopback, and what became of it; None if nothing came back."""
         number = str(next(self.numbers))
         target = asked.path + (f"?{asked.query}" if asked.query else "")
-        lines = [f"{asked.method} {target} HTTP/1.1", f"Host: {asked.host}", f"{SEEN}: {number}",
-                 *(f"{name}: {value}" for name, value in asked.headers), "Connection: close"]
+        lines = [
+            f"{asked.method} {target} HTTP/1.1",
+            f"Host: {asked.host}",
+            f"{SEEN}: {number}",
+            *(f"{name}: {value}" for name, value in asked.headers),
+            "Connection: close",
+        ]
         if asked.method in ("POST", "PUT"):
             lines.append("Content-Length: 0")
         try:
@@ -88,8 +93,13 @@
         for server in self.servers:
             await server.start()
         conf, site = self.folder / f"{self.name}.conf", self.folder / f"{self.name}.toml"
-        conf.write_text(filled(self.text, {1: free_port(), 2: free_port()},
-                               {number: server.address for number, server in enumerate(self.servers, 1)}))
+        conf.write_text(
+            filled(
+                self.text,
+                {1: free_port(), 2: free_port()},
+                {number: server.address for number, server in enumerate(self.servers, 1)},
+            )
+        )
         imported = Importer(read_tree(str(conf))).run()
         site.write_text(imported.text)
         setup = parse(imported.text)
@@ -131,11 +141,26 @@
     number = 0
     while len(parts) < lines - 1:
         number += 1
-        parts += ["server {", "listen 127.0.0.1:8001;", f"server_name t{number}.example *.t{number}.example;",
-                  "proxy_set_header Host $host;", "proxy_set_header X-Real-IP $remote_addr;",
-                  "location / {", "proxy_pass http://u;", "}", "location /static/ {",
-                  f"proxy_pass http://u/t{number}/;", "}", "location ~* \\.(png|jpg)$ {",
-                  "proxy_pass http://u;", "}", "location = /ping {", "return 204;", "}", "}"]
+        parts += [
+            "server {",
+            "listen 127.0.0.1:8001;",
+            f"server_name t{number}.example *.t{number}.example;",
+            "proxy_set_header Host $host;",
+            "proxy_set_header X-Real-IP $remote_addr;",
+            "location / {",
+            "proxy_pass http://u;",
+            "}",
+            "location /static/ {",
+            f"proxy_pass http://u/t{number}/;",
+            "}",
+            "location ~* \\.(png|jpg)$ {",
+            "proxy_pass http://u;",
+            "}",
+            "location = /ping {",
+            "return 204;",
+            "}",
+            "}",
+        ]
     conf = folder / "long.conf"
     conf.write_text("\n".join([*parts, "}", ""]))
     began = time.perf_counter()
@@ -154,8 +179,14 @@
     found: Counter[str] = Counter()
     conf = folder / "made.conf"
 
-    @settings(max_examples=count, deadline=None, database=None, derandomize=True, phases=[Phase.generate],
-              suppress_health_check=list(HealthCheck))
+    @settings(
+        max_examples=count,
+        deadline=None,
+        database=None,
+        derandomize=True,
+        phases=[Phase.generate],
+        suppress_health_check=list(HealthCheck),
+    )
     @given(configurations, st.integers(0, 2**16))
     def play(text: str, seed: int) -> None:
         conf.write_text(text)
@@ -169,8 +200,9 @@
         ports = [listener.address[1] for listener in setup.listeners]
         for asked in requests(reference, each, random.Random(seed)):
             if asked.port in ports:
-                what, told = difference(reference, imported.report, asked, reference.follow(asked),
-                                        decided(setup, asked))
+                what, told = difference(
+                    reference, imported.report, asked, reference.follow(asked), decided(setup, asked)
+                )
                 found["same" if not what else "reported" if told else "unreported"] += 1
 
     play()
@@ -194,9 +226,13 @@
                 kinds += Importer(read_tree(str(Path(folder) / f"{name}.conf"))).run().report.counts()
         made = generated(options.generated, 100, Path(folder))
         lines, seconds = long_import(Path(folder), 5000)
-    table(["configuration", "same", "reported", "unreported", "no answer"],
-          [[site.name, *(site.found[key] for key in ("same", "reported", "unreported", "no answer"))]
-           for site in sites])
+    table(
+        ["configuration", "same", "reported", "unreported", "no answer"],
+        [
+            [site.name, *(site.found[key] for key in ("same", "reported", "unreported", "no answer"))]
+            for site in sites
+        ],
+    )
     for site in sites:
         for line in site.unreported[:3]:
             print(line)
@@ -205,12 +241,18 @@
     print(f"corpus: {len(sites)} configurations, {dict(whole)}; directives: {told}")
     print(f"generated: {dict(made)}")
     print(f"{lines} lines: {seconds:.2f} s")
-    bars = [Bar("differences that no report tells of", whole["unreported"] + made["unreported"], 0),
-            Bar("requests with no answer", whole["no answer"], 0),
-            Bar("seconds for 5,000 lines", seconds, 2.0)]
+    bars = [
+        Bar("differences that no report tells of", whole["unreported"] + made["unreported"], 0),
+        Bar("requests with no answer", whole["no answer"], 0),
+        Bar("seconds for 5,000 lines", seconds, 2.0),
+    ]
     figures: dict[str, object] = {
-        "corpus": dict(whole), "generated": dict(made), "directives": told, "configurations": len(sites),
-        "seconds": seconds}
+        "corpus": dict(whole),
+        "generated": dict(made),
+        "directives": told,
+        "configurations": len(sites),
+        "seconds": seconds,
+    }
     return close("nginx_equivalence", figures, bars)
 
 
--- a/benchmarks/nginx_requests.py
+++ b/benchmarks/nginx_requests.py
@@ -15,8 +15,21 @@
 from standins.nginx_reference import Asked, Block, Outcome, Reference
 
 ADDRESS = "127.0.0.1"
-REGEX_TEXTS = {r"\d+": "42", r"\.": ".", r"(.*)": "x/y", r"(.+)": "zz", r"[a-z]+": "abc", r"[0-9]+": "7",
-               r"\w+": "w1", r"[^/]+": "seg", ".*": "any", ".+": "some", "$": "", "^": "", "?": ""}
+REGEX_TEXTS = {
+    r"\d+": "42",
+    r"\.": ".",
+    r"(.*)": "x/y",
+    r"(.+)": "zz",
+    r"[a-z]+": "abc",
+    r"[0-9]+": "7",
+    r"\w+": "w1",
+    r"[^/]+": "seg",
+    ".*": "any",
+    ".+": "some",
+    "$": "",
+    "^": "",
+    "?": "",
+}
 OWN_HEADERS = (("X-Forwarded-For", "203.0.113.5"), ("X-Real-IP", "forged"), ("X-Note", "n"))
 LETTERS = "abcdeijkmnpqrstuvwxyz/._-"
 
@@ -50,7 +63,7 @@
         text = text.replace(pattern, plain)
     while found := re.search(r"\(\?:([^()]*)\)|\(([^()]*)\)", text):
         choice = rng.choice((found[1] or found[2] or "").split("|"))
-        text = text[:found.start()] + choice + text[found.end():]
+        text = text[: found.start()] + choice + text[found.end() :]
     text = re.sub(r"[\\()\[\]*+{}|]", "", text.split("|")[0])
     if kind == "~*" and rng.random() < 0.4:
         text = text.swapcase()
@@ -81,9 +94,14 @@
         path = quote(path, safe="/-._~!$&'()*+,;=:@") or "/"
         path = _varied(path, rng)
         yield Asked(
-            rng.choice(("GET", "GET", "POST", "HEAD", "PUT")), rng.choice(hosts), path,
-            rng.choice(("", "", "a=1", "q=x%20y&z")), rng.choice(ports), ADDRESS,
-            tuple(rng.sample(OWN_HEADERS, rng.randrange(3))))
+            rng.choice(("GET", "GET", "POST", "HEAD", "PUT")),
+            rng.choice(hosts),
+            path,
+            rng.choice(("", "", "a=1", "q=x%20y&z")),
+            rng.choice(ports),
+            ADDRESS,
+            tuple(rng.sample(OWN_HEADERS, rng.randrange(3))),
+        )
 
 
 def _varied(path: str, rng: random.Random) -> str:
@@ -102,8 +120,8 @@
         return path.replace("/", "//", 1)
     if kind == 6 and len(path) > 2:
         at = rng.randrange(1, len(path))
-        plain = path[at] if path[at].isalpha() and path[at - 1:at] != "%" else ""
-        return path[:at] + f"%{ord(plain):02X}" + path[at + 1:] if plain and "%" not in path else path
+        plain = path[at] if path[at].isalpha() and path[at - 1 : at] != "%" else ""
+        return path[:at] + f"%{ord(plain):02X}" + path[at + 1 :] if plain and "%" not in path else path
     if kind == 7:
         return path + "%2Fx"
     if kind == 8:
@@ -115,12 +133,24 @@
     """What the imported setup decides, with no sockets."""
     listener = next(each for each in setup.listeners if each.address[1] == asked.port)
     target = asked.path + (f"?{asked.query}" if asked.query else "")
-    found = outline(setup.routes, asked.method, asked.host, target, asked.headers, listener.name, asked.port,
-                    asked.address)
+    found = outline(
+        setup.routes,
+        asked.method,
+        asked.host,
+        target,
+        asked.headers,
+        listener.name,
+        asked.port,
+        asked.address,
+    )
     if found.status or found.routed is None:
         return Got(found.status, found.location, found.body)
-    addresses = frozenset("{}:{}".format(*server.address) for name in found.routed.route.pools
-                          for server in setup.pools[name].servers if not server.drain)
+    addresses = frozenset(
+        "{}:{}".format(*server.address)
+        for name in found.routed.route.pools
+        for server in setup.pools[name].servers
+        if not server.drain
+    )
     return Got(addresses=addresses, uri=found.routed.target.decode("latin-1"), headers=found.sends)
 
 
@@ -129,8 +159,11 @@
     block = reference.upstreams.get(group)
     if block is None:
         return frozenset((group if ":" in group else f"{group}:80",))
-    return frozenset(each.args[0] if ":" in each.args[0] else f"{each.args[0]}:80"
-                     for each in block.own("server") if "down" not in each.args)
+    return frozenset(
+        each.args[0] if ":" in each.args[0] else f"{each.args[0]}:80"
+        for each in block.own("server")
+        if "down" not in each.args
+    )
 
 
 def normal(uri: str) -> str:
@@ -150,18 +183,24 @@
 
 def told(report: Report, directive: str, treatment: Treatment, first: str = "") -> bool:
     """Whether the report tells so of a directive of this name, and of this first argument."""
-    return any(entry.treatment is treatment and entry.directive.name == directive
-               and (not first or entry.directive.args[0].lower() == first)
-               for entry in report.entries.values())
+    return any(
+        entry.treatment is treatment
+        and entry.directive.name == directive
+        and (not first or entry.directive.args[0].lower() == first)
+        for entry in report.entries.values()
+    )
 
 
-def difference(reference: Reference, report: Report, asked: Asked, wanted: Outcome,
-               got: Got) -> tuple[str, bool]:
+def difference(
+    reference: Reference, report: Report, asked: Asked, wanted: Outcome, got: Got
+) -> tuple[str, bool]:
     """What differs, and whether the report tells of it; an empty text if nothing does."""
     place = shut_for(got)
     if place:
-        lost = any(entry.directive.place == place and entry.treatment is Treatment.NOT_MAPPED
-                   for entry in report.entries.values())
+        lost = any(
+            entry.directive.place == place and entry.treatment is Treatment.NOT_MAPPED
+            for entry in report.entries.values()
+        )
         return f"501 for {place}", lost
     if got.status == 400:
         try:
--- a/benchmarks/reference_balance.py
+++ b/benchmarks/reference_balance.py
@@ -119,8 +119,9 @@
 
 
 class Balancer:
-    def __init__(self, settings: api.Settings, seed: int, now_us: int,
-                 reissues: Reissues | None = None) -> None:
+    def __init__(
+        self, settings: api.Settings, seed: int, now_us: int, reissues: Reissues | None = None
+    ) -> None:
         self.settings = settings
         self.random = random.Random(seed)
         self.now_us = now_us
@@ -247,8 +248,11 @@
     def finish(self, request: Request) -> None:
         """Rule 1 and 2, the one place of final answers: one each; refused only if nothing may have run."""
         kind = self.class_of(request)
-        harmless = (kind.effect == "idempotent" or request.first_that_may_have_run() is None
-                    or (kind.effect == "deduplicated" and kind.group == "all"))
+        harmless = (
+            kind.effect == "idempotent"
+            or request.first_that_may_have_run() is None
+            or (kind.effect == "deduplicated" and kind.group == "all")
+        )
         self.close(request)
         ident, after_us = request.event.request, self.mean_us[request.event.class_index]
         # about one answer's time, spread lest refused clients return together
@@ -351,8 +355,9 @@
                     return self.random.choices(best, [share for _, share in best])[0][0]
         return None
 
-    def free_slots(self, request: Request, servers: list[Server],
-                   some_rest: bool) -> list[tuple[Server, float]]:
+    def free_slots(
+        self, request: Request, servers: list[Server], some_rest: bool
+    ) -> list[tuple[Server, float]]:
         """The upstreams with a slot free for it, each with its slots, which count less where it is slow."""
         tried = [attempt.server for attempt in request.attempts]
         index = request.event.class_index
@@ -473,14 +478,14 @@
 
     def on_attempt_ended(self, event: api.AttemptEnded) -> None:
         request = self.requests.get(event.request)
-        attempts = request.attempts[event.attempt:event.attempt + 1] if request is not None else []
+        attempts = request.attempts[event.attempt : event.attempt + 1] if request is not None else []
         if request is None or not attempts or attempts[0].ended is not None:
             return
         attempt = attempts[0]
         attempt.ended = event.outcome
         server = attempt.server
         server.used -= int(not attempt.lost)
-        earlier = server.out[:server.out.index(attempt)]
+        earlier = server.out[: server.out.index(attempt)]
         server.out.remove(attempt)
         # hazard: what others overtook tells nothing of the load; judged by it, an upstream that leaves some
         # unanswered would be cut to one slot, and its time would be that of no answer
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -35,7 +35,7 @@
 
 def chosen(cases: list[Case], place: int | None) -> list[Case]:
     """All of them, or the one that was asked for."""
-    return cases if place is None else cases[place:place + 1]
+    return cases if place is None else cases[place : place + 1]
 
 
 def table(head: Sequence[str], rows: Sequence[Sequence[object]]) -> None:
--- a/benchmarks/shared_counts.py
+++ b/benchmarks/shared_counts.py
@@ -46,8 +46,9 @@
 class LossySocket:
     """Sends late, or not at all; stands where a socket does."""
 
-    def __init__(self, sock: socket.socket, talk: Talk, rng: random.Random,
-                 through: Callable[[Any], bool]) -> None:
+    def __init__(
+        self, sock: socket.socket, talk: Talk, rng: random.Random, through: Callable[[Any], bool]
+    ) -> None:
         self.sock = sock
         self.talk = talk
         self.rng = rng
@@ -85,17 +86,32 @@
     def start(self, number: int, sock: socket.socket) -> PeerTalk:
         talk = self.talk
         window = Window(int(talk.window_s * SECOND_US), round(talk.window_s / talk.bucket_s))
-        setup = PeersSetup(f"i{number}", self.addresses[number], self.addresses[number],
-                           tuple(self.addresses), "", talk.size, "bench", (KEY,),
-                           int(talk.period_s * SECOND_US), talk.fan_out, window, 4_096, True, talk.loss,
-                           int(talk.delay_s * SECOND_US), 1.0, talk.keys)
+        setup = PeersSetup(
+            f"i{number}",
+            self.addresses[number],
+            self.addresses[number],
+            tuple(self.addresses),
+            "",
+            talk.size,
+            "bench",
+            (KEY,),
+            int(talk.period_s * SECOND_US),
+            talk.fan_out,
+            window,
+            4_096,
+            True,
+            talk.loss,
+            int(talk.delay_s * SECOND_US),
+            1.0,
+            talk.keys,
+        )
 
         def through(address: Any) -> bool:
             return not self.split or self.numbers[address] % 2 == number % 2
 
         if talk.loss:
             sock = cast(socket.socket, LossySocket(sock, talk, self.rng, through))
-        return PeerTalk(setup, sock, self.rng.randrange(2 ** 32))
+        return PeerTalk(setup, sock, self.rng.randrange(2**32))
 
     def restart(self, number: int) -> None:
         again = self.socks[number].dup()
@@ -139,8 +155,10 @@
     """The highest rate a second over any such span of the window and the staleness before now."""
     span_us, step_us = int(span_s * SECOND_US), SECOND_US // 10
     first_us = now_us - int((TALK.window_s + bound(TALK).staleness_s) * SECOND_US)
-    return max((bisect_right(times, at) - bisect_left(times, at - span_us)) / span_s
-               for at in range(first_us, now_us + step_us, step_us))
+    return max(
+        (bisect_right(times, at) - bisect_left(times, at - span_us)) / span_s
+        for at in range(first_us, now_us + step_us, step_us)
+    )
 
 
 class Judge:
@@ -220,8 +238,10 @@
         for number, gossip in enumerate(self.model.gossips):
             rate = LIMIT_PER_S / TALK.size if way == "share" else LIMIT_PER_S
             allowance = Allowance(rate, max(1, int(rate)))
-            made = Limiter(LimiterSettings("it", KeyedBy.ALL, allowance, fleet_wide=way == "counts"),
-                           random.Random(number).random)
+            made = Limiter(
+                LimiterSettings("it", KeyedBy.ALL, allowance, fleet_wide=way == "counts"),
+                random.Random(number).random,
+            )
             made.counts = gossip.counts if way == "counts" else None
             self.limits.append(made)
 
@@ -260,7 +280,7 @@
     found: dict[str, dict[str, tuple[float, int]]] = {}
     for name, (per_s, weights) in SPREADS.items():
         for way in ("counts", "share", "neither"):
-            let = Limited(way, seed).play(seconds, per_s, weights)[seconds // 3:]
+            let = Limited(way, seed).play(seconds, per_s, weights)[seconds // 3 :]
             found.setdefault(name, {})[way] = sum(let) / len(let), max(let)
     return found
 
@@ -320,8 +340,10 @@
     arguments = parser.parse_args()
     seconds, seed = arguments.seconds, arguments.seed
     stated = bound(TALK)
-    print(f"seed {seed}; stated before: at most {stated.under:.1%} too low and {stated.over:.1%} too high of "
-          f"rate times window, but with {stated.probability:g}; none older than {stated.staleness_s:.2f} s")
+    print(
+        f"seed {seed}; stated before: at most {stated.under:.1%} too low and {stated.over:.1%} too high of "
+        f"rate times window, but with {stated.probability:g}; none older than {stated.staleness_s:.2f} s"
+    )
 
     async def play() -> Judge:
         fleet: Fleet = VirtualFleet(TALK, seed) if arguments.virtual else RealFleet(TALK, seed)
@@ -332,25 +354,40 @@
                 fleet.stop()
 
     judge = asyncio.run(play())
-    table(["estimates", "figure"], [
-        ["looks", judge.looks], ["outside the bound", judge.outside],
-        ["seconds with any outside", judge.seconds_outside],
-        ["worst, of the bound", judge.worst], ["worst in the split, of its bound", judge.worst_split],
-        ["lowest, of the true count", judge.lowest], ["highest", judge.highest]])
+    table(
+        ["estimates", "figure"],
+        [
+            ["looks", judge.looks],
+            ["outside the bound", judge.outside],
+            ["seconds with any outside", judge.seconds_outside],
+            ["worst, of the bound", judge.worst],
+            ["worst in the split, of its bound", judge.worst_split],
+            ["lowest, of the true count", judge.lowest],
+            ["highest", judge.highest],
+        ],
+    )
     through = let_through(max(6, int(min(seconds, 30.0))), seed)
-    table(["a limit of 1,000 a second for all", "counts", "worst second", "share", "neither"], [
-        [name, ways["counts"][0], ways["counts"][1], ways["share"][0], ways["neither"][0]]
-        for name, ways in through.items()])
+    table(
+        ["a limit of 1,000 a second for all", "counts", "worst second", "share", "neither"],
+        [
+            [name, ways["counts"][0], ways["counts"][1], ways["share"][0], ways["neither"][0]]
+            for name, ways in through.items()
+        ],
+    )
     if arguments.virtual:
         costs = {size: virtual_cost(size, 3.0) for size in (5, 20)}
     else:
         costs = {size: asyncio.run(cost(size, min(10.0, seconds / 2))) for size in (5, 20)}
     costs[100] = virtual_cost(100, 3.0)
-    table(["instances", "CPU ms a second each", "bytes a second each"],
-          [[size, *each] for size, each in costs.items()])
+    table(
+        ["instances", "CPU ms a second each", "bytes a second each"],
+        [[size, *each] for size, each in costs.items()],
+    )
     alone_us, shared_us = request_cost()
-    table(["a request under a limit, CPU us", "of one instance", "of all", "times"],
-          [["", alone_us, shared_us, shared_us / alone_us]])
+    table(
+        ["a request under a limit, CPU us", "of one instance", "of all", "times"],
+        [["", alone_us, shared_us, shared_us / alone_us]],
+    )
     even = through["3,000 a second, even"]["counts"][0]
     uneven = through["3,000 a second, half at one"]["counts"][0]
     may_be = max(1.0, judge.looks * stated.probability)
@@ -361,13 +398,19 @@
         Bar("let through by an uneven load, of the limit", uneven / LIMIT_PER_S, 1.05),
     ]
     figures: dict[str, object] = {
-        "seed": seed, "looks": judge.looks, "outside": judge.outside, "worst": round(judge.worst, 3),
-        "worst_split": round(judge.worst_split, 3), "lowest": round(judge.lowest, 3),
+        "seed": seed,
+        "looks": judge.looks,
+        "outside": judge.outside,
+        "worst": round(judge.worst, 3),
+        "worst_split": round(judge.worst_split, 3),
+        "lowest": round(judge.lowest, 3),
         "highest": round(judge.highest, 3),
-        "let_through": {name: {way: round(each[0], 1) for way, each in ways.items()}
-                        for name, ways in through.items()},
+        "let_through": {
+            name: {way: round(each[0], 1) for way, each in ways.items()} for name, ways in through.items()
+        },
         "request_us": [round(alone_us, 1), round(shared_us, 1)],
-        "cost": {str(size): [round(each[0], 2), round(each[1])] for size, each in costs.items()}}
+        "cost": {str(size): [round(each[0], 2), round(each[1])] for size, each in costs.items()},
+    }
     return close("shared_counts", figures, bars)
 
 
--- a/benchmarks/shared_judgements.py
+++ b/benchmarks/shared_judgements.py
@@ -49,9 +49,13 @@
         Case("a quarter fails", (1, 2)),
         Case("one is silent", do="silent"),
         Case("one fails, 30 % lost", talk=({"at": 0.0, "do": "blur", "loss": 0.3, "repeats": 0.05},)),
-        Case("one fails, split in halves",
-             talk=({"at": 1.0, "do": "split", "instances": half, "others": rest},
-                   {"at": WELL_S, "do": "heal", "instances": half, "others": rest})),
+        Case(
+            "one fails, split in halves",
+            talk=(
+                {"at": 1.0, "do": "split", "instances": half, "others": rest},
+                {"at": WELL_S, "do": "heal", "instances": half, "others": rest},
+            ),
+        ),
         Case("one fails, a tenth lies", liars=0.1, barred=False),
         Case("none fails, a tenth lies", bad=(), liars=0.1, barred=False),
     ]
@@ -62,12 +66,26 @@
     goes = {"oracle": "drain"}.get(way, case.do)
     events: list[dict[str, Any]] = [{"at": 0.0, "do": "blur", "loss": LOSS, "jitter": 0.005}, *case.talk]
     if bad:
-        events += [{"at": BAD_S, "do": goes, "servers": bad},
-                   {"at": WELL_S, "do": "undrain" if way == "oracle" else "well", "servers": bad}]
-    return checked({
-        "seed": seed, "seconds": ENDS_S, "instances": instances, "servers": SERVERS, "per_s": per_s,
-        "unsafe": 0.5, "deadline_s": 3.0, "answer_s": 0.01, "fellows": True, "judgements": way == "shared",
-        "liars": round(case.liars * instances) if way == "shared" else 0, "events": events})
+        events += [
+            {"at": BAD_S, "do": goes, "servers": bad},
+            {"at": WELL_S, "do": "undrain" if way == "oracle" else "well", "servers": bad},
+        ]
+    return checked(
+        {
+            "seed": seed,
+            "seconds": ENDS_S,
+            "instances": instances,
+            "servers": SERVERS,
+            "per_s": per_s,
+            "unsafe": 0.5,
+            "deadline_s": 3.0,
+            "answer_s": 0.01,
+            "fellows": True,
+            "judgements": way == "shared",
+            "liars": round(case.liars * instances) if way == "shared" else 0,
+            "events": events,
+        }
+    )
 
 
 @dataclass(frozen=True)
@@ -98,13 +116,20 @@
 def figures_of(it: Cluster, case: Case, rules: int) -> Told:
     step = WINDOW_S / 2
     times = [BAD_S + number * step for number in range(int((WELL_S - BAD_S) / step))]
-    avoided = next((at - BAD_S for at in times if case.bad and share_at(it, case.bad, at) <= 0.1),
-                   WELL_S - BAD_S if case.bad else 0.0)
+    avoided = next(
+        (at - BAD_S for at in times if case.bad and share_at(it, case.bad, at) <= 0.1),
+        WELL_S - BAD_S if case.bad else 0.0,
+    )
     after = [WELL_S + number * step for number in range(int((ENDS_S - WELL_S - 1.0) / step))]
-    back = next((at - WELL_S for at in after if case.bad and share_at(it, case.bad, at) >= 0.5),
-                ENDS_S - WELL_S if case.bad else 0.0)
-    failed = sum(it.begins + BAD_S <= run.at < it.begins + WELL_S
-                 for number in case.bad for run in it.shops[number].runs)
+    back = next(
+        (at - WELL_S for at in after if case.bad and share_at(it, case.bad, at) >= 0.5),
+        ENDS_S - WELL_S if case.bad else 0.0,
+    )
+    failed = sum(
+        it.begins + BAD_S <= run.at < it.begins + WELL_S
+        for number in case.bad
+        for run in it.shops[number].runs
+    )
     return Told(failed, avoided, back, served(it, BAD_S, WELL_S), served(it, 1.0, ENDS_S), rules)
 
 
@@ -133,22 +158,58 @@
         for way in WAYS:
             with tempfile.TemporaryDirectory() as folder:
                 each = by_way[way] = asyncio.run(
-                    played(case, way, asked.instances, asked.rate, asked.seed, Path(folder)))
-            rows.append([case.name, way, each.failed, each.avoided_s, each.back_s, each.goodput,
-                         each.goodput_all, each.rules])
+                    played(case, way, asked.instances, asked.rate, asked.seed, Path(folder))
+                )
+            rows.append(
+                [
+                    case.name,
+                    way,
+                    each.failed,
+                    each.avoided_s,
+                    each.back_s,
+                    each.goodput,
+                    each.goodput_all,
+                    each.rules,
+                ]
+            )
             figures[f"{case.name}, {way}"] = {
-                "failed": each.failed, "avoided_s": each.avoided_s, "back_s": each.back_s,
-                "goodput": round(each.goodput, 4), "goodput_all": round(each.goodput_all, 4)}
+                "failed": each.failed,
+                "avoided_s": each.avoided_s,
+                "back_s": each.back_s,
+                "goodput": round(each.goodput, 4),
+                "goodput_all": round(each.goodput_all, 4),
+            }
             rules += each.rules
         shared, off = by_way["shared"], by_way["off"]
         if case.barred:
-            bars.append(Bar(f"{case.name}: attempts at bad ones, of those without",
-                            shared.failed / max(1, off.failed), MOST_FAILED))
+            bars.append(
+                Bar(
+                    f"{case.name}: attempts at bad ones, of those without",
+                    shared.failed / max(1, off.failed),
+                    MOST_FAILED,
+                )
+            )
         least = LEAST_WITH_LIARS if case.liars else LEAST_GOODPUT
-        bars.append(Bar(f"{case.name}: goodput off, of goodput shared",
-                        off.goodput_all / max(1e-9, shared.goodput_all), 1 / least))
-    table(["case", "", "at bad ones", "avoided after s", "used again after s", "goodput while bad", "in all",
-           "rules broken"], rows)
+        bars.append(
+            Bar(
+                f"{case.name}: goodput off, of goodput shared",
+                off.goodput_all / max(1e-9, shared.goodput_all),
+                1 / least,
+            )
+        )
+    table(
+        [
+            "case",
+            "",
+            "at bad ones",
+            "avoided after s",
+            "used again after s",
+            "goodput while bad",
+            "in all",
+            "rules broken",
+        ],
+        rows,
+    )
     return close("shared_judgements", figures, [Bar("rules broken", rules, 0.0), *bars])
 
 
--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -49,9 +49,10 @@
     base.execute("pragma journal_mode=wal")
     base.execute("pragma synchronous=full")
     base.execute("create table servers (id text primary key, row text)")
-    base.executemany("insert into servers values (?, ?)",
-                     [(ident, json.dumps(member.entry.address))
-                      for ident, member in states[0].members.items()])
+    base.executemany(
+        "insert into servers values (?, ?)",
+        [(ident, json.dumps(member.entry.address)) for ident, member in states[0].members.items()],
+    )
     sizes = {"journal": 0, "whole file": 0, "sqlite": 4096}
     for number, (before, after) in enumerate(zip(states, states[1:], strict=False)):
         began = time.perf_counter()
@@ -60,8 +61,9 @@
         found["journal"].append(time.perf_counter() - began)
         sizes["journal"] = files.written - written
         began = time.perf_counter()
-        whole = json.dumps([[ident, *member.entry.address, member.entry.drain]
-                            for ident, member in after.members.items()]).encode()
+        whole = json.dumps(
+            [[ident, *member.entry.address, member.entry.drain] for ident, member in after.members.items()]
+        ).encode()
         replace_file(str(folder / "whole"), whole)
         found["whole file"].append(time.perf_counter() - began)
         sizes["whole file"] = len(whole)
@@ -119,17 +121,31 @@
     began_cpu = time.process_time()
     worst_ms, share = asyncio.run(cost(asked.servers, asked.seconds, True))
     with_cpu = time.process_time() - began_cpu
-    table(["", "no store", "store"], [["worst turn, ms", without_ms, worst_ms],
-                                      ["CPU s", without_cpu, with_cpu],
-                                      ["gathering, of the loop, 1 in 1,000", 0.0, share * 1000]])
+    table(
+        ["", "no store", "store"],
+        [
+            ["worst turn, ms", without_ms, worst_ms],
+            ["CPU s", without_cpu, with_cpu],
+            ["gathering, of the loop, 1 in 1,000", 0.0, share * 1000],
+        ],
+    )
     figures: dict[str, object] = {
-        "servers": asked.servers, "drain_ms": {name: round(ms, 3) for name, (ms, _) in ways.items()},
+        "servers": asked.servers,
+        "drain_ms": {name: round(ms, 3) for name, (ms, _) in ways.items()},
         "drain_bytes": {name: size for name, (_, size) in ways.items()},
-        "worst_turn_ms": [round(without_ms, 2), round(worst_ms, 2)], "share": share,
-        "cpu_s": [round(without_cpu, 3), round(with_cpu, 3)], "cores": os.cpu_count()}
-    return close("store_cost", figures, [
-        Bar("worst turn, ms more than without a store", worst_ms - without_ms, MOST_MS),
-        Bar("gathering, of the loop's time", share, MOST_SHARE)])
+        "worst_turn_ms": [round(without_ms, 2), round(worst_ms, 2)],
+        "share": share,
+        "cpu_s": [round(without_cpu, 3), round(with_cpu, 3)],
+        "cores": os.cpu_count(),
+    }
+    return close(
+        "store_cost",
+        figures,
+        [
+            Bar("worst turn, ms more than without a store", worst_ms - without_ms, MOST_MS),
+            Bar("gathering, of the loop's time", share, MOST_SHARE),
+        ],
+    )
 
 
 if __name__ == "__main__":
--- a/plovertrail/background.py
+++ b/plovertrail/background.py
@@ -84,11 +84,16 @@
         for name, each in self.background.works.items():
             alive_us = max(1, now_us - self.background.since_us)
             found[name] = {
-                "priority": each.work.priority.name.lower(), "runs": each.runs, "failed": each.failed,
-                "due_in_s": round((each.due_us - now_us) / 1e6, 3), "running": each.running,
+                "priority": each.work.priority.name.lower(),
+                "runs": each.runs,
+                "failed": each.failed,
+                "due_in_s": round((each.due_us - now_us) / 1e6, 3),
+                "running": each.running,
                 "worst_slice_ms": round(each.worst_us / 1e3, 3),
                 "longest_wait_s": round(each.latest_wait_us / 1e6, 3),
-                "share": round(each.took_us / alive_us, 6), "share_at_most": each.work.share}
+                "share": round(each.took_us / alive_us, 6),
+                "share_at_most": each.work.share,
+            }
         return found
 
     def stop(self) -> None:
--- a/plovertrail/bounds.py
+++ b/plovertrail/bounds.py
@@ -37,8 +37,16 @@
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     needed = needed_descriptors(setup)
     if hard != resource.RLIM_INFINITY and needed > hard:
-        raise ConfigError(setup.path, [Problem(
-            "", f"all connections together may take {needed} descriptors, and the process may have {hard}",
-            "lower max_connections of listeners or pools, or raise the limit (ulimit -n)")])
+        raise ConfigError(
+            setup.path,
+            [
+                Problem(
+                    "",
+                    f"all connections together may take {needed} descriptors,"
+                    f" and the process may have {hard}",
+                    "lower max_connections of listeners or pools, or raise the limit (ulimit -n)",
+                )
+            ],
+        )
     if soft != resource.RLIM_INFINITY and needed > soft:
         resource.setrlimit(resource.RLIMIT_NOFILE, (needed, hard))
--- a/plovertrail/cli/__init__.py
+++ b/plovertrail/cli/__init__.py
@@ -23,6 +23,22 @@
     """A balancer that keeps its rules when things break."""
 
 
-for command in (serve, check, test, route, counts, fellows, explain, status, wait, drain, undrain, seal, hook,
-                import_nginx, top, demo):
+for command in (
+    serve,
+    check,
+    test,
+    route,
+    counts,
+    fellows,
+    explain,
+    status,
+    wait,
+    drain,
+    undrain,
+    seal,
+    hook,
+    import_nginx,
+    top,
+    demo,
+):
     main.add_command(command)
--- a/plovertrail/cli/check.py
+++ b/plovertrail/cli/check.py
@@ -38,8 +38,10 @@
     except ConfigError as error:
         click.echo(str(error), err=True)
         sys.exit(2)
-    return [f"hooks.{name}: {', '.join(sorted(hook.phases))}; sha256 {hook.digest}"
-            for name, hook in compiled.items()]
+    return [
+        f"hooks.{name}: {', '.join(sorted(hook.phases))}; sha256 {hook.digest}"
+        for name, hook in compiled.items()
+    ]
 
 
 def unwritable(path: str) -> str:
@@ -55,9 +57,11 @@
 def state_of(setup: operator.Setup) -> list[str]:
     """What becomes of each piece of the setup's state over a restart."""
     used = {"limiters": setup.limiters, "tenants": setup.tenants, "peers": setup.peers, "hooks": setup.hooks}
-    return [f"after a restart: {piece.name}: {piece.from_where}; may be of {piece.oldest}; "
-            f"until then {piece.meanwhile}"
-            for piece in pieces({part for part, has in used.items() if has}, bool(setup.state_file))]
+    return [
+        f"after a restart: {piece.name}: {piece.from_where}; may be of {piece.oldest}; "
+        f"until then {piece.meanwhile}"
+        for piece in pieces({part for part, has in used.items() if has}, bool(setup.state_file))
+    ]
 
 
 @click.command()
@@ -72,10 +76,12 @@
         click.echo(str(ConfigError(file, [problem])), err=True)
         sys.exit(2)
     servers = sum(len(pool.servers) for pool in setup.pools.values())
-    click.echo(f"{file}: good: {len(setup.listeners)} listeners, {len(setup.routes.routes)} routes, "
-               f"{len(setup.pools)} pools with {servers} servers, {len(setup.classes)} classes; "
-               f"at most {needed_descriptors(setup)} descriptors, "
-               f"{needed_memory(setup) >> 20} MiB of messages")
+    click.echo(
+        f"{file}: good: {len(setup.listeners)} listeners, {len(setup.routes.routes)} routes, "
+        f"{len(setup.pools)} pools with {servers} servers, {len(setup.classes)} classes; "
+        f"at most {needed_descriptors(setup)} descriptors, "
+        f"{needed_memory(setup) >> 20} MiB of messages"
+    )
     for line in hooks_of(setup):
         click.echo(line)
     for line in state_of(setup):
--- a/plovertrail/cli/control.py
+++ b/plovertrail/cli/control.py
@@ -12,8 +12,13 @@
 
 from plovertrail.decisions.recovery import Phase
 
-SOCKET = click.option("--socket", "path", envvar="PLOVERTRAIL_SOCKET", required=True,
-                      help="control_socket of the daemon's file; or in PLOVERTRAIL_SOCKET.")
+SOCKET = click.option(
+    "--socket",
+    "path",
+    envvar="PLOVERTRAIL_SOCKET",
+    required=True,
+    help="control_socket of the daemon's file; or in PLOVERTRAIL_SOCKET.",
+)
 PATIENCE_S = 5.0
 LONGEST_ANSWER = 64 << 20
 LOOK_S = 0.05  # between two looks while waiting
@@ -79,10 +84,19 @@
 
 
 @click.command()
-@click.option("--phase", type=click.Choice([phase.value for phase in Phase]), default=Phase.FULL.value,
-              help="The phase to wait for; a later one counts as well. Default: full.")
-@click.option("--within", "within_s", type=click.FloatRange(min=0), default=60.0,
-              help="Seconds to wait at most. Default: 60.")
+@click.option(
+    "--phase",
+    type=click.Choice([phase.value for phase in Phase]),
+    default=Phase.FULL.value,
+    help="The phase to wait for; a later one counts as well. Default: full.",
+)
+@click.option(
+    "--within",
+    "within_s",
+    type=click.FloatRange(min=0),
+    default=60.0,
+    help="Seconds to wait at most. Default: 60.",
+)
 @SOCKET
 def wait(phase: str, within_s: float, path: str) -> None:
     """Wait until the daemon has come so far, for rollouts: exits with 0 then, with 4 if it hasn't in time."""
@@ -110,14 +124,19 @@
     if not peers:
         return
     bound = peers["bound"]
-    click.echo(f"peers: {peers['name']} hears {peers['heard']} of {peers['size'] - 1}; counts are at most "
-               f"{bound['under']:.1%} too low, {bound['over']:.1%} too high, of rate times window")
+    click.echo(
+        f"peers: {peers['name']} hears {peers['heard']} of {peers['size'] - 1}; counts are at most "
+        f"{bound['under']:.1%} too low, {bound['over']:.1%} too high, of rate times window"
+    )
     for told in [peers["problem"], *(f"two instances are called {name}" for name in peers["twins"])]:
         if told:
             click.echo(f"  ! {told}")
     for address, peer in peers["peers"].items():
-        heard = "never heard" if peer["heard_s_ago"] is None else (
-            f"heard {peer['heard_s_ago']:.2f} s ago, {peer['loss']:.1%} lost")
+        heard = (
+            "never heard"
+            if peer["heard_s_ago"] is None
+            else (f"heard {peer['heard_s_ago']:.2f} s ago, {peer['loss']:.1%} lost")
+        )
         click.echo(f"  {address} {peer['name'] or '?'}: {heard}")
     for name, each in peers["counts"].items():
         click.echo(f"  {name}: {each['own']:g} here, {each['fleet']:g} in the fleet")
@@ -132,8 +151,10 @@
     if as_json:
         click.echo(json.dumps(found, indent=1))
     else:
-        click.echo(f"{found['file']}: generation {found['generation']}, {found['connections']} connections, "
-                   f"{found['requests']} requests open, state file: {found['state_file']}")
+        click.echo(
+            f"{found['file']}: generation {found['generation']}, {found['connections']} connections, "
+            f"{found['requests']} requests open, state file: {found['state_file']}"
+        )
         click.echo(f"phase: {tell_phase(found['recovery'])}")
         for name, why in found["recovery"]["missing"].items():
             click.echo(f"  ! {name}: {why}")
--- a/plovertrail/cli/counts.py
+++ b/plovertrail/cli/counts.py
@@ -18,10 +18,17 @@
 @counts.command("bound")
 @click.argument("file", type=click.Path(dir_okay=False))
 @click.option("--size", default=0, help="Instances; 0: as many as the file tells.")
-@click.option("--rate", default=0.0,
-              help="Requests a second of one key over the whole fleet, to tell counts.")
-@click.option("--but-with", "probability", default=1e-3, show_default=True,
-              type=click.FloatRange(1e-9, 0.5), help="The probability with which it may not hold.")
+@click.option(
+    "--rate", default=0.0, help="Requests a second of one key over the whole fleet, to tell counts."
+)
+@click.option(
+    "--but-with",
+    "probability",
+    default=1e-3,
+    show_default=True,
+    type=click.FloatRange(1e-9, 0.5),
+    help="The probability with which it may not hold.",
+)
 def bound_command(file: str, size: int, rate: float, probability: float) -> None:
     """Say how far a shared count may be from the truth under FILE's [peers], before anything is
     measured."""
@@ -32,11 +39,16 @@
     talk = peers.talk(size or peers.size)
     found = bound(talk, probability)
     half = partition_under(talk.window_s, 0.5, talk)
-    click.echo(f"{talk.size} instances; each hears of a key every {talk.round_s:g} s at most, "
-               f"{talk.loss:.0%} lost, within {talk.delay_s:g} s; window {talk.window_s:g} s")
+    click.echo(
+        f"{talk.size} instances; each hears of a key every {talk.round_s:g} s at most, "
+        f"{talk.loss:.0%} lost, within {talk.delay_s:g} s; window {talk.window_s:g} s"
+    )
     click.echo(f"at any one moment, but with a probability of {probability:g}:")
-    for name, part in (("too low by at most", found.under), ("too high by at most", found.over),
-                       ("in a partition into halves, after a window, lower by a further", half)):
+    for name, part in (
+        ("too low by at most", found.under),
+        ("too high by at most", found.over),
+        ("in a partition into halves, after a window, lower by a further", half),
+    ):
         more = f" = {part * rate * talk.window_s:.0f} requests" if rate else ""
         click.echo(f"  {name} {part:.1%} of the highest rate times the window{more}")
     click.echo(f"as none is older than {found.staleness_s:.2f} s")
--- a/plovertrail/cli/demo.py
+++ b/plovertrail/cli/demo.py
@@ -90,15 +90,18 @@
         await publishing.start()
     await page.start()
     with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
-        file.write(FILE.format(port=port or free_port(), servers=rows(servers), live=rows(live),
-                               page=rows([page])))
+        file.write(
+            FILE.format(port=port or free_port(), servers=rows(servers), live=rows(live), page=rows([page]))
+        )
         file.flush()
         daemon = Daemon(operator.load(file.name))
         _, at = daemon.addresses()["demo"]
-        click.echo(f"three servers on ports {', '.join(str(server.port) for server in servers)}; try\n"
-                   f"    curl -i http://127.0.0.1:{at}/hello\n"
-                   f"    curl -i -X POST http://127.0.0.1:{at}/buy/chapter-7\n"
-                   f"and open http://127.0.0.1:{at}/balances in a browser. Ctrl-C ends it.")
+        click.echo(
+            f"three servers on ports {', '.join(str(server.port) for server in servers)}; try\n"
+            f"    curl -i http://127.0.0.1:{at}/hello\n"
+            f"    curl -i -X POST http://127.0.0.1:{at}/buy/chapter-7\n"
+            f"and open http://127.0.0.1:{at}/balances in a browser. Ctrl-C ends it."
+        )
         stop = asyncio.Event()
         loop = asyncio.get_running_loop()
         for number in (signal.SIGINT, signal.SIGTERM):
@@ -118,8 +121,10 @@
     for publishing in live:
         publishing.stop()
     asked = sum(statuses.values())
-    click.echo(f"\n{asked} requests of the demo's own clients: "
-               + ", ".join(f"{count} answered {status}" for status, count in sorted(statuses.items())))
+    click.echo(
+        f"\n{asked} requests of the demo's own clients: "
+        + ", ".join(f"{count} answered {status}" for status, count in sorted(statuses.items()))
+    )
     for server in servers:
         click.echo(f"  {server.name}: {server.count} requests")
 
--- a/plovertrail/cli/fellows.py
+++ b/plovertrail/cli/fellows.py
@@ -16,8 +16,10 @@
 def tell_fellows(found: dict[str, Any]) -> None:
     """This instance's view of the others."""
     doubt = f", doubts itself ({found['doubt']} of 8)" if found["doubt"] else ""
-    click.echo(f"{found['name']}: {found['size'] - 1} others are there{doubt}; a dead one is silent here "
-               f"within {found['detects_within_s']:g} s")
+    click.echo(
+        f"{found['name']}: {found['size'] - 1} others are there{doubt}; a dead one is silent here "
+        f"within {found['detects_within_s']:g} s"
+    )
     if found["alone"]:
         click.echo("  ! it hears nobody, and so judges nobody")
     for name in found["twins"]:
@@ -27,8 +29,9 @@
         heard = "never heard itself" if ago is None else f"heard {ago:.1f} s ago"
         zone = f" in {each['zone']}" if each["zone"] else ""
         by = f", suspected by {', '.join(each['suspected_by'])}" if each["suspected_by"] else ""
-        click.echo(f"  {name} {each['address']}{zone}: {each['state']} for {each['since_s']:.1f} s, "
-                   f"{heard}{by}")
+        click.echo(
+            f"  {name} {each['address']}{zone}: {each['state']} for {each['since_s']:.1f} s, {heard}{by}"
+        )
 
 
 def tell_opinion(server: str, kind: str, found: dict[str, Any]) -> None:
@@ -37,10 +40,14 @@
     wrong = own["faults"] + own["silent"] + own["full"]
     held = f"drawn less, by {found['held_back']:.2f} of 1" if found["held_back"] else "drawn as any other"
     click.echo(f"{server}, {kind}: {held}")
-    click.echo(f"  here {own['attempts']:g} attempts of late, {wrong:g} came to nothing "
-               f"({own['faults']:g} failed, {own['silent']:g} not answered, {own['full']:g} turned away)")
-    click.echo(f"  elsewhere {heard['attempts']:g}, {heard['wrong']:g} came to nothing, as they count; "
-               f"{found['found_wrong_by']} others find it wrong")
+    click.echo(
+        f"  here {own['attempts']:g} attempts of late, {wrong:g} came to nothing "
+        f"({own['faults']:g} failed, {own['silent']:g} not answered, {own['full']:g} turned away)"
+    )
+    click.echo(
+        f"  elsewhere {heard['attempts']:g}, {heard['wrong']:g} came to nothing, as they count; "
+        f"{found['found_wrong_by']} others find it wrong"
+    )
     click.echo(f"  at all servers {found['everywhere']:.0%} comes to nothing")
 
 
@@ -73,8 +80,11 @@
 def server(server: str, pool: str | None, path: str) -> None:
     """Say what is thought of SERVER, here and elsewhere, and how much less it is drawn for that."""
     status = ask(path, do="status")["status"]
-    pools = [name for name, each in status["pools"].items() if pool in (None, name)
-             and any(one["id"] == server for one in each["servers"])]
+    pools = [
+        name
+        for name, each in status["pools"].items()
+        if pool in (None, name) and any(one["id"] == server for one in each["servers"])
+    ]
     if not pools:
         click.echo(f"no pool{f' {pool}' if pool else ''} has a server {server!r}", err=True)
         sys.exit(1)
--- a/plovertrail/cli/hook.py
+++ b/plovertrail/cli/hook.py
@@ -51,8 +51,9 @@
         sys.exit(NO_MODULE)
 
 
-def settings(path: str, pairs: tuple[str, ...], counters: tuple[str, ...], fuel: int,
-             memory: str, body: int) -> HookSetup:
+def settings(
+    path: str, pairs: tuple[str, ...], counters: tuple[str, ...], fuel: int, memory: str, body: int
+) -> HookSetup:
     """What the operator's file would say of it."""
     config = []
     for text in pairs:
@@ -111,8 +112,9 @@
 @click.option("--fuel", default=500_000, show_default=True)
 @click.option("--memory", default="1MiB", show_default=True)
 @click.option("--body", default=0, show_default=True, help="Bytes of a request's body that it is told.")
-def check(file: str, pairs: tuple[str, ...], counters: tuple[str, ...], fuel: int, memory: str,
-          body: int) -> None:
+def check(
+    file: str, pairs: tuple[str, ...], counters: tuple[str, ...], fuel: int, memory: str, body: int
+) -> None:
     """Check FILE as a daemon would before taking it: its form, its size, and a trial of each phase."""
     from plovertrail.hooks.engine import BadModule
     from plovertrail.hooks.trial import try_out
@@ -129,19 +131,37 @@
 
 @hook.command()
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--request", "path", type=click.Path(dir_okay=False), help="A JSON file: method, path, query, "
-              "host, route, class, tenant, client, headers, body, may_choose, remaining_ms; status and "
-              "outcome for the later phases.")
-@click.option("--phase", type=click.Choice(["on_request", "on_answer", "on_end"]), default="on_request",
-              show_default=True)
+@click.option(
+    "--request",
+    "path",
+    type=click.Path(dir_okay=False),
+    help="A JSON file: method, path, query, "
+    "host, route, class, tenant, client, headers, body, may_choose, remaining_ms; status and "
+    "outcome for the later phases.",
+)
+@click.option(
+    "--phase",
+    type=click.Choice(["on_request", "on_answer", "on_end"]),
+    default="on_request",
+    show_default=True,
+)
 @click.option("-H", "--header", "headers", multiple=True, help="A header more, as 'name: value'.")
 @click.option("--config", "pairs", multiple=True, metavar="KEY=VALUE", help="A setting that it reads.")
 @click.option("--counter", "counters", multiple=True, help="The name of a counter that it may count.")
 @click.option("--fuel", default=500_000, show_default=True)
 @click.option("--memory", default="1MiB", show_default=True)
 @click.option("--body", default=0, show_default=True, help="Bytes of a request's body that it is told.")
-def run(file: str, path: str | None, phase: str, headers: tuple[str, ...], pairs: tuple[str, ...],
-        counters: tuple[str, ...], fuel: int, memory: str, body: int) -> None:
+def run(
+    file: str,
+    path: str | None,
+    phase: str,
+    headers: tuple[str, ...],
+    pairs: tuple[str, ...],
+    counters: tuple[str, ...],
+    fuel: int,
+    memory: str,
+    body: int,
+) -> None:
     """Run FILE against a written request, and print its verdict, the fuel and the time that it took. Sends
     nothing. Exits with 1 if it faults."""
     from plovertrail.decisions.verdicts import Allowed, BadVerdict
@@ -161,8 +181,11 @@
     if phase not in compiled.phases:
         click.echo(f"{file}: it has no phase {phase}", err=True)
         sys.exit(NO_MODULE)
-    allowed = Allowed((), frozenset(name.encode() for name in request.may_choose),
-                      frozenset(name.encode() for name in counters))
+    allowed = Allowed(
+        (),
+        frozenset(name.encode() for name in request.may_choose),
+        frozenset(name.encode() for name in counters),
+    )
     try:
         instance = Instance(runtime, compiled, Bounds(fuel, setup.memory))
         began = time.perf_counter()
@@ -174,14 +197,19 @@
         click.echo(f"fault: {fault}")
         sys.exit(FAULTED)
     shown: dict[str, object] = {
-        "refuse": verdict.refuse, "body": verdict.body.decode("utf-8", "replace"),
-        "set_headers": [[name.decode("latin-1"), value.decode("latin-1")] for name, value in
-                        verdict.set_headers],
+        "refuse": verdict.refuse,
+        "body": verdict.body.decode("utf-8", "replace"),
+        "set_headers": [
+            [name.decode("latin-1"), value.decode("latin-1")] for name, value in verdict.set_headers
+        ],
         "remove_headers": [name.decode("latin-1") for name in verdict.remove_headers],
         "tenant": None if verdict.tenant is None else verdict.tenant.decode("latin-1"),
         "class": None if verdict.class_name is None else verdict.class_name.decode("latin-1"),
         "counts": {name.decode("latin-1"): by for name, by in verdict.counts},
-        "logs": [line.decode("utf-8", "replace") for line in verdict.logs]}
+        "logs": [line.decode("utf-8", "replace") for line in verdict.logs],
+    }
     click.echo(json.dumps({key: value for key, value in shown.items() if value not in (0, "", [], {}, None)}))
-    click.echo(f"fuel {fuel - instance.fuel_left()} of {fuel}, {took_us:.0f} us, "
-               f"{instance.memory_bytes()} bytes of memory")
+    click.echo(
+        f"fuel {fuel - instance.fuel_left()} of {fuel}, {took_us:.0f} us, "
+        f"{instance.memory_bytes()} bytes of memory"
+    )
--- a/plovertrail/cli/serve.py
+++ b/plovertrail/cli/serve.py
@@ -22,8 +22,16 @@
     process: a rehearsal takes the CPU for seconds, and open requests must not wait for it."""
     asks = [part for path in expectations for part in ("--expect", path)]
     test = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "plovertrail.cli", "test", file, *asks,
-        stdin=asyncio.subprocess.DEVNULL, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT)
+        sys.executable,
+        "-m",
+        "plovertrail.cli",
+        "test",
+        file,
+        *asks,
+        stdin=asyncio.subprocess.DEVNULL,
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.STDOUT,
+    )
     try:
         async with asyncio.timeout(LONGEST_TEST_S):
             told, _ = await test.communicate()
@@ -36,8 +44,13 @@
 
 @click.command()
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--tests", "tests", multiple=True, type=click.Path(dir_okay=False),
-              help="Expectations that FILE must hold at the start, and before each reload.")
+@click.option(
+    "--tests",
+    "tests",
+    multiple=True,
+    type=click.Path(dir_okay=False),
+    help="Expectations that FILE must hold at the start, and before each reload.",
+)
 def serve(file: str, tests: tuple[str, ...]) -> None:
     """Serve under FILE. SIGHUP reads it again, in full or not at all; SIGTERM answers all that is open and
     exits with 0."""
--- a/plovertrail/cli/test.py
+++ b/plovertrail/cli/test.py
@@ -26,8 +26,9 @@
 @click.option("--junit", type=click.Path(dir_okay=False), help="Write the result as JUnit's XML as well.")
 @click.option("--watch", is_flag=True, help="Again whenever one of the files changes, till interrupted.")
 @click.option("--init", is_flag=True, help="Print a first set of expectations: what FILE does now.")
-def test(file: str, paths: tuple[str, ...], as_json: bool, junit: str | None, watch: bool,
-         init: bool) -> None:
+def test(
+    file: str, paths: tuple[str, ...], as_json: bool, junit: str | None, watch: bool, init: bool
+) -> None:
     """Hold FILE to expectations, with no traffic and no sockets. Exits with 1 if one breaks, with 2 if a file
     can't be used."""
     if init:
@@ -65,9 +66,17 @@
         Path(junit).write_text(as_junit(report))
     if as_json:
         failures = [{"name": each.name, "place": each.place, "told": each.failures} for each in report.failed]
-        click.echo(json.dumps({
-            "passed": len(report.results) - len(report.failed), "failed": len(report.failed),
-            "seconds": round(seconds, 3), "untouched": report.untouched, "failures": failures}))
+        click.echo(
+            json.dumps(
+                {
+                    "passed": len(report.results) - len(report.failed),
+                    "failed": len(report.failed),
+                    "seconds": round(seconds, 3),
+                    "untouched": report.untouched,
+                    "failures": failures,
+                }
+            )
+        )
     else:
         tell(setup, report, seconds)
     sys.stdout.flush()
--- a/plovertrail/cli/top.py
+++ b/plovertrail/cli/top.py
@@ -11,12 +11,31 @@
 
 from plovertrail.cli.control import SOCKET, ask, tell_phase
 
-JUDGED = ("pool", "server", "class", "drawn less by", "found wrong by", "here", "went wrong", "elsewhere",
-          "went wrong")
+JUDGED = (
+    "pool",
+    "server",
+    "class",
+    "drawn less by",
+    "found wrong by",
+    "here",
+    "went wrong",
+    "elsewhere",
+    "went wrong",
+)
 SHARED = ("counted over the fleet", "here", "in all")
 Figures = dict[str, dict[str, dict[str, Any]]]  # of each tenant, by pool
-COLUMNS = ("pool", "tenant", "weight", "share", "admitted/s", "refused/s", "waiting", "at work", "work ms",
-           "wait ms")
+COLUMNS = (
+    "pool",
+    "tenant",
+    "weight",
+    "share",
+    "admitted/s",
+    "refused/s",
+    "waiting",
+    "at work",
+    "work ms",
+    "wait ms",
+)
 
 
 def look(path: str) -> tuple[Figures, dict[str, Any]]:
@@ -43,9 +62,19 @@
             each = tenants[name]
             rates = [since(name, key) / seconds for key in ("admitted", "refused")]
             if work[name] or any(rates) or each["waiting"] or each["at_work"]:
-                found.append([pool, name, f"{each['weight']:g}", f"{100 * work[name] / whole:.1f} %",
-                              *(f"{rate:.1f}" for rate in rates), str(each["waiting"]), str(each["at_work"]),
-                              f"{each['work_ms']:.1f}", f"{each['wait_ms']:.1f}"])
+                found.append(
+                    [
+                        pool,
+                        name,
+                        f"{each['weight']:g}",
+                        f"{100 * work[name] / whole:.1f} %",
+                        *(f"{rate:.1f}" for rate in rates),
+                        str(each["waiting"]),
+                        str(each["at_work"]),
+                        f"{each['work_ms']:.1f}",
+                        f"{each['wait_ms']:.1f}",
+                    ]
+                )
     return found
 
 
@@ -57,13 +86,25 @@
 
 def judged_rows(judgements: dict[str, Any]) -> list[list[str]]:
     """A line for each server and class that somebody finds wrong, the one held back most first."""
-    found = [(float(each["held_back"]), [
-        pool, server, kind, f"{each['held_back']:.2f}", str(each["found_wrong_by"]),
-        f"{each['own']['attempts']:.1f}",
-        f"{sum(each['own'][how] for how in ('faults', 'silent', 'full')):.1f}",
-        f"{each['heard']['attempts']:.1f}", f"{each['heard']['wrong']:.1f}"])
-        for pool, servers in judgements.items() for server, kinds in servers.items()
-        for kind, each in kinds.items()]
+    found = [
+        (
+            float(each["held_back"]),
+            [
+                pool,
+                server,
+                kind,
+                f"{each['held_back']:.2f}",
+                str(each["found_wrong_by"]),
+                f"{each['own']['attempts']:.1f}",
+                f"{sum(each['own'][how] for how in ('faults', 'silent', 'full')):.1f}",
+                f"{each['heard']['attempts']:.1f}",
+                f"{each['heard']['wrong']:.1f}",
+            ],
+        )
+        for pool, servers in judgements.items()
+        for server, kinds in servers.items()
+        for kind, each in kinds.items()
+    ]
     return [line for _, line in sorted(found, key=lambda pair: (-pair[0], pair[1]))]
 
 
@@ -75,8 +116,10 @@
         lines += [f"  ! {name}: {why}" for name, why in recovery["missing"].items()]
     for name, pool in status.get("pools", {}).items():
         if slow := pool.get("admission"):
-            lines.append(f"{name}: begins slowly, {slow['window']} at once of {slow['servers']} "
-                         f"({slow['refused']} refused)")
+            lines.append(
+                f"{name}: begins slowly, {slow['window']} at once of {slow['servers']} "
+                f"({slow['refused']} refused)"
+            )
     if fellows := status.get("fellows"):
         states = Counter(each["state"] for each in fellows["fellows"].values())
         told = ", ".join(f"{count} {state}" for state, count in sorted(states.items())) or "none known"
@@ -101,8 +144,11 @@
         parts.append(table)
     if peers := status.get("peers"):
         bound = peers["bound"]
-        counted = Table(*SHARED, title=f"{peers['heard']} of {peers['size'] - 1} peers heard; at most "
-                        f"{bound['under']:.1%} too low, {bound['over']:.1%} too high")
+        counted = Table(
+            *SHARED,
+            title=f"{peers['heard']} of {peers['size'] - 1} peers heard; at most "
+            f"{bound['under']:.1%} too low, {bound['over']:.1%} too high",
+        )
         for line in shared_rows(peers):
             counted.add_row(*line)
         parts.append(counted)
--- a/plovertrail/config/fellows.py
+++ b/plovertrail/config/fellows.py
@@ -35,8 +35,9 @@
     zone: str
 
 
-def read_fellows(raw: object, peers: PeersSetup | None, zone: str,
-                 problems: list[Problem]) -> FellowsSetup | None:
+def read_fellows(
+    raw: object, peers: PeersSetup | None, zone: str, problems: list[Problem]
+) -> FellowsSetup | None:
     """`peers` is there if its table is good; what is wrong goes to `problems`."""
     known = len(problems)
     table = read_table(FellowsTable, raw, "fellows", problems)
@@ -56,11 +57,19 @@
         wrong("gossip", f"{table.gossip!r} is longer than the period", "write less, or a longer period")
     if period_us * ANSWER_PART < 2 * peers.delay_us:
         least_ms = 2 * peers.delay_us / ANSWER_PART / 1e3
-        wrong("period", f"an answer may take {2 * peers.delay_us / 1e3:g} ms by peers.delay, and half of "
-              f"{table.period!r} is less", f'write at least "{least_ms:g}ms"')
+        wrong(
+            "period",
+            f"an answer may take {2 * peers.delay_us / 1e3:g} ms by peers.delay, and half of "
+            f"{table.period!r} is less",
+            f'write at least "{least_ms:g}ms"',
+        )
     if false_suspicion(peers.loss) > MOST_FALSE:
-        wrong("period", f"at peers.loss = {peers.loss:g} {false_suspicion(peers.loss):.0%} of all probes of "
-              "live instances fail", "mend the network, or set enabled = false and count by peers alone")
+        wrong(
+            "period",
+            f"at peers.loss = {peers.loss:g} {false_suspicion(peers.loss):.0%} of all probes of "
+            "live instances fail",
+            "mend the network, or set enabled = false and count by peers alone",
+        )
     if len(problems) > known:
         return None
     return FellowsSetup(period_us, gossip_us, table.fan_out, table.judgements, zone)
--- a/plovertrail/config/hooks.py
+++ b/plovertrail/config/hooks.py
@@ -53,27 +53,51 @@
     if not WORD.fullmatch(name):
         problems.append(Problem(place, f"{name!r} is no name", "write letters, digits, _ . or -, 64 at most"))
     if not table.file:
-        problems.append(Problem(f"{place}.file", "empty",
-                                'write the path of a module, as "hooks/promo.wasm"'))
+        problems.append(
+            Problem(f"{place}.file", "empty", 'write the path of a module, as "hooks/promo.wasm"')
+        )
     memory = size_bytes(table.memory, f"{place}.memory", problems, 64 << 10, 64 << 20)
     body = size_bytes(table.body, f"{place}.body", problems, 0, 256 << 10)
     for key in table.config:
         if not WORD.fullmatch(key):
-            problems.append(Problem(key_path(f"{place}.config", key), f"{key!r} is no key",
-                                    "write letters, digits, _ . or -, 64 at most"))
+            problems.append(
+                Problem(
+                    key_path(f"{place}.config", key),
+                    f"{key!r} is no key",
+                    "write letters, digits, _ . or -, 64 at most",
+                )
+            )
     if sum(len(key) + len(value.encode()) for key, value in table.config.items()) > MOST_CONFIG_BYTES:
-        problems.append(Problem(f"{place}.config", f"more than {MOST_CONFIG_BYTES} bytes",
-                                "keep long lists in the module itself"))
+        problems.append(
+            Problem(
+                f"{place}.config",
+                f"more than {MOST_CONFIG_BYTES} bytes",
+                "keep long lists in the module itself",
+            )
+        )
     for number, counter in enumerate(table.counters):
         if not WORD.fullmatch(counter) or counter in table.counters[:number]:
-            problems.append(Problem(f"{place}.counters[{number}]", f"{counter!r} is no name, or there twice",
-                                    "write letters, digits, _ . or -, 64 at most, each name once"))
+            problems.append(
+                Problem(
+                    f"{place}.counters[{number}]",
+                    f"{counter!r} is no name, or there twice",
+                    "write letters, digits, _ . or -, 64 at most, each name once",
+                )
+            )
     if len(table.counters) > MOST_COUNTERS:
         problems.append(Problem(f"{place}.counters", f"more than {MOST_COUNTERS}", "keep the main ones"))
     if len(problems) > known:
         return None
-    return HookSetup(name, table.file, table.fuel, memory, table.reuse, body,
-                     tuple(table.config.items()), tuple(table.counters))
+    return HookSetup(
+        name,
+        table.file,
+        table.fuel,
+        memory,
+        table.reuse,
+        body,
+        tuple(table.config.items()),
+        tuple(table.counters),
+    )
 
 
 def read_hooks(raw: Mapping[str, object], problems: list[Problem]) -> dict[str, HookSetup]:
--- a/plovertrail/config/limiters.py
+++ b/plovertrail/config/limiters.py
@@ -39,19 +39,25 @@
     scope: Literal["instance", "fleet"] = "instance"
 
 
-def read_limiters(raw: Mapping[str, object], tenants: Iterable[str], talks: bool,
-                  problems: list[Problem]) -> dict[str, LimiterSettings]:
+def read_limiters(
+    raw: Mapping[str, object], tenants: Iterable[str], talks: bool, problems: list[Problem]
+) -> dict[str, LimiterSettings]:
     """All limiters of a file; `tenants` are those that it lists, `talks` whether instances count together."""
     listed = frozenset(tenants)
     if len(raw) > MOST_LIMITERS:
-        problems.append(Problem("limiters", f"{len(raw)} limiters; at most {MOST_LIMITERS} are taken",
-                                "remove some"))
-    return {name: found for name, item in raw.items()
-            if (found := _limiter(name, item, listed, talks, problems)) is not None}
-
-
-def _limiter(name: str, raw: object, listed: frozenset[str], talks: bool,
-             problems: list[Problem]) -> LimiterSettings | None:
+        problems.append(
+            Problem("limiters", f"{len(raw)} limiters; at most {MOST_LIMITERS} are taken", "remove some")
+        )
+    return {
+        name: found
+        for name, item in raw.items()
+        if (found := _limiter(name, item, listed, talks, problems)) is not None
+    }
+
+
+def _limiter(
+    name: str, raw: object, listed: frozenset[str], talks: bool, problems: list[Problem]
+) -> LimiterSettings | None:
     place = key_path("limiters", name)
     known = len(problems)
     table = read_table(LimiterTable, raw, place, problems)
@@ -59,17 +65,37 @@
         return None
     keyed_by = KeyedBy(table.by)
     if table.tenants and keyed_by not in BY_TENANT:
-        problems.append(Problem(f"{place}.tenants", f'it counts by "{table.by}", which knows no tenants',
-                                'write by = "tenant" or "tenant+client"'))
+        problems.append(
+            Problem(
+                f"{place}.tenants",
+                f'it counts by "{table.by}", which knows no tenants',
+                'write by = "tenant" or "tenant+client"',
+            )
+        )
     if table.unlisted == "each" and keyed_by not in BY_TENANT:
-        problems.append(Problem(f"{place}.unlisted", f'it counts by "{table.by}", which knows no tenants',
-                                'leave it out, or write by = "tenant" or "tenant+client"'))
+        problems.append(
+            Problem(
+                f"{place}.unlisted",
+                f'it counts by "{table.by}", which knows no tenants',
+                'leave it out, or write by = "tenant" or "tenant+client"',
+            )
+        )
     if table.scope == "fleet" and not talks:
-        problems.append(Problem(f"{place}.scope", "instances don't count together here",
-                                'write [peers], or scope = "instance"'))
+        problems.append(
+            Problem(
+                f"{place}.scope",
+                "instances don't count together here",
+                'write [peers], or scope = "instance"',
+            )
+        )
     if table.scope == "fleet" and not table.rate_per_s:
-        problems.append(Problem(f"{place}.scope", "only a rate can be for the fleet",
-                                'write rate_per_s, or scope = "instance" for concurrent'))
+        problems.append(
+            Problem(
+                f"{place}.scope",
+                "only a rate can be for the fleet",
+                'write rate_per_s, or scope = "instance" for concurrent',
+            )
+        )
     own = []
     for tenant, item in table.tenants.items():
         at = key_path(f"{place}.tenants", tenant)
@@ -82,8 +108,18 @@
     retry_us = duration_us(table.retry_after, f"{place}.retry_after", problems)
     if len(problems) > known:
         return None
-    return LimiterSettings(name, keyed_by, allowance, tuple(own), listed, table.unlisted == "each",
-                           table.max_keys, retry_us, table.tell, table.scope == "fleet")
+    return LimiterSettings(
+        name,
+        keyed_by,
+        allowance,
+        tuple(own),
+        listed,
+        table.unlisted == "each",
+        table.max_keys,
+        retry_us,
+        table.tell,
+        table.scope == "fleet",
+    )
 
 
 def _allowance(table: AllowanceTable | LimiterTable, place: str, problems: list[Problem]) -> Allowance:
--- a/plovertrail/config/operator.py
+++ b/plovertrail/config/operator.py
@@ -69,8 +69,21 @@
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,63}")
 TOKEN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")  # RFC 9110, section 5.6.2
 FIELD_VALUE = re.compile(r"[\t -~]*")
-RESERVED = frozenset(("connection", "keep-alive", "proxy-connection", "te", "trailer", "transfer-encoding",
-                      "upgrade", "content-length", "expect", "x-deadline-ms", "idempotency-key"))
+RESERVED = frozenset(
+    (
+        "connection",
+        "keep-alive",
+        "proxy-connection",
+        "te",
+        "trailer",
+        "transfer-encoding",
+        "upgrade",
+        "content-length",
+        "expect",
+        "x-deadline-ms",
+        "idempotency-key",
+    )
+)
 ORIGIN = re.compile(r"[A-Za-z][A-Za-z0-9+.-]*://[A-Za-z0-9._-]+(:[0-9]{1,5})?")
 LONGEST_REGEX = 1000
 FROM_ENVIRONMENT = "env:"
@@ -181,8 +194,12 @@
 
     def classes_at(self, pool: str) -> list[RequestClass]:
         """Those whose requests may go to a pool."""
-        names = {name for route in self.routes.routes if pool in route.pools
-                 for name in (route.class_name, *self.chosen_classes(route.name))}
+        names = {
+            name
+            for route in self.routes.routes
+            if pool in route.pools
+            for name in (route.class_name, *self.chosen_classes(route.name))
+        }
         return [kind for kind in self.classes if kind.name in names]
 
     def chosen_classes(self, route: str) -> tuple[str, ...]:
@@ -239,24 +256,44 @@
         whole = read_table(FileTable, raw, "", self.problems)
         if whole is None:
             # read on with what there is, so that all problems are told at once
-            parts: dict[str, Any] = {"listeners": {}, "pools": {}, "classes": {}, "limits": {}, "tenants": {},
-                                     "daemon": {}, "websockets": {}, "fleet": {}, "hooks": {}, "limiters": {},
-                                     "peers": {}, "routes": []}
+            parts: dict[str, Any] = {
+                "listeners": {},
+                "pools": {},
+                "classes": {},
+                "limits": {},
+                "tenants": {},
+                "daemon": {},
+                "websockets": {},
+                "fleet": {},
+                "hooks": {},
+                "limiters": {},
+                "peers": {},
+                "routes": [],
+            }
             parts |= {key: item for key, item in raw.items() if type(item) is type(parts.get(key))}
             parts["fellows"] = raw.get("fellows") if isinstance(raw.get("fellows"), dict) else None
             whole = FileTable(**parts)
         limits, instances = self.limits(whole.limits)
         tenants, fleet_tenants = self.tenants(whole.tenants, bool(whole.peers))
-        self.weights = tuple((name, float(item.get("weight", 1.0))) for name, item in whole.tenants.items()
-                             if isinstance(item, dict) and isinstance(item.get("weight", 1.0), int | float))
+        self.weights = tuple(
+            (name, float(item.get("weight", 1.0)))
+            for name, item in whole.tenants.items()
+            if isinstance(item, dict) and isinstance(item.get("weight", 1.0), int | float)
+        )
         classes, key_headers = self.classes(whole.classes)
         listeners = self.listeners(whole.listeners)
         home = str(whole.limits.get("zone", ""))
         daemon = read_table(DaemonTable, whole.daemon, "daemon", self.problems) or DaemonTable()
-        pools = {name: pool for name, item in whole.pools.items()
-                 if (pool := self.pool(name, item, classes, tenants, instances, home)) is not None}
-        websockets = {name: made for name, item in whole.websockets.items()
-                      if (made := self.websocket(name, item)) is not None}
+        pools = {
+            name: pool
+            for name, item in whole.pools.items()
+            if (pool := self.pool(name, item, classes, tenants, instances, home)) is not None
+        }
+        websockets = {
+            name: made
+            for name, item in whole.websockets.items()
+            if (made := self.websocket(name, item)) is not None
+        }
         fleet = self.fleet(whole.fleet, instances, pools)
         hooks = read_hooks(whole.hooks, self.problems)
         self.hooked: dict[str, HookedRoute] = {}
@@ -277,15 +314,36 @@
             self.wrong("listeners", "there is no listener", "write at least one [listeners.NAME]")
         if self.problems:
             return None
-        return Setup(self.path, limits, tuple(listeners), pools, tuple(classes.values()), key_headers,
-                     tuple(tenants), RouteTable(routes), daemon.state_file, daemon.control_socket,
-                     daemon.socket_log, websockets, fleet, hooks, self.hooked, limited_by, self.limited,
-                     peers, fleet_tenants, fellows)
+        return Setup(
+            self.path,
+            limits,
+            tuple(listeners),
+            pools,
+            tuple(classes.values()),
+            key_headers,
+            tuple(tenants),
+            RouteTable(routes),
+            daemon.state_file,
+            daemon.control_socket,
+            daemon.socket_log,
+            websockets,
+            fleet,
+            hooks,
+            self.hooked,
+            limited_by,
+            self.limited,
+            peers,
+            fleet_tenants,
+            fellows,
+        )
 
     def name(self, name: str, place: str) -> None:
         if not NAME.fullmatch(name):
-            self.wrong(place, f"{name!r} is no name",
-                       "write letters, digits, _ . or -, 64 at most, a letter or digit first")
+            self.wrong(
+                place,
+                f"{name!r} is no name",
+                "write letters, digits, _ . or -, 64 at most, a letter or digit first",
+            )
 
     def address(self, text: str, place: str) -> tuple[str, int]:
         host, colon, port = text.rpartition(":")
@@ -310,8 +368,11 @@
         def size(key: str, least: int, most: int) -> int:
             return size_bytes(getattr(table, key), f"limits.{key}", self.problems, least, most)
 
-        return Limits(size("max_head", 1 << 10, 1 << 20), size("max_body", 0, 64 << 20),
-                      size("max_answer", 1 << 10, 64 << 20)), table.instances
+        return Limits(
+            size("max_head", 1 << 10, 1 << 20),
+            size("max_body", 0, 64 << 20),
+            size("max_answer", 1 << 10, 64 << 20),
+        ), table.instances
 
     def tenants(self, raw: dict[str, Any], talks: bool) -> tuple[list[Tenant], frozenset[int]]:
         """The tenants, and the numbers of those whose allowance is for all instances."""
@@ -325,8 +386,11 @@
             if table.scope == "fleet":
                 fleet_wide.add(len(found))
                 if not talks:
-                    self.wrong(f"{place}.scope", "instances don't count together here",
-                               'write [peers], or scope = "instance"')
+                    self.wrong(
+                        f"{place}.scope",
+                        "instances don't count together here",
+                        'write [peers], or scope = "instance"',
+                    )
             found.append(Tenant(name, table.allowance_per_s))
         return found, frozenset(fleet_wide)
 
@@ -347,9 +411,16 @@
                 self.wrong(f"{place}.aim", "the aim is longer than the deadline", "write an aim within it")
             memory_us = self.repeats(table, place)
             key = self.header_name(table.key_header, f"{place}.key_header") if table.key_header else b""
-            found[name] = RequestClass(name, aim_us, deadline_us, table.worth, table.late_worth,
-                                       effect=EFFECTS[table.effect], group=table.group or "all",
-                                       memory_us=memory_us)
+            found[name] = RequestClass(
+                name,
+                aim_us,
+                deadline_us,
+                table.worth,
+                table.late_worth,
+                effect=EFFECTS[table.effect],
+                group=table.group or "all",
+                memory_us=memory_us,
+            )
             keys.append(key)
         if not raw:
             self.wrong("classes", "there is no class", "write at least one [classes.NAME]")
@@ -359,19 +430,31 @@
         """Rule 2: what a class says of repeats must not contradict its effect."""
         if table.effect == "keyed":
             if table.key_header is None:
-                self.wrong(place, "a keyed class with no key header: servers could not tell a repeat",
-                           'write key_header = "Idempotency-Key"')
+                self.wrong(
+                    place,
+                    "a keyed class with no key header: servers could not tell a repeat",
+                    'write key_header = "Idempotency-Key"',
+                )
             if table.memory is None:
-                self.wrong(place, "a keyed class that doesn't say for how long servers remember a key",
-                           'write memory = "8s", or less than they do')
+                self.wrong(
+                    place,
+                    "a keyed class that doesn't say for how long servers remember a key",
+                    'write memory = "8s", or less than they do',
+                )
                 return 0
             return duration_us(table.memory, f"{place}.memory", self.problems)
         for key in ("key_header", "group", "memory"):
             if getattr(table, key) is not None:
-                why = ("an unsafe class is never repeated" if table.effect == "unsafe"
-                       else "a safe class may always be repeated")
-                self.wrong(f"{place}.{key}", f"{why}, and has no {key}",
-                           f'leave {key} out, or write effect = "keyed"')
+                why = (
+                    "an unsafe class is never repeated"
+                    if table.effect == "unsafe"
+                    else "a safe class may always be repeated"
+                )
+                self.wrong(
+                    f"{place}.{key}",
+                    f"{why}, and has no {key}",
+                    f'leave {key} out, or write effect = "keyed"',
+                )
         return 0
 
     def listeners(self, raw: dict[str, Any]) -> list[Listener]:
@@ -385,20 +468,34 @@
                 continue
             address = self.address(table.address, f"{place}.address")
             if address in taken and address[1]:
-                self.wrong(f"{place}.address", f"listeners.{taken[address]} has this address",
-                           "write another one")
+                self.wrong(
+                    f"{place}.address", f"listeners.{taken[address]} has this address", "write another one"
+                )
             taken[address] = name
-            found.append(Listener(
-                name, address, table.max_connections,
-                duration_us(table.read_timeout, f"{place}.read_timeout", self.problems),
-                duration_us(table.idle_timeout, f"{place}.idle_timeout", self.problems),
-                table.forwarded, table.trust_forwarded,
-                self.header_name(table.request_id_header, f"{place}.request_id_header"),
-                self.header_name(table.deadline_header, f"{place}.deadline_header").lower()))
+            found.append(
+                Listener(
+                    name,
+                    address,
+                    table.max_connections,
+                    duration_us(table.read_timeout, f"{place}.read_timeout", self.problems),
+                    duration_us(table.idle_timeout, f"{place}.idle_timeout", self.problems),
+                    table.forwarded,
+                    table.trust_forwarded,
+                    self.header_name(table.request_id_header, f"{place}.request_id_header"),
+                    self.header_name(table.deadline_header, f"{place}.deadline_header").lower(),
+                )
+            )
         return found
 
-    def pool(self, name: str, raw: object, classes: Mapping[str, RequestClass], tenants: list[Tenant],
-             instances: int, home: str) -> Pool | None:
+    def pool(
+        self,
+        name: str,
+        raw: object,
+        classes: Mapping[str, RequestClass],
+        tenants: list[Tenant],
+        instances: int,
+        home: str,
+    ) -> Pool | None:
         place = key_path("pools", name)
         self.name(name, place)
         table = read_table(PoolTable, raw, place, self.problems)
@@ -418,33 +515,63 @@
             return duration_us(getattr(table, key), f"{place}.{key}", self.problems, least_us)
 
         if "servers" not in raw and not table.servers_from:  # type: ignore[operator]
-            self.wrong(place, "it has no servers", "write servers = [...] or servers_from = [\"FILE\"]")
+            self.wrong(place, "it has no servers", 'write servers = [...] or servers_from = ["FILE"]')
         if len(set(table.servers_from)) < len(table.servers_from) or "" in table.servers_from:
             self.wrong(f"{place}.servers_from", "a path is empty or named twice", "name each file once")
         bounds = read_table(GuardsTable, table.guards, f"{place}.guards", self.problems) or GuardsTable()
-        guards = Guards(bounds.allow_empty, bounds.most_dropped, bounds.judged_from, bounds.allow_older,
-                        bounds.largest_weight, frozenset(bounds.zones), bounds.damping)
+        guards = Guards(
+            bounds.allow_empty,
+            bounds.most_dropped,
+            bounds.judged_from,
+            bounds.allow_older,
+            bounds.largest_weight,
+            frozenset(bounds.zones),
+            bounds.damping,
+        )
         servers = self.servers(table.servers, place)
         share = read_table(ShareTable, table.share, f"{place}.share", self.problems) or ShareTable()
         settings = Settings(
-            classes=list(own.values()) or [RequestClass("none", 1, 1)], tenants=tenants, instances=instances,
-            zone=0, max_attempts=table.attempts, max_retry_after_us=time("retry_after"),
-            connect_timeout_us=time("connect_timeout"), cancel=True, second_copies=table.second_copies,
-            cold_share=table.cold_share, warm_up_us=time("warm_up", 0),
-            overload_factor=table.overload_factor, fall_us=time("fall", 0),
-            cross_zone_fee=table.cross_zone_cost, weighted=True, draw_by_weight=True)
-        return Pool(name, settings, time("idle_timeout", 0), table.max_connections, servers, home,
-                    tuple(table.servers_from), table.whole == "checksum", guards, table.max_sockets,
-                    table.max_sockets_per_server or table.max_sockets,
-                    Bounds(share.servers, share.connections, share.dials_per_s),
-                    self.door(table, place, settings.max_retry_after_us), self.affinity(table, place))
+            classes=list(own.values()) or [RequestClass("none", 1, 1)],
+            tenants=tenants,
+            instances=instances,
+            zone=0,
+            max_attempts=table.attempts,
+            max_retry_after_us=time("retry_after"),
+            connect_timeout_us=time("connect_timeout"),
+            cancel=True,
+            second_copies=table.second_copies,
+            cold_share=table.cold_share,
+            warm_up_us=time("warm_up", 0),
+            overload_factor=table.overload_factor,
+            fall_us=time("fall", 0),
+            cross_zone_fee=table.cross_zone_cost,
+            weighted=True,
+            draw_by_weight=True,
+        )
+        return Pool(
+            name,
+            settings,
+            time("idle_timeout", 0),
+            table.max_connections,
+            servers,
+            home,
+            tuple(table.servers_from),
+            table.whole == "checksum",
+            guards,
+            table.max_sockets,
+            table.max_sockets_per_server or table.max_sockets,
+            Bounds(share.servers, share.connections, share.dials_per_s),
+            self.door(table, place, settings.max_retry_after_us),
+            self.affinity(table, place),
+        )
 
     def affinity(self, table: PoolTable, place: str) -> Affinity | None:
         """What a pool's requests have in common that should meet at one server."""
         if table.affinity is None:
             return None
-        source, header = self.source(table.affinity, f"{place}.affinity", AffinitySource,
-                                     "nothing that requests have in common")
+        source, header = self.source(
+            table.affinity, f"{place}.affinity", AffinitySource, "nothing that requests have in common"
+        )
         return Affinity(source, header) if source is not None else None
 
     def door(self, table: PoolTable, place: str, max_retry_after_us: int) -> DoorSettings | None:
@@ -463,8 +590,11 @@
         variable = text.removeprefix(FROM_ENVIRONMENT)
         found = os.environ.get(variable, "")
         if not found:
-            self.wrong(place, f"the environment has no {variable}",
-                       "set it to one that this instance alone has, the same at each start")
+            self.wrong(
+                place,
+                f"the environment has no {variable}",
+                "set it to one that this instance alone has, the same at each start",
+            )
         return found
 
     def fleet(self, raw: object, instances: int, pools: Mapping[str, Pool]) -> FleetSetup:
@@ -475,24 +605,35 @@
             if pool.bounds.servers and not table.name:
                 # hazard: instances of one name would all have the same servers
                 place = f"{key_path('pools', pool.name)}.share.servers"
-                self.wrong("fleet.name", f"missing, and {place} chooses by it",
-                           'write one that this instance alone has, as "app-17" or "env:POD_NAME"')
+                self.wrong(
+                    "fleet.name",
+                    f"missing, and {place} chooses by it",
+                    'write one that this instance alone has, as "app-17" or "env:POD_NAME"',
+                )
                 break
         digest = hashlib.blake2b(name.encode(), digest_size=8).digest()
-        return FleetSetup(Fleet(instances, int.from_bytes(digest)), table.instances_from, name,
-                          table.slow_start)
+        return FleetSetup(
+            Fleet(instances, int.from_bytes(digest)), table.instances_from, name, table.slow_start
+        )
 
     def overridden(self, kind: RequestClass, changes: OverrideTable, place: str) -> RequestClass:
         aim_us = kind.aim_us
         if changes.aim is not None:
             aim_us = duration_us(changes.aim, f"{place}.aim", self.problems)
             if aim_us > kind.deadline_us:
-                self.wrong(f"{place}.aim", "the aim is longer than the class's deadline",
-                           "write an aim within it")
+                self.wrong(
+                    f"{place}.aim", "the aim is longer than the class's deadline", "write an aim within it"
+                )
         return RequestClass(
-            kind.name, aim_us, kind.deadline_us, kind.worth if changes.worth is None else changes.worth,
-            kind.late_worth if changes.late_worth is None else changes.late_worth, effect=kind.effect,
-            group=kind.group, memory_us=kind.memory_us)
+            kind.name,
+            aim_us,
+            kind.deadline_us,
+            kind.worth if changes.worth is None else changes.worth,
+            kind.late_worth if changes.late_worth is None else changes.late_worth,
+            effect=kind.effect,
+            group=kind.group,
+            memory_us=kind.memory_us,
+        )
 
     def servers(self, raw: list[Any], place: str) -> tuple[Entry, ...]:
         found = []
@@ -506,11 +647,17 @@
             self.name(table.id, f"{at}.id")
             address = self.address(table.address, f"{at}.address")
             if table.id in ids:
-                self.wrong(f"{at}.id", f'{place}.servers[{ids[table.id]}] is called "{table.id}" as well',
-                           "write another id")
+                self.wrong(
+                    f"{at}.id",
+                    f'{place}.servers[{ids[table.id]}] is called "{table.id}" as well',
+                    "write another id",
+                )
             if address in addresses and address[1]:
-                self.wrong(f"{at}.address", f"{place}.servers[{addresses[address]}] has this address as well",
-                           "write another one: one server under two names gets twice its share")
+                self.wrong(
+                    f"{at}.address",
+                    f"{place}.servers[{addresses[address]}] has this address as well",
+                    "write another one: one server under two names gets twice its share",
+                )
             ids[table.id] = addresses[address] = number
             found.append(Entry(table.id, address, table.zone, table.cell, table.weight, table.drain))
         return tuple(found)
@@ -525,25 +672,32 @@
                 continue
             self.name(row.name, f"{at}.name")
             if row.name in names:
-                self.wrong(f"{at}.name", f'routes[{names[row.name]}] is called "{row.name}" as well',
-                           "write another name")
+                self.wrong(
+                    f"{at}.name",
+                    f'routes[{names[row.name]}] is called "{row.name}" as well',
+                    "write another name",
+                )
             names[row.name] = number
             route = self.route(row, f'{at} ("{row.name}")', classes, whole)
             if route is not None:
                 found.append(route)
         for route, by in unreachable(found) if not self.problems else []:
-            self.wrong(f'routes[{names[route.name]}] ("{route.name}")',
-                       f'never reached: route "{by.name}" takes all that it would',
-                       "remove it, or give it a longer path, more predicates or a higher priority")
+            self.wrong(
+                f'routes[{names[route.name]}] ("{route.name}")',
+                f'never reached: route "{by.name}" takes all that it would',
+                "remove it, or give it a longer path, more predicates or a higher priority",
+            )
         return found
 
-    def route(self, row: RouteTableRow, at: str, classes: Mapping[str, RequestClass],
-              whole: FileTable) -> Route | None:
+    def route(
+        self, row: RouteTableRow, at: str, classes: Mapping[str, RequestClass], whole: FileTable
+    ) -> Route | None:
         known = len(self.problems)
         for number, pool in enumerate(row.pools):
             if pool not in whole.pools:
-                self.wrong(f"{at}.pools[{number}]", f'no pool is called "{pool}"',
-                           did_you_mean(pool, whole.pools))
+                self.wrong(
+                    f"{at}.pools[{number}]", f'no pool is called "{pool}"', did_you_mean(pool, whole.pools)
+                )
             elif pool in row.pools[:number]:
                 self.wrong(f"{at}.pools[{number}]", f'"{pool}" is named twice', "name each pool once")
         kind = classes.get(row.class_name)
@@ -553,35 +707,65 @@
             missing = "pools" if not row.pools else "class"
             self.wrong(at, f"the key {missing} is missing", f"write {missing} = ..., or respond = {{ ... }}")
         elif kind is None:
-            self.wrong(f"{at}.class", f'no class is called "{row.class_name}"',
-                       did_you_mean(row.class_name, classes))
+            self.wrong(
+                f"{at}.class", f'no class is called "{row.class_name}"', did_you_mean(row.class_name, classes)
+            )
         path_kind, path = self.path_of(row, at)
         deadline_us = 0
         if row.deadline is not None:
             deadline_us = duration_us(row.deadline, f"{at}.deadline", self.problems)
             if kind is not None and deadline_us > kind.deadline_us:
-                self.wrong(f"{at}.deadline", f'longer than that of class "{kind.name}"',
-                           "write a shorter one, or a class of its own")
+                self.wrong(
+                    f"{at}.deadline",
+                    f'longer than that of class "{kind.name}"',
+                    "write a shorter one, or a class of its own",
+                )
         for number, name in enumerate(row.listeners):
             if name not in whole.listeners:
-                self.wrong(f"{at}.listeners[{number}]", f'no listener is called "{name}"',
-                           did_you_mean(name, whole.listeners))
-        max_body = None if row.max_body is None else size_bytes(row.max_body, f"{at}.max_body", self.problems,
-                                                                0, 64 << 20)
+                self.wrong(
+                    f"{at}.listeners[{number}]",
+                    f'no listener is called "{name}"',
+                    did_you_mean(name, whole.listeners),
+                )
+        max_body = (
+            None
+            if row.max_body is None
+            else size_bytes(row.max_body, f"{at}.max_body", self.problems, 0, 64 << 20)
+        )
         plain, filled = self.set_headers(row, at, path_kind, path)
         tenant_from, tenant_header = self.tenant(row, at)
         client_from, client_header = self.client(row, at)
         route = Route(
-            row.name, tuple(row.pools), row.class_name, self.hosts(row, at), path_kind, path,
-            self.methods(row, at, kind), self.predicates(row.headers, f"{at}.headers", header=True),
-            self.predicates(row.query, f"{at}.query", header=False), row.priority, deadline_us,
-            self.rewrite(row, at, path_kind, path), row.keep_query, plain, filled, self.removed(row, at),
-            tenant_from, tenant_header, client_from, client_header, row.websocket or "",
+            row.name,
+            tuple(row.pools),
+            row.class_name,
+            self.hosts(row, at),
+            path_kind,
+            path,
+            self.methods(row, at, kind),
+            self.predicates(row.headers, f"{at}.headers", header=True),
+            self.predicates(row.query, f"{at}.query", header=False),
+            row.priority,
+            deadline_us,
+            self.rewrite(row, at, path_kind, path),
+            row.keep_query,
+            plain,
+            filled,
+            self.removed(row, at),
+            tenant_from,
+            tenant_header,
+            client_from,
+            client_header,
+            row.websocket or "",
             frozenset(row.listeners),
             self.beginning(row.path_within, f"{at}.path_within") if row.path_within else "",
-            tuple(self.beginning(text, f"{at}.path_except[{number}]")
-                  for number, text in enumerate(row.path_except)),
-            max_body, self.fixed_answer(row, at, path_kind, path))
+            tuple(
+                self.beginning(text, f"{at}.path_except[{number}]")
+                for number, text in enumerate(row.path_except)
+            ),
+            max_body,
+            self.fixed_answer(row, at, path_kind, path),
+        )
         if row.websocket is not None:
             self.opens_sockets(row, at, kind, whole)
         self.hooks_of(row, at, classes, whole)
@@ -590,14 +774,28 @@
 
     def answers_itself(self, row: RouteTableRow, at: str) -> None:
         """What a route that sends its requests nowhere can't have."""
-        for key in ("pools", "hooks", "hook_classes", "limiters", "websocket", "deadline", "rewrite",
-                    "tenant", "set_headers", "remove_headers"):
+        for key in (
+            "pools",
+            "hooks",
+            "hook_classes",
+            "limiters",
+            "websocket",
+            "deadline",
+            "rewrite",
+            "tenant",
+            "set_headers",
+            "remove_headers",
+        ):
             if getattr(row, key):
-                self.wrong(f"{at}.{key}", "its requests go to no server, as it has respond",
-                           f"leave {key} or respond out")
+                self.wrong(
+                    f"{at}.{key}",
+                    "its requests go to no server, as it has respond",
+                    f"leave {key} or respond out",
+                )
         if row.class_name:
-            self.wrong(f"{at}.class", "its requests go to no server, as it has respond",
-                       "leave class or respond out")
+            self.wrong(
+                f"{at}.class", "its requests go to no server, as it has respond", "leave class or respond out"
+            )
 
     def fixed_answer(self, row: RouteTableRow, at: str, kind: PathKind, path: str) -> FixedAnswer | None:
         if row.respond is None:
@@ -607,11 +805,17 @@
         if table is None:
             return None
         if table.location is not None and not 300 <= table.status < 400 and table.status != 201:
-            self.wrong(f"{place}.location", f"status {table.status} leads nowhere",
-                       "write a status from 300 to 399, or 201")
+            self.wrong(
+                f"{place}.location",
+                f"status {table.status} leads nowhere",
+                "write a status from 300 to 399, or 201",
+            )
         if table.status in (301, 302, 303, 307, 308) and table.location is None:
-            self.wrong(place, f"status {table.status} with no location",
-                       'write location = "https://{host}{uri}", or another status')
+            self.wrong(
+                place,
+                f"status {table.status} with no location",
+                'write location = "https://{host}{uri}", or another status',
+            )
         if table.body and table.status in (204, 304):
             self.wrong(f"{place}.body", f"status {table.status} has no body", "leave it out")
         if not FIELD_VALUE.fullmatch(table.content_type):
@@ -630,16 +834,24 @@
         try:
             made = parse_template(text)
         except ValueError as error:
-            self.wrong(place, str(error), "write one of " + ", ".join(f"{{{name}}}" for name in sorted(NAMES))
-                       + ", or {{ and }} for braces")
+            self.wrong(
+                place,
+                str(error),
+                "write one of "
+                + ", ".join(f"{{{name}}}" for name in sorted(NAMES))
+                + ", or {{ and }} for braces",
+            )
             return Template(())
         groups = 0
         if kind is PathKind.REGEX:
             with suppress(re2.error):  # told already
                 groups = re2.compile(path).groups
         if any(name.isdigit() and int(name) > groups for name in made.names):
-            self.wrong(place, "names a group that the route's path doesn't have",
-                       "write {1} for the first group in parentheses of path_regex")
+            self.wrong(
+                place,
+                "names a group that the route's path doesn't have",
+                "write {1} for the first group in parentheses of path_regex",
+            )
         return made
 
     def beginning(self, text: str, place: str) -> str:
@@ -653,26 +865,37 @@
         """Whether a route whose requests may become sockets has all that they need."""
         place = f"{at}.websocket"
         if row.websocket not in whole.websockets:
-            self.wrong(place, f'no table is called websockets."{row.websocket}"',
-                       did_you_mean(row.websocket or "", whole.websockets))
+            self.wrong(
+                place,
+                f'no table is called websockets."{row.websocket}"',
+                did_you_mean(row.websocket or "", whole.websockets),
+            )
         if kind is not None and kind.effect == "deduplicated":
-            self.wrong(f"{at}.class", "a handshake carries no key, and could not be told from its repeat",
-                       "write a class that is safe or unsafe")
+            self.wrong(
+                f"{at}.class",
+                "a handshake carries no key, and could not be told from its repeat",
+                "write a class that is safe or unsafe",
+            )
         if row.methods and "GET" not in row.methods:
             self.wrong(f"{at}.methods", "a handshake is a GET", "add GET, or leave methods out")
         for number, pool in enumerate(row.pools):
             table = whole.pools.get(pool)
             if isinstance(table, dict) and not table.get("max_sockets"):
-                self.wrong(f"{at}.pools[{number}]", f'pool "{pool}" takes no sockets',
-                           f"write {key_path('pools', pool)}.max_sockets, as 1000")
-
-    def hooks_of(self, row: RouteTableRow, at: str, classes: Mapping[str, RequestClass],
-                 whole: FileTable) -> None:
+                self.wrong(
+                    f"{at}.pools[{number}]",
+                    f'pool "{pool}" takes no sockets',
+                    f"write {key_path('pools', pool)}.max_sockets, as 1000",
+                )
+
+    def hooks_of(
+        self, row: RouteTableRow, at: str, classes: Mapping[str, RequestClass], whole: FileTable
+    ) -> None:
         """A route's hooks, and rule 2 for the classes that they may choose."""
         for number, name in enumerate(row.hooks):
             if name not in whole.hooks:
-                self.wrong(f"{at}.hooks[{number}]", f'no hook is called "{name}"',
-                           did_you_mean(name, whole.hooks))
+                self.wrong(
+                    f"{at}.hooks[{number}]", f'no hook is called "{name}"', did_you_mean(name, whole.hooks)
+                )
             elif name in row.hooks[:number]:
                 self.wrong(f"{at}.hooks[{number}]", f'"{name}" is named twice', "name each hook once")
         if len(row.hooks) > MOST_A_ROUTE:
@@ -685,15 +908,22 @@
             if kind is None:
                 self.wrong(place, f'no class is called "{name}"', did_you_mean(name, classes))
             elif own is not None and not at_least_as_strict(kind, own):
-                self.wrong(place, f'class "{name}" allows more repeats than the route\'s own, "{own.name}"',
-                           "write a class of the same effect or a stricter one (safe, keyed, unsafe); of "
-                           "keyed ones, one of the same group with no longer a memory")
+                self.wrong(
+                    place,
+                    f'class "{name}" allows more repeats than the route\'s own, "{own.name}"',
+                    "write a class of the same effect or a stricter one (safe, keyed, unsafe); of "
+                    "keyed ones, one of the same group with no longer a memory",
+                )
             elif row.websocket is not None and kind.effect == "deduplicated":
-                self.wrong(place, "a handshake carries no key, and could not be told from its repeat",
-                           "write a class that is safe or unsafe")
+                self.wrong(
+                    place,
+                    "a handshake carries no key, and could not be told from its repeat",
+                    "write a class that is safe or unsafe",
+                )
         if row.hooks:
-            self.hooked[row.name] = HookedRoute(tuple(row.hooks), row.on_hook_fault == "pass",
-                                                tuple(row.hook_classes))
+            self.hooked[row.name] = HookedRoute(
+                tuple(row.hooks), row.on_hook_fault == "pass", tuple(row.hook_classes)
+            )
 
     def limits_of(self, row: RouteTableRow, at: str, whole: FileTable) -> None:
         """The limiters that a route's requests count under."""
@@ -704,8 +934,11 @@
             elif name in row.limiters[:number]:
                 self.wrong(place, f'"{name}" is named twice', "name each limiter once")
             elif isinstance(table, dict) and "tenant" in str(table.get("by")) and row.tenant is None:
-                self.wrong(place, f'limiter "{name}" counts by tenant, and the route says none',
-                           'write tenant = "header:X-Tenant", or a limiter by = "client"')
+                self.wrong(
+                    place,
+                    f'limiter "{name}" counts by tenant, and the route says none',
+                    'write tenant = "header:X-Tenant", or a limiter by = "client"',
+                )
         if len(row.limiters) > limiters.MOST_A_ROUTE:
             self.wrong(f"{at}.limiters", f"more than {limiters.MOST_A_ROUTE}", "keep those that matter")
         if row.limiters:
@@ -723,18 +956,36 @@
 
         for number, origin in enumerate(table.origins):
             if not ORIGIN.fullmatch(origin):
-                self.wrong(f"{place}.origins[{number}]", f"{origin!r} is no origin",
-                           'write scheme and host, and the port if it is not the usual one, '
-                           'as "https://shop.example"')
-        return WebSocket(frozenset(origin.lower() for origin in table.origins), sockets.Limits(
-            size_bytes(table.max_message, f"{place}.max_message", self.problems, 1, 1 << 30),
-            table.messages_per_s, table.burst, table.max_per_tenant, time("lifetime", 0),
-            time("idle_timeout"), time("ping_interval"), time("ping_timeout"), time("slow_timeout"),
-            time("drain_grace", 0), time("drain_spread", 0), time("close_timeout")))
+                self.wrong(
+                    f"{place}.origins[{number}]",
+                    f"{origin!r} is no origin",
+                    "write scheme and host, and the port if it is not the usual one, "
+                    'as "https://shop.example"',
+                )
+        return WebSocket(
+            frozenset(origin.lower() for origin in table.origins),
+            sockets.Limits(
+                size_bytes(table.max_message, f"{place}.max_message", self.problems, 1, 1 << 30),
+                table.messages_per_s,
+                table.burst,
+                table.max_per_tenant,
+                time("lifetime", 0),
+                time("idle_timeout"),
+                time("ping_interval"),
+                time("ping_timeout"),
+                time("slow_timeout"),
+                time("drain_grace", 0),
+                time("drain_spread", 0),
+                time("close_timeout"),
+            ),
+        )
 
     def path_of(self, row: RouteTableRow, at: str) -> tuple[PathKind, str]:
-        given = [(key, value) for key in ("path", "path_exact", "path_regex")
-                 if (value := getattr(row, key)) is not None]
+        given = [
+            (key, value)
+            for key in ("path", "path_exact", "path_regex")
+            if (value := getattr(row, key)) is not None
+        ]
         if len(given) > 1:
             self.wrong(at, f"{' and '.join(key for key, _ in given)} exclude each other", "keep one of them")
         key, value = given[0] if given else ("path", "/")
@@ -753,7 +1004,7 @@
             self.wrong(place, f"{value!r} is no path: {error}", 'write a path that begins with "/"')
             return "/"
         if "?" in value or "#" in value:
-            self.wrong(place, "a path has no query and no fragment", "write query = { name = \"value\" }")
+            self.wrong(place, "a path has no query and no fragment", 'write query = { name = "value" }')
         return path
 
     def checked_regex(self, value: str, place: str) -> None:
@@ -766,8 +1017,11 @@
         except (re2.error, ValueError) as error:
             text = error.args[0] if error.args else error
             text = text.decode() if isinstance(text, bytes) else text
-            self.wrong(place, f"no regular expression of RE2: {text}",
-                       "look-around and back references are not taken, as they don't run in linear time")
+            self.wrong(
+                place,
+                f"no regular expression of RE2: {text}",
+                "look-around and back references are not taken, as they don't run in linear time",
+            )
 
     def hosts(self, row: RouteTableRow, at: str) -> tuple[str, ...]:
         found = []
@@ -786,8 +1040,11 @@
                 if ":" in plain and not plain.startswith("["):
                     raise BadTarget("a port")
             except (BadTarget, UnicodeError):
-                self.wrong(place, f"{text!r} is no host",
-                           'write a name with no port, as "shop.example" or "*.example"')
+                self.wrong(
+                    place,
+                    f"{text!r} is no host",
+                    'write a name with no port, as "shop.example" or "*.example"',
+                )
                 continue
             host = wild + host + (".*" if trails else "")
             if host in found:
@@ -831,8 +1088,11 @@
                 return row.rewrite  # told already
             used = [int(number) for number in re.findall(r"\\(\d)", row.rewrite)]
             if any(number > groups for number in used) or re.search(r"\\(?!\d)", row.rewrite):
-                self.wrong(place, "names a group that the regular expression doesn't have",
-                           r"write \1 for the first group in parentheses")
+                self.wrong(
+                    place,
+                    "names a group that the regular expression doesn't have",
+                    r"write \1 for the first group in parentheses",
+                )
         else:
             return self.normal(row.rewrite, place)
         return row.rewrite
@@ -860,8 +1120,9 @@
 
     def own_header(self, name: str, place: str) -> None:
         if name.lower() in RESERVED:
-            self.wrong(place, f"{name} is not the route's to change",
-                       "leave it out: it is kept right by itself")
+            self.wrong(
+                place, f"{name} is not the route's to change", "leave it out: it is kept right by itself"
+            )
 
     def tenant(self, row: RouteTableRow, at: str) -> tuple[TenantSource, bytes]:
         if row.tenant is None:
--- a/plovertrail/config/peers.py
+++ b/plovertrail/config/peers.py
@@ -71,9 +71,18 @@
 
     def talk(self, size: int) -> Talk:
         """What the bound is worked out from, for a fleet of so many."""
-        return Talk(size, self.period_us / 1e6, self.fan_out, self.window.span_us / 1e6,
-                    self.window.bucket_us / 1e6, self.loss, self.delay_us / 1e6, self.keys_in_use,
-                    rows_of(self.window), self.most_part)
+        return Talk(
+            size,
+            self.period_us / 1e6,
+            self.fan_out,
+            self.window.span_us / 1e6,
+            self.window.bucket_us / 1e6,
+            self.loss,
+            self.delay_us / 1e6,
+            self.keys_in_use,
+            rows_of(self.window),
+            self.most_part,
+        )
 
     def silent_us(self, size: int) -> int:
         """One that was not heard for so long is silent."""
@@ -91,9 +100,13 @@
     return max(1, 1_000 // (8 + 5 + 1 + 2 * window.slots))
 
 
-def read_peers(raw: object, address: Callable[[str, str], Address],
-               environment: Callable[[str, str], str], instances: int,
-               problems: list[Problem]) -> PeersSetup | None:
+def read_peers(
+    raw: object,
+    address: Callable[[str, str], Address],
+    environment: Callable[[str, str], str],
+    instances: int,
+    problems: list[Problem],
+) -> PeersSetup | None:
     """`address` and `environment` read one value at a place, and tell what is wrong with it; `instances` are
     reckoned with till a list is read."""
     known = len(problems)
@@ -109,8 +122,11 @@
         wrong("name", f"{name!r} is no name", f'write one of 1 to {LONGEST_NAME} bytes, as "app-17"')
     own = address(environment(table.address, "peers.address"), "peers.address")
     if own[0] and ipaddress.IPv4Address(own[0]).is_unspecified:
-        wrong("address", f"{table.address!r} is no address that others could send to",
-              "write the one that the others list")
+        wrong(
+            "address",
+            f"{table.address!r} is no address that others could send to",
+            "write the one that the others list",
+        )
     listed_as = own
     if table.listed_as:
         listed_as = address(environment(table.listed_as, "peers.listed_as"), "peers.listed_as")
@@ -125,16 +141,35 @@
     window_us = duration_us(table.window, "peers.window", problems)
     window = Window(window_us, table.buckets)
     if window.bucket_us < period_us:
-        wrong("buckets", f"a bucket of {window.bucket_us / 1e3:g} ms is shorter than the period",
-              "write fewer buckets, a longer window, or a shorter period")
+        wrong(
+            "buckets",
+            f"a bucket of {window.bucket_us / 1e3:g} ms is shorter than the period",
+            "write fewer buckets, a longer window, or a shorter period",
+        )
     delay_us = duration_us(table.delay, "peers.delay", problems, 0)
     keys = _read_keys(table.key_files, wrong)
     if len(problems) > known:
         return None
     size = instances if table.peers_from else len({*listed, listed_as})
-    setup = PeersSetup(name, own, listed_as, listed, table.peers_from, size, table.fleet, keys, period_us,
-                       table.fan_out, window, table.max_keys, table.alone == "share", table.loss, delay_us,
-                       table.most_part, table.keys_in_use)
+    setup = PeersSetup(
+        name,
+        own,
+        listed_as,
+        listed,
+        table.peers_from,
+        size,
+        table.fleet,
+        keys,
+        period_us,
+        table.fan_out,
+        window,
+        table.max_keys,
+        table.alone == "share",
+        table.loss,
+        delay_us,
+        table.most_part,
+        table.keys_in_use,
+    )
     _check_bound(setup, table, wrong)
     return setup if len(problems) == known else None
 
@@ -144,22 +179,32 @@
     talk = setup.talk(setup.size)
     silent_us = setup.silent_us(setup.size)
     if silent_us > setup.window.span_us:
-        wrong("window", f"it holds {setup.window.span_us / 1e6:g} s, and a peer counts as silent only after "
-              f"{silent_us / 1e6:g} s without a word", "write a longer window, a shorter period, or a larger "
-              "fan_out")
+        wrong(
+            "window",
+            f"it holds {setup.window.span_us / 1e6:g} s, and a peer counts as silent only after "
+            f"{silent_us / 1e6:g} s without a word",
+            "write a longer window, a shorter period, or a larger fan_out",
+        )
         return
     found = bound(talk, PROBABILITY)
     if table.max_error is not None and max(found.under, found.over) > table.max_error:
-        wrong("max_error", f"these settings can't hold it: a count may be {found.under:.0%} too low and "
-              f"{found.over:.0%} too high", "write a longer window, a shorter period, a larger fan_out, or "
-              f"max_error = {math.ceil(max(found.under, found.over) * 100) / 100:g}")
+        wrong(
+            "max_error",
+            f"these settings can't hold it: a count may be {found.under:.0%} too low and "
+            f"{found.over:.0%} too high",
+            "write a longer window, a shorter period, a larger fan_out, or "
+            f"max_error = {math.ceil(max(found.under, found.over) * 100) / 100:g}",
+        )
 
 
 def _read_keys(paths: list[str], wrong: Callable[[str, str, str], None]) -> tuple[bytes, ...]:
     found = []
     if not 0 < len(paths) <= MOST_KEYS:
-        wrong("key_files", f"{len(paths)} keys",
-              f"write the files of 1 to {MOST_KEYS} keys, the one that signs first")
+        wrong(
+            "key_files",
+            f"{len(paths)} keys",
+            f"write the files of 1 to {MOST_KEYS} keys, the one that signs first",
+        )
     for number, path in enumerate(paths):
         at = f"key_files[{number}]"
         try:
@@ -172,7 +217,10 @@
             wrong(at, f"{path} can't be read: {error.strerror}", "write a file that holds the fleet's key")
             continue
         if not LEAST_KEY <= len(data) <= LONGEST_KEY:
-            wrong(at, f"{path} holds {len(data)} bytes",
-                  f"write a key of {LEAST_KEY} to {LONGEST_KEY} bytes, as `openssl rand -hex 32` makes it")
+            wrong(
+                at,
+                f"{path} holds {len(data)} bytes",
+                f"write a key of {LEAST_KEY} to {LONGEST_KEY} bytes, as `openssl rand -hex 32` makes it",
+            )
         found.append(data)
     return tuple(found)
--- a/plovertrail/config/settings.py
+++ b/plovertrail/config/settings.py
@@ -7,8 +7,14 @@
 from plovertrail.decisions import interface as api
 
 # Load report values: the wire's names and ours; a name not known here is kept as it is.
-_REPORT_NAMES = {"rif": "in_flight", "q": "queued", "busy": "utilization", "lat_ms": "latency_ms",
-                 "rate": "served_per_s", "fail_rate": "errors_per_s"}
+_REPORT_NAMES = {
+    "rif": "in_flight",
+    "q": "queued",
+    "busy": "utilization",
+    "lat_ms": "latency_ms",
+    "rate": "served_per_s",
+    "fail_rate": "errors_per_s",
+}
 
 
 class SettingsError(Exception):
@@ -69,8 +75,9 @@
 
 
 def _tenant(options: _Options, at: str) -> api.Tenant:
-    return api.Tenant(options.text(at + "name"), options.number(at + "allowance-per-s"),
-                      options.number(at + "share", "0"))
+    return api.Tenant(
+        options.text(at + "name"), options.number(at + "allowance-per-s"), options.number(at + "share", "0")
+    )
 
 
 def settings_from_pairs(pairs: dict[str, str]) -> api.Settings:
@@ -101,8 +108,9 @@
             overload_factor=o.number("invariants.overload-factor"),
             fall_us=o.whole("invariants.fall"),
             cross_zone_fee=o.number("fees.cross-zone", "0"),
-            report_names=[_REPORT_NAMES.get(name, name)
-                          for name in o.text("report.names", "").split(",") if name],
+            report_names=[
+                _REPORT_NAMES.get(name, name) for name in o.text("report.names", "").split(",") if name
+            ],
             weighted=o.text("weights", "none") != "none",
         )
     except ValueError as error:
--- a/plovertrail/config/tables.py
+++ b/plovertrail/config/tables.py
@@ -63,8 +63,9 @@
     """Microseconds of a time such as "400ms"."""
     found = DURATION.fullmatch(text)
     if found is None:
-        problems.append(Problem(place, f"{text!r} is no time",
-                                'write a number and us, ms, s, m or h, as "400ms"'))
+        problems.append(
+            Problem(place, f"{text!r} is no time", 'write a number and us, ms, s, m or h, as "400ms"')
+        )
         return least_us
     value = int(float(found[1]) * UNITS_US[found[2]])
     if not least_us <= value <= 24 * UNITS_US["h"]:
@@ -80,7 +81,12 @@
     value = int(found[1]) * UNITS_BYTES[found[2]] if found is not None else -1
     if not least <= value <= most:
         what = "is no size" if found is None else "is out of range"
-        problems.append(Problem(place, f"{text!r} {what}",
-                                f'write a number and B, KiB or MiB, as "64KiB": {least} to {most} bytes'))
+        problems.append(
+            Problem(
+                place,
+                f"{text!r} {what}",
+                f'write a number and B, KiB or MiB, as "64KiB": {least} to {most} bytes',
+            )
+        )
         return least
     return value
--- a/plovertrail/daemon.py
+++ b/plovertrail/daemon.py
@@ -96,8 +96,9 @@
 class Daemon:
     """One process's listeners and pools under the setup in force."""
 
-    def __init__(self, setup: operator.Setup, seeds: Callable[[], int] = random_seed,
-                 connect: Connect = connect) -> None:
+    def __init__(
+        self, setup: operator.Setup, seeds: Callable[[], int] = random_seed, connect: Connect = connect
+    ) -> None:
         self.connect = connect
         self.approve: Approve | None = None  # what a file must pass before it is taken on a reload
         self.loop = asyncio.get_running_loop()
@@ -107,8 +108,7 @@
         self.sockets = SocketKeeper(self.host, seeds(), self.lines)
         self.pools: dict[str, RunningPool] = {}
         self.keeper = StoreKeeper(setup.state_file, instance_name(setup))
-        self.memory = MemoryKeeper(self.keeper, self._pools, lambda: self.limiters,
-                                   lambda: self.peers.counts)
+        self.memory = MemoryKeeper(self.keeper, self._pools, lambda: self.limiters, lambda: self.peers.counts)
         self.peers = PeerKeeper(seeds)
         self.hearsay = HearsayKeeper(self.host, self._rosters, self._judgements, self.peers.hurry)
         self.background = Runner(self.loop)
@@ -119,8 +119,7 @@
         self.hooks = HookLoader(clock_us)
         self.limiters: dict[str, Limiter] = {}
         self.reloading = asyncio.Lock()
-        self.recovery = RecoveryKeeper(
-            self.host, self._rosters, self._reloaded, self._stood_still)
+        self.recovery = RecoveryKeeper(self.host, self._rosters, self._reloaded, self._stood_still)
         self.current = Current(Generation(0, setup, {}, {}, {}))
         compiled = self.hooks.prepare(setup)
         self.apply(setup, read_lists(setup, frozenset()), compiled)
@@ -133,8 +132,9 @@
         """Where the listeners are."""
         return {name: front.listener.address for name, front in self.fronts.items()}
 
-    def apply(self, setup: operator.Setup, fresh: Mapping[str, FirstRead],
-              compiled: Mapping[str, Compiled]) -> None:
+    def apply(
+        self, setup: operator.Setup, fresh: Mapping[str, FirstRead], compiled: Mapping[str, Compiled]
+    ) -> None:
         """Put a setup into force, in full or not at all; `fresh` has the lists that are not watched yet,
         `compiled` the modules of its hooks. Raises ConfigError."""
         check_descriptors(setup)
@@ -159,8 +159,9 @@
                     replaced.append(old)
                 roster.pool = None
                 roster.configure(config.servers, sources, config.guards, config.home_zone, fresh)
-                pool = RunningPool(self.host, config, setup.limits.max_answer, roster, self.seeds(),
-                                   chosen_by, self.connect)
+                pool = RunningPool(
+                    self.host, config, setup.limits.max_answer, roster, self.seeds(), chosen_by, self.connect
+                )
                 self.memory.recall_pool(name, pool.pool, roster.state)
                 roster.attach(pool.pool)
             else:
@@ -171,8 +172,9 @@
         self.pools = pools  # till here the old ones, which tell what servers are known already
         modules: dict[str, ServerPool] = {name: pool.pool for name, pool in pools.items()}
         self._follow_limits(setup, self._follow_peers(setup, talks))
-        self.current.generation = make_generation(self.generation.number + 1, setup, modules,
-                                                  self.hooks.follow(setup, compiled), self.limiters)
+        self.current.generation = make_generation(
+            self.generation.number + 1, setup, modules, self.hooks.follow(setup, compiled), self.limiters
+        )
         self._move_listeners(setup, sockets)
         for gone in [*before.values(), *replaced]:
             gone.retire(self.host)
@@ -181,7 +183,8 @@
         self.sockets.reconfigure(
             self.generation.plans,
             {name: (pool.max_sockets, pool.max_sockets_per_server) for name, pool in setup.pools.items()},
-            self.fronts)
+            self.fronts,
+        )
         self.instances.follow(setup.fleet, fresh)
         self._list_changed()
         self.recovery.follow()
@@ -255,9 +258,12 @@
 
     def _elsewhere(self, name: str) -> dict[tuple[str, tuple[str, int]], int]:
         """Since when the servers of other pools are known: one that another pool has is no newcomer here."""
-        return {(ident, member.entry.address): member.came_us
-                for other, pool in list(self.pools.items()) if other != name
-                for ident, member in pool.roster.state.members.items()}
+        return {
+            (ident, member.entry.address): member.came_us
+            for other, pool in list(self.pools.items())
+            if other != name
+            for ident, member in pool.roster.state.members.items()
+        }
 
     def _list_changed(self) -> None:
         for pool in self.pools.values():
@@ -280,9 +286,13 @@
             try:
                 sockets[listener.name] = socket.create_server(listener.address, backlog=BACKLOG)
             except OSError as error:
-                problems.append(Problem(f"listeners.{listener.name}.address",
-                                        f"can't listen on {listener.address[0]}:{listener.address[1]}: "
-                                        f"{error.strerror}", "write an address that is free here"))
+                problems.append(
+                    Problem(
+                        f"listeners.{listener.name}.address",
+                        f"can't listen on {listener.address[0]}:{listener.address[1]}: {error.strerror}",
+                        "write an address that is free here",
+                    )
+                )
         if problems:
             for sock in sockets.values():
                 sock.close()
@@ -365,18 +375,24 @@
 
     def status(self) -> dict[str, Any]:
         """What is in force, for operators."""
-        return {"recovery": self.recovery.status(),
-                "fleet": self.instances.status(),
-                "generation": self.generation.number, "file": self.generation.setup.path,
-                "pools": {name: pool_status(running) for name, running in self.pools.items()},
-                "connections": self.count(), "requests": len(self.host.requests),
-                "sockets": len(self.sockets.relays),
-                "hooks": self.hooks.status(),
-                "peers": self.peers.status(self.generation.setup, self.limiters),
-                "fellows": self.peers.fellows_status(), "judgements": self.hearsay.status(),
-                "limiters": {name: limiter_status(each) for name, each in self.limiters.items()},
-                "state_file": self.keeper.status(), "kept": self.memory.status(),
-                "background": self.background.status()}
+        return {
+            "recovery": self.recovery.status(),
+            "fleet": self.instances.status(),
+            "generation": self.generation.number,
+            "file": self.generation.setup.path,
+            "pools": {name: pool_status(running) for name, running in self.pools.items()},
+            "connections": self.count(),
+            "requests": len(self.host.requests),
+            "sockets": len(self.sockets.relays),
+            "hooks": self.hooks.status(),
+            "peers": self.peers.status(self.generation.setup, self.limiters),
+            "fellows": self.peers.fellows_status(),
+            "judgements": self.hearsay.status(),
+            "limiters": {name: limiter_status(each) for name, each in self.limiters.items()},
+            "state_file": self.keeper.status(),
+            "kept": self.memory.status(),
+            "background": self.background.status(),
+        }
 
     def count(self) -> int:
         """Connections of clients."""
@@ -413,8 +429,9 @@
             log.error("lines on sockets that have ended could not be written")
 
 
-async def serve(setup: operator.Setup, started: Callable[[Daemon], None] | None = None,
-                approve: Approve | None = None) -> None:
+async def serve(
+    setup: operator.Setup, started: Callable[[Daemon], None] | None = None, approve: Approve | None = None
+) -> None:
     """Serve until SIGTERM or SIGINT, then answer what is open; SIGHUP reads the file again, and takes it if
     `approve` finds nothing wrong. Raises ConfigError if it can't start."""
     stop, hangup = asyncio.Event(), asyncio.Event()
--- a/plovertrail/decisions/affinity.py
+++ b/plovertrail/decisions/affinity.py
@@ -34,8 +34,9 @@
     source: AffinitySource
     header: bytes = b""  # in lower case
 
-    def key_of(self, client: str, tenant: str, target: bytes,
-               headers: Iterable[tuple[bytes, bytes]]) -> bytes:
+    def key_of(
+        self, client: str, tenant: str, target: bytes, headers: Iterable[tuple[bytes, bytes]]
+    ) -> bytes:
         """What of a request is hashed; empty: it prefers no server."""
         if self.source is AffinitySource.CLIENT:
             return client.encode("utf-8", "surrogateescape")
@@ -90,4 +91,5 @@
         self.points = sorted(
             (int.from_bytes(self.digest(f"{name} {number}".encode())), server)
             for server, (name, weight) in self.names.items()
-            for number in range(max(1, min(MOST_POINTS, round(each * weight)))))
+            for number in range(max(1, min(MOST_POINTS, round(each * weight))))
+        )
--- a/plovertrail/decisions/background.py
+++ b/plovertrail/decisions/background.py
@@ -112,8 +112,9 @@
         standing = self.works.get(name)
         if standing is None:
             return
-        standing.latest_wait_us = max(standing.latest_wait_us,
-                                      now_us - took_us - max(standing.due_us, standing.waits_since_us))
+        standing.latest_wait_us = max(
+            standing.latest_wait_us, now_us - took_us - max(standing.due_us, standing.waits_since_us)
+        )
         standing.slices += 1
         standing.took_us += took_us
         standing.worst_us = max(standing.worst_us, took_us)
--- a/plovertrail/decisions/balance.py
+++ b/plovertrail/decisions/balance.py
@@ -68,7 +68,7 @@
 RETRY_SHARE = 0.2  # reissues a first send earns: enough for a fifth of the fleet to fail every attempt
 MOST_RETRIES = 5.0  # reissues in hand after a calm spell
 LOG_GAP_US = 1_000_000  # a line a second at most, however many upstreams change
-NEVER_US = 2 ** 62  # later than any clock says
+NEVER_US = 2**62  # later than any clock says
 
 
 class PerSecond:
@@ -88,8 +88,24 @@
 class Pool:
     """Upstreams thinned together: all, or, where crossing zones costs, this zone's and the others'."""
 
-    __slots__ = ("admitted", "credit", "load", "served", "in_use", "others", "cold", "groups", "cold_waits",
-                 "size", "sends", "judged_us", "answers", "most_answers", "kept", "kept_us")
+    __slots__ = (
+        "admitted",
+        "credit",
+        "load",
+        "served",
+        "in_use",
+        "others",
+        "cold",
+        "groups",
+        "cold_waits",
+        "size",
+        "sends",
+        "judged_us",
+        "answers",
+        "most_answers",
+        "kept",
+        "kept_us",
+    )
 
     def __init__(self, now_us: int) -> None:
         self.admitted = 1.0  # part of the draws that may take a slot: falls while answers are slow all over
@@ -143,8 +159,25 @@
 class Server:
     """What this sidecar knows of one upstream."""
 
-    __slots__ = ("entry", "pool", "used", "out", "silence", "mute", "mute_until_us", "muted", "window",
-                 "rest_until_us", "next_cold", "pace", "slow_start", "faults", "distrust", "rests", "hearsay")
+    __slots__ = (
+        "entry",
+        "pool",
+        "used",
+        "out",
+        "silence",
+        "mute",
+        "mute_until_us",
+        "muted",
+        "window",
+        "rest_until_us",
+        "next_cold",
+        "pace",
+        "slow_start",
+        "faults",
+        "distrust",
+        "rests",
+        "hearsay",
+    )
 
     def __init__(self, entry: api.Upstream, pool: Pool, classes: int) -> None:
         self.entry = entry
@@ -170,8 +203,17 @@
 
 
 class Attempt:
-    __slots__ = ("server", "entry", "class_index", "sent_us", "overtaken", "passed", "silent", "lost",
-                 "ended")
+    __slots__ = (
+        "server",
+        "entry",
+        "class_index",
+        "sent_us",
+        "overtaken",
+        "passed",
+        "silent",
+        "lost",
+        "ended",
+    )
 
     def __init__(self, server: Server, class_index: int, now_us: int) -> None:
         self.server = server
@@ -208,8 +250,9 @@
 
 
 class Balancer:
-    def __init__(self, settings: api.Settings, seed: int, now_us: int,
-                 reissues: Reissues | None = None) -> None:
+    def __init__(
+        self, settings: api.Settings, seed: int, now_us: int, reissues: Reissues | None = None
+    ) -> None:
         self.settings = settings
         self.random = random.Random(seed)
         self.now_us = now_us
@@ -278,8 +321,7 @@
         Hazard: slots open only where they were short, and what waits elsewhere must count for that."""
         self.now_us = now_us
         self.open_rested()
-        if self.buffer is None and any(
-                group.whole > 0.0 for pool in self.pools for group in pool.groups):
+        if self.buffer is None and any(group.whole > 0.0 for pool in self.pools for group in pool.groups):
             return True
         self.short_us = now_us
         return False
@@ -292,7 +334,8 @@
         if event.request in self.requests:
             return
         request = self.requests[event.request] = Request(
-            event, self.settings.classes[event.class_index], self.now_us)
+            event, self.settings.classes[event.class_index], self.now_us
+        )
         if event.tenant < len(self.tenant_seen):
             self.tenant_seen = [seen * (1.0 - 1.0 / TENANT_MEMORY) for seen in self.tenant_seen]
             self.tenant_seen[event.tenant] += 1.0
@@ -344,8 +387,9 @@
             worth /= self.mean_us[request.event.class_index]
         if request.event.tenant < len(s.tenants):
             allowed = s.tenants[request.event.tenant].allowance_per_s / self.allowed_per_s
-            seen = (request.event.tenant_share
-                    or self.tenant_seen[request.event.tenant] / sum(self.tenant_seen))
+            seen = request.event.tenant_share or self.tenant_seen[request.event.tenant] / sum(
+                self.tenant_seen
+            )
             worth *= s.over_share_worth + (1.0 - s.over_share_worth) * min(1.0, allowed / seen)
         return worth
 
@@ -372,8 +416,11 @@
     def finish(self, request: Request) -> None:
         """Rule 1 and 2, the one place of final answers: one each; refused only if nothing may have run."""
         kind = self.class_of(request)
-        harmless = (kind.effect == "idempotent" or request.first_that_may_have_run() is None
-                    or (kind.effect == "deduplicated" and kind.group == "all"))
+        harmless = (
+            kind.effect == "idempotent"
+            or request.first_that_may_have_run() is None
+            or (kind.effect == "deduplicated" and kind.group == "all")
+        )
         if not request.attempts:
             for pool in self.pools:
                 pool.turned_away(self.now_us)
@@ -588,8 +635,11 @@
                 if silence <= 0.0 or self.random.random() * (1.0 + silence / SILENCE_BORNE) ** 2 < 1.0:
                     return server
         found = []
-        for server in self.drops_repeats(kind, first, group) if first is not None and grouped else [
-                self.servers[number] for number in group]:
+        for server in (
+            self.drops_repeats(kind, first, group)
+            if first is not None and grouped
+            else [self.servers[number] for number in group]
+        ):
             share = self.share(server)
             if share > 0.0 and self.fits(request, server, some_rest):
                 found.append((server, share / (1.0 + self.doubtful(server, index) / SILENCE_BORNE) ** 2))
@@ -729,8 +779,14 @@
             silent_us = self.now_us + self.silent_after_us(index)
             if silent_us < self.wanted_us:
                 self.wanted_us = silent_us
-        self.actions.append(api.Send(request.event.request, server.entry.id, self.timeout_us(request),
-                                     self.repeat_within_us(request)))
+        self.actions.append(
+            api.Send(
+                request.event.request,
+                server.entry.id,
+                self.timeout_us(request),
+                self.repeat_within_us(request),
+            )
+        )
         if self.settings.second_copies and self.class_of(request).effect != "at_most_once":
             # soon enough to be back in time, late enough to be seldom
             after_us = min(int(2 * self.mean_us[index]), self.half_aim_us(index))
@@ -802,7 +858,7 @@
 
     def on_attempt_ended(self, event: api.AttemptEnded) -> None:
         request = self.requests.get(event.request)
-        attempts = request.attempts[event.attempt:event.attempt + 1] if request is not None else []
+        attempts = request.attempts[event.attempt : event.attempt + 1] if request is not None else []
         if request is None or not attempts or attempts[0].ended is not None:
             return
         attempt = attempts[0]
--- a/plovertrail/decisions/counts.py
+++ b/plovertrail/decisions/counts.py
@@ -23,7 +23,7 @@
 OVERFLOW_KEYS = 64  # for keys that find no place: they count together, so a limit holds them more, never less
 PEER_KEYS_TIMES = 16  # all peers together may have so many times the keys that we may have
 DRIFT = 0.001  # by which another's clock may run faster or slower: far more than real ones do
-MOST_COUNT = 2 ** 32 - 1
+MOST_COUNT = 2**32 - 1
 SEEN = 256  # datagrams that are remembered of each sender, to tell repeats and losses
 KEYS_A_SWEEP = 8_192  # of peers, looked at for what is over; a part's last ones may be as many again
 KEPT_PARTS = 16  # of a bucket's time, for one of which a sum over all peers is kept
@@ -183,8 +183,17 @@
     """All that one instance knows of the fleet's usage. `alone_share`: of a limit we take, while some are
     silent, no more than what those that are heard have by number; else all of it."""
 
-    def __init__(self, name: str, incarnation: int, window: Window, now_us: int, *, most_keys: int = 4_096,
-                 silent_us: int = 2_000_000, alone_share: bool = True) -> None:
+    def __init__(
+        self,
+        name: str,
+        incarnation: int,
+        window: Window,
+        now_us: int,
+        *,
+        most_keys: int = 4_096,
+        silent_us: int = 2_000_000,
+        alone_share: bool = True,
+    ) -> None:
         self.name = name
         self.incarnation = incarnation
         self.window = window
@@ -242,8 +251,10 @@
                 counted[bucket + shift] = counted.get(bucket + shift, 0) + count
             if counted:
                 newest = max(counted)
-                found[key] = newest, tuple(counted.get(bucket, 0)
-                                           for bucket in range(newest, min(counted) - 1, -1))
+                found[key] = (
+                    newest,
+                    tuple(counted.get(bucket, 0) for bucket in range(newest, min(counted) - 1, -1)),
+                )
         return found
 
     @property
@@ -375,9 +386,14 @@
         was first heard. Both count, each under its own incarnation; only that is told. Hazard: what an
         earlier incarnation had sent before its end may come late."""
         sent_us = message.sent_us + part.offset_us - self.silent_us
-        other_us = [other.first_us for (name, incarnation), other in self.parts.items()
-                    if name == part.name and incarnation != part.incarnation
-                    and other.first_us >= part.first_us and now_us - other.heard_us < self.silent_us]
+        other_us = [
+            other.first_us
+            for (name, incarnation), other in self.parts.items()
+            if name == part.name
+            and incarnation != part.incarnation
+            and other.first_us >= part.first_us
+            and now_us - other.heard_us < self.silent_us
+        ]
         if part.name == self.name:
             other_us.append(self.start_us)
         if any(sent_us > first_us for first_us in other_us):
@@ -468,8 +484,11 @@
                 del part.rows[key]
                 self.peer_keys -= 1
         self.others = {key: found for key, found in self.others.items() if now_us < found.until_us}
-        self.twins = {name: at_us for name, at_us in self.twins.items()
-                      if now_us - at_us < self.window.span_us + self.silent_us}
+        self.twins = {
+            name: at_us
+            for name, at_us in self.twins.items()
+            if now_us - at_us < self.window.span_us + self.silent_us
+        }
 
 
 def key_of(*parts: str) -> int:
--- a/plovertrail/decisions/escrow.py
+++ b/plovertrail/decisions/escrow.py
@@ -150,8 +150,11 @@
         """A claim has come: a promise, if the slot is nobody else's. Hazard: one who reckons with other slots
         means other rights by its number, and one with a longer lease would outlast the promise."""
         longest_us = max(self.rules.lease_us, self.rules.former_lease_us)
-        if (claim.slots != self.rules.slots or not 0 <= claim.slot < claim.slots
-                or not 0 < claim.lease_us <= longest_us):
+        if (
+            claim.slots != self.rules.slots
+            or not 0 <= claim.slot < claim.slots
+            or not 0 < claim.lease_us <= longest_us
+        ):
             return Promise(claim.slot, claim.number, False)
         if now_us < self.quiet_until_us:
             return Promise(claim.slot, claim.number, False, wait_us=self.quiet_until_us - now_us)
@@ -321,10 +324,9 @@
         """How many could be spent at this moment."""
         self._lapse(now_us)
         least_us = now_us + self.rules.hold_us
-        return (sum(max(0, it.lot.free(now_us)) for it in self.slots.values()
-                    if it.held and it.kept_us >= least_us)
-                + sum(max(0, loan.lot.free(now_us)) for loan in self.loans.values()
-                      if loan.until_us >= least_us))
+        return sum(
+            max(0, it.lot.free(now_us)) for it in self.slots.values() if it.held and it.kept_us >= least_us
+        ) + sum(max(0, loan.lot.free(now_us)) for loan in self.loans.values() if loan.until_us >= least_us)
 
     def in_use(self, now_us: int) -> int:
         """How many are spent, and not over."""
@@ -340,12 +342,19 @@
         end_us = now_us + self.rules.hold_us
         best: tuple[int, bool, int, Lot] | None = None
         for number, loan in self.loans.items():
-            if (loan.until_us >= end_us and (best is None or loan.until_us < best[0])
-                    and loan.lot.free(now_us) > 0):
+            if (
+                loan.until_us >= end_us
+                and (best is None or loan.until_us < best[0])
+                and loan.lot.free(now_us) > 0
+            ):
                 best = loan.until_us, True, number, loan.lot
         for number, it in self.slots.items():
-            if (it.held and it.kept_us >= end_us and (best is None or it.kept_us < best[0])
-                    and it.lot.free(now_us) > 0):
+            if (
+                it.held
+                and it.kept_us >= end_us
+                and (best is None or it.kept_us < best[0])
+                and it.lot.free(now_us) > 0
+            ):
                 best = it.kept_us, False, number, it.lot
         if best is None:
             return None
--- a/plovertrail/decisions/escrow_plan.py
+++ b/plovertrail/decisions/escrow_plan.py
@@ -70,8 +70,16 @@
     """One instance's part in one budget. `members` tells who is there, this one among them; electors are
     asked by name as others are."""
 
-    def __init__(self, budget: str, rules: Rules, me: Who, electorates: Sequence[Sequence[str]],
-                 members: Callable[[], Sequence[str]], rng: random.Random, now_us: int) -> None:
+    def __init__(
+        self,
+        budget: str,
+        rules: Rules,
+        me: Who,
+        electorates: Sequence[Sequence[str]],
+        members: Callable[[], Sequence[str]],
+        rng: random.Random,
+        now_us: int,
+    ) -> None:
         self.budget = budget
         self.holder = Holder(rules, me, electorates)
         self.members = members
@@ -183,8 +191,11 @@
                 out += self._to_electors(self.holder.claim(slot, now_us))
         if short <= 0 or len(self.trying) >= MOST_CLAIMS:
             return out
-        free = (slot for slot in self._order() if slot not in held and slot not in self.trying
-                and slot not in self.taken)
+        free = (
+            slot
+            for slot in self._order()
+            if slot not in held and slot not in self.trying and slot not in self.taken
+        )
         for slot in itertools.islice(free, MOST_CLAIMS - len(self.trying)):
             if short <= 0:
                 break
@@ -197,15 +208,19 @@
         """All slots, in an order of its own that is the same each time: whom a slot ranks first would cost a
         look at all members for each slot."""
         if len(self.order) != self.rules.slots:
-            self.order = sorted(range(self.rules.slots),
-                                key=lambda slot: rank(self.budget, slot, self.holder.me.name))
+            self.order = sorted(
+                range(self.rules.slots), key=lambda slot: rank(self.budget, slot, self.holder.me.name)
+            )
         return self.order
 
     def _borrow(self, short: int, now_us: int) -> list[Out]:
         out = []
         busy = {each.name for each in self.asked.values()}
-        lenders = [name for name in self.members()
-                   if name not in busy and name not in self.poor and name != self.holder.me.name]
+        lenders = [
+            name
+            for name in self.members()
+            if name not in busy and name not in self.poor and name != self.holder.me.name
+        ]
         room = max(0, MOST_ASKS - len(self.asked))
         for name in self.rng.sample(lenders, min(room, len(lenders))):
             ask = self.holder.ask(name, short, now_us)
--- a/plovertrail/decisions/failover.py
+++ b/plovertrail/decisions/failover.py
@@ -29,8 +29,9 @@
         self.may_have_run |= outcome not in NEVER_RAN
 
 
-def next_pool(standing: Standing, serving: Sequence[bool], most_attempts: int, reissues: Reissues,
-              now_us: int) -> int | None:
+def next_pool(
+    standing: Standing, serving: Sequence[bool], most_attempts: int, reissues: Reissues, now_us: int
+) -> int | None:
     """The number of the next pool to ask, None if the request ends here; `serving` tells which have a server.
     Hazard: a request that goes on from pool to pool multiplies the load just when servers turn it away; so
     attempts and reissues are counted over all pools together."""
@@ -46,5 +47,5 @@
     behind it, as far as there are so many. Hazard: a pool whose servers all refuse would use up the attempts,
     and the one that is well would get none."""
     left = most_attempts - standing.attempts
-    behind = sum(1 for serves in serving[number + 1:] if serves)
+    behind = sum(1 for serves in serving[number + 1 :] if serves)
     return left - max(0, min(behind, left - 1))
--- a/plovertrail/decisions/fairness.py
+++ b/plovertrail/decisions/fairness.py
@@ -118,7 +118,7 @@
         from hashlib import blake2b  # late: most hosts have no door, and the platform's start is small
 
         self.hash = blake2b
-        self.salt = int(rng() * 2 ** 53).to_bytes(8)
+        self.salt = int(rng() * 2**53).to_bytes(8)
         self.rng = rng
         self.now_us = now_us
         self.virtual = 0.0
@@ -164,8 +164,9 @@
 
     # What happens
 
-    def arrived(self, ident: int, tenant: str, client: str, worth: float, due_us: int, now_us: int,
-                room: bool) -> list[Action]:
+    def arrived(
+        self, ident: int, tenant: str, client: str, worth: float, due_us: int, now_us: int, room: bool
+    ) -> list[Action]:
         """A request has come; `room` tells whether the pool has a free slot. It is let through, waits, or is
         refused, itself or another one in its place."""
         self._advance(now_us)
@@ -311,8 +312,12 @@
 
     def _evict(self, share: Share) -> TurnedAway:
         """The cheapest, and of these the last, of a tenant's waiting requests makes room."""
-        entries = [entry for queue in share.backlogged.values() for entry in queue.heap
-                   if self.waiting.get(entry[2].ident) is entry[2]]
+        entries = [
+            entry
+            for queue in share.backlogged.values()
+            for entry in queue.heap
+            if self.waiting.get(entry[2].ident) is entry[2]
+        ]
         waiting = max(entries, key=lambda entry: (not entry[2].promised, entry[:2]))[2]
         self._leave(waiting.ident)
         return self._turned_away(waiting.ident, share, waiting.key)
--- a/plovertrail/decisions/fellows.py
+++ b/plovertrail/decisions/fellows.py
@@ -34,7 +34,7 @@
 JOINS_A_PERIOD = 200  # that one seed is asked by all who begin together: a fifth of what it looks at
 ALONE = 3  # periods without a word from anybody: one is probed by others once in each, on average
 MOST_WORDS_HELD = 1_024  # that still go out; more are told by the table in its turn
-FURTHEST = 2 ** 62  # an incarnation beyond this is made up
+FURTHEST = 2**62  # an incarnation beyond this is made up
 
 
 class State(enum.IntEnum):
@@ -140,15 +140,22 @@
     direct way there and back, and each indirect one (four datagrams) fail (SWIM, section 3.1)."""
     direct = 1.0 - (1.0 - loss) ** 2
     way = 1.0 - (1.0 - loss) ** 4
-    return direct * way ** indirect
+    return direct * way**indirect
 
 
 class Fellows:
     """What one instance knows of the others. `period_us`: it probes one in each; `seeds` are asked to let it
     in while it knows nobody; `expected` instances may begin at the same moment."""
 
-    def __init__(self, me: Word, period_us: int, rng: random.Random, now_us: int,
-                 seeds: Sequence[Address] = (), expected: int = 1) -> None:
+    def __init__(
+        self,
+        me: Word,
+        period_us: int,
+        rng: random.Random,
+        now_us: int,
+        seeds: Sequence[Address] = (),
+        expected: int = 1,
+    ) -> None:
         self.me = me
         self.period_us = period_us
         self.rng = rng
@@ -254,8 +261,10 @@
             return []
         chosen = [word for word in self.some(INDIRECT + 1) if word.name != probe.name][:INDIRECT]
         probe.asked_of = len(chosen)
-        return [Out(Kind.ASK, word.address, probe.number, probe.name, word.name, fellow.word.address)
-                for word in chosen]
+        return [
+            Out(Kind.ASK, word.address, probe.number, probe.name, word.name, fellow.word.address)
+            for word in chosen
+        ]
 
     def _probe_over(self, now_us: int) -> None:
         """The period of a probe has ended with no answer."""
@@ -311,8 +320,9 @@
                 return [*out, self._send_probe(fellow.word, now_us)]
 
     def _silent(self) -> list[Word]:
-        return [self.table[name].word for name in sorted(self.over)
-                if self.table[name].word.state is State.SILENT]
+        return [
+            self.table[name].word for name in sorted(self.over) if self.table[name].word.state is State.SILENT
+        ]
 
     def _send_probe(self, word: Word, now_us: int) -> Out:
         self.numbers += 1
@@ -332,8 +342,9 @@
                 # it doesn't know what is said of it: that goes to it with the answer, so that it can refute
                 self.words[sender.name] = 0
 
-    def came(self, kind: Kind, number: int, subject: str, sender: Address, subject_address: Address,
-             now_us: int) -> list[Out]:
+    def came(
+        self, kind: Kind, number: int, subject: str, sender: Address, subject_address: Address, now_us: int
+    ) -> list[Out]:
         """A message has come; what it asks for."""
         if kind in (Kind.PROBE, Kind.JOIN):
             return [Out(Kind.ACK, sender, number)]
@@ -374,8 +385,13 @@
                 self.twins[word.name] = word.address
             return
         if word.rank > self.me.rank and not self.leaving:
-            self.me = Word(self.me.name, self.me.address, max(word.incarnation, self.me.incarnation) + 1,
-                           State.ALIVE, self.me.zone)
+            self.me = Word(
+                self.me.name,
+                self.me.address,
+                max(word.incarnation, self.me.incarnation) + 1,
+                State.ALIVE,
+                self.me.zone,
+            )
             self.words[self.me.name] = 0
             if word.state is State.SUSPECT:
                 self._doubt(1)
@@ -457,7 +473,7 @@
         receiver = self.table.get(to)
         if receiver is not None and receiver.word.state is not State.ALIVE:
             found[to] = receiver.word
-        for name in sorted(self.words, key=lambda name: self.words[name])[:most - len(found)]:
+        for name in sorted(self.words, key=lambda name: self.words[name])[: most - len(found)]:
             word = self._word_of(name)
             self.words[name] += 1
             if word is None or self.words[name] >= often:
