--- a/plovertrail/decisions/interface.py
+++ b/plovertrail/decisions/interface.py
@@ -131,8 +131,18 @@
         _require(self.max_attempts >= 1, "a max_attempts of 1 or more", self.max_attempts)
         _require(0 < self.cold_share <= 1, "a cold_share above 0, at most 1", self.cold_share)
         _require(self.overload_factor > 0, "an overload_factor above 0", self.overload_factor)
-        for name in ("zone", "tick_us", "max_retry_after_us", "connect_timeout_us", "ask_within_us",
-                     "drain_grace_us", "warm_up_us", "fall_us", "cross_zone_fee", "list_calls_per_s"):
+        for name in (
+            "zone",
+            "tick_us",
+            "max_retry_after_us",
+            "connect_timeout_us",
+            "ask_within_us",
+            "drain_grace_us",
+            "warm_up_us",
+            "fall_us",
+            "cross_zone_fee",
+            "list_calls_per_s",
+        ):
             _require(getattr(self, name) >= 0, f"a {name} of 0 or more", getattr(self, name))
 
 
@@ -231,8 +241,17 @@
     payload: bytes
 
 
-Event = (UpstreamsUpdated | RequestArrived | RequestGone | AttemptEnded | StreamStarted | ProbeEnded
-         | TimerFired | Hearsay | PeerMessage)
+Event = (
+    UpstreamsUpdated
+    | RequestArrived
+    | RequestGone
+    | AttemptEnded
+    | StreamStarted
+    | ProbeEnded
+    | TimerFired
+    | Hearsay
+    | PeerMessage
+)
 
 
 # Actions
@@ -306,5 +325,4 @@
     text: str
 
 
-Action = (Send | Refuse | Fail | Cancel | Probe | SetTimer | Subscribe | FetchList | CloseIdle
-          | TellPeer | Log)
+Action = Send | Refuse | Fail | Cancel | Probe | SetTimer | Subscribe | FetchList | CloseIdle | TellPeer | Log
--- a/plovertrail/decisions/judgements.py
+++ b/plovertrail/decisions/judgements.py
@@ -86,9 +86,14 @@
     def sound(self) -> bool:
         """Whether it makes sense."""
         parts = self.faults, self.silent, self.full
-        return (self.attempts >= 0.0 and all(part >= 0.0 for part in parts) and math.isfinite(self.attempts)
-                and sum(parts) <= self.attempts + 0.1 and 0 <= self.age_us <= OLDEST_US
-                and self.good_age_us >= 0)
+        return (
+            self.attempts >= 0.0
+            and all(part >= 0.0 for part in parts)
+            and math.isfinite(self.attempts)
+            and sum(parts) <= self.attempts + 0.1
+            and 0 <= self.age_us <= OLDEST_US
+            and self.good_age_us >= 0
+        )
 
 
 @dataclass(slots=True)
@@ -152,8 +157,9 @@
 
     # Evidence
 
-    def ended(self, key: Key, now_us: int, *, fault: bool = False, silent: bool = False,
-              full: bool = False) -> None:
+    def ended(
+        self, key: Key, now_us: int, *, fault: bool = False, silent: bool = False, full: bool = False
+    ) -> None:
         """An attempt of ours has ended. What the client gave up or could not be sent is none."""
         window = self.own.get(key)
         if window is None:
@@ -246,8 +252,11 @@
 
     def accused(self, now_us: int) -> set[Key]:
         """Servers and classes that somebody finds wrong, we or another."""
-        found = {key for key, by_teller in self.heard.items() if any(
-            heard.counts(now_us)[1] >= 0.5 for heard in by_teller.values())}
+        found = {
+            key
+            for key, by_teller in self.heard.items()
+            if any(heard.counts(now_us)[1] >= 0.5 for heard in by_teller.values())
+        }
         for key, window in self.own.items():
             window.fade(now_us)
             if window.wrong >= 0.5:
@@ -261,22 +270,50 @@
         quiet = doubts_itself or now_us < self.silent_until_us or self.finds_all_bad(now_us)
         if not quiet:
             self.sequence += 1
-            mine = [(key, self.own[key]) for key in self.accused(now_us) if key in self.own
-                    and self.own[key].attempts >= LEAST]
+            mine = [
+                (key, self.own[key])
+                for key in self.accused(now_us)
+                if key in self.own and self.own[key].attempts >= LEAST
+            ]
             mine.sort(key=lambda pair: -pair[1].wrong)
-            found = [Evidence(self.me, self.sequence, key, window.attempts, window.faults, window.silent,
-                              window.full, 0, max(0, now_us - window.good_us))
-                     for key, window in mine[:max(1, most * 2 // 3)]]
+            found = [
+                Evidence(
+                    self.me,
+                    self.sequence,
+                    key,
+                    window.attempts,
+                    window.faults,
+                    window.silent,
+                    window.full,
+                    0,
+                    max(0, now_us - window.good_us),
+                )
+                for key, window in mine[: max(1, most * 2 // 3)]
+            ]
         often = PASSED_ON * math.log2(size + 1)
-        fresh = [self.heard[key][teller] for key, teller in reversed(self.order)
-                 if self.heard[key][teller].told_on < often]
-        for heard in sorted(fresh[:4 * most], key=lambda one: one.told_on)[:most - len(found)]:
+        fresh = [
+            self.heard[key][teller]
+            for key, teller in reversed(self.order)
+            if self.heard[key][teller].told_on < often
+        ]
+        for heard in sorted(fresh[: 4 * most], key=lambda one: one.told_on)[: most - len(found)]:
             age_us = now_us - heard.began_us
             if age_us <= OLDEST_US:
                 heard.told_on += 1
                 old = heard.evidence
-                found.append(Evidence(old.teller, old.sequence, old.key, old.attempts, old.faults, old.silent,
-                                      old.full, age_us, old.good_age_us))
+                found.append(
+                    Evidence(
+                        old.teller,
+                        old.sequence,
+                        old.key,
+                        old.attempts,
+                        old.faults,
+                        old.silent,
+                        old.full,
+                        age_us,
+                        old.good_age_us,
+                    )
+                )
         return found
 
     # What comes of it
@@ -291,7 +328,7 @@
                 if window.attempts >= LEAST:
                     shares.append((window.wrong / window.attempts, window.attempts, window.wrong))
         shares.sort()
-        kept = shares[:math.ceil(len(shares) * (1.0 - MOST_HELD_BACK))]
+        kept = shares[: math.ceil(len(shares) * (1.0 - MOST_HELD_BACK))]
         attempts = sum(share[1] for share in kept)
         return sum(share[2] for share in kept) / (attempts + PRIOR) if kept else 0.0
 
@@ -334,8 +371,11 @@
 
     def _valid(self, key: Key, now_us: int) -> list[tuple[int, Heard]]:
         """What counts of what is heard of a server and class."""
-        return [(teller, heard) for teller, heard in self.heard.get(key, {}).items()
-                if teller not in self.unwell and now_us - heard.began_us <= OLDEST_US]
+        return [
+            (teller, heard)
+            for teller, heard in self.heard.get(key, {}).items()
+            if teller not in self.unwell and now_us - heard.began_us <= OLDEST_US
+        ]
 
     def turned_us(self, server: int, kinds: Set[int], now_us: int) -> float:
         """When TELLERS, we among them, had found a server wrong: what went well before that is old news, by
@@ -364,7 +404,7 @@
             if opinion.held_back:
                 by_class.setdefault(key[1], []).append((opinion.held_back, key))
         for held in by_class.values():
-            for _, key in sorted(held, reverse=True)[int(MOST_HELD_BACK * len(servers)):]:
+            for _, key in sorted(held, reverse=True)[int(MOST_HELD_BACK * len(servers)) :]:
                 old = found[key]
                 found[key] = Opinion(0.0, old.tellers, old.others, old.own, old.everywhere)
         return found
--- a/plovertrail/decisions/limits.py
+++ b/plovertrail/decisions/limits.py
@@ -117,7 +117,7 @@
         from hashlib import blake2b  # late: most hosts have no limit, and the platform's start is small
 
         self.hash = blake2b
-        self.salt = int(rng() * 2 ** 53).to_bytes(8)
+        self.salt = int(rng() * 2**53).to_bytes(8)
         self.rng = rng
         self.now_us = 0
         self.entries: dict[int, Entry] = {}  # by the key's hash, the one used last at the end
@@ -152,8 +152,9 @@
             return
         self._advance(now_us)
         allowances = (self.settings.allowance, *self.tenants.values())
-        most_us = max((each.burst * 1e6 / each.rate_per_s for each in allowances if each.rate_per_s > 0.0),
-                      default=0.0)
+        most_us = max(
+            (each.burst * 1e6 / each.rate_per_s for each in allowances if each.rate_per_s > 0.0), default=0.0
+        )
         self.salt = old.salt
         for key, free_us in islice(old.free_us.items(), self.settings.most_keys):
             owed_us = min(free_us - now_us, most_us)
@@ -215,8 +216,9 @@
         self.let_in += 1
         return Permit(self, entry, self.now_us)
 
-    def refuse(self, entry: Entry, allowance: Allowance, whole: Allowance, wait_us: int,
-               by_rate: bool) -> OverLimit:
+    def refuse(
+        self, entry: Entry, allowance: Allowance, whole: Allowance, wait_us: int, by_rate: bool
+    ) -> OverLimit:
         """A request is over what this instance may let in of the whole. Hazard: told the same time, all that
         are refused would come back together, and all but one in vain: each is told the place behind the one
         that was told last."""
--- a/plovertrail/decisions/membership.py
+++ b/plovertrail/decisions/membership.py
@@ -59,8 +59,9 @@
     shared_addresses: bool = False  # for a while, as one server takes another's place
 
 
-UNGUARDED = Guards(allow_empty=True, most_dropped=1.0, largest_weight=math.inf, damping=False,
-                   shared_addresses=True)  # for a source that is known to be right, as the platform's
+UNGUARDED = Guards(
+    allow_empty=True, most_dropped=1.0, largest_weight=math.inf, damping=False, shared_addresses=True
+)  # for a source that is known to be right, as the platform's
 
 
 @dataclass(frozen=True, slots=True)
@@ -138,8 +139,10 @@
         if entry.address in addresses and not guards.shared_addresses:
             found.append(f'"{entry.id}" has the address of "{addresses[entry.address]}"')
         if not (math.isfinite(entry.weight) and 0 < entry.weight <= guards.largest_weight):
-            found.append(f'"{entry.id}" has a weight of {entry.weight}: '
-                         f"expected more than 0, at most {guards.largest_weight:g}")
+            found.append(
+                f'"{entry.id}" has a weight of {entry.weight}: '
+                f"expected more than 0, at most {guards.largest_weight:g}"
+            )
         if guards.zones and entry.zone not in guards.zones:
             found.append(f'"{entry.id}" is in the unknown zone "{entry.zone}"')
         ids.add(entry.id)
@@ -154,10 +157,15 @@
             found.append(f"its version {candidate.version} goes backwards, from {before.version}")
         listed = {(entry.id, entry.address) for entry in candidate.entries}
         dropped = sum(1 for entry in before.entries if (entry.id, entry.address) not in listed)
-        if (candidate.entries and len(before.entries) >= guards.judged_from
-                and dropped > guards.most_dropped * len(before.entries)):
-            found.append(f"it drops or moves {dropped} of {len(before.entries)} servers at once: "
-                         f"more than {guards.most_dropped:.0%}")
+        if (
+            candidate.entries
+            and len(before.entries) >= guards.judged_from
+            and dropped > guards.most_dropped * len(before.entries)
+        ):
+            found.append(
+                f"it drops or moves {dropped} of {len(before.entries)} servers at once: "
+                f"more than {guards.most_dropped:.0%}"
+            )
     return tuple(found)
 
 
@@ -179,8 +187,14 @@
     return found
 
 
-def reduce(state: State, candidate: Candidate | None, now_us: int, guards: Guards, order: Sequence[str] = (),
-           elsewhere: Mapping[tuple[str, Address], int] | None = None) -> Step:
+def reduce(
+    state: State,
+    candidate: Candidate | None,
+    now_us: int,
+    guards: Guards,
+    order: Sequence[str] = (),
+    elsewhere: Mapping[tuple[str, Address], int] | None = None,
+) -> Step:
     """One step. Without a candidate: the time has come for joins that were held back. `order` has the
     sources, the one that wins first; lists of others are dropped. `elsewhere` tells since when other pools
     know a server: it is not cold for having come to this one."""
@@ -192,10 +206,12 @@
             return state, (), report(state, now_us)
         layers = {layer.source: layer for layer in state.layers} | {candidate.source: candidate}
         names = order or tuple(layers)
-        refused = {name: told for name, told in state.refused.items()
-                   if name != candidate.source and name in names}
-        state = replace(state, layers=tuple(layers[name] for name in names if name in layers),
-                        refused=refused)
+        refused = {
+            name: told for name, told in state.refused.items() if name != candidate.source and name in names
+        }
+        state = replace(
+            state, layers=tuple(layers[name] for name in names if name in layers), refused=refused
+        )
     return _settle(state, now_us, guards, elsewhere or {})
 
 
@@ -248,8 +264,15 @@
         changes.append(Change(Kind.JOIN, members[ident]))
     while len(flaps) > MOST_FLAPS:
         del flaps[next(iter(flaps))]
-    new = replace(state, members=members, leaving=leaving, flaps=flaps, held=held, last_number=last_number,
-                  generation=state.generation + bool(changes))
+    new = replace(
+        state,
+        members=members,
+        leaving=leaving,
+        flaps=flaps,
+        held=held,
+        last_number=last_number,
+        generation=state.generation + bool(changes),
+    )
     return new, tuple(changes), report(new, now_us, tuple(changes))
 
 
@@ -264,17 +287,22 @@
 def report(state: State, now_us: int, changes: tuple[Change, ...] = ()) -> Report:
     """What is to be told of a state, and of the step that led to it."""
     held = state.held
-    loud = [f"the list of {source} is refused, the last good one stays: {'; '.join(_first(told))}"
-            for source, told in state.refused.items()]
+    loud = [
+        f"the list of {source} is refused, the last good one stays: {'; '.join(_first(told))}"
+        for source, told in state.refused.items()
+    ]
     if held:
         longest_s = (max(held.values()) - now_us) / 1e6
-        loud.append(f"{len(held)} servers come and go, and are held back for up to {longest_s:.0f} s: "
-                    f"{', '.join(_first(tuple(held)))}")
+        loud.append(
+            f"{len(held)} servers come and go, and are held back for up to {longest_s:.0f} s: "
+            f"{', '.join(_first(tuple(held)))}"
+        )
     counts: dict[Kind, list[str]] = {}
     for change in changes:
         counts.setdefault(change.kind, []).append(change.member.entry.id)
-    return Report(tuple(loud), tuple(f"{', '.join(_first(tuple(ids)))}: {kind.value}"
-                                     for kind, ids in counts.items()))
+    return Report(
+        tuple(loud), tuple(f"{', '.join(_first(tuple(ids)))}: {kind.value}" for kind, ids in counts.items())
+    )
 
 
 def _first(words: tuple[str, ...]) -> tuple[str, ...]:
--- a/plovertrail/decisions/recovery.py
+++ b/plovertrail/decisions/recovery.py
@@ -38,37 +38,94 @@
 
 
 PIECES = (
-    Piece("lists", "their sources, else the state file",
-          "any age, as the last good list stays",
-          "nothing is sent while a source that can be read has not been read again"),
-    Piece("drains by hand", "the state file", "any age", "after a lost disk they have to be given again",
-          kept=True),
-    Piece("start times of servers", "the state file", "any age, by the machine's own clock while that runs",
-          "all servers of the first list count as warm, and later ones as cold", kept=True),
-    Piece("judgements on servers", "the state file", "10 minutes, and half as much after each 30 s",
-          "each server begins with one slot, and more open as answers come in time", kept=True),
-    Piece("how much is let in at once", "learnt anew, by answers in time", "the process's life",
-          "of a fleet's instances all together begin with one request at each server, or two each"),
-    Piece("limits' buckets", "the state file", "until the key has paid, at most for one burst",
-          "each key may have one burst again", kept=True, part="limiters"),
-    Piece("tenants' shares", "learnt anew", "the process's life", "all tenants begin with equal work done",
-          part="tenants"),
-    Piece("own counts", "the state file; a new boot number tells peers", "the window of the counts",
-          "peers keep what this instance had used until their window is over", kept=True, part="peers"),
-    Piece("counts of others", "peers", "eight rounds without word",
-          "each silent peer is reckoned with its part by number", part="peers"),
-    Piece("the number of instances", "its list, else limits.instances",
-          "any age, as the last good list stays", "limits.instances holds"),
-    Piece("hooks' breakers", "learnt anew", "the process's life", "a hook that faults is switched off again",
-          part="hooks"),
+    Piece(
+        "lists",
+        "their sources, else the state file",
+        "any age, as the last good list stays",
+        "nothing is sent while a source that can be read has not been read again",
+    ),
+    Piece(
+        "drains by hand",
+        "the state file",
+        "any age",
+        "after a lost disk they have to be given again",
+        kept=True,
+    ),
+    Piece(
+        "start times of servers",
+        "the state file",
+        "any age, by the machine's own clock while that runs",
+        "all servers of the first list count as warm, and later ones as cold",
+        kept=True,
+    ),
+    Piece(
+        "judgements on servers",
+        "the state file",
+        "10 minutes, and half as much after each 30 s",
+        "each server begins with one slot, and more open as answers come in time",
+        kept=True,
+    ),
+    Piece(
+        "how much is let in at once",
+        "learnt anew, by answers in time",
+        "the process's life",
+        "of a fleet's instances all together begin with one request at each server, or two each",
+    ),
+    Piece(
+        "limits' buckets",
+        "the state file",
+        "until the key has paid, at most for one burst",
+        "each key may have one burst again",
+        kept=True,
+        part="limiters",
+    ),
+    Piece(
+        "tenants' shares",
+        "learnt anew",
+        "the process's life",
+        "all tenants begin with equal work done",
+        part="tenants",
+    ),
+    Piece(
+        "own counts",
+        "the state file; a new boot number tells peers",
+        "the window of the counts",
+        "peers keep what this instance had used until their window is over",
+        kept=True,
+        part="peers",
+    ),
+    Piece(
+        "counts of others",
+        "peers",
+        "eight rounds without word",
+        "each silent peer is reckoned with its part by number",
+        part="peers",
+    ),
+    Piece(
+        "the number of instances",
+        "its list, else limits.instances",
+        "any age, as the last good list stays",
+        "limits.instances holds",
+    ),
+    Piece(
+        "hooks' breakers",
+        "learnt anew",
+        "the process's life",
+        "a hook that faults is switched off again",
+        part="hooks",
+    ),
 )
 
 
 def pieces(parts: Container[str], state_file: bool) -> tuple[Piece, ...]:
     """The state that a setup has, of which `parts` are in use."""
-    return tuple(replace(piece, from_where="learnt anew, as there is no state file")
-                 if piece.kept and not state_file else piece
-                 for piece in PIECES if not piece.part or piece.part in parts)
+    return tuple(
+        replace(piece, from_where="learnt anew, as there is no state file")
+        if piece.kept and not state_file
+        else piece
+        for piece in PIECES
+        if not piece.part or piece.part in parts
+    )
 
 
 class Pulse:
--- a/plovertrail/decisions/remembered.py
+++ b/plovertrail/decisions/remembered.py
@@ -32,9 +32,14 @@
     @property
     def plain(self) -> bool:
         """Whether it says no more than that the server is not known."""
-        return (abs(self.window - 1.0) < PLAIN and abs(self.pace - 1.0) < PLAIN and self.faults < PLAIN
-                and self.distrust < PLAIN and all(part < PLAIN for part in self.silence)
-                and not any(self.mute))
+        return (
+            abs(self.window - 1.0) < PLAIN
+            and abs(self.pace - 1.0) < PLAIN
+            and self.faults < PLAIN
+            and self.distrust < PLAIN
+            and all(part < PLAIN for part in self.silence)
+            and not any(self.mute)
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,16 +56,23 @@
     beside what it will do once it is warm."""
     if balancer.warmth(server) < 1.0:
         return None
-    found = Judgement(round(server.window, 2), round(server.pace, 2), round(server.faults, 2),
-                      round(server.distrust, 2), tuple(round(part, 2) for part in server.silence),
-                      tuple(server.mute))
+    found = Judgement(
+        round(server.window, 2),
+        round(server.pace, 2),
+        round(server.faults, 2),
+        round(server.distrust, 2),
+        tuple(round(part, 2) for part in server.silence),
+        tuple(server.mute),
+    )
     return None if found.plain else found
 
 
 def means(balancer: Balancer) -> dict[str, float]:
     """The usual time of each class, in us."""
-    return {kind.name: round(mean_us) for kind, mean_us in
-            zip(balancer.settings.classes, balancer.mean_us, strict=True)}
+    return {
+        kind.name: round(mean_us)
+        for kind, mean_us in zip(balancer.settings.classes, balancer.mean_us, strict=True)
+    }
 
 
 def faded(old: Judgement, age_us: int) -> Judgement | None:
@@ -70,11 +82,15 @@
     left = math.exp2(-age_us / HALF_LIFE_US)
     good = KEPT_OF_GOOD if old.window > 1.0 else 1.0
     return replace(
-        old, window=1.0 + (old.window - 1.0) * left * good, pace=1.0 + (old.pace - 1.0) * left,
-        faults=old.faults * left, distrust=old.distrust * left,
+        old,
+        window=1.0 + (old.window - 1.0) * left * good,
+        pace=1.0 + (old.pace - 1.0) * left,
+        faults=old.faults * left,
+        distrust=old.distrust * left,
         silence=tuple(part * left for part in old.silence),
         # hazard: one that was muted would be for good, as nothing is sent there that could end it
-        mute=tuple(min(MUTE - 1, int(count * left)) for count in old.mute))
+        mute=tuple(min(MUTE - 1, int(count * left)) for count in old.mute),
+    )
 
 
 def recall_server(balancer: Balancer, server: Server, old: Judgement, age_us: int) -> bool:
@@ -109,8 +125,9 @@
         balancer.mean_us[index] = max(1.0, guess_us + (min(known_us, kind.aim_us) - guess_us) * left)
 
 
-def sweep(balancer: Balancer, servers: Iterable[tuple[int, tuple[str, str]]]
-          ) -> dict[tuple[str, str], Judgement]:
+def sweep(
+    balancer: Balancer, servers: Iterable[tuple[int, tuple[str, str]]]
+) -> dict[tuple[str, str], Judgement]:
     """The judgements on some servers, given by their numbers and by what they are called over restarts."""
     found = {}
     for number, called in servers:
--- a/plovertrail/decisions/requests.py
+++ b/plovertrail/decisions/requests.py
@@ -41,8 +41,14 @@
     host: bytes  # as the client named it
 
 
-def read_head(method: bytes, target: bytes, version: str, hosts: list[bytes],
-              headers: Mapping[bytes, bytes], listener: str = "") -> tuple[Head, str, bytes]:
+def read_head(
+    method: bytes,
+    target: bytes,
+    version: str,
+    hosts: list[bytes],
+    headers: Mapping[bytes, bytes],
+    listener: str = "",
+) -> tuple[Head, str, bytes]:
     """The head as routes see it, the path as it goes on, and the host as it was named. `hosts` are all values
     of Host. Raises TurnedAway (RFC 9112, section 3.2)."""
     try:
@@ -77,18 +83,35 @@
     return Routed(match.route, head, target, host)
 
 
-def told_by(head: Head, path: str, authority: bytes, sent: bytes, address: str, client: str, ident: bytes,
-            port: int, route: Route) -> dict[str, str]:
+def told_by(
+    head: Head,
+    path: str,
+    authority: bytes,
+    sent: bytes,
+    address: str,
+    client: str,
+    ident: bytes,
+    port: int,
+    route: Route,
+) -> dict[str, str]:
     """What templates are filled with. `path` is the path as it goes on, `sent` the target as it came. All of
     it is what a head may hold: no control characters."""
     query = head.query.decode("latin-1")
     before = head.headers.get(b"x-forwarded-for", b"").decode("latin-1")
     told = {
-        "host": head.host, "authority": authority.decode("latin-1"), "address": address, "client": client,
-        "forwarded_for": f"{before}, {address}" if before else address, "method": head.method, "path": path,
-        "query": query, "args": f"?{query}" if query else "",
+        "host": head.host,
+        "authority": authority.decode("latin-1"),
+        "address": address,
+        "client": client,
+        "forwarded_for": f"{before}, {address}" if before else address,
+        "method": head.method,
+        "path": path,
+        "query": query,
+        "args": f"?{query}" if query else "",
         "uri": sent.decode("latin-1") if sent.startswith(b"/") else path + (f"?{query}" if query else ""),
-        "request_id": ident.decode("latin-1"), "port": str(port)}
+        "request_id": ident.decode("latin-1"),
+        "port": str(port),
+    }
     return told | {str(number): text for number, text in enumerate(captured(route, head.path), 1)}
 
 
@@ -105,8 +128,16 @@
     sends: dict[str, str] = field(default_factory=dict)  # the headers that go on, names in lower case
 
 
-def outline(table: RouteTable, method: str, host: str, target: str, headers: Sequence[tuple[str, str]],
-            listener: str, port: int, address: str) -> Outline:
+def outline(
+    table: RouteTable,
+    method: str,
+    host: str,
+    target: str,
+    headers: Sequence[tuple[str, str]],
+    listener: str,
+    port: int,
+    address: str,
+) -> Outline:
     """A request of HTTP/1.1 as a client at `address` sends it to a listener."""
     joined: dict[bytes, bytes] = {}
     for name, value in headers:
@@ -114,8 +145,9 @@
         joined[key] = joined[key] + b", " + plain if key in joined else plain
     sent, head = target.encode("latin-1"), None
     try:
-        head, path, authority = read_head(method.encode(), sent, "1.1", [host.encode("latin-1")], joined,
-                                          listener)
+        head, path, authority = read_head(
+            method.encode(), sent, "1.1", [host.encode("latin-1")], joined, listener
+        )
         routed = route_request(table, head, path, authority)
     except TurnedAway as away:
         return Outline(away.status, away.why, head=head)
@@ -123,10 +155,18 @@
     values = told_by(head, path, authority, sent, address, address, b"", port, route)
     if route.answers is not None:
         fixed = route.answers
-        return Outline(fixed.status, fixed.body.filled(values) if fixed.body is not None else "",
-                       fixed.location.filled(values) if fixed.location is not None else "", head, routed)
-    sends = {name.decode("latin-1"): value.decode("latin-1") for name, value in joined.items()
-             if name not in route.remove_headers}
+        return Outline(
+            fixed.status,
+            fixed.body.filled(values) if fixed.body is not None else "",
+            fixed.location.filled(values) if fixed.location is not None else "",
+            head,
+            routed,
+        )
+    sends = {
+        name.decode("latin-1"): value.decode("latin-1")
+        for name, value in joined.items()
+        if name not in route.remove_headers
+    }
     sends["host"] = host
     sends |= {name.decode().lower(): value.decode("latin-1") for name, value in route.set_headers}
     sends |= {name.decode().lower(): value.filled(values) for name, value in route.filled_headers}
--- a/plovertrail/decisions/routes.py
+++ b/plovertrail/decisions/routes.py
@@ -150,7 +150,7 @@
 def covers_path(prefix: str, path: str) -> bool:
     """Whether a path lies under a prefix, on a segment border."""
     prefix = prefix.rstrip("/")
-    return path.startswith(prefix) and path[len(prefix):len(prefix) + 1] in ("", "/")
+    return path.startswith(prefix) and path[len(prefix) : len(prefix) + 1] in ("", "/")
 
 
 def prefixes(path: str) -> Iterator[str]:
@@ -158,7 +158,7 @@
     path = path.rstrip("/")
     while path:
         yield path
-        path = path[:path.rfind("/")]
+        path = path[: path.rfind("/")]
     yield ""
 
 
@@ -289,8 +289,14 @@
         told: list[tuple[Route, Miss | None]] = []
         best: tuple[tuple[int, ...], int] | None = None
         for place, route in enumerate(self.routes):
-            host_rank = min((self._host_order(host, head.host) for host in route.hosts or ("",)
-                             if takes_host(host, head.host)), default=None)
+            host_rank = min(
+                (
+                    self._host_order(host, head.host)
+                    for host in route.hosts or ("",)
+                    if takes_host(host, head.host)
+                ),
+                default=None,
+            )
             miss: Miss | None
             if host_rank is None:
                 miss = Miss.HOST
@@ -308,7 +314,6 @@
             told[best[1]] = told[best[1]][0], None
         return told
 
-
     def _host_order(self, pattern: str, host: str) -> int:
         """Exact, then the longest wildcard at the front, the longest at the end, the first regular
         expression, any."""
@@ -348,18 +353,26 @@
     if first.kind is PathKind.EXACT:
         covered = second.kind is PathKind.EXACT and first.path == second.path
     elif first.kind is PathKind.PREFIX:
-        covered = first.path == "/" or (second.kind is not PathKind.REGEX
-                                        and covers_path(first.path, second.path))
+        covered = first.path == "/" or (
+            second.kind is not PathKind.REGEX and covers_path(first.path, second.path)
+        )
     elif second.kind is PathKind.EXACT:
         covered = takes_path(first, second.path)
     else:
         covered = second.kind is PathKind.REGEX and first.path == second.path
     # what a path must begin with, or must not, is told from the second's own words alone
-    covered = (covered and second.within.startswith(first.within)
-               and set(first.excepts) <= set(second.excepts)
-               and (not first.listeners or (bool(second.listeners) and second.listeners <= first.listeners)))
-    return (covered and (not first.methods or (bool(second.methods) and second.methods <= first.methods))
-            and set(first.headers) <= set(second.headers) and set(first.query) <= set(second.query))
+    covered = (
+        covered
+        and second.within.startswith(first.within)
+        and set(first.excepts) <= set(second.excepts)
+        and (not first.listeners or (bool(second.listeners) and second.listeners <= first.listeners))
+    )
+    return (
+        covered
+        and (not first.methods or (bool(second.methods) and second.methods <= first.methods))
+        and set(first.headers) <= set(second.headers)
+        and set(first.query) <= set(second.query)
+    )
 
 
 def unreachable(routes: Sequence[Route]) -> list[tuple[Route, Route]]:
@@ -376,8 +389,14 @@
         layout.close()
         for entry in group:
             candidates = _candidates(layout, entry.route)
-            by = next((other.route for other in candidates
-                       if other.rank < entry.rank and shadows(other.route, entry.route)), None)
+            by = next(
+                (
+                    other.route
+                    for other in candidates
+                    if other.rank < entry.rank and shadows(other.route, entry.route)
+                ),
+                None,
+            )
             if by is not None:
                 shadowed.setdefault(entry.route.name, []).append((entry.route, by))
     # one that is reached by any of its hosts is reached
@@ -410,7 +429,7 @@
         changed = route.rewrite
     elif route.kind is PathKind.PREFIX:
         depth = route.path.rstrip("/").count("/")
-        rest = path.split("/")[1 + depth:]
+        rest = path.split("/")[1 + depth :]
         changed = "/".join([route.rewrite.rstrip("/"), *rest]) if rest else route.rewrite
     else:
         as_seen = normalise_path(path.encode("latin-1"))[1]
--- a/plovertrail/decisions/share.py
+++ b/plovertrail/decisions/share.py
@@ -67,7 +67,7 @@
     import hashlib  # late: the platform's program, which has no share, would load it at each start
 
     digest = hashlib.blake2b(f"{number} {name}".encode(), digest_size=8).digest()
-    return (int.from_bytes(digest) + 0.5) / 2.0 ** 64
+    return (int.from_bytes(digest) + 0.5) / 2.0**64
 
 
 def budget(fleet: Fleet, bounds: Bounds, servers: int) -> Budget:
@@ -102,8 +102,10 @@
         return ""
     if fleet.size <= usable_mean(bounds.connections, servers) * servers:
         return ""
-    return (f"{fleet.size} instances on {servers} servers that bear {bounds.connections} connections each: "
-            "not one for each instance, so some keep none between requests, and dial for each")
+    return (
+        f"{fleet.size} instances on {servers} servers that bear {bounds.connections} connections each: "
+        "not one for each instance, so some keep none between requests, and dial for each"
+    )
 
 
 class Dials:
@@ -187,8 +189,9 @@
 
     # Lists in, the own list out
 
-    def listed(self, entries: Iterable[Upstream], addresses: Mapping[int, Address],
-               fill: bool = True) -> list[Upstream]:
+    def listed(
+        self, entries: Iterable[Upstream], addresses: Mapping[int, Address], fill: bool = True
+    ) -> list[Upstream]:
         """Changed entries; returns what changes in the own list. Those whose state is GONE leave. Without
         `fill` nothing joins yet, as more of the same list follows."""
         told: list[Upstream] = []
@@ -204,8 +207,9 @@
                 told.append(entry)
         return told + self._filled() if fill else told
 
-    def only(self, numbers: Set[int], entries: Iterable[Upstream],
-             addresses: Mapping[int, Address]) -> list[Upstream]:
+    def only(
+        self, numbers: Set[int], entries: Iterable[Upstream], addresses: Mapping[int, Address]
+    ) -> list[Upstream]:
         """A whole list: what it doesn't have is gone."""
         gone = [Upstream(number, UpstreamState.GONE) for number in self.entries.keys() - numbers]
         return self.listed([*gone, *entries], addresses)
--- a/plovertrail/decisions/sockets.py
+++ b/plovertrail/decisions/sockets.py
@@ -81,14 +81,22 @@
 
 # What each peer is told where the other did not say it: (code for the client, for the server)
 CODES = {
-    Cause.CLIENT_LOST: (GOING_AWAY, GOING_AWAY), Cause.SERVER_LOST: (RESTART, GOING_AWAY),
-    Cause.CLIENT_VANISHED: (GOING_AWAY, GOING_AWAY), Cause.SERVER_VANISHED: (RESTART, GOING_AWAY),
-    Cause.CLIENT_SLOW: (POLICY, GOING_AWAY), Cause.SERVER_SLOW: (TRY_LATER, POLICY),
-    Cause.CLIENT_FAULT: (POLICY, GOING_AWAY), Cause.SERVER_FAULT: (INTERNAL, POLICY),
-    Cause.CLIENT_TOO_LONG: (TOO_BIG, GOING_AWAY), Cause.SERVER_TOO_LONG: (INTERNAL, TOO_BIG),
-    Cause.TOO_MANY: (POLICY, GOING_AWAY), Cause.IDLE: (GOING_AWAY, GOING_AWAY),
-    Cause.LIFETIME: (GOING_AWAY, GOING_AWAY), Cause.DRAINED: (RESTART, GOING_AWAY),
-    Cause.SERVER_GONE: (RESTART, GOING_AWAY), Cause.WITHDRAWN: (RESTART, GOING_AWAY),
+    Cause.CLIENT_LOST: (GOING_AWAY, GOING_AWAY),
+    Cause.SERVER_LOST: (RESTART, GOING_AWAY),
+    Cause.CLIENT_VANISHED: (GOING_AWAY, GOING_AWAY),
+    Cause.SERVER_VANISHED: (RESTART, GOING_AWAY),
+    Cause.CLIENT_SLOW: (POLICY, GOING_AWAY),
+    Cause.SERVER_SLOW: (TRY_LATER, POLICY),
+    Cause.CLIENT_FAULT: (POLICY, GOING_AWAY),
+    Cause.SERVER_FAULT: (INTERNAL, POLICY),
+    Cause.CLIENT_TOO_LONG: (TOO_BIG, GOING_AWAY),
+    Cause.SERVER_TOO_LONG: (INTERNAL, TOO_BIG),
+    Cause.TOO_MANY: (POLICY, GOING_AWAY),
+    Cause.IDLE: (GOING_AWAY, GOING_AWAY),
+    Cause.LIFETIME: (GOING_AWAY, GOING_AWAY),
+    Cause.DRAINED: (RESTART, GOING_AWAY),
+    Cause.SERVER_GONE: (RESTART, GOING_AWAY),
+    Cause.WITHDRAWN: (RESTART, GOING_AWAY),
     Cause.SHUTDOWN: (RESTART, GOING_AWAY),
 }
 COME_BACK = frozenset((RESTART, TRY_LATER))  # codes whose reason tells when
@@ -242,8 +250,24 @@
     pass
 
 
-Event = (Asked | Placed | Sent | Missed | Accepted | Opened | NeverOpened | CloseSeen | Lost | Violated
-         | Blocked | Unblocked | ServerChanged | Withdrawn | ShutDown | TimerFired)
+Event = (
+    Asked
+    | Placed
+    | Sent
+    | Missed
+    | Accepted
+    | Opened
+    | NeverOpened
+    | CloseSeen
+    | Lost
+    | Violated
+    | Blocked
+    | Unblocked
+    | ServerChanged
+    | Withdrawn
+    | ShutDown
+    | TimerFired
+)
 
 
 # Actions
@@ -459,8 +483,9 @@
             cause = Cause.STOPPING
         elif event.log_full:
             cause = Cause.LOG_FULL
-        elif event.limits.max_per_tenant and (self.by_tenant.get(event.tenant, 0)
-                                              >= event.limits.max_per_tenant):
+        elif event.limits.max_per_tenant and (
+            self.by_tenant.get(event.tenant, 0) >= event.limits.max_per_tenant
+        ):
             cause = Cause.TENANT_FULL
         self.sockets[event.ident] = socket
         self.by_tenant[event.tenant] = self.by_tenant.get(event.tenant, 0) + 1
@@ -505,8 +530,11 @@
 
     def _on_placed(self, socket: Socket, server: Server) -> None:
         pool, number = server
-        if (socket.phase is not Phase.ASKED or number in self.barred(pool)
-                or self.by_pool.get(pool, 0) >= self.most_per_pool.get(pool, 0)):
+        if (
+            socket.phase is not Phase.ASKED
+            or number in self.barred(pool)
+            or self.by_pool.get(pool, 0) >= self.most_per_pool.get(pool, 0)
+        ):
             self.actions.append(Decline(socket.ident))
             return
         socket.phase, socket.server = Phase.PLACED, server
--- a/plovertrail/decisions/templates.py
+++ b/plovertrail/decisions/templates.py
@@ -11,21 +11,23 @@
 from dataclasses import dataclass
 
 # what each place is filled with, as docs/operator.md tells it
-NAMES = frozenset((
-    "host",  # without a port, in lower case
-    "authority",  # the host as it was sent
-    "address",  # of the client's connection
-    "client",  # whose request it is, as its route reads that
-    "forwarded_for",  # the client's X-Forwarded-For with its address behind it
-    "method",
-    "path",  # as it goes on, before a rewrite
-    "query",
-    "args",  # "?" and the query, or nothing
-    "uri",  # path and query as they were sent
-    "request_id",
-    "port",  # of the listener
-    *"123456789",  # groups of the route's regular expression
-))
+NAMES = frozenset(
+    (
+        "host",  # without a port, in lower case
+        "authority",  # the host as it was sent
+        "address",  # of the client's connection
+        "client",  # whose request it is, as its route reads that
+        "forwarded_for",  # the client's X-Forwarded-For with its address behind it
+        "method",
+        "path",  # as it goes on, before a rewrite
+        "query",
+        "args",  # "?" and the query, or nothing
+        "uri",  # path and query as they were sent
+        "request_id",
+        "port",  # of the listener
+        *"123456789",  # groups of the route's regular expression
+    )
+)
 PLACE = re.compile(r"\{\{|\}\}|\{([a-z_]+|[1-9])\}|[{}]")
 
 
@@ -49,7 +51,7 @@
     pieces: list[tuple[str, str]] = []
     plain, at = "", 0
     for found in PLACE.finditer(text):
-        plain += text[at:found.start()]
+        plain += text[at : found.start()]
         at = found.end()
         if found[0] in ("{{", "}}"):
             plain += found[0][0]
--- a/plovertrail/decisions/verdicts.py
+++ b/plovertrail/decisions/verdicts.py
@@ -16,10 +16,28 @@
 FIELD_VALUE = re.compile(rb"[!-~]([\t -~]*[!-~])?|")  # hazard: CR and LF would begin a header, or a message
 TENANT = re.compile(rb"[!-~]{0,128}")
 # the framing of messages, and what says whether a request has run or may be sent again
-PROTECTED = frozenset((
-    b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade",
-    b"content-length", b"content-encoding", b"content-range", b"expect", b"host", b"x-deadline-ms",
-    b"idempotency-key", b"x-not-run", b"retry-after", b"date", b"forwarded"))
+PROTECTED = frozenset(
+    (
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"content-length",
+        b"content-encoding",
+        b"content-range",
+        b"expect",
+        b"host",
+        b"x-deadline-ms",
+        b"idempotency-key",
+        b"x-not-run",
+        b"retry-after",
+        b"date",
+        b"forwarded",
+    )
+)
 PROTECTED_PREFIXES = (b"sec-websocket-", b"proxy-", b"x-forwarded-")
 REFUSALS = frozenset((*range(400, 408), *range(409, 421), *range(422, 500), 503))  # 408, 421: "send it again"
 MOST_HEADERS = 32  # set or removed by one verdict
--- a/plovertrail/decisions/weighted.py
+++ b/plovertrail/decisions/weighted.py
@@ -87,7 +87,7 @@
             place >>= 1
 
     def _grow(self) -> None:
-        weights = self._sums[self._places:]
+        weights = self._sums[self._places :]
         self._free = list(range(2 * self._places - 1, self._places - 1, -1))
         self._members += [0] * self._places
         self._places *= 2
--- a/plovertrail/exchange.py
+++ b/plovertrail/exchange.py
@@ -125,8 +125,15 @@
 class Upstreams(Protocol):
     """The side of the upstreams."""
 
-    def start(self, upstream: int, address: tuple[str, int], call: Call, timeout_us: int,
-              ended: Callable[[Result], None], within_us: int = 0) -> Flight:
+    def start(
+        self,
+        upstream: int,
+        address: tuple[str, int],
+        call: Call,
+        timeout_us: int,
+        ended: Callable[[Result], None],
+        within_us: int = 0,
+    ) -> Flight:
         """Begin an attempt. `ended` is called once, later, unless the attempt is given up first. Nothing is
         written after `within_us`; 0: whenever its connection is up."""
 
--- a/plovertrail/fronts/application.py
+++ b/plovertrail/fronts/application.py
@@ -21,16 +21,48 @@
 LONGEST_HEAD = 16 * 1024
 MOST_BEHIND = 2 * (LONGEST_BODY + LONGEST_HEAD)  # more than the next request, sent too early, could be
 MOST_DIGITS = 9
-OWN_HEADERS = frozenset((  # of this connection, or written anew for each attempt
-    b"host", b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"upgrade", b"expect",
-    b"content-length", b"transfer-encoding", b"x-deadline-ms"))
-SINGLE_HEADERS = frozenset((  # hazard: of two, the upstream might go by the other one
-    b"host", b"content-length", b"x-request-id", b"x-class", b"x-tenant", b"x-key", b"x-deadline-ms",
-    b"x-retry", b"x-cost-hint", b"x-extras", b"idempotency-key"))
+OWN_HEADERS = frozenset(
+    (  # of this connection, or written anew for each attempt
+        b"host",
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"upgrade",
+        b"expect",
+        b"content-length",
+        b"transfer-encoding",
+        b"x-deadline-ms",
+    )
+)
+SINGLE_HEADERS = frozenset(
+    (  # hazard: of two, the upstream might go by the other one
+        b"host",
+        b"content-length",
+        b"x-request-id",
+        b"x-class",
+        b"x-tenant",
+        b"x-key",
+        b"x-deadline-ms",
+        b"x-retry",
+        b"x-cost-hint",
+        b"x-extras",
+        b"idempotency-key",
+    )
+)
 IDENT = re.compile(rb"[!-~]{1,128}")
 VALUE = re.compile(rb"[\t -~]*")
-REASONS = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 408: b"Request Timeout", 409: b"Conflict",
-           413: b"Content Too Large", 500: b"Internal Server Error", 503: b"Service Unavailable"}
+REASONS = {
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    408: b"Request Timeout",
+    409: b"Conflict",
+    413: b"Content Too Large",
+    500: b"Internal Server Error",
+    503: b"Service Unavailable",
+}
 
 
 class Reject(Exception):
@@ -87,7 +119,11 @@
         cost = found.get(b"x-cost-hint")
         deadline_us = 1000 * whole_number(found.get(b"x-deadline-ms", b""), "X-Deadline-Ms")
         return Call(
-            method, target, [(n, v) for n, v in headers if n.lower() not in OWN_HEADERS], body, clock_us(),
+            method,
+            target,
+            [(n, v) for n, v in headers if n.lower() not in OWN_HEADERS],
+            body,
+            clock_us(),
             deadline_us=min(deadline_us, kind.deadline_us),  # hazard: else a request could stay for years
             class_index=index,
             ident=found[b"x-request-id"],
@@ -293,8 +329,11 @@
 
     def within(self, call: Call) -> int:
         """A request's time. Hazard: one whose bytes came slowly would outlast a stop that was under way."""
-        return call.deadline_us if self.ends_us is None else min(call.deadline_us,
-                                                                 self.ends_us - call.arrived_us)
+        return (
+            call.deadline_us
+            if self.ends_us is None
+            else min(call.deadline_us, self.ends_us - call.arrived_us)
+        )
 
     def answer_rest(self) -> None:
         """The process ends now: what is open has its final answer, what has come in part is turned away."""
@@ -304,4 +343,3 @@
             for client in list(self.clients[state]):
                 if client.size and client.transport is not None:
                     client.refuse(503)
-
--- a/plovertrail/fronts/connections.py
+++ b/plovertrail/fronts/connections.py
@@ -43,8 +43,12 @@
     SOCKET = enum.auto()  # it carries a WebSocket, which has limits of its own
 
 
-LONGEST_S = {State.FRESH: LONGEST_READ_S, State.IDLE: LONGEST_IDLE_S, State.READING: LONGEST_READ_S,
-             State.ENDING: LONGEST_LINGER_S}  # an open request has its own deadline
+LONGEST_S = {
+    State.FRESH: LONGEST_READ_S,
+    State.IDLE: LONGEST_IDLE_S,
+    State.READING: LONGEST_READ_S,
+    State.ENDING: LONGEST_LINGER_S,
+}  # an open request has its own deadline
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,15 +62,25 @@
     @classmethod
     def of(cls, read_s: float, idle_s: float) -> Patience:
         """One time to send a request, however its bytes come, and one between requests."""
-        states = {State.FRESH: read_s, State.IDLE: idle_s, State.READING: read_s,
-                  State.ENDING: LONGEST_LINGER_S}
+        states = {
+            State.FRESH: read_s,
+            State.IDLE: idle_s,
+            State.READING: read_s,
+            State.ENDING: LONGEST_LINGER_S,
+        }
         return cls(states, read_s, 0.0)
 
 
 # who makes room: (state, for how long it has been in it, whether half a request may have come)
-LEAST_USE = ((State.ENDING, 0.0, True), (State.FRESH, GREETING_S, False), (State.IDLE, 2.0, True),
-             (State.FRESH, 0.0, False), (State.IDLE, 0.0, True), (State.FRESH, 0.0, True),
-             (State.READING, 0.0, True))
+LEAST_USE = (
+    (State.ENDING, 0.0, True),
+    (State.FRESH, GREETING_S, False),
+    (State.IDLE, 2.0, True),
+    (State.FRESH, 0.0, False),
+    (State.IDLE, 0.0, True),
+    (State.FRESH, 0.0, True),
+    (State.READING, 0.0, True),
+)
 
 
 class ClientConnection(asyncio.Protocol):
@@ -90,9 +104,12 @@
 
     def writing(self) -> bool:
         """Whether its client is still reading an answer, and has time left for it."""
-        return (self.transport is not None and not self.transport.is_closing()
-                and self.transport.get_write_buffer_size() > 0
-                and time.monotonic() < self.since + LONGEST_WRITE_S)
+        return (
+            self.transport is not None
+            and not self.transport.is_closing()
+            and self.transport.get_write_buffer_size() > 0
+            and time.monotonic() < self.since + LONGEST_WRITE_S
+        )
 
     def release(self) -> None:
         """The connection has gone: let go of what holds it."""
@@ -299,8 +316,12 @@
             for client in self.clients[state]:
                 if client.since > now - age_s:
                     break
-                if (client.transport is not None and (half or client.size == 0)
-                        and client.writing() is reading and (state is State.ENDING or client.quiet())):
+                if (
+                    client.transport is not None
+                    and (half or client.size == 0)
+                    and client.writing() is reading
+                    and (state is State.ENDING or client.quiet())
+                ):
                     return client
         return None
 
@@ -342,8 +363,11 @@
 
     def owing(self) -> bool:
         """Whether any connection may still bring a request or has part of an answer to come."""
-        return any(state is not State.ENDING or client.writing()
-                   for state, group in self.clients.items() for client in group)
+        return any(
+            state is not State.ENDING or client.writing()
+            for state, group in self.clients.items()
+            for client in group
+        )
 
     def drain_backlog(self) -> None:
         """Take what the system has accepted already, and listen no more. Hazard: closed with the socket,
--- a/plovertrail/fronts/ordinary.py
+++ b/plovertrail/fronts/ordinary.py
@@ -58,8 +58,11 @@
 
 def over_limit(over: OverLimit) -> Headers:
     """When to come back, and which limit it was, where its operator tells that."""
-    named = [(b"RateLimit-Policy", policy_header(over).encode()),
-             (b"RateLimit", limit_header(over).encode())] if over.limiter.told else []
+    named = (
+        [(b"RateLimit-Policy", policy_header(over).encode()), (b"RateLimit", limit_header(over).encode())]
+        if over.limiter.told
+        else []
+    )
     return retry_after(over.retry_after_us) + named
 
 
@@ -188,8 +191,9 @@
                 hosts.append(value)
             headers[name] = headers[name] + b", " + value if name in headers else value
         listener = front.listener
-        head, path, authority = read_head(message.method, message.target, message.version, hosts, headers,
-                                          listener.name)
+        head, path, authority = read_head(
+            message.method, message.target, message.version, hosts, headers, listener.name
+        )
         routed = route_request(generation.setup.routes, head, path, authority, len(message.body))
         if routed.route.answers is not None:
             told = self.told(routed, path, message.target, b"", self.peer())
@@ -199,8 +203,16 @@
         tenant_name = tenant_of(routed.route, head, self.peer())
         trail = None
         if plan.chain is not None:
-            seen = Seen(message.method, head.path, head.query, head.host, self.peer(), message.headers,
-                        message.body, tenant_name)
+            seen = Seen(
+                message.method,
+                head.path,
+                head.query,
+                head.host,
+                self.peer(),
+                message.headers,
+                message.body,
+                tenant_name,
+            )
             trail = self.trail = Trail(plan.chain, seen, arrived_us + wait_us, clock_us)
             trail.request()
             tenant_name = trail.changes.tenant
@@ -234,15 +246,37 @@
         elif message.upgrade:
             message.upgrade = False
             self.reader.read_on()
-        return Call(message.method, routed.target, kept, message.body, arrived_us, wait_us, plan.class_index,
-                    ident, tenant, hash(key) & 0xFFFF_FFFF_FFFF_FFFF if key else 0,
-                    host=host, handshake=self.socket,
-                    tenant_name=tenant_name.decode("latin-1"), client=client, left=self.left), plan
+        return Call(
+            message.method,
+            routed.target,
+            kept,
+            message.body,
+            arrived_us,
+            wait_us,
+            plan.class_index,
+            ident,
+            tenant,
+            hash(key) & 0xFFFF_FFFF_FFFF_FFFF if key else 0,
+            host=host,
+            handshake=self.socket,
+            tenant_name=tenant_name.decode("latin-1"),
+            client=client,
+            left=self.left,
+        ), plan
 
     def told(self, routed: Routed, path: str, sent: bytes, ident: bytes, client: str) -> dict[str, str]:
         """What the route's templates are filled with."""
-        return told_by(routed.head, path, routed.host, sent, self.peer(), client, ident,
-                       self.front.listener.address[1], routed.route)
+        return told_by(
+            routed.head,
+            path,
+            routed.host,
+            sent,
+            self.peer(),
+            client,
+            ident,
+            self.front.listener.address[1],
+            routed.route,
+        )
 
     def peer(self) -> str:
         """The client's address."""
@@ -281,14 +315,18 @@
         if answer.verdict is Verdict.SERVED and result is not None:
             self.pass_on(result.status, result, SERVED)
         elif socket is not None and result is not None and 200 <= result.status < 400:
-            self.reject(502, f"the server answered {result.status} to a handshake, and it may have run",
-                        outcome=FAILED)
+            self.reject(
+                502,
+                f"the server answered {result.status} to a handshake, and it may have run",
+                outcome=FAILED,
+            )
         elif result is not None and result.outcome is Outcome.ERROR:
             # hazard: a server's 429 or 503 without its word that nothing has run reads as leave to try again
             status = result.status
             if status in REFUSALS and not self.plan.harmless:
-                self.reject(502, f"the server answered {status}, and the request may have run",
-                            outcome=FAILED)
+                self.reject(
+                    502, f"the server answered {status}, and the request may have run", outcome=FAILED
+                )
             else:
                 self.pass_on(status, result, FAILED)
         elif answer.over is not None:
@@ -317,8 +355,14 @@
             length = int(told[0]) if told and status != 204 else None
         self.write(status, headers, length, result.body, outcome=outcome)
 
-    def reject(self, status: int, why: str, extra: Headers | None = None, last: bool = False,
-               outcome: bytes = REFUSED) -> None:
+    def reject(
+        self,
+        status: int,
+        why: str,
+        extra: Headers | None = None,
+        last: bool = False,
+        outcome: bytes = REFUSED,
+    ) -> None:
         """An answer of our own."""
         body = why.encode() + b"\n"
         self.write(status, [PLAIN_TEXT, *(extra or [])], len(body), body, last, outcome)
@@ -344,15 +388,27 @@
         if trail is not None:
             trail.end(outcome, status)
 
-    def write(self, status: int, headers: Headers, length: int | None, body: bytes,
-              last: bool = False, outcome: bytes = REFUSED) -> None:
+    def write(
+        self,
+        status: int,
+        headers: Headers,
+        length: int | None,
+        body: bytes,
+        last: bool = False,
+        outcome: bytes = REFUSED,
+    ) -> None:
         message, self.message = self.message, None
         self.plan = None
         if self.transport is None or self.transport.is_closing():
             self.end_trail(b"gone", 0)
             return
-        keep = (message is not None and message.keep_alive and not message.upgrade and not last
-                and not self.last_answer())
+        keep = (
+            message is not None
+            and message.keep_alive
+            and not message.upgrade
+            and not last
+            and not self.last_answer()
+        )
         connection = b""
         if not keep:
             connection = b"close"
@@ -397,10 +453,12 @@
 class OrdinaryFront(Listener):
     """One listener of the operator's."""
 
-    def __init__(self, host: Host, current: Current, listener: operator.Listener,
-                 keeper: SocketKeeper) -> None:
-        super().__init__(host, listener.max_connections,
-                         Patience.of(listener.read_us / 1e6, listener.idle_us / 1e6))
+    def __init__(
+        self, host: Host, current: Current, listener: operator.Listener, keeper: SocketKeeper
+    ) -> None:
+        super().__init__(
+            host, listener.max_connections, Patience.of(listener.read_us / 1e6, listener.idle_us / 1e6)
+        )
         self.current = current
         self.keeper = keeper
         self.configure(listener)
@@ -416,5 +474,3 @@
 
     def connection(self, sock: socket.socket) -> OrdinaryClient:
         return OrdinaryClient(self, sock)
-
-
--- a/plovertrail/fronts/relay.py
+++ b/plovertrail/fronts/relay.py
@@ -63,8 +63,14 @@
 class Relay:
     """One open socket. Events go to `tell`; `client_gone` is called once its client's connection is down."""
 
-    def __init__(self, socket: Socket, client: asyncio.Transport, server: asyncio.Transport,
-                 tell: Callable[[Event], object], client_gone: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        socket: Socket,
+        client: asyncio.Transport,
+        server: asyncio.Transport,
+        tell: Callable[[Event], object],
+        client_gone: Callable[[], None],
+    ) -> None:
         self.socket = socket
         self.ident = socket.ident
         self.transports = (client, server)
@@ -171,7 +177,7 @@
         transport = self.transports[side]
         if transport.is_closing():
             return
-        if (self.stopped[side.other] or self.waits[side] or self.discarded[side] > MOST_DISCARDED):
+        if self.stopped[side.other] or self.waits[side] or self.discarded[side] > MOST_DISCARDED:
             transport.pause_reading()
         else:
             transport.resume_reading()
--- a/plovertrail/fronts/sockets.py
+++ b/plovertrail/fronts/sockets.py
@@ -22,8 +22,11 @@
 
 log = logging.getLogger(__name__)
 
-WORDS = {UpstreamState.READY: api.Word.READY, UpstreamState.DRAINING: api.Word.DRAINING,
-         UpstreamState.GONE: api.Word.GONE}
+WORDS = {
+    UpstreamState.READY: api.Word.READY,
+    UpstreamState.DRAINING: api.Word.DRAINING,
+    UpstreamState.GONE: api.Word.GONE,
+}
 LONGEST_LOGGED = 64  # characters of a tenant's name
 
 
@@ -40,8 +43,9 @@
 class PendingSocket:
     """A handshake on its way through the host (exchange.Handshake)."""
 
-    def __init__(self, keeper: SocketKeeper, ident: int, asker: Asker, key: bytes,
-                 subprotocols: tuple[bytes, ...]) -> None:
+    def __init__(
+        self, keeper: SocketKeeper, ident: int, asker: Asker, key: bytes, subprotocols: tuple[bytes, ...]
+    ) -> None:
         self.keeper = keeper
         self.ident = ident
         self.asker = asker
@@ -111,16 +115,23 @@
         assert asker.plan.websocket is not None
         ident = next(self.idents)
         self.askers[ident] = asker
-        actions = self.table.handle(clock_us(), api.Asked(
-            ident, asker.plan.websocket.limits, asker.tenant, self.lines.full))
+        actions = self.table.handle(
+            clock_us(), api.Asked(ident, asker.plan.websocket.limits, asker.tenant, self.lines.full)
+        )
         self.carry_out(actions)
         for action in actions:
             if isinstance(action, api.TurnAway):
                 raise TurnedAwayNow(action.cause, action.retry_after_us)
         return PendingSocket(self, ident, asker, key, subprotocols)
 
-    def open(self, pending: PendingSocket, client: asyncio.Transport, tunnel: Tunnel, from_client: bytes,
-             client_gone: Callable[[], None]) -> None:
+    def open(
+        self,
+        pending: PendingSocket,
+        client: asyncio.Transport,
+        tunnel: Tunnel,
+        from_client: bytes,
+        client_gone: Callable[[], None],
+    ) -> None:
         """Both handshakes are done; from now on the relay owns both connections."""
         socket = self.table.sockets[pending.ident]
         relay = Relay(socket, client, tunnel.transport, self.tell, client_gone)
@@ -140,18 +151,25 @@
                 if name == pool.name and number not in listed:
                     self.tell(api.ServerChanged((name, number), api.Word.GONE))
 
-    def reconfigure(self, plans: Mapping[str, Plan], pools: Mapping[str, tuple[int, int]],
-                    listeners: Iterable[str]) -> None:
+    def reconfigure(
+        self, plans: Mapping[str, Plan], pools: Mapping[str, tuple[int, int]], listeners: Iterable[str]
+    ) -> None:
         """A new setup is in force; `pools` has the most sockets of each, and of each of its servers."""
-        self.table.configure({name: per_server for name, (_, per_server) in pools.items()},
-                             {name: whole for name, (whole, _) in pools.items()})
+        self.table.configure(
+            {name: per_server for name, (_, per_server) in pools.items()},
+            {name: whole for name, (whole, _) in pools.items()},
+        )
         open_at = set(listeners)
         gone = []
         for ident, asker in self.askers.items():
             plan = plans.get(asker.plan.route.name)
             server = self.table.sockets[ident].server
-            if (plan is None or plan.websocket is None or asker.listener not in open_at
-                    or (server is not None and server[0] not in pools)):
+            if (
+                plan is None
+                or plan.websocket is None
+                or asker.listener not in open_at
+                or (server is not None and server[0] not in pools)
+            ):
                 gone.append(ident)
         self.tell(api.Withdrawn(gone))
 
@@ -211,14 +229,18 @@
 
 def log_line(socket: api.Socket, asker: Asker, server: str) -> str:
     """The one line on a socket, written at its end. Of each peer's close codes the one that came is first."""
-    codes = [f"{seen or '-'}/{sent or '-'}" for seen, sent
-             in zip(socket.close_seen, socket.close_sent, strict=True)]
+    codes = [
+        f"{seen or '-'}/{sent or '-'}"
+        for seen, sent in zip(socket.close_seen, socket.close_sent, strict=True)
+    ]
     # hazard: a tenant's name is the client's own word, and may hold what looks like another line
     tenant = json.dumps(asker.tenant.decode("latin-1")[:LONGEST_LOGGED])
     assert socket.cause is not None
-    return (f"socket id={asker.request_id.decode('latin-1')} tenant={tenant} "
-            f"listener={asker.listener} route={asker.plan.route.name} server={server} "
-            f"seconds={(socket.ended_us - socket.opened_us) / 1e6:.3f} "
-            f"client_messages={socket.messages[0]} client_bytes={socket.bytes[0]} "
-            f"server_messages={socket.messages[1]} server_bytes={socket.bytes[1]} "
-            f"client_close={codes[0]} server_close={codes[1]} cause=\"{socket.cause.value}\"")
+    return (
+        f"socket id={asker.request_id.decode('latin-1')} tenant={tenant} "
+        f"listener={asker.listener} route={asker.plan.route.name} server={server} "
+        f"seconds={(socket.ended_us - socket.opened_us) / 1e6:.3f} "
+        f"client_messages={socket.messages[0]} client_bytes={socket.bytes[0]} "
+        f"server_messages={socket.messages[1]} server_bytes={socket.bytes[1]} "
+        f'client_close={codes[0]} server_close={codes[1]} cause="{socket.cause.value}"'
+    )
--- a/plovertrail/generation.py
+++ b/plovertrail/generation.py
@@ -41,8 +41,9 @@
     @property
     def harmless(self) -> bool:
         """Whether trying again is harmless whatever has run (rule 2)."""
-        return self.kind.effect == "idempotent" or (self.kind.effect == "deduplicated"
-                                                    and self.kind.group == "all")
+        return self.kind.effect == "idempotent" or (
+            self.kind.effect == "deduplicated" and self.kind.group == "all"
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,8 +64,13 @@
         self.generation = generation
 
 
-def make_generation(number: int, setup: Setup, pools: Mapping[str, ServerPool],
-                    hooks: Mapping[str, Hook], limiters: Mapping[str, Limiter]) -> Generation:
+def make_generation(
+    number: int,
+    setup: Setup,
+    pools: Mapping[str, ServerPool],
+    hooks: Mapping[str, Hook],
+    limiters: Mapping[str, Limiter],
+) -> Generation:
     """Lay out a setup for requests; `pools`, `hooks` and `limiters` have one for each of its own."""
     plans = {}
     for route in setup.routes.routes:
@@ -78,11 +84,20 @@
         _, filled_host = filled.pop(b"host", (b"", None))
         dropped = route.remove_headers | {name.lower() for name, _ in others} | filled.keys()
         plan = Plan(
-            route, tuple(pools[name] for name in route.pools), index, kind, setup.key_headers[index].lower(),
-            route.deadline_us or kind.deadline_us, dropped | {b"host", b"expect", b"x-deadline-ms"},
-            hosts[-1] if hosts else b"", others, tuple(filled.values()), filled_host,
+            route,
+            tuple(pools[name] for name in route.pools),
+            index,
+            kind,
+            setup.key_headers[index].lower(),
+            route.deadline_us or kind.deadline_us,
+            dropped | {b"host", b"expect", b"x-deadline-ms"},
+            hosts[-1] if hosts else b"",
+            others,
+            tuple(filled.values()),
+            filled_host,
             setup.websockets.get(route.websocket),
-            tuple(limiters[name] for name in setup.limited.get(route.name, ())))
+            tuple(limiters[name] for name in setup.limited.get(route.name, ())),
+        )
         if route.name in setup.hooked:
             plan = with_hooks(plan, setup, hooks)
         plans[route.name] = plan
@@ -98,16 +113,27 @@
     for name in hooked.classes:
         index = setup.class_index(name)
         kind = setup.classes[index]
-        plans[name] = replace(plan, class_index=index, kind=kind, key_header=setup.key_headers[index].lower(),
-                              deadline_us=min(plan.deadline_us, kind.deadline_us))
+        plans[name] = replace(
+            plan,
+            class_index=index,
+            kind=kind,
+            key_header=setup.key_headers[index].lower(),
+            deadline_us=min(plan.deadline_us, kind.deadline_us),
+        )
     # hazard: a key or a request's id that a hook changes would be another request's
     protected = {key.lower() for key in setup.key_headers if key} | route.remove_headers
     protected |= {name.lower() for name, _ in (*route.set_headers, *route.filled_headers)}
     for listener in setup.listeners:
         protected |= {listener.request_id_header.lower(), listener.deadline_header}
     classes = {plan.kind.name: plan.kind} | {name: chosen.kind for name, chosen in plans.items()}
-    chain = make_chain(route.name, [hooks[name] for name in hooked.hooks], frozenset(protected),
-                       plan.kind.name, classes, hooked.passes)
+    chain = make_chain(
+        route.name,
+        [hooks[name] for name in hooked.hooks],
+        frozenset(protected),
+        plan.kind.name,
+        classes,
+        hooked.passes,
+    )
     return replace(plan, chain=chain, chosen=plans)
 
 
--- a/plovertrail/hearsay.py
+++ b/plovertrail/hearsay.py
@@ -38,8 +38,13 @@
 class HearsayKeeper:
     """While there are judgements it feeds them with attempts, and tells modules what comes of all."""
 
-    def __init__(self, host: Host, rosters: Rosters, judgements: Callable[[], Judgements | None],
-                 hurry: Callable[[Callable[[], None]], None]) -> None:
+    def __init__(
+        self,
+        host: Host,
+        rosters: Rosters,
+        judgements: Callable[[], Judgements | None],
+        hurry: Callable[[Callable[[], None]], None],
+    ) -> None:
         self.host = host
         self.rosters = rosters
         self.judgements = judgements
@@ -80,8 +85,9 @@
         """What a pool's servers are called; made anew when its list has changed."""
         found, state = self.known.get(pool), roster.state
         if found is None or found[0] is not state:
-            servers = {member.number: server_key(roster.name, ident)
-                       for ident, member in state.members.items()}
+            servers = {
+                member.number: server_key(roster.name, ident) for ident, member in state.members.items()
+            }
             classes = tuple(class_key(kind.name) for kind in pool.settings.classes)
             found = self.known[pool] = state, Known(servers, classes)
         return found[1]
@@ -94,15 +100,21 @@
         server = known.servers.get(number)
         return (server, known.classes[class_index]) if server is not None else None
 
-    def attempt_over(self, pool: ServerPool, number: int, class_index: int, outcome: Outcome,
-                     elapsed_us: int) -> None:
+    def attempt_over(
+        self, pool: ServerPool, number: int, class_index: int, outcome: Outcome, elapsed_us: int
+    ) -> None:
         """An attempt has ended. One that was silent for its aim has been counted then."""
         judgements, key = self.judgements(), self._key(pool, number, class_index)
         aim_us = pool.settings.classes[class_index].aim_us
         counted = outcome is Outcome.TIMEOUT and elapsed_us >= aim_us
         if judgements is not None and key is not None and outcome in TELLING and not counted:
-            judgements.ended(key, clock_us(), fault=outcome in FAULTS, full=outcome is Outcome.FULL,
-                             silent=outcome is Outcome.TIMEOUT)
+            judgements.ended(
+                key,
+                clock_us(),
+                fault=outcome in FAULTS,
+                full=outcome is Outcome.FULL,
+                silent=outcome is Outcome.TIMEOUT,
+            )
             if judgements.news:
                 self.hurry(self.news)
 
@@ -139,17 +151,22 @@
         found: dict[str, Any] = {}
         for pool, roster in self.by_pool.items():
             known = self.known_of(pool, roster)
-            named = {common: ident for ident, member in roster.state.members.items()
-                     if (common := known.servers.get(member.number)) is not None}
-            kinds = {number: kind.name for number, kind in
-                     zip(known.classes, pool.settings.classes, strict=True)}
+            named = {
+                common: ident
+                for ident, member in roster.state.members.items()
+                if (common := known.servers.get(member.number)) is not None
+            }
+            kinds = {
+                number: kind.name for number, kind in zip(known.classes, pool.settings.classes, strict=True)
+            }
             for key in judgements.accused(now_us):
                 if key[0] in named and key[1] in kinds:
                     opinion = self.opinions.get(key)
                     if opinion is None:
                         opinion = judgements.opinion(key, now_us, judgements.everywhere(key[1], now_us))
                     found.setdefault(roster.name, {}).setdefault(named[key[0]], {})[kinds[key[1]]] = told(
-                        judgements, key, opinion, now_us)
+                        judgements, key, opinion, now_us
+                    )
         return found
 
 
@@ -158,7 +175,9 @@
     own = judgements.own.get(key) or Window(now_us)
     own.fade(now_us)
     return {
-        "held_back": round(opinion.held_back, 3), "found_wrong_by": opinion.tellers,
+        "held_back": round(opinion.held_back, 3),
+        "found_wrong_by": opinion.tellers,
         "heard": {"attempts": round(opinion.others[0], 1), "wrong": round(opinion.others[1], 1)},
         "own": {name: round(getattr(own, name), 1) for name in ("attempts", "faults", "silent", "full")},
-        "everywhere": round(opinion.everywhere, 3)}
+        "everywhere": round(opinion.everywhere, 3),
+    }
--- a/plovertrail/hooks/abi.py
+++ b/plovertrail/hooks/abi.py
@@ -89,7 +89,7 @@
         end = at + name_size + value_size
         if end > len(data):
             raise BadVerdict("a record goes over the end of the verdict")
-        found.append((tag, data[at:at + name_size], data[at + name_size:end]))
+        found.append((tag, data[at : at + name_size], data[at + name_size : end]))
         at = end
     return found
 
--- a/plovertrail/hooks/chain.py
+++ b/plovertrail/hooks/chain.py
@@ -32,8 +32,9 @@
 
 Headers = list[tuple[bytes, bytes]]
 # as plain numbers: a look at an enumeration takes as long as packing a record
-METHOD, PATH, QUERY, HOST, CLIENT, TENANT = map(int, (
-    Read.METHOD, Read.PATH, Read.QUERY, Read.HOST, Read.CLIENT, Read.TENANT))
+METHOD, PATH, QUERY, HOST, CLIENT, TENANT = map(
+    int, (Read.METHOD, Read.PATH, Read.QUERY, Read.HOST, Read.CLIENT, Read.TENANT)
+)
 SWITCHED_OFF = b"a rule of this route is switched off; nothing has run"
 FAILED = b"a rule of this route failed; nothing has run"
 TOO_LONG = b"the request is too long for a rule of this route; nothing has run"
@@ -168,8 +169,9 @@
         for hook, allowed in zip(reversed(chain.hooks), reversed(chain.answers), strict=True):
             if hook.has("on_answer"):
                 try:
-                    verdict = self._ask(hook, "on_answer", told_status + abi.headers(headers), allowed,
-                                        check_answer)
+                    verdict = self._ask(
+                        hook, "on_answer", told_status + abi.headers(headers), allowed, check_answer
+                    )
                 except HookFault:
                     if not chain.passes:
                         raise AnswerWithheld from None
@@ -183,8 +185,13 @@
             return
         self.ended = True
         elapsed_ms = (self.clock_us() - self.began_us) // 1000
-        told = b"".join((abi.record(Read.OUTCOME, outcome), abi.number(Read.STATUS, status),
-                         abi.number(Read.ELAPSED_MS, elapsed_ms)))
+        told = b"".join(
+            (
+                abi.record(Read.OUTCOME, outcome),
+                abi.number(Read.STATUS, status),
+                abi.number(Read.ELAPSED_MS, elapsed_ms),
+            )
+        )
         for hook, allowed in zip(self.chain.hooks, self.chain.answers, strict=True):
             if hook.has("on_end"):
                 try:
@@ -206,20 +213,35 @@
 
     def _facts(self) -> bytes:
         seen, changes = self.seen, self.changes
-        return abi.unnamed((
-            (METHOD, seen.method), (PATH, seen.path.encode("latin-1", "replace")), (QUERY, seen.query),
-            (HOST, seen.host.encode("latin-1", "replace")), (CLIENT, seen.client.encode()),
-            (TENANT, changes.tenant))) + self.chain.choices[changes.class_name].told
+        return (
+            abi.unnamed(
+                (
+                    (METHOD, seen.method),
+                    (PATH, seen.path.encode("latin-1", "replace")),
+                    (QUERY, seen.query),
+                    (HOST, seen.host.encode("latin-1", "replace")),
+                    (CLIENT, seen.client.encode()),
+                    (TENANT, changes.tenant),
+                )
+            )
+            + self.chain.choices[changes.class_name].told
+        )
 
     def _body(self, hook: Hook) -> bytes:
         if not hook.setup.body:
             return b""
         body = self.seen.body
-        return abi.record(Read.BODY, body[:hook.setup.body]) + abi.number(Read.BODY_SIZE, len(body))
+        return abi.record(Read.BODY, body[: hook.setup.body]) + abi.number(Read.BODY_SIZE, len(body))
 
 
-def make_chain(route: str, hooks: Sequence[Hook], protected: frozenset[bytes], class_name: str,
-               classes: Mapping[str, RequestClass], passes: bool) -> Chain:
+def make_chain(
+    route: str,
+    hooks: Sequence[Hook],
+    protected: frozenset[bytes],
+    class_name: str,
+    classes: Mapping[str, RequestClass],
+    passes: bool,
+) -> Chain:
     """The chain of a route; `classes` are those that hooks may choose and the route's own. Of a class only
     those that are as strict may take its place: what one hook has chosen no other one loosens."""
     choices = {}
--- a/plovertrail/hooks/engine.py
+++ b/plovertrail/hooks/engine.py
@@ -132,16 +132,18 @@
             raise BadModule('it exports no memory called "memory"')
         for name in ("plovertrail_abi", "plovertrail_buffer", "plovertrail_buffer_size"):
             kind = exports.get(name)
-            if (not isinstance(kind, wasmtime.GlobalType) or str(kind.content) != "i32"
-                    or kind.mutable):
+            if not isinstance(kind, wasmtime.GlobalType) or str(kind.content) != "i32" or kind.mutable:
                 raise BadModule(f'it exports no constant global called "{name}" of type i32')
         phases = frozenset(name for name in PHASES if name in exports)
         if not phases:
             raise BadModule(f"it exports none of {', '.join(PHASES)}")
         for name in phases:
             call = exports[name]
-            if (not isinstance(call, wasmtime.FuncType) or call.params
-                    or [str(kind) for kind in call.results] != ["i32"]):
+            if (
+                not isinstance(call, wasmtime.FuncType)
+                or call.params
+                or [str(kind) for kind in call.results] != ["i32"]
+            ):
                 raise BadModule(f"{name} must be a function of no parameters and one i32 as its result")
         return Compiled(digest, self.linker.instantiate_pre(module), phases, *self._layout(module))
 
@@ -155,7 +157,8 @@
             raise BadModule(f"it can't be started: {_first_line(error)}") from None
         version, buffer, size = (
             int(exports[name].value(store))  # type: ignore[union-attr]
-            for name in ("plovertrail_abi", "plovertrail_buffer", "plovertrail_buffer_size"))
+            for name in ("plovertrail_abi", "plovertrail_buffer", "plovertrail_buffer_size")
+        )
         if version != abi.VERSION:
             raise BadModule(f"it is written for version {version} of the interface; this is {abi.VERSION}")
         if not LEAST_BUFFER <= size <= LARGEST_BUFFER:
@@ -190,8 +193,9 @@
         memory = exports["memory"]
         assert isinstance(memory, wasmtime.Memory)
         self.memory = memory
-        self.calls = {name: call for name in compiled.phases
-                      if isinstance(call := exports[name], wasmtime.Func)}
+        self.calls = {
+            name: call for name in compiled.phases if isinstance(call := exports[name], wasmtime.Func)
+        }
 
     def call(self, phase: str, told: bytes) -> bytes:
         """One call, told of records; raises HookFault. Records that don't fit into the buffer are a fault."""
@@ -234,8 +238,9 @@
     names are wasmtime's own: pyproject.toml pins its version, and the tests of faults go through here."""
     trap = _TrapPointer()
     result = _Result()
-    error = ffi.wasmtime_func_call(store._context(), ctypes.byref(call._func), None, 0, result, 1,
-                                   ctypes.byref(trap))
+    error = ffi.wasmtime_func_call(
+        store._context(), ctypes.byref(call._func), None, 0, result, 1, ctypes.byref(trap)
+    )
     if error:
         raise wasmtime.WasmtimeError._from_ptr(error)
     if trap:
--- a/plovertrail/hooks/hook.py
+++ b/plovertrail/hooks/hook.py
@@ -44,8 +44,9 @@
     """A hook in force. Its instance is replaced after a fault, after `reuse` calls, and when half its memory
     is in use, so that what a module leaks never makes it fail."""
 
-    def __init__(self, runtime: Runtime, setup: HookSetup, compiled: Compiled,
-                 clock_us: Callable[[], int]) -> None:
+    def __init__(
+        self, runtime: Runtime, setup: HookSetup, compiled: Compiled, clock_us: Callable[[], int]
+    ) -> None:
         self.runtime = runtime
         self.clock_us = clock_us
         self.setup = setup
@@ -105,8 +106,9 @@
 
     def _own(self) -> bytes:
         """What this hook alone is told: its counters and settings."""
-        counters = b"".join(abi.number(abi.Read.COUNTER, count, name)
-                            for name, count in self.figures.counters.items())
+        counters = b"".join(
+            abi.number(abi.Read.COUNTER, count, name) for name, count in self.figures.counters.items()
+        )
         return counters + abi.config(self.setup.config)
 
     def _faulted(self, why: str, began_us: int) -> HookFault:
@@ -115,8 +117,12 @@
         self.figures.last_fault = why[:MOST_KEPT_FAULT]
         now_us = self.clock_us()
         if self.breaker.faulted(now_us, now_us - began_us):
-            log.error("hook %s is switched off for %d s: it faults too often; the last time: %s",
-                      self.setup.name, self.breaker.left_us(now_us) // A_SECOND_US, self.figures.last_fault)
+            log.error(
+                "hook %s is switched off for %d s: it faults too often; the last time: %s",
+                self.setup.name,
+                self.breaker.left_us(now_us) // A_SECOND_US,
+                self.figures.last_fault,
+            )
         elif self._may_log(now_us):
             log.warning("hook %s faulted: %s", self.setup.name, self.figures.last_fault)
         return HookFault(why)
@@ -145,10 +151,18 @@
     def status(self) -> dict[str, Any]:
         """For operators."""
         figures = self.figures
-        return {"file": self.setup.path, "digest": self.compiled.digest[:16],
-                "phases": sorted(self.compiled.phases), "calls": figures.calls, "faults": figures.faults,
-                "refused": figures.refused, "skipped": figures.skipped, "too_long": figures.too_long,
-                "mean_us": round(figures.mean_us, 1), "logs_dropped": figures.logs_dropped,
-                "last_fault": figures.last_fault,
-                "off_for_s": round(self.breaker.left_us(self.clock_us()) / 1e6, 1),
-                "counters": {name.decode(): count for name, count in figures.counters.items()}}
+        return {
+            "file": self.setup.path,
+            "digest": self.compiled.digest[:16],
+            "phases": sorted(self.compiled.phases),
+            "calls": figures.calls,
+            "faults": figures.faults,
+            "refused": figures.refused,
+            "skipped": figures.skipped,
+            "too_long": figures.too_long,
+            "mean_us": round(figures.mean_us, 1),
+            "logs_dropped": figures.logs_dropped,
+            "last_fault": figures.last_fault,
+            "off_for_s": round(self.breaker.left_us(self.clock_us()) / 1e6, 1),
+            "counters": {name.decode(): count for name, count in figures.counters.items()},
+        }
--- a/plovertrail/hooks/keeper.py
+++ b/plovertrail/hooks/keeper.py
@@ -40,11 +40,21 @@
         for name, hook in setup.hooks.items():
             try:
                 compiled[name] = self.runtime.compile_module(read_module(hook.path))
-                try_out(self.runtime, compiled[name], hook, setup.limits.max_head,
-                        [kind.name for kind in setup.classes])
+                try_out(
+                    self.runtime,
+                    compiled[name],
+                    hook,
+                    setup.limits.max_head,
+                    [kind.name for kind in setup.classes],
+                )
             except BadModule as error:
-                problems.append(Problem(f"{key_path('hooks', name)}.file", f"{hook.path}: {error}",
-                                        "`plovertrail hook check FILE` tells more"))
+                problems.append(
+                    Problem(
+                        f"{key_path('hooks', name)}.file",
+                        f"{hook.path}: {error}",
+                        "`plovertrail hook check FILE` tells more",
+                    )
+                )
         if problems:
             raise ConfigError(setup.path, problems)
         return compiled
--- a/plovertrail/hooks/loader.py
+++ b/plovertrail/hooks/loader.py
@@ -29,8 +29,10 @@
             try:
                 from plovertrail.hooks.keeper import HookKeeper
             except ImportError as error:
-                raise ConfigError(setup.path, [Problem(
-                    "hooks", f"they can't be run here: {error}", "install plovertrail[hooks]")]) from None
+                raise ConfigError(
+                    setup.path,
+                    [Problem("hooks", f"they can't be run here: {error}", "install plovertrail[hooks]")],
+                ) from None
             self.keeper = HookKeeper(self.clock)
         return self.keeper.prepare(setup)
 
--- a/plovertrail/hooks/trial.py
+++ b/plovertrail/hooks/trial.py
@@ -18,17 +18,27 @@
 from plovertrail.hooks.written import WrittenRequest, told
 from plovertrail.http1.requests import MOST_HEADERS
 
-TRIAL = WrittenRequest(host="hook.invalid", route="trial", class_name="trial", may_choose=["trial"],
-                       headers={"host": "hook.invalid", "accept": "*/*"}, body="{}")
+TRIAL = WrittenRequest(
+    host="hook.invalid",
+    route="trial",
+    class_name="trial",
+    may_choose=["trial"],
+    headers={"host": "hook.invalid", "accept": "*/*"},
+    body="{}",
+)
 CHECKS = {"on_request": check_request, "on_answer": check_answer, "on_end": check_end}
 
 
-def try_out(runtime: Runtime, compiled: Compiled, setup: HookSetup, max_head: int,
-            classes: Iterable[str] = ()) -> None:
+def try_out(
+    runtime: Runtime, compiled: Compiled, setup: HookSetup, max_head: int, classes: Iterable[str] = ()
+) -> None:
     """Raises BadModule if it faults on a plain request, or has no room for a long one. It may choose any of
     these classes, as it is not known here of which route the request would be."""
-    allowed = Allowed((), frozenset(name.encode() for name in (*classes, "trial")),
-                      frozenset(name.encode() for name in setup.counters))
+    allowed = Allowed(
+        (),
+        frozenset(name.encode() for name in (*classes, "trial")),
+        frozenset(name.encode() for name in setup.counters),
+    )
     for phase in PHASES:
         if phase not in compiled.phases:
             continue
@@ -37,8 +47,10 @@
             instance = Instance(runtime, compiled, Bounds(setup.fuel, setup.memory))
             room = abi.U32.size + len(records) + max_head + MOST_HEADERS * abi.HEAD.size + setup.body
             if instance.size < room:
-                raise BadModule(f"its buffer of {instance.size} bytes is too small: with limits.max_head and "
-                                f"its body it must have {room}")
+                raise BadModule(
+                    f"its buffer of {instance.size} bytes is too small: with limits.max_head and "
+                    f"its body it must have {room}"
+                )
             answer = instance.call(phase, records)
             CHECKS[phase](abi.read_verdict(answer), allowed)
         except (HookFault, BadVerdict) as fault:
--- a/plovertrail/hooks/written.py
+++ b/plovertrail/hooks/written.py
@@ -11,8 +11,9 @@
 from plovertrail.hooks.abi import Read
 
 
-class WrittenRequest(msgspec.Struct, kw_only=True, forbid_unknown_fields=True,
-                     rename={"class_name": "class"}):
+class WrittenRequest(
+    msgspec.Struct, kw_only=True, forbid_unknown_fields=True, rename={"class_name": "class"}
+):
     """What may be written of it; all of it has defaults."""
 
     method: str = "GET"
@@ -47,9 +48,16 @@
 
 def told(request: WrittenRequest, phase: str, setup: HookSetup) -> bytes:
     """The records that a hook is told of it in a phase."""
-    text = {Read.METHOD: request.method, Read.PATH: request.path, Read.QUERY: request.query,
-            Read.HOST: request.host, Read.ROUTE: request.route, Read.CLIENT: request.client,
-            Read.TENANT: request.tenant, Read.CLASS: request.class_name}
+    text = {
+        Read.METHOD: request.method,
+        Read.PATH: request.path,
+        Read.QUERY: request.query,
+        Read.HOST: request.host,
+        Read.ROUTE: request.route,
+        Read.CLIENT: request.client,
+        Read.TENANT: request.tenant,
+        Read.CLASS: request.class_name,
+    }
     parts = [abi.record(tag, value.encode()) for tag, value in text.items()]
     parts += [abi.record(Read.MAY_CHOOSE, name.encode()) for name in request.may_choose]
     if phase != "on_end":
@@ -58,11 +66,14 @@
         parts.append(abi.number(Read.STATUS, request.status))
     if phase == "on_request" and setup.body:
         body = request.body.encode()
-        parts += [abi.record(Read.BODY, body[:setup.body]), abi.number(Read.BODY_SIZE, len(body))]
+        parts += [abi.record(Read.BODY, body[: setup.body]), abi.number(Read.BODY_SIZE, len(body))]
     if phase == "on_end":
-        parts += [abi.record(Read.OUTCOME, request.outcome.encode()),
-                  abi.number(Read.ELAPSED_MS, request.elapsed_ms)]
+        parts += [
+            abi.record(Read.OUTCOME, request.outcome.encode()),
+            abi.number(Read.ELAPSED_MS, request.elapsed_ms),
+        ]
     parts.append(abi.number(Read.REMAINING_MS, request.remaining_ms))
-    parts += [abi.number(Read.COUNTER, request.counters.get(name, 0), name.encode())
-              for name in setup.counters]
+    parts += [
+        abi.number(Read.COUNTER, request.counters.get(name, 0), name.encode()) for name in setup.counters
+    ]
     return b"".join(parts) + abi.config(setup.config)
--- a/plovertrail/host.py
+++ b/plovertrail/host.py
@@ -61,8 +61,9 @@
 class ServerPool:
     """Servers under one Balancer: what is listed, and the connections that carry its attempts."""
 
-    def __init__(self, name: str, settings: api.Settings, seed: int, upstreams: Upstreams,
-                 reissues: Reissues) -> None:
+    def __init__(
+        self, name: str, settings: api.Settings, seed: int, upstreams: Upstreams, reissues: Reissues
+    ) -> None:
         self.name = name
         self.settings = settings
         self.upstreams = upstreams
@@ -260,8 +261,13 @@
                 self._tell(pool, api.RequestGone(request.ident))
                 self._given_up(request, Answer(Verdict.REFUSED, self._retry_after_us(pool)))
 
-    def arrived(self, call: Call, reply: Callable[[Answer], None], pools: Sequence[ServerPool],
-                limiters: Sequence[Limiter] = ()) -> int:
+    def arrived(
+        self,
+        call: Call,
+        reply: Callable[[Answer], None],
+        pools: Sequence[ServerPool],
+        limiters: Sequence[Limiter] = (),
+    ) -> int:
         """A request has been taken; `reply` is called once with its answer unless the client goes first."""
         self.last_ident += 1
         due_us = call.arrived_us + max(1, call.deadline_us - ANSWER_MARGIN_US)
@@ -340,8 +346,9 @@
 
     # Lists
 
-    def list_changed(self, pool: ServerPool, event: api.UpstreamsUpdated,
-                     addresses: dict[int, Address]) -> None:
+    def list_changed(
+        self, pool: ServerPool, event: api.UpstreamsUpdated, addresses: dict[int, Address]
+    ) -> None:
         """What is known of a pool's servers has changed."""
         if event.kind is api.ListKind.FAILED:
             self._tell(pool, event)
@@ -397,8 +404,12 @@
         """Now and then: what the pool's subset can do without goes."""
         if pool.retired or pool.subset is None:
             return
-        busy = {attempt.upstream for request in self.requests.values() for attempt in request.attempts
-                if attempt.pool is pool and not attempt.ended}
+        busy = {
+            attempt.upstream
+            for request in self.requests.values()
+            for attempt in request.attempts
+            if attempt.pool is pool and not attempt.ended
+        }
         self._changed_subset(pool, pool.subset.narrow(clock_us(), busy))
 
     @property
@@ -499,8 +510,10 @@
     def _given_up(self, request: Request, answer: Answer) -> None:
         """No pool has the request: on to its next one, or else this is its answer."""
         standing, handshake = request.standing, request.call.handshake
-        serving = [bool(pool.serving) if handshake is None else handshake.has_room(pool.name, pool.serving)
-                   for pool in request.pools]
+        serving = [
+            bool(pool.serving) if handshake is None else handshake.has_room(pool.name, pool.serving)
+            for pool in request.pools
+        ]
         most = request.pools[0].settings.max_attempts
         number = next_pool(standing, serving, most, self.reissues, clock_us())
         if number is None:
@@ -519,13 +532,20 @@
             barred = Either(barred, handshake.barred(pool.name))
         standing.asked = number + 1
         request.pool, request.first = pool, len(request.attempts)
-        request.asks = api.RequestArrived(request.ident, request.due_us, call.class_index, call.tenant,
-                                          call.key, call.cost_us, call.retried,
-                                          earlier_attempts=standing.attempts,
-                                          attempts_left=attempts_left(standing, serving, number, most),
-                                          barred=barred, preferred=pool.preferred(call),
-                                          tenant_share=0.0 if self.tenant_use is None else
-                                          self.tenant_use.share(call.tenant, clock_us()))
+        request.asks = api.RequestArrived(
+            request.ident,
+            request.due_us,
+            call.class_index,
+            call.tenant,
+            call.key,
+            call.cost_us,
+            call.retried,
+            earlier_attempts=standing.attempts,
+            attempts_left=attempts_left(standing, serving, number, most),
+            barred=barred,
+            preferred=pool.preferred(call),
+            tenant_share=0.0 if self.tenant_use is None else self.tenant_use.share(call.tenant, clock_us()),
+        )
         if pool.door is None:
             self._let_through(pool, request.ident)
         else:
@@ -538,8 +558,15 @@
         slots that still look free."""
         call, now_us = request.call, clock_us()
         room = not self.events and pool.balancer.has_room(now_us) and pool.lets_in()
-        actions = door.arrived(request.ident, call.tenant_name, call.client,
-                               pool.settings.classes[call.class_index].worth, request.due_us, now_us, room)
+        actions = door.arrived(
+            request.ident,
+            call.tenant_name,
+            call.client,
+            pool.settings.classes[call.class_index].worth,
+            request.due_us,
+            now_us,
+            room,
+        )
         self._from_door(pool, actions)
         if request.ident in door.waiting:
             self._mind_door(pool, door)
@@ -664,17 +691,26 @@
         if address is None:  # it was forgotten since the module chose it
             self._end_attempt(request, number, Result(api.Outcome.CONNECT_FAILED))
             return
-        if (request.over or left_us <= 0 or action.timeout_us < 0
-                or number >= request.pools[0].settings.max_attempts
-                or self._has_left(request)
-                or not self._may_place(attempt, address, request.call)):
+        if (
+            request.over
+            or left_us <= 0
+            or action.timeout_us < 0
+            or number >= request.pools[0].settings.max_attempts
+            or self._has_left(request)
+            or not self._may_place(attempt, address, request.call)
+        ):
             self._end_attempt(request, number, Result(api.Outcome.NOT_SENT))
             return
         timeout_us = min(action.timeout_us or left_us, left_us)
         attempt.timer = self._at(now_us + timeout_us, self._timed_out, request, number)
         attempt.flight = pool.upstreams.start(
-            action.upstream, address, request.call, timeout_us,
-            lambda result: self._end_attempt(request, number, result), action.within_us)
+            action.upstream,
+            address,
+            request.call,
+            timeout_us,
+            lambda result: self._end_attempt(request, number, result),
+            action.within_us,
+        )
 
     def _has_left(self, request: Request) -> bool:
         """Whether the client has closed by now. Hazard: its end may lie in the system while a due timer, a
@@ -724,8 +760,9 @@
         elapsed_us = clock_us() - attempt.sent_us
         request.work_us += elapsed_us
         if self.attempt_over is not None:
-            self.attempt_over(attempt.pool, attempt.upstream, request.call.class_index, result.outcome,
-                              elapsed_us)
+            self.attempt_over(
+                attempt.pool, attempt.upstream, request.call.class_index, result.outcome, elapsed_us
+            )
         if attempt.pool.admission is not None:
             aim_us = attempt.pool.settings.classes[request.call.class_index].aim_us
             attempt.pool.admission.ended(result.outcome, elapsed_us, aim_us, clock_us())
@@ -733,8 +770,17 @@
         if result.outcome is api.Outcome.OK:
             self._answer(request.ident, Answer(Verdict.SERVED, result=result))
         self._drop_if_done(request)
-        self._tell(attempt.pool, api.AttemptEnded(request.ident, number - request.first, attempt.upstream,
-                                                  result.outcome, elapsed_us, request.over))
+        self._tell(
+            attempt.pool,
+            api.AttemptEnded(
+                request.ident,
+                number - request.first,
+                attempt.upstream,
+                result.outcome,
+                elapsed_us,
+                request.over,
+            ),
+        )
 
     @staticmethod
     def _socket_result(request: Request, attempt: Attempt, result: Result, handshake: Handshake) -> Result:
--- a/plovertrail/http1/heads.py
+++ b/plovertrail/http1/heads.py
@@ -5,9 +5,20 @@
 from http import HTTPStatus
 
 Headers = list[tuple[bytes, bytes]]
-HOP_BY_HOP = frozenset((  # of one connection; Content-Length is written anew for the body that goes on
-    b"connection", b"keep-alive", b"proxy-connection", b"proxy-authenticate", b"proxy-authorization", b"te",
-    b"trailer", b"transfer-encoding", b"upgrade", b"content-length"))
+HOP_BY_HOP = frozenset(
+    (  # of one connection; Content-Length is written anew for the body that goes on
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"proxy-authenticate",
+        b"proxy-authorization",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"content-length",
+    )
+)
 REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
 
 
--- a/plovertrail/http1/requests.py
+++ b/plovertrail/http1/requests.py
@@ -83,7 +83,7 @@
                 self._parser.feed_data(data)
                 data = b""
             except httptools.HttpParserUpgrade as upgrade:
-                data = data[upgrade.args[0]:]
+                data = data[upgrade.args[0] :]
                 self._parser = httptools.HttpRequestParser(self)
                 if self.messages:
                     self.messages[-1].upgrade = self.stopped = True
@@ -169,7 +169,14 @@
 
     def on_message_complete(self) -> None:
         assert self._parser is not None
-        self.messages.append(RequestMessage(
-            self._parser.get_method(), self._target, self._parser.get_http_version(), self._headers,
-            bytes(self._body), self._parser.should_keep_alive()))
+        self.messages.append(
+            RequestMessage(
+                self._parser.get_method(),
+                self._target,
+                self._parser.get_http_version(),
+                self._headers,
+                bytes(self._body),
+                self._parser.should_keep_alive(),
+            )
+        )
         self._begin()
--- a/plovertrail/lab/clients.py
+++ b/plovertrail/lab/clients.py
@@ -28,8 +28,9 @@
 class Clients:
     """All clients; what became of their tries, by when these were sent."""
 
-    def __init__(self, clock: Clock, plan: ClientPlan, instances: Sequence[Instance],
-                 rng: random.Random) -> None:
+    def __init__(
+        self, clock: Clock, plan: ClientPlan, instances: Sequence[Instance], rng: random.Random
+    ) -> None:
         self.clock = clock
         self.plan = plan
         self.instances = instances
--- a/plovertrail/lab/fleet.py
+++ b/plovertrail/lab/fleet.py
@@ -48,16 +48,25 @@
         kind = api.RequestClass("read", plan.aim_us, plan.clients.deadline_us, late_worth=0.3)
         size = plan.told_size or plan.instances
         settings = api.Settings(
-            classes=[kind], instances=size, max_attempts=plan.max_attempts,
-            max_retry_after_us=plan.max_retry_after_us, cold_share=plan.server.cold_share,
-            warm_up_us=plan.server.warm_up_us, overload_factor=plan.overload_factor)
-        self.servers = {number: Server(number, plan.server, self.clock, self._random())
-                        for number in range(1, plan.servers + 1)}
-        around = Around(self.clock, settings, self.servers, plan.bounds, plan.network_us, plan.admits,
-                        plan.by_list)
+            classes=[kind],
+            instances=size,
+            max_attempts=plan.max_attempts,
+            max_retry_after_us=plan.max_retry_after_us,
+            cold_share=plan.server.cold_share,
+            warm_up_us=plan.server.warm_up_us,
+            overload_factor=plan.overload_factor,
+        )
+        self.servers = {
+            number: Server(number, plan.server, self.clock, self._random())
+            for number in range(1, plan.servers + 1)
+        }
+        around = Around(
+            self.clock, settings, self.servers, plan.bounds, plan.network_us, plan.admits, plan.by_list
+        )
         self.instances = [
             Instance(around, share.Fleet(size, number), Place(number, plan.instances), self._random())
-            for number in range(plan.instances)]
+            for number in range(plan.instances)
+        ]
         for instance in self.instances:
             instance.start(with_state=False)
         self.clients = Clients(self.clock, plan.clients, self.instances, self._random())
--- a/plovertrail/lab/instances.py
+++ b/plovertrail/lab/instances.py
@@ -1,5 +1,4 @@
-"""One instance of the program in the model: its decision modules, and what the host does with their actions.
-"""
+"""One instance of the program in the model: its decision modules, and what the host does with actions."""
 
 from __future__ import annotations
 
@@ -78,8 +77,10 @@
         self.admission = Admission(self.fleet.size, now_us, self.rng.random) if around.admits else None
         if with_state:
             age_us = now_us - self.kept_us
-            self.balancer.recall = lambda server: server.entry.id in self.memory and remembered.recall_server(
-                self.balancer, server, self.memory[server.entry.id], age_us)
+            self.balancer.recall = lambda server: (
+                server.entry.id in self.memory
+                and remembered.recall_server(self.balancer, server, self.memory[server.entry.id], age_us)
+            )
         entries = [api.Upstream(one.number, started_us=one.started_us) for one in around.servers.values()]
         self.listed(api.ListKind.CACHED, entries)
 
--- a/plovertrail/line_log.py
+++ b/plovertrail/line_log.py
@@ -75,7 +75,7 @@
                 if file < 0:
                     file = self._open()
                 # hazard: what of it is out must not be written once more after a fault
-                pending = pending[os.write(file, pending[:WRITE_BYTES]):]
+                pending = pending[os.write(file, pending[:WRITE_BYTES]) :]
             except OSError as error:
                 log.error("lines on sockets can't be written, and are kept: %s", error.strerror)
                 with self._changed:
--- a/plovertrail/peers/envelope.py
+++ b/plovertrail/peers/envelope.py
@@ -94,4 +94,4 @@
             raise BadDatagramError(Dropped.FORGED)
         if to not in mine:
             raise BadDatagramError(Dropped.NOT_FOR_US)
-        return data[PREFIX.size:-MAC]
+        return data[PREFIX.size : -MAC]
--- a/plovertrail/peers/fellow_talk.py
+++ b/plovertrail/peers/fellow_talk.py
@@ -33,8 +33,9 @@
 class FellowTalk:
     """This instance among its fellows, from its start to its stop. `send` may lose what it is given."""
 
-    def __init__(self, peers: PeersSetup, setup: FellowsSetup, seeds: tuple[Address, ...], send: SendTo,
-                 seed: int) -> None:
+    def __init__(
+        self, peers: PeersSetup, setup: FellowsSetup, seeds: tuple[Address, ...], send: SendTo, seed: int
+    ) -> None:
         self.loop = asyncio.get_running_loop()
         self.send = send
         self.peers = peers
@@ -45,8 +46,15 @@
         me = Word(peers.name, peers.listed_as, wall_us, State.ALIVE, setup.zone[:LONGEST_ZONE])
         fellows = Fellows(me, setup.period_us, rng, now_us, seeds, max(peers.size, len(seeds)))
         judgements = Judgements(teller(peers.name), now_us, wall_us) if setup.judgements else None
-        self.fellowship = Fellowship(fellows, judgements, FellowsCodec(peers.fleet, peers.keys),
-                                     frozenset({peers.listed_as}), setup.gossip_us, setup.fan_out, now_us)
+        self.fellowship = Fellowship(
+            fellows,
+            judgements,
+            FellowsCodec(peers.fleet, peers.keys),
+            frozenset({peers.listed_as}),
+            setup.gossip_us,
+            setup.fan_out,
+            now_us,
+        )
         self.states: dict[str, State] = {}  # as last logged
         self.twins: set[str] = set()
         self.on_news: Callable[[], None] = lambda: None  # a server is found wrong that was not before
@@ -107,9 +115,13 @@
         log, so of many at a time only their number is told."""
         fellows = self.fellowship.fellows
         now = {name: fellow.word.state for name, fellow in fellows.table.items()}
-        changed = {name: state for name, state in now.items()
-                   if state is not self.states.get(name, State.ALIVE) and state is not State.SUSPECT
-                   or name not in self.states}
+        changed = {
+            name: state
+            for name, state in now.items()
+            if state is not self.states.get(name, State.ALIVE)
+            and state is not State.SUSPECT
+            or name not in self.states
+        }
         self.states |= {name: state for name, state in now.items() if state is not State.SUSPECT}
         self.states = {name: state for name, state in self.states.items() if name in now}
         if len(changed) > 5:
@@ -118,8 +130,11 @@
             for name, state in changed.items():
                 log.info("fellows: %s is %s", name, state.name.lower())
         for name in fellows.twins.keys() - self.twins:
-            log.error("fellows: two instances are called %r: one at %s; give each a name of its own", name,
-                      told(fellows.twins[name]))
+            log.error(
+                "fellows: two instances are called %r: one at %s; give each a name of its own",
+                name,
+                told(fellows.twins[name]),
+            )
         self.twins = set(fellows.twins)
 
     def stood_still(self, gap_us: int) -> None:
@@ -135,17 +150,30 @@
         now_us, fellows, sent = clock_us(), self.fellowship.fellows, self.fellowship.sent
         period_us, loss = fellows.period_us, self.peers.loss
         return {
-            "name": fellows.me.name, "incarnation": fellows.me.incarnation, "size": fellows.size,
-            "doubt": fellows.doubt, "unwell": fellows.unwell, "alone": fellows.alone(now_us),
+            "name": fellows.me.name,
+            "incarnation": fellows.me.incarnation,
+            "size": fellows.size,
+            "doubt": fellows.doubt,
+            "unwell": fellows.unwell,
+            "alone": fellows.alone(now_us),
             "detects_within_s": round(longest_detection_us(fellows.size, period_us, loss) / 1e6, 1),
-            "false_suspicions": round(false_suspicion(loss), 4), "suspected": fellows.suspected,
-            "refuted": fellows.refuted, "twins": sorted(fellows.twins),
-            "sent": sent.datagrams, "sent_bytes": sent.octets, "taken": sent.taken,
+            "false_suspicions": round(false_suspicion(loss), 4),
+            "suspected": fellows.suspected,
+            "refuted": fellows.refuted,
+            "twins": sorted(fellows.twins),
+            "sent": sent.datagrams,
+            "sent_bytes": sent.octets,
+            "taken": sent.taken,
             "dropped": {why.value: count for why, count in sent.dropped.items()},
-            "fellows": {name: {
-                "state": fellow.word.state.name.lower(), "address": told(fellow.word.address),
-                "zone": fellow.word.zone, "since_s": round((now_us - fellow.since_us) / 1e6, 2),
-                "heard_s_ago": round((now_us - fellow.heard_us) / 1e6, 2) if fellow.heard_us else None,
-                "suspected_by": sorted(fellow.holders),
-            } for name, fellow in sorted(fellows.table.items())},
+            "fellows": {
+                name: {
+                    "state": fellow.word.state.name.lower(),
+                    "address": told(fellow.word.address),
+                    "zone": fellow.word.zone,
+                    "since_s": round((now_us - fellow.since_us) / 1e6, 2),
+                    "heard_s_ago": round((now_us - fellow.heard_us) / 1e6, 2) if fellow.heard_us else None,
+                    "suspected_by": sorted(fellow.holders),
+                }
+                for name, fellow in sorted(fellows.table.items())
+            },
         }
--- a/plovertrail/peers/fellows_wire.py
+++ b/plovertrail/peers/fellows_wire.py
@@ -59,8 +59,10 @@
 
 
 def row_bytes(row: Evidence) -> bytes:
-    parts = (int(min(part, MOST_IN_ROW) * SIXTEENTHS + 0.5) for part in
-             (row.attempts, row.faults, row.silent, row.full))
+    parts = (
+        int(min(part, MOST_IN_ROW) * SIXTEENTHS + 0.5)
+        for part in (row.attempts, row.faults, row.silent, row.full)
+    )
     ages = (min(65_535, age_us // AGE_US) for age_us in (row.age_us, row.good_age_us))
     return ROW.pack(row.teller, row.sequence, row.key[0], row.key[1], *parts, *ages)
 
@@ -73,7 +75,7 @@
         self.at = at
 
     def take(self, count: int) -> bytes:
-        found = self.data[self.at:self.at + count]
+        found = self.data[self.at : self.at + count]
         if len(found) < count:
             raise BadDatagramError(Dropped.GARBAGE)
         self.at += count
@@ -103,8 +105,9 @@
     def row(self) -> Evidence:
         teller, sequence, server, kind, *parts, age, good_age = ROW.unpack(self.take(ROW.size))
         attempts, faults, silent, full = (part / SIXTEENTHS for part in parts)
-        return Evidence(teller, sequence, (server, kind), attempts, faults, silent, full, age * AGE_US,
-                        good_age * AGE_US)
+        return Evidence(
+            teller, sequence, (server, kind), attempts, faults, silent, full, age * AGE_US, good_age * AGE_US
+        )
 
 
 class FellowsCodec:
@@ -116,14 +119,18 @@
     def write(self, to: bytes, datagram: Datagram) -> bytes:
         """Its bytes, of what fits: words before evidence, each in its order. The sender's name, its zone and
         the subject's name always do."""
-        fixed = b"".join([HEAD.pack(datagram.kind, datagram.unwell, datagram.number),
-                          word_bytes(datagram.sender), text_bytes(datagram.subject, LONGEST_NAME),
-                          PLACE.pack(socket.inet_aton(datagram.subject_address[0]),
-                                     datagram.subject_address[1])])
+        fixed = b"".join(
+            [
+                HEAD.pack(datagram.kind, datagram.unwell, datagram.number),
+                word_bytes(datagram.sender),
+                text_bytes(datagram.subject, LONGEST_NAME),
+                PLACE.pack(socket.inet_aton(datagram.subject_address[0]), datagram.subject_address[1]),
+            ]
+        )
         left = ROOM - len(fixed) - 2
         words = fitting([word_bytes(word) for word in datagram.words[:MOST_WORDS]], left)
         left -= sum(map(len, words))
-        rows = [row_bytes(row) for row in datagram.rows[:left // ROW.size]]
+        rows = [row_bytes(row) for row in datagram.rows[: left // ROW.size]]
         body = b"".join([fixed, bytes([len(words)]), *words, bytes([len(rows)]), *rows])
         return self.seal.sealed(VERSION, to, body)
 
--- a/plovertrail/peers/fellowship.py
+++ b/plovertrail/peers/fellowship.py
@@ -26,8 +26,16 @@
     """`addresses`: by which others reach us; `gossip_us`: how often news goes to `fan_out` others at random.
     Its load is bounded by these and the period, whatever the size of the fleet."""
 
-    def __init__(self, fellows: Fellows, judgements: Judgements | None, codec: FellowsCodec,
-                 addresses: frozenset[Address], gossip_us: int, fan_out: int, now_us: int) -> None:
+    def __init__(
+        self,
+        fellows: Fellows,
+        judgements: Judgements | None,
+        codec: FellowsCodec,
+        addresses: frozenset[Address],
+        gossip_us: int,
+        fan_out: int,
+        now_us: int,
+    ) -> None:
         self.fellows = fellows
         self.judgements = judgements
         self.codec = codec
@@ -70,8 +78,10 @@
                 self.judgements.news = False
                 self._know_tellers(self.judgements)
             if self._has_news(now_us):
-                out += self._write([Out(Kind.TELL, word.address, to=word.name)
-                                    for word in self.fellows.some(self.fan_out)], now_us)
+                out += self._write(
+                    [Out(Kind.TELL, word.address, to=word.name) for word in self.fellows.some(self.fan_out)],
+                    now_us,
+                )
         return out
 
     def leave(self, now_us: int) -> list[tuple[Address, bytes]]:
@@ -83,8 +93,9 @@
         if self.judgements is not None:
             self.judgements.stood_still(now_us)
 
-    def received(self, data: bytes, address: Address,
-                 now_us: int) -> tuple[Dropped | None, list[tuple[Address, bytes]]]:
+    def received(
+        self, data: bytes, address: Address, now_us: int
+    ) -> tuple[Dropped | None, list[tuple[Address, bytes]]]:
         """A datagram has come: why it was not taken, if it was not, and what is answered."""
         why, out = self._received(data, address, now_us)
         if why is None:
@@ -93,8 +104,9 @@
             self.sent.dropped[why] += 1
         return why, out
 
-    def _received(self, data: bytes, address: Address,
-                  now_us: int) -> tuple[Dropped | None, list[tuple[Address, bytes]]]:
+    def _received(
+        self, data: bytes, address: Address, now_us: int
+    ) -> tuple[Dropped | None, list[tuple[Address, bytes]]]:
         # hazard: one that floods would have us check codes all day
         if now_us >= self.period_ends_us:
             self.period_ends_us, self.looked_at = now_us + self.fellows.period_us, 0
@@ -117,8 +129,9 @@
             for row in datagram.rows:
                 self.judgements.take(row, now_us)
         # an answer goes where the datagram came from: the sender's own address may not be the one for us
-        out = fellows.came(datagram.kind, datagram.number, datagram.subject, address,
-                           datagram.subject_address, now_us)
+        out = fellows.came(
+            datagram.kind, datagram.number, datagram.subject, address, datagram.subject_address, now_us
+        )
         return None, self._write(out, now_us)
 
     def _has_news(self, now_us: int) -> bool:
@@ -136,11 +149,24 @@
         found = []
         for each in out:
             words = tuple(self.fellows.tell(WORDS_AT_ONCE, each.to))
-            datagram = Datagram(each.kind, each.number, self.fellows.me, self.fellows.unwell, each.subject,
-                                each.subject_address, words)
+            datagram = Datagram(
+                each.kind,
+                each.number,
+                self.fellows.me,
+                self.fellows.unwell,
+                each.subject,
+                each.subject_address,
+                words,
+            )
             if self.judgements is not None:
-                datagram = replace(datagram, rows=tuple(self.judgements.tell(
-                    self.codec.room(datagram), self.fellows.size, self.fellows.unwell, now_us)))
+                datagram = replace(
+                    datagram,
+                    rows=tuple(
+                        self.judgements.tell(
+                            self.codec.room(datagram), self.fellows.size, self.fellows.unwell, now_us
+                        )
+                    ),
+                )
             data = self.codec.write(short(told(each.address)), datagram)
             self.sent.datagrams += 1
             self.sent.octets += len(data)
--- a/plovertrail/peers/gossip.py
+++ b/plovertrail/peers/gossip.py
@@ -76,7 +76,7 @@
             self.rows_fit = len(self.keys)
         rows: list[bytes] = []  # an empty one where a key has nothing to tell any more
         left = self.codec.room(self.counts.name)
-        for key in self.keys[:self.rows_fit]:
+        for key in self.keys[: self.rows_fit]:
             found = self.counts.row_out(key, now_us)
             packed = row_bytes(found) if found is not None else b""
             if len(packed) > left:
@@ -86,17 +86,23 @@
         # what grows out of the datagram in mid-round has not gone to all, and comes first in the next
         self.rows_fit = len(rows)
         out = []
-        for peer in self.order[self.place:self.place + self.fan_out]:
+        for peer in self.order[self.place : self.place + self.fan_out]:
             peer.sequence += 1
-            data = self.codec.write(peer.to, self.counts.name, self.counts.incarnation, peer.sequence,
-                                    max(0, now_us - self.counts.start_us), filter(None, rows))
+            data = self.codec.write(
+                peer.to,
+                self.counts.name,
+                self.counts.incarnation,
+                peer.sequence,
+                max(0, now_us - self.counts.start_us),
+                filter(None, rows),
+            )
             out.append((peer.address, data))
             self.sent.datagrams += 1
             self.sent.octets += len(data)
         self.place += self.fan_out
         if self.place >= len(self.order):
             self.place = 0
-            self.counts.went(self.keys[:self.rows_fit])
+            self.counts.went(self.keys[: self.rows_fit])
             self.room = self.rows_fit if self.rows_fit < len(self.keys) else 0
         return out
 
@@ -137,5 +143,12 @@
         """The bound as it is now: with the losses seen, if they are worse than those stated."""
         seen = max((self.loss_from(peer) for peer in self.peers.values() if peer.heard_us), default=0.0)
         keys = max(1, len(self.counts.own))
-        return bound(replace(talk, size=self.counts.size, loss=min(MOST_LOSS, max(talk.loss, seen)),
-                             keys=keys, keys_a_datagram=self.room or keys))
+        return bound(
+            replace(
+                talk,
+                size=self.counts.size,
+                loss=min(MOST_LOSS, max(talk.loss, seen)),
+                keys=keys,
+                keys_a_datagram=self.room or keys,
+            )
+        )
--- a/plovertrail/peers/keeper.py
+++ b/plovertrail/peers/keeper.py
@@ -40,12 +40,20 @@
         try:
             return bind(peers.address)
         except OSError as error:
-            raise ConfigError(setup.path, [Problem(
-                "peers.address", f"can't take datagrams on {peers.address[0]}:{peers.address[1]}: "
-                f"{error.strerror}", "write an address that is free here")]) from None
-
-    def follow(self, setup: PeersSetup | None, sock: socket.socket | None,
-               fellows: FellowsSetup | None) -> Counts | None:
+            raise ConfigError(
+                setup.path,
+                [
+                    Problem(
+                        "peers.address",
+                        f"can't take datagrams on {peers.address[0]}:{peers.address[1]}: {error.strerror}",
+                        "write an address that is free here",
+                    )
+                ],
+            ) from None
+
+    def follow(
+        self, setup: PeersSetup | None, sock: socket.socket | None, fellows: FellowsSetup | None
+    ) -> Counts | None:
         """Talk under a setup; `sock` is there if its address is new. The counts of all instances."""
         talk = self.talk
         if setup is None:
@@ -105,6 +113,8 @@
                 names[limiter.shared_key("", "")] = f"limiter {name}"
             elif limiter.settings.keyed_by is KeyedBy.TENANT:
                 names[limiter.shared_key("", "")] = f"limiter {name} (others)"
-                names |= {limiter.shared_key(tenant.name, ""): f"limiter {name} {tenant.name}"
-                          for tenant in setup.tenants}
+                names |= {
+                    limiter.shared_key(tenant.name, ""): f"limiter {name} {tenant.name}"
+                    for tenant in setup.tenants
+                }
         return self.talk.status(names)
--- a/plovertrail/peers/talk.py
+++ b/plovertrail/peers/talk.py
@@ -90,8 +90,12 @@
     def fits(self, setup: PeersSetup) -> bool:
         """Whether it can go on under another setup, with what has been counted."""
         mine = self.setup
-        return ((mine.name, mine.address, mine.listed_as, mine.window)
-                == (setup.name, setup.address, setup.listed_as, setup.window))
+        return (mine.name, mine.address, mine.listed_as, mine.window) == (
+            setup.name,
+            setup.address,
+            setup.listed_as,
+            setup.window,
+        )
 
     def configure(self, setup: PeersSetup) -> None:
         """Go on with other peers, keys or times; what has been counted stays. Hazard: a key that is changed
@@ -189,20 +193,40 @@
         now_us, counts, gossip = clock_us(), self.counts, self.gossip
         found = gossip.bound(self.setup.talk(counts.size))
         return {
-            "name": counts.name, "incarnation": counts.incarnation, "problem": self.list.problem,
-            "size": counts.size, "heard": counts.count_heard(now_us),
-            "bound": {"under": round(found.under, 4), "over": round(found.over, 4),
-                      "staleness_s": round(found.staleness_s, 3), "but_with": found.probability},
+            "name": counts.name,
+            "incarnation": counts.incarnation,
+            "problem": self.list.problem,
+            "size": counts.size,
+            "heard": counts.count_heard(now_us),
+            "bound": {
+                "under": round(found.under, 4),
+                "over": round(found.over, 4),
+                "staleness_s": round(found.staleness_s, 3),
+                "but_with": found.probability,
+            },
             "twins": sorted(counts.twins),
-            "peers": {told(peer.address): {
-                "name": peer.name, "loss": round(gossip.loss_from(peer), 3),
-                "heard_s_ago": round((now_us - peer.heard_us) / 1e6, 3) if peer.heard_us else None,
-            } for peer in gossip.order},
-            "counts": {name: {"own": round(counts.own_count(key, now_us), 1),
-                              "fleet": round(counts.estimate(key, now_us), 1)} for key, name in
-            names.items()},
-            "sent": gossip.sent.datagrams, "sent_bytes": gossip.sent.octets, "taken": gossip.sent.taken,
-            "unsent": self.unsent, "dropped": {why.value: n for why, n in gossip.sent.dropped.items()},
-            "keys": len(counts.own), "keys_of_peers": counts.peer_keys,
-            "without_place": counts.without_place, "refused_keys": counts.refused_keys,
+            "peers": {
+                told(peer.address): {
+                    "name": peer.name,
+                    "loss": round(gossip.loss_from(peer), 3),
+                    "heard_s_ago": round((now_us - peer.heard_us) / 1e6, 3) if peer.heard_us else None,
+                }
+                for peer in gossip.order
+            },
+            "counts": {
+                name: {
+                    "own": round(counts.own_count(key, now_us), 1),
+                    "fleet": round(counts.estimate(key, now_us), 1),
+                }
+                for key, name in names.items()
+            },
+            "sent": gossip.sent.datagrams,
+            "sent_bytes": gossip.sent.octets,
+            "taken": gossip.sent.taken,
+            "unsent": self.unsent,
+            "dropped": {why.value: n for why, n in gossip.sent.dropped.items()},
+            "keys": len(counts.own),
+            "keys_of_peers": counts.peer_keys,
+            "without_place": counts.without_place,
+            "refused_keys": counts.refused_keys,
         }
--- a/plovertrail/peers/wire.py
+++ b/plovertrail/peers/wire.py
@@ -61,13 +61,15 @@
         """Bytes that are left for rows."""
         return ROOM - HEAD.size - len(name.encode()) - COUNT.size
 
-    def write(self, to: bytes, name: str, incarnation: int, sequence: int, sent_us: int,
-              rows: Iterable[bytes]) -> bytes:
+    def write(
+        self, to: bytes, name: str, incarnation: int, sequence: int, sent_us: int, rows: Iterable[bytes]
+    ) -> bytes:
         """A datagram; `rows` fit into `room`."""
         plain = name.encode()
         packed = list(rows)
-        head = HEAD.pack(incarnation, sequence, sent_us, self.window.bucket_us, self.window.buckets,
-                         len(plain))
+        head = HEAD.pack(
+            incarnation, sequence, sent_us, self.window.bucket_us, self.window.buckets, len(plain)
+        )
         return self.seal.sealed(VERSION, to, b"".join([head, plain, COUNT.pack(len(packed)), *packed]))
 
     def read(self, datagram: bytes, me: bytes) -> Message:
@@ -80,7 +82,7 @@
             raise BadDatagramError(Dropped.WINDOW)
         at = HEAD.size
         try:
-            name = data[at:at + length].decode()
+            name = data[at : at + length].decode()
         except UnicodeDecodeError:
             raise BadDatagramError(Dropped.GARBAGE) from None
         at += length
@@ -93,8 +95,9 @@
             raise BadDatagramError(Dropped.GARBAGE)
         return Message(name, incarnation, sequence, sent_us, rows)
 
-    def _rows(self, data: bytes, at: int,
-              count: int) -> tuple[tuple[tuple[int, int, tuple[int, ...]], ...], int]:
+    def _rows(
+        self, data: bytes, at: int, count: int
+    ) -> tuple[tuple[tuple[int, int, tuple[int, ...]], ...], int]:
         if count > MOST_ROWS:
             raise BadDatagramError(Dropped.GARBAGE)
         rows = []
--- a/plovertrail/recovery_keeper.py
+++ b/plovertrail/recovery_keeper.py
@@ -28,8 +28,13 @@
 class RecoveryKeeper:
     """The phase of one daemon. `settled` waits until no reload is under way."""
 
-    def __init__(self, host: Host, rosters: Callable[[], Mapping[str, Roster]],
-                 settled: Callable[[], Awaitable[None]], on_gap: Callable[[int], None]) -> None:
+    def __init__(
+        self,
+        host: Host,
+        rosters: Callable[[], Mapping[str, Roster]],
+        settled: Callable[[], Awaitable[None]],
+        on_gap: Callable[[int], None],
+    ) -> None:
         self.host = host
         self.rosters = rosters
         self.settled = settled
@@ -44,8 +49,11 @@
 
     def watches(self) -> dict[str, FileWatch]:
         """All sources that are watched."""
-        return {source_name(name, watch.source.name): watch
-                for name, roster in self.rosters().items() for watch in roster.watches.values()}
+        return {
+            source_name(name, watch.source.name): watch
+            for name, roster in self.rosters().items()
+            for watch in roster.watches.values()
+        }
 
     def follow(self) -> None:
         """A setup has come into force; its lists have been read once."""
@@ -115,10 +123,16 @@
     def status(self) -> dict[str, Any]:
         """For operators."""
         now, clock = self.recovery, clock_us()
-        return {"phase": now.phase.value, "since_s": round((clock - now.since_us) / 1e6, 3), "why": now.why,
-                "missing": dict(sorted(now.missing.items())), "waiting": sorted(now.waiting),
-                "to_full_s": None if now.to_full_us is None else round(now.to_full_us / 1e6, 3),
-                "gaps": now.gaps, "longest_gap_s": round(now.longest_gap_us / 1e6, 3)}
+        return {
+            "phase": now.phase.value,
+            "since_s": round((clock - now.since_us) / 1e6, 3),
+            "why": now.why,
+            "missing": dict(sorted(now.missing.items())),
+            "waiting": sorted(now.waiting),
+            "to_full_s": None if now.to_full_us is None else round(now.to_full_us / 1e6, 3),
+            "gaps": now.gaps,
+            "longest_gap_s": round(now.longest_gap_us / 1e6, 3),
+        }
 
     def stop(self) -> None:
         """The daemon ends: what is held goes on, to be answered."""
--- a/plovertrail/rehearsal/daemon.py
+++ b/plovertrail/rehearsal/daemon.py
@@ -260,8 +260,9 @@
         layer = next(layer for layer in roster.state.layers if layer.source == INLINE)
         roster.step(Candidate(INLINE, change(tuple(layer.entries)), by_operator=True))
 
-    def list_servers(self, pool: str, wanted: frozenset[str], known: tuple[Entry, ...],
-                     version: int) -> tuple[str, ...]:
+    def list_servers(
+        self, pool: str, wanted: frozenset[str], known: tuple[Entry, ...], version: int
+    ) -> tuple[str, ...]:
         """A source's list comes, and is held to the guards as a file's would be; why it is refused, if so."""
         roster = self.pools[pool].roster
         entries = tuple(entry for entry in known if entry.id in wanted)
@@ -310,5 +311,6 @@
             raise ConfigError(setup.path, [problem])
         addresses = tuple(entry.address for entry in listed.entries)
         peers = replace(peers, addresses=addresses, list_path="", size=len({*addresses, peers.listed_as}))
-    return replace(setup, pools=pools, fleet=fleet, peers=peers, state_file="", control_socket="",
-                   socket_log="")
+    return replace(
+        setup, pools=pools, fleet=fleet, peers=peers, state_file="", control_socket="", socket_log=""
+    )
--- a/plovertrail/rehearsal/peers.py
+++ b/plovertrail/rehearsal/peers.py
@@ -15,8 +15,9 @@
     """One other instance: asked for its part of a rate, at even steps, and heard once a round, as late as the
     settings allow for."""
 
-    def __init__(self, name: str, others: Others, setup: PeersSetup, daemon: PlayedDaemon,
-                 zero_us: int) -> None:
+    def __init__(
+        self, name: str, others: Others, setup: PeersSetup, daemon: PlayedDaemon, zero_us: int
+    ) -> None:
         self.others = others
         self.setup = setup
         self.daemon = daemon
@@ -45,8 +46,13 @@
         self.asked = due
         row = self.counts.row_out(key, now_us) if key is not None else None
         self.sequence += 1
-        message = Message(self.counts.name, 1, self.sequence, now_us - self.counts.start_us,
-                          (row,) if row is not None else ())
+        message = Message(
+            self.counts.name,
+            1,
+            self.sequence,
+            now_us - self.counts.start_us,
+            (row,) if row is not None else (),
+        )
         self.loop.call_later(self.setup.delay_us / 1e6, self.heard, message)
         if not others.until_us or now_us + self.round_us <= self.zero_us + others.until_us:
             self.loop.call_later(self.round_us / 1e6, self.speak)
--- a/plovertrail/rehearsal/run.py
+++ b/plovertrail/rehearsal/run.py
@@ -63,8 +63,9 @@
     """What becomes of a request, in the words of its expectations."""
     asks = one.asks
     port = next(each.address[1] for each in setup.listeners if each.name == asks.listener)
-    found = outline(setup.routes, asks.method, asks.host, asks.target, asks.headers, asks.listener, port,
-                    asks.address)
+    found = outline(
+        setup.routes, asks.method, asks.host, asks.target, asks.headers, asks.listener, port, asks.address
+    )
     if found.head is not None:
         coverage.asked(setup, found.head)
     if found.routed is None:
@@ -75,8 +76,14 @@
         return {"status": found.status, "route": route.name, "location": found.location}
     coverage.pools.update(route.pools)
     coverage.classes.add(route.class_name)
-    return {"route": route.name, "class": route.class_name, "pools": list(route.pools),
-            "tenant": found.tenant, "target": found.routed.target.decode("latin-1"), "sends": found.sends}
+    return {
+        "route": route.name,
+        "class": route.class_name,
+        "pools": list(route.pools),
+        "tenant": found.tenant,
+        "target": found.routed.target.decode("latin-1"),
+        "sends": found.sends,
+    }
 
 
 def broken_of(played: Played, scenario: Scenario, matched: Counter[str]) -> list[Broken]:
--- a/plovertrail/rehearsal/written.py
+++ b/plovertrail/rehearsal/written.py
@@ -356,8 +356,9 @@
         ]
         if not table.loads:
             self.wrong(f"{place}.loads", "nothing is asked, so nothing can fail", "write [[scenarios.loads]]")
-        return Scenario(place, table.name, table.seeds, tuple(loads), tuple(events), tuple(peers),
-                        tuple(expect))
+        return Scenario(
+            place, table.name, table.seeds, tuple(loads), tuple(events), tuple(peers), tuple(expect)
+        )
 
     def load(self, raw: object, place: str) -> Load | None:
         table = read_table(LoadTable, raw, place, self.problems)
--- a/plovertrail/roster.py
+++ b/plovertrail/roster.py
@@ -35,8 +35,9 @@
 class Roster:
     """The servers of one pool. It outlives the pool's module, which a reload may replace."""
 
-    def __init__(self, name: str, host: Host, state: State, elsewhere: Elsewhere,
-                 changed: Callable[[], None]) -> None:
+    def __init__(
+        self, name: str, host: Host, state: State, elsewhere: Elsewhere, changed: Callable[[], None]
+    ) -> None:
         self.name = name
         self.host = host
         self.state = state
@@ -56,8 +57,14 @@
 
     # Sources
 
-    def configure(self, inline: tuple[membership.Entry, ...], sources: list[FileSource], guards: Guards,
-                  home_zone: str, fresh: Mapping[str, FirstRead]) -> None:
+    def configure(
+        self,
+        inline: tuple[membership.Entry, ...],
+        sources: list[FileSource],
+        guards: Guards,
+        home_zone: str,
+        fresh: Mapping[str, FirstRead],
+    ) -> None:
         """Follow a new setup; `fresh` has what the sources that are new hold. Hazard: a server that moves
         from one source to another is in neither for a moment, and would come back cold; so what is new goes
         first, and what the operator's own file no longer lists goes last."""
@@ -75,8 +82,9 @@
                 self.unreadable.pop(source.name, None)
                 layers = {layer.source for layer in self.state.layers}
                 everything = (*self.order, *(name for name in layers if name not in self.order))
-                self.carry_out(membership.reduce(self.state, found, clock_us(), guards, everything,
-                                                 self.elsewhere()))
+                self.carry_out(
+                    membership.reduce(self.state, found, clock_us(), guards, everything, self.elsewhere())
+                )
         self.step(Candidate(INLINE, inline, by_operator=True))
         self.state = replace(self.state, started=True)
         for name in self.watches.keys() - set(self.order):
@@ -147,8 +155,15 @@
         entry = member.entry
         state = UpstreamState.DRAINING if entry.drain else UpstreamState.READY
         zone = 0 if entry.zone == self.home_zone else name_number(entry.zone)
-        return Upstream(member.number, UpstreamState.GONE if gone else state, zone, 0,
-                        name_number(entry.cell), entry.weight, member.came_us)
+        return Upstream(
+            member.number,
+            UpstreamState.GONE if gone else state,
+            zone,
+            0,
+            name_number(entry.cell),
+            entry.weight,
+            member.came_us,
+        )
 
     def attach(self, pool: ServerPool) -> None:
         """A module begins with all members. Hazard: one that starts anew under load would open its slots one
@@ -162,8 +177,10 @@
 
     def loud(self) -> tuple[str, ...]:
         """What is wrong now, and lasts."""
-        unreadable = tuple(f"{source} gives no list, the last good one stays: {why}"
-                           for source, why in self.unreadable.items())
+        unreadable = tuple(
+            f"{source} gives no list, the last good one stays: {why}"
+            for source, why in self.unreadable.items()
+        )
         return unreadable + membership.report(self.state, clock_us()).loud
 
     def speak(self) -> None:
--- a/plovertrail/running_pool.py
+++ b/plovertrail/running_pool.py
@@ -20,15 +20,24 @@
 
 def connect(config: operator.Pool, rules: AnswerRules) -> ConnectionPool:
     """The connections of a pool."""
-    return ConnectionPool(config.idle_us, config.settings.connect_timeout_us, most=config.max_connections,
-                          rules=rules)
+    return ConnectionPool(
+        config.idle_us, config.settings.connect_timeout_us, most=config.max_connections, rules=rules
+    )
 
 
 class RunningPool:
     """A pool in force: what was configured, its place in the host, and its connections."""
 
-    def __init__(self, host: Host, config: operator.Pool, max_answer: int, roster: Roster, seed: int,
-                 chosen_by: tuple[int, str], connect: Connect) -> None:
+    def __init__(
+        self,
+        host: Host,
+        config: operator.Pool,
+        max_answer: int,
+        roster: Roster,
+        seed: int,
+        chosen_by: tuple[int, str],
+        connect: Connect,
+    ) -> None:
         self.config = config
         self.chosen_by = chosen_by  # this instance's number, and which servers are chosen together
         self.max_answer = max_answer
@@ -45,8 +54,12 @@
             self.pool.use_affinity(config.affinity)
         if config.bounds.servers:
             zones = config.settings.cross_zone_fee > 0
-            host.use_subset(self.pool, share.Subset(
-                chosen_by[0], config.bounds.servers, chosen_by[1], config.settings.zone if zones else None))
+            host.use_subset(
+                self.pool,
+                share.Subset(
+                    chosen_by[0], config.bounds.servers, chosen_by[1], config.settings.zone if zones else None
+                ),
+            )
 
     def use_door(self, host: Host, seed: int) -> None:
         """Share the slots as configured now."""
@@ -81,11 +94,16 @@
         """Whether it can go on under a new setup, with other lists at most. Hazard: classes are known by
         their number, and requests that are open would be taken for those of another class."""
         mine = self.config
-        return (mine.settings == config.settings and mine.idle_us == config.idle_us
-                and mine.max_connections == config.max_connections and self.max_answer == max_answer
-                and mine.home_zone == config.home_zone and mine.affinity == config.affinity
-                and mine.bounds.servers == config.bounds.servers
-                and (self.chosen_by == chosen_by or not config.bounds.servers))
+        return (
+            mine.settings == config.settings
+            and mine.idle_us == config.idle_us
+            and mine.max_connections == config.max_connections
+            and self.max_answer == max_answer
+            and mine.home_zone == config.home_zone
+            and mine.affinity == config.affinity
+            and mine.bounds.servers == config.bounds.servers
+            and (self.chosen_by == chosen_by or not config.bounds.servers)
+        )
 
     def retire(self, host: Host) -> None:
         host.retire(self.pool)
--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -77,8 +77,9 @@
         """The event for one line of a watch; `known` is the version of what it changes."""
         return self.read(parse(line), known=known)
 
-    def read(self, lines: Any, kind: ListKind | None = None,
-             known: int = 0) -> tuple[UpstreamsUpdated, dict[int, Address]]:
+    def read(
+        self, lines: Any, kind: ListKind | None = None, known: int = 0
+    ) -> tuple[UpstreamsUpdated, dict[int, Address]]:
         """The event for one list, with the addresses of its entries; raises on what is malformed, and then
         nothing of it has been taken. Hazard: a change from before the known version would put a server that
         was told to drain back to work (rule 3); a whole list holds whatever its version is."""
@@ -110,9 +111,16 @@
         boot_ms = int(line["boot_ms"])
         weight = float(line["capacity_hint"])
         drains = STATES[line["state"]] is UpstreamState.DRAINING
-        return Entry(str(line["uid"]), endpoint(line["endpoint"]), line["az"], str(int(line["pod_group"])),
-                     weight if 0 < weight < math.inf else 1.0, drains, line["model"],
-                     boot_ms * 1000 + self.to_clock_us if boot_ms else 0)
+        return Entry(
+            str(line["uid"]),
+            endpoint(line["endpoint"]),
+            line["az"],
+            str(int(line["pod_group"])),
+            weight if 0 < weight < math.inf else 1.0,
+            drains,
+            line["model"],
+            boot_ms * 1000 + self.to_clock_us if boot_ms else 0,
+        )
 
     def upstream(self, change: Change) -> Upstream:
         """A changed server as the module knows it."""
@@ -123,7 +131,10 @@
             state=UpstreamState.GONE if change.kind is Kind.LEAVE else state,
             zone=self.zones.index(entry.zone) if entry.zone in self.zones else len(self.zones),
             kind=self.kinds.index(entry.model) if entry.model in self.kinds else len(self.kinds),
-            cell=int(entry.cell), weight=entry.weight, started_us=member.came_us)
+            cell=int(entry.cell),
+            weight=entry.weight,
+            started_us=member.came_us,
+        )
 
 
 class Watch(asyncio.Protocol):
@@ -148,8 +159,10 @@
             transport.abort()
             return
         host, port = self.discovery.address
-        transport.write(b"GET /discovery/hosts?follow=1&since=%d HTTP/1.1\r\nHost: %s:%d\r\n\r\n"
-                        % (self.discovery.version, host.encode(), port))
+        transport.write(
+            b"GET /discovery/hosts?follow=1&since=%d HTTP/1.1\r\nHost: %s:%d\r\n\r\n"
+            % (self.discovery.version, host.encode(), port)
+        )
 
     def data_received(self, data: bytes) -> None:
         try:
@@ -308,8 +321,9 @@
             return
         self.unread.append((watch, line))
         self.unread_bytes += len(line)
-        if watch.transport is not None and (len(self.unread) >= MOST_UNREAD
-                                            or self.unread_bytes >= MOST_UNREAD_BYTES):
+        if watch.transport is not None and (
+            len(self.unread) >= MOST_UNREAD or self.unread_bytes >= MOST_UNREAD_BYTES
+        ):
             watch.transport.pause_reading()
         if not self.settled:
             self.settled = True
@@ -332,8 +346,11 @@
                     self.put_back(watch)
                 watch.fail()
             self.heard()  # what was not taken meanwhile is no silence
-            if (watch.transport is not None and len(self.unread) < MOST_UNREAD // 2
-                    and self.unread_bytes < MOST_UNREAD_BYTES // 2):
+            if (
+                watch.transport is not None
+                and len(self.unread) < MOST_UNREAD // 2
+                and self.unread_bytes < MOST_UNREAD_BYTES // 2
+            ):
                 watch.transport.resume_reading()
         self.reading = None
 
--- a/plovertrail/sources/files.py
+++ b/plovertrail/sources/files.py
@@ -78,8 +78,11 @@
         """The files: sorted, without hidden ones (config maps keep theirs in ..data) and temporary ones."""
         if not os.path.isdir(self.path):
             return [self.path]
-        found = sorted(name for name in os.listdir(self.path)
-                       if not name.startswith(".") and not name.endswith(("~", ".tmp", ".swp")))
+        found = sorted(
+            name
+            for name in os.listdir(self.path)
+            if not name.startswith(".") and not name.endswith(("~", ".tmp", ".swp"))
+        )
         if not found:
             raise BadList("the folder holds no list")
         if len(found) > MOST_FRAGMENTS:
--- a/plovertrail/sources/instances.py
+++ b/plovertrail/sources/instances.py
@@ -46,6 +46,10 @@
 
     async def _refused(self, source: str, why: str) -> None:
         if why != self.problem:
-            log.error("the list of %s, %s, can't be used: %s; what is known of them stays",
-                      self.of_what, source, why)
+            log.error(
+                "the list of %s, %s, can't be used: %s; what is known of them stays",
+                self.of_what,
+                source,
+                why,
+            )
         self.problem = why
--- a/plovertrail/sources/lists.py
+++ b/plovertrail/sources/lists.py
@@ -93,7 +93,7 @@
 def _unsealed(data: bytes, checksum: bool) -> bytes:
     seal = SEAL.search(data)
     if seal is not None:
-        content = data[:seal.start()]
+        content = data[: seal.start()]
         if hashlib.sha256(content).hexdigest().encode() != seal[1]:
             raise BadList(f"its checksum is not that of its lines: {NOT_WHOLE}")
         return content
@@ -141,8 +141,12 @@
 def _entries(table: ListFile) -> tuple[Entry, ...]:
     if len(table.servers) > MOST_SERVERS:
         raise BadList(f"more than {MOST_SERVERS} servers")
-    return tuple([Entry(row.id, endpoint(row.address), row.zone, row.cell, row.weight, row.drain)
-                  for row in table.servers])
+    return tuple(
+        [
+            Entry(row.id, endpoint(row.address), row.zone, row.cell, row.weight, row.drain)
+            for row in table.servers
+        ]
+    )
 
 
 def sealed(name: str, data: bytes) -> bytes:
--- a/plovertrail/status.py
+++ b/plovertrail/status.py
@@ -15,23 +15,34 @@
     state = running.roster.state
     used = {number: server.used for number, server in running.pool.balancer.servers.items()}
     return {
-        "generation": state.generation, "drained_by_hand": sorted(state.by_hand),
+        "generation": state.generation,
+        "drained_by_hand": sorted(state.by_hand),
         "held_back": sorted(state.held),
         "problems": [*running.roster.loud(), *filter(None, [running.overdrawn])],
-        "share": {"connections": running.budget.connections,
-                  "connections_each": running.budget.connections_each,
-                  "dial_gap_us": running.budget.dial_gap_us,
-                  "servers": len(running.pool.serving)},
+        "share": {
+            "connections": running.budget.connections,
+            "connections_each": running.budget.connections_each,
+            "dial_gap_us": running.budget.dial_gap_us,
+            "servers": len(running.pool.serving),
+        },
         "admission": admission_status(running.pool.admission),
         "fair": door_status(running.pool.door),
-        "sources": {layer.source: {"servers": len(layer.entries), "version": layer.version}
-                    for layer in state.layers},
+        "sources": {
+            layer.source: {"servers": len(layer.entries), "version": layer.version} for layer in state.layers
+        },
         "leaving": [member.entry.id for member, _ in state.leaving.values()],
-        "servers": [{"id": ident, "address": "{}:{}".format(*member.entry.address),
-                     "state": "draining" if member.entry.drain else "ready",
-                     "zone": member.entry.zone, "weight": member.entry.weight,
-                     "open": used.get(member.number, 0)}
-                    for ident, member in state.members.items()]}
+        "servers": [
+            {
+                "id": ident,
+                "address": "{}:{}".format(*member.entry.address),
+                "state": "draining" if member.entry.drain else "ready",
+                "zone": member.entry.zone,
+                "weight": member.entry.weight,
+                "open": used.get(member.number, 0),
+            }
+            for ident, member in state.members.items()
+        ],
+    }
 
 
 def admission_status(admission: Admission | None) -> dict[str, Any]:
@@ -45,14 +56,27 @@
     """What a pool's tenants have had; nothing where it has no door."""
     if door is None:
         return {}
-    return {name or "(others)": {
-        "weight": each.weight, "admitted": each.admitted, "refused": each.refused, "waiting": each.waiting,
-        "at_work": each.out, "work_s": round(each.work_done_us / 1e6, 3),
-        "work_ms": round(each.work_us / 1e3, 2), "wait_ms": round(each.waited_us / 1e3, 2)}
-        for name, each in door.shares.items()}
+    return {
+        name or "(others)": {
+            "weight": each.weight,
+            "admitted": each.admitted,
+            "refused": each.refused,
+            "waiting": each.waiting,
+            "at_work": each.out,
+            "work_s": round(each.work_done_us / 1e6, 3),
+            "work_ms": round(each.work_us / 1e3, 2),
+            "wait_ms": round(each.waited_us / 1e3, 2),
+        }
+        for name, each in door.shares.items()
+    }
 
 
 def limiter_status(limiter: Limiter) -> dict[str, int]:
     """What a limit has done since it was made, and its keys."""
-    return {"let_in": limiter.let_in, "over_rate": limiter.over_rate, "over_concurrent": limiter.over_at_once,
-            "keys": len(limiter.entries), "without_place": limiter.without_place}
+    return {
+        "let_in": limiter.let_in,
+        "over_rate": limiter.over_rate,
+        "over_concurrent": limiter.over_at_once,
+        "keys": len(limiter.entries),
+        "without_place": limiter.without_place,
+    }
--- a/plovertrail/store/files.py
+++ b/plovertrail/store/files.py
@@ -94,11 +94,12 @@
 def _write(fd: int, data: bytes, disk: Disk) -> None:
     left = memoryview(data)
     while left:
-        left = left[disk.write(fd, left):]
+        left = left[disk.write(fd, left) :]
 
 
-def encode(parts: Mapping[str, Sequence[Record]], instance: str, ahead: int, clocks: Clocks,
-           nonce: bytes) -> bytes:
+def encode(
+    parts: Mapping[str, Sequence[Record]], instance: str, ahead: int, clocks: Clocks, nonce: bytes
+) -> bytes:
     """A snapshot's bytes."""
     packer = zstandard.ZstdCompressor(level=LEVEL)
     toc, bodies, at = [], [], 0
@@ -151,8 +152,10 @@
     if head.instance != instance:
         # hazard: on a copied disk, what another has let in and thinks of servers would count as ours
         others = Kept()
-        found.problems.append(f"it is of the instance {head.instance!r}, and this is {instance!r}: lists, "
-                              "start times and drains are taken, judgements, limits and counts learnt anew")
+        found.problems.append(
+            f"it is of the instance {head.instance!r}, and this is {instance!r}: lists, "
+            "start times and drains are taken, judgements, limits and counts learnt anew"
+        )
     found.kept = Kept(states, others.memories, others.limits, others.counts)
     return found
 
@@ -162,7 +165,7 @@
     images: dict[str, dict[Key, Any]] = {}
     lost: set[str] = set()
     for number, (name, at, length, told) in enumerate(head.parts):
-        body = data[begin + at:begin + at + length]
+        body = data[begin + at : begin + at + length]
         try:
             if len(body) < length or digest(head.nonce, number + 1, body) != told:
                 raise ValueError("its bytes are damaged")
@@ -175,12 +178,13 @@
     return images, lost
 
 
-def _replay(journal: bytes, head: Head, images: dict[str, dict[Key, Any]], lost: set[str],
-            found: Found) -> int:
+def _replay(
+    journal: bytes, head: Head, images: dict[str, dict[Key, Any]], lost: set[str], found: Found
+) -> int:
     """Put what has changed since into the images; how many steps that were."""
     if not journal:
         return 0
-    nonce = journal[HEAD.size:HEAD.size + NONCE_BYTES]
+    nonce = journal[HEAD.size : HEAD.size + NONCE_BYTES]
     if len(nonce) < NONCE_BYTES or next(frames(nonce, journal), (b"", 0))[0] != nonce:
         found.problems.append("the beginning of its journal is cut or damaged: no step of it is used")
         return 0
@@ -204,8 +208,10 @@
                     image[key] = value
         steps, end = steps + 1, behind
     if end < len(journal):
-        found.problems.append(f"the last {len(journal) - end} bytes of its journal are cut or damaged: "
-                              f"{max(0, steps - 1)} steps before them are used")
+        found.problems.append(
+            f"the last {len(journal) - end} bytes of its journal are cut or damaged: "
+            f"{max(0, steps - 1)} steps before them are used"
+        )
     return max(0, steps - 1)
 
 
--- a/plovertrail/store/format_1.py
+++ b/plovertrail/store/format_1.py
@@ -27,7 +27,7 @@
     head = HEAD.match(data)
     if head is None:
         raise BadFile("it has no first line of ours")
-    body = data[head.end():]
+    body = data[head.end() :]
     if len(body) != int(head[1]) or hashlib.sha256(body).hexdigest().encode() != head[2]:
         raise BadFile("it is damaged: its length or checksum is wrong")
     try:
@@ -46,8 +46,10 @@
 
 def _state(raw: Any, ahead: int, now_us: int) -> State:
     entries = iter([_entry(row) for row in raw["entries"]])
-    layers = tuple(Candidate(source, tuple(itertools.islice(entries, count)), version, by_operator)
-                   for source, version, by_operator, count in raw["layers"])
+    layers = tuple(
+        Candidate(source, tuple(itertools.islice(entries, count)), version, by_operator)
+        for source, version, by_operator, count in raw["layers"]
+    )
     came = {ident: min(now_us, came_us + ahead) for ident, came_us in raw["came"]}
     left = [(_entry(entry), min(now_us, since_us + ahead)) for entry, since_us in raw["leaving"]]
     state = State(by_hand=frozenset(raw["by_hand"]), layers=layers)
--- a/plovertrail/store/frames.py
+++ b/plovertrail/store/frames.py
@@ -31,7 +31,7 @@
     number = 0
     while at + HEAD.size <= len(data):
         length, told = HEAD.unpack_from(data, at)
-        payload = data[at + HEAD.size:at + HEAD.size + length]
+        payload = data[at + HEAD.size : at + HEAD.size + length]
         if length > LARGEST or len(payload) < length or digest(nonce, number, payload) != told:
             return
         at += HEAD.size + length
--- a/plovertrail/store/keeper.py
+++ b/plovertrail/store/keeper.py
@@ -69,8 +69,11 @@
         self.problem = "; ".join(found.problems)
         # hazard: killed again before anything new is known, it would have forgotten all of it
         self.others_kept = found.kept
-        self.found = {"problems": found.problems, "steps": found.journal_frames,
-                      "age_s": None if found.age_us is None else round(found.age_us / 1e6, 1)}
+        self.found = {
+            "problems": found.problems,
+            "steps": found.journal_frames,
+            "age_s": None if found.age_us is None else round(found.age_us / 1e6, 1),
+        }
         return found.kept
 
     def keep(self, states: States) -> None:
--- a/plovertrail/store/memory.py
+++ b/plovertrail/store/memory.py
@@ -33,8 +33,13 @@
     """What was kept at the start, of which each part is taken once, and what is to be kept now. What is
     looked at may change between two slices: each server and key is as it was at some moment of the run."""
 
-    def __init__(self, keeper: StoreKeeper, pools: Pools, limiters: Callable[[], Mapping[str, Limiter]],
-                 counts: Callable[[], Counts | None]) -> None:
+    def __init__(
+        self,
+        keeper: StoreKeeper,
+        pools: Pools,
+        limiters: Callable[[], Mapping[str, Limiter]],
+        counts: Callable[[], Counts | None],
+    ) -> None:
         self.keeper = keeper
         self.pools = pools
         self.limiters = limiters
@@ -64,9 +69,12 @@
             return
         recall_means(pool.balancer, memory, clock_us())
         # hazard: one that has started since is another server under the same name
-        old = {member.number: memory.servers[called] for ident, member in state.members.items()
-               if (called := (ident, address_text(member.entry.address))) in memory.servers
-               and member.came_us <= memory.at_us}
+        old = {
+            member.number: memory.servers[called]
+            for ident, member in state.members.items()
+            if (called := (ident, address_text(member.entry.address))) in memory.servers
+            and member.came_us <= memory.at_us
+        }
 
         def recall(server: Server) -> None:
             judged = old.pop(server.entry.id, None)
@@ -102,8 +110,10 @@
         for name, (pool, state) in list(self.pools().items()):
             servers: dict[tuple[str, str], Judgement] = {}
             at_us = clock_us()
-            called = ((member.number, (ident, address_text(member.entry.address)))
-                      for ident, member in state.members.items())  # an immutable value
+            called = (
+                (member.number, (ident, address_text(member.entry.address)))
+                for ident, member in state.members.items()
+            )  # an immutable value
             while part := list(islice(called, SLICE)):
                 servers |= sweep(pool.balancer, part)
                 yield
--- a/plovertrail/store/records.py
+++ b/plovertrail/store/records.py
@@ -38,6 +38,7 @@
 
 # Of a pool's lists
 
+
 def _row(entry: Entry) -> list[Any]:
     return [*entry.address, entry.zone, entry.cell, entry.weight, entry.drain]
 
@@ -48,8 +49,11 @@
 
 
 def _head(state: State) -> list[Any]:
-    return [state.generation, sorted(state.by_hand),
-            [[layer.source, layer.version, layer.by_operator] for layer in state.layers]]
+    return [
+        state.generation,
+        sorted(state.by_hand),
+        [[layer.source, layer.version, layer.by_operator] for layer in state.layers],
+    ]
 
 
 def list_changes(name: str, before: State, now: State, ahead: int) -> list[Record]:
@@ -80,14 +84,23 @@
         came_us = known_member.came_us if known_member is not None else 0
         if member.came_us != came_us:
             found.append(((CAME, name, ident), member.came_us + ahead if member.came_us else None))
-    found += [((CAME, name, ident), None) for ident, member in before.members.items()
-              if member.came_us and ident not in now.members]
+    found += [
+        ((CAME, name, ident), None)
+        for ident, member in before.members.items()
+        if member.came_us and ident not in now.members
+    ]
     # by number: one that left twice is there twice
-    found += [((LEAVING, name, str(number)), [member.entry.id, _row(member.entry), since_us + ahead])
-              for number, (member, since_us) in now.leaving.items() if number not in before.leaving]
+    found += [
+        ((LEAVING, name, str(number)), [member.entry.id, _row(member.entry), since_us + ahead])
+        for number, (member, since_us) in now.leaving.items()
+        if number not in before.leaving
+    ]
     found += [((LEAVING, name, str(number)), None) for number in before.leaving if number not in now.leaving]
-    found += [((HELD, name, ident), until_us + ahead) for ident, until_us in now.held.items()
-              if before.held.get(ident) != until_us]
+    found += [
+        ((HELD, name, ident), until_us + ahead)
+        for ident, until_us in now.held.items()
+        if before.held.get(ident) != until_us
+    ]
     found += [((HELD, name, ident), None) for ident in before.held if ident not in now.held]
     return found
 
@@ -117,41 +130,64 @@
             elif key[0] == LEAVING:
                 ident, row, since_us = value
                 left.append((int(key[2]), _entry(ident, row), min(now_us, int(since_us) - ahead)))
-        layers = tuple(Candidate(str(source), tuple(rows[source]), int(version), bool(by_operator))
-                       for source, version, by_operator in heads)
+        layers = tuple(
+            Candidate(str(source), tuple(rows[source]), int(version), bool(by_operator))
+            for source, version, by_operator in heads
+        )
         state = State(by_hand=frozenset(map(str, by_hand)), layers=layers)
-        return restored(state, int(generation), came, [(entry, since_us) for _, entry, since_us in
-                                                       sorted(left, key=lambda each: each[0])], held)
+        return restored(
+            state,
+            int(generation),
+            came,
+            [(entry, since_us) for _, entry, since_us in sorted(left, key=lambda each: each[0])],
+            held,
+        )
     except (KeyError, ValueError, TypeError, IndexError) as error:
         raise BadRecords(f"what is kept of the pool {name!r} makes no list: {error!r}") from None
 
 
-def restored(state: State, generation: int, came: Mapping[str, int], left: Iterable[tuple[Entry, int]],
-             held: Mapping[str, int]) -> State:
+def restored(
+    state: State,
+    generation: int,
+    came: Mapping[str, int],
+    left: Iterable[tuple[Entry, int]],
+    held: Mapping[str, int],
+) -> State:
     """A state from its layers: members with their start times, those that leave, and joins held back.
     Hazard: taken for a member, one that comes and goes would be one that was always there, and so warm."""
     state, _, _ = reduce(state, None, 0, Guards(allow_empty=True, damping=False))
-    members = {ident: Member(member.number, member.entry, came.get(ident, 0))
-               for ident, member in state.members.items() if ident not in held}
+    members = {
+        ident: Member(member.number, member.entry, came.get(ident, 0))
+        for ident, member in state.members.items()
+        if ident not in held
+    }
     held = {ident: until_us for ident, until_us in held.items() if ident in state.members}
     leaving, number = {}, state.last_number
     for entry, since_us in left:
         number += 1
         leaving[number] = Member(number, entry, 0), since_us
-    return State(generation, True, state.layers, state.by_hand, members, leaving, held=held,
-                 last_number=number)
+    return State(
+        generation, True, state.layers, state.by_hand, members, leaving, held=held, last_number=number
+    )
 
 
 # Of all else
 
+
 def other_records(kept: Kept, ahead: int) -> dict[Key, Any]:
     """What is kept beside lists: whole, as it is handed over whole."""
     found: dict[Key, Any] = {}
     for name, memory in kept.memories.items():
         found[MEANS, name] = [memory.at_us + ahead, dict(memory.means_us)]
         for (ident, address), old in memory.servers.items():
-            found[JUDGED, name, ident, address] = [old.window, old.pace, old.faults, old.distrust,
-                                                   list(old.silence), list(old.mute)]
+            found[JUDGED, name, ident, address] = [
+                old.window,
+                old.pace,
+                old.faults,
+                old.distrust,
+                list(old.silence),
+                list(old.mute),
+            ]
     for name, limit in kept.limits.items():
         found[LIMIT, name] = [limit.salt.hex()]
         for number, free_us in limit.free_us.items():
@@ -181,8 +217,13 @@
                 case (kind, name, ident, address) if kind == JUDGED:
                     window, pace, faults, distrust, silence, mute = value
                     judged.setdefault(name, {})[ident, address] = Judgement(
-                        float(window), float(pace), float(faults), float(distrust),
-                        tuple(map(float, silence)), tuple(map(int, mute)))
+                        float(window),
+                        float(pace),
+                        float(faults),
+                        float(distrust),
+                        tuple(map(float, silence)),
+                        tuple(map(int, mute)),
+                    )
                 case (kind, name) if kind == LIMIT:
                     salts[name] = bytes.fromhex(value[0])
                 case (kind, name, number) if kind == BUCKET:
@@ -199,5 +240,6 @@
     except (ValueError, TypeError):
         former = None
     memories = {name: Memory(at[name], judged.get(name, {}), means[name]) for name in means if name in at}
-    return Kept({}, memories, {name: Remembered(salt, buckets.get(name, {})) for name, salt in salts.items()},
-                former)
+    return Kept(
+        {}, memories, {name: Remembered(salt, buckets.get(name, {})) for name, salt in salts.items()}, former
+    )
--- a/plovertrail/upstreams/connections.py
+++ b/plovertrail/upstreams/connections.py
@@ -62,9 +62,16 @@
 class Attempt:
     """One attempt: it has a connection, or waits until its connection is up."""
 
-    def __init__(self, data: bytes, ended: Callable[[Result], None], to_head: bool = False,
-                 handshake: Handshake | None = None, key: bytes = b"",
-                 left: Callable[[], bool] = stays, latest_us: int = 0) -> None:
+    def __init__(
+        self,
+        data: bytes,
+        ended: Callable[[Result], None],
+        to_head: bool = False,
+        handshake: Handshake | None = None,
+        key: bytes = b"",
+        left: Callable[[], bool] = stays,
+        latest_us: int = 0,
+    ) -> None:
         self.data = data
         self.left = left  # whether its client has closed
         self.latest_us = latest_us  # it may not begin later; 0: at any time
@@ -240,7 +247,7 @@
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade as upgrade:
             if self.attempt.handshake is not None and self.switched:
-                self.finish_upgrade(self.attempt.handshake, data[upgrade.args[0]:])
+                self.finish_upgrade(self.attempt.handshake, data[upgrade.args[0] :])
                 return
             spoilt = self.closed = True
         except Exception:  # a 101 and a fault in a callback are not of the parser's own kind
@@ -303,8 +310,13 @@
         """The end of the connection ends an answer that has no length (RFC 9112, section 6.3); a reset is no
         end."""
         self.closed = True
-        if (self.attempt is not None and self.parser is not None
-                and self.head_done and not self.framed and not self.complete):
+        if (
+            self.attempt is not None
+            and self.parser is not None
+            and self.head_done
+            and not self.framed
+            and not self.complete
+        ):
             self.status = self.parser.get_status_code()
             self.complete = True
             self.finish_complete()
@@ -343,8 +355,9 @@
     may come to the address of one that has gone; and the one that has been idle for longest is used first, as
     an end, or more than its answer, may still be on the way on one that has just had its answer."""
 
-    def __init__(self, idle_us: int, dial_timeout_us: int, most: int,
-                 rules: AnswerRules | None = None) -> None:
+    def __init__(
+        self, idle_us: int, dial_timeout_us: int, most: int, rules: AnswerRules | None = None
+    ) -> None:
         self.loop = asyncio.get_running_loop()
         self.keep_us = max(0, idle_us - IDLE_MARGIN_US)
         # share of connections that broke at their next request, by log2 of their idle time
@@ -361,13 +374,24 @@
         self.stale: Callable[[], bool] = lambda: False  # the turn under way began too long ago to act on
         self.sweeper: asyncio.TimerHandle | None = None  # set while there are idle connections
 
-    def start(self, upstream: int, address: Address, call: Call, timeout_us: int,
-              ended: Callable[[Result], None], within_us: int = 0) -> Attempt:
+    def start(
+        self,
+        upstream: int,
+        address: Address,
+        call: Call,
+        timeout_us: int,
+        ended: Callable[[Result], None],
+        within_us: int = 0,
+    ) -> Attempt:
         handshake = call.handshake
         if handshake is None:
-            attempt = Attempt(request_head(call, address, timeout_us) + call.body, ended,
-                              call.method == b"HEAD", left=call.left,
-                              latest_us=clock_us() + within_us if within_us else 0)
+            attempt = Attempt(
+                request_head(call, address, timeout_us) + call.body,
+                ended,
+                call.method == b"HEAD",
+                left=call.left,
+                latest_us=clock_us() + within_us if within_us else 0,
+            )
         else:
             key, headers = handshake.opening()
             head = request_head(call, address, timeout_us, headers)
--- a/plovertrail/websocket/handshake.py
+++ b/plovertrail/websocket/handshake.py
@@ -18,8 +18,15 @@
 TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,128}")
 MOST_SUBPROTOCOLS = 32
 # of one connection; each side's are written anew
-OWN_HEADERS = frozenset((b"sec-websocket-key", b"sec-websocket-version", b"sec-websocket-extensions",
-                         b"sec-websocket-protocol", b"sec-websocket-accept"))
+OWN_HEADERS = frozenset(
+    (
+        b"sec-websocket-key",
+        b"sec-websocket-version",
+        b"sec-websocket-extensions",
+        b"sec-websocket-protocol",
+        b"sec-websocket-accept",
+    )
+)
 
 
 class BadHandshake(Exception):
@@ -68,8 +75,11 @@
     if values(headers, b"transfer-encoding") or values(headers, b"content-length") not in ([], [b"0"]):
         raise BadHandshake(400, "a WebSocket handshake has no body")
     if values(headers, b"sec-websocket-version") != [VERSION]:
-        raise BadHandshake(426, "only WebSocket version 13 is spoken", [
-            (b"Sec-WebSocket-Version", VERSION), (b"Upgrade", b"websocket")])
+        raise BadHandshake(
+            426,
+            "only WebSocket version 13 is spoken",
+            [(b"Sec-WebSocket-Version", VERSION), (b"Upgrade", b"websocket")],
+        )
     keys = values(headers, b"sec-websocket-key")
     try:
         whole = len(keys) == 1 and len(base64.b64decode(keys[0], validate=True)) == 16
@@ -95,8 +105,12 @@
 
 def request_headers(key: bytes, subprotocols: tuple[bytes, ...]) -> Headers:
     """What asks a server for a socket."""
-    headers = [(b"Connection", b"Upgrade"), (b"Upgrade", b"websocket"), (b"Sec-WebSocket-Version", VERSION),
-               (b"Sec-WebSocket-Key", key)]
+    headers = [
+        (b"Connection", b"Upgrade"),
+        (b"Upgrade", b"websocket"),
+        (b"Sec-WebSocket-Version", VERSION),
+        (b"Sec-WebSocket-Key", key),
+    ]
     if subprotocols:
         headers.append((b"Sec-WebSocket-Protocol", b", ".join(subprotocols)))
     return headers
@@ -105,7 +119,8 @@
 def check_answer(headers: Headers, key: bytes, offered: tuple[bytes, ...]) -> bytes:
     """A server's 101 (section 4.1): the subprotocol that it chose, or nothing. Raises ValueError."""
     if not asks_for_socket(headers) or b"upgrade" not in [
-            part.lower() for part in tokens(headers, b"connection")]:
+        part.lower() for part in tokens(headers, b"connection")
+    ]:
         raise ValueError("no Upgrade to websocket")
     if values(headers, b"sec-websocket-accept") != [accept_value(key)]:
         raise ValueError("a wrong Sec-WebSocket-Accept")
--- a/simulator/wire.py
+++ b/simulator/wire.py
@@ -29,8 +29,13 @@
 _U32 = struct.Struct("<I")
 
 _OUTCOMES = {
-    0: api.Outcome.OK, 5: api.Outcome.ERROR, 11: api.Outcome.FULL, 110: api.Outcome.TIMEOUT,
-    111: api.Outcome.CONNECT_FAILED, 104: api.Outcome.RESET, 125: api.Outcome.CANCELLED,
+    0: api.Outcome.OK,
+    5: api.Outcome.ERROR,
+    11: api.Outcome.FULL,
+    110: api.Outcome.TIMEOUT,
+    111: api.Outcome.CONNECT_FAILED,
+    104: api.Outcome.RESET,
+    125: api.Outcome.CANCELLED,
     114: api.Outcome.NOT_SENT,
 }
 _STATES = {0: api.UpstreamState.GONE, 1: api.UpstreamState.READY, 2: api.UpstreamState.DRAINING}
@@ -100,7 +105,7 @@
         end = self.at + size
         if end > len(self.data):
             raise WireError(f"truncated: {size} bytes wanted, {len(self.data) - self.at} left")
-        piece = self.data[self.at:end]
+        piece = self.data[self.at : end]
         self.at = end
         return piece
 
@@ -121,8 +126,11 @@
         ):
             if not math.isfinite(weight):
                 raise WireError(f"upstream {upstream} has a weight that is not a finite number")
-            entries.append(api.Upstream(upstream, _known(_STATES, state, "upstream condition"), zone, kind,
-                                        cell, weight, started))
+            entries.append(
+                api.Upstream(
+                    upstream, _known(_STATES, state, "upstream condition"), zone, kind, cell, weight, started
+                )
+            )
         self.lists[number] = entries
 
 
@@ -154,14 +162,22 @@
 
 def _accept(frame: Decoder) -> Record:
     request, class_index, tenant, key, cost, marks, due = frame.fields(_ACCEPT)
-    return api.RequestArrived(request, due, class_index, tenant, key, cost if marks & 1 else 0,
-                              bool(marks & 2), bool(marks & 4))
+    return api.RequestArrived(
+        request, due, class_index, tenant, key, cost if marks & 1 else 0, bool(marks & 2), bool(marks & 4)
+    )
 
 
 def _completed(frame: Decoder) -> Record:
     request, attempt, upstream, verdict, spent, last, count = frame.fields(_COMPLETED)
-    return api.AttemptEnded(request, attempt, upstream, _known(_OUTCOMES, verdict, "outcome"), spent,
-                            bool(last), frame.floats(count))
+    return api.AttemptEnded(
+        request,
+        attempt,
+        upstream,
+        _known(_OUTCOMES, verdict, "outcome"),
+        spent,
+        bool(last),
+        frame.floats(count),
+    )
 
 
 def _begun(frame: Decoder) -> Record:
@@ -180,10 +196,16 @@
 
 
 _READERS: dict[int, Callable[[Decoder], Record]] = {
-    10: _completed, 20: _begun, 30: _datagram, 40: _stopped,
+    10: _completed,
+    20: _begun,
+    30: _datagram,
+    40: _stopped,
     50: lambda frame: api.TimerFired(frame.fields(_U32)[0]),
     60: lambda frame: api.RequestGone(frame.fields(_U32)[0]),
-    70: _accept, 80: _members, 90: _health, 100: _started,
+    70: _accept,
+    80: _members,
+    90: _health,
+    100: _started,
 }
 
 
--- a/standins/balancers_model.py
+++ b/standins/balancers_model.py
@@ -44,8 +44,15 @@
     return [
         RequestClass("read", aim_us=300_000, deadline_us=1_500_000, effect="idempotent", late_worth=0.3),
         RequestClass("pay", aim_us=300_000, deadline_us=600_000, worth=5, effect="at_most_once"),
-        RequestClass("mark", aim_us=400_000, deadline_us=2_000_000, worth=3, effect="deduplicated",
-                     group="cell", memory_us=1_200_000),
+        RequestClass(
+            "mark",
+            aim_us=400_000,
+            deadline_us=2_000_000,
+            worth=3,
+            effect="deduplicated",
+            group="cell",
+            memory_us=1_200_000,
+        ),
     ]
 
 
@@ -71,13 +78,23 @@
     def __init__(self, servers: int, table: int = 1_000, sidecars: int = 40, seed: int = 1) -> None:
         self.random = random.Random(seed)
         self.settings = Settings(
-            classes=classes(), instances=sidecars, tick_us=4000, max_attempts=4, cancel=True,
-            max_retry_after_us=1_000_000, connect_timeout_us=150_000, cold_share=0.2,
-            warm_up_us=20 * SECOND_US, overload_factor=2.5, fall_us=SECOND_US)
+            classes=classes(),
+            instances=sidecars,
+            tick_us=4000,
+            max_attempts=4,
+            cancel=True,
+            max_retry_after_us=1_000_000,
+            connect_timeout_us=150_000,
+            cold_share=0.2,
+            warm_up_us=20 * SECOND_US,
+            overload_factor=2.5,
+            fall_us=SECOND_US,
+        )
         self.now_us = START_US
         self.balancers = [Balancer(self.settings, number, START_US) for number in range(sidecars)]
-        self.servers = {number: Server(Upstream(number, zone=number % 3), table)
-                        for number in range(1, servers + 1)}
+        self.servers = {
+            number: Server(Upstream(number, zone=number % 3), table) for number in range(1, servers + 1)
+        }
         self.left: dict[tuple[int, int], bool] = {}  # (sidecar, upstream): word of its leave has come
         self.idle: Counter[tuple[int, int]] = Counter()  # (sidecar, upstream)
         self.due: list[tuple[int, int, int, Event]] = []
@@ -211,14 +228,15 @@
 
     def restart(self, sidecar: int) -> None:
         """It dies and begins anew with the list alone; what it had open is its clients' to repeat."""
-        self.balancers[sidecar] = Balancer(self.settings, self.random.randrange(2 ** 30), self.now_us)
+        self.balancers[sidecar] = Balancer(self.settings, self.random.randrange(2**30), self.now_us)
         self.owed = {request: owed for request, owed in self.owed.items() if owed[0] != sidecar}
         self.due = [due for due in self.due if due[2] != sidecar]
         heapq.heapify(self.due)
         for upstream in [upstream for owner, upstream in self.idle if owner == sidecar]:
             self.servers[upstream].connections -= self.idle.pop((sidecar, upstream))
-        listed = [server.entry for server in self.servers.values()
-                  if not self.left.get((sidecar, server.entry.id))]
+        listed = [
+            server.entry for server in self.servers.values() if not self.left.get((sidecar, server.entry.id))
+        ]
         self.tell(sidecar, UpstreamsUpdated(ListKind.FULL, listed))
 
     def beyond(self, number: int) -> float:
--- a/standins/cluster/__main__.py
+++ b/standins/cluster/__main__.py
@@ -21,9 +21,11 @@
         for instance in it.instances:
             status = await instance.status()
             recovery = status.get("recovery", {})
-            print(f"instance {instance.number}: {recovery.get('phase', 'no answer')}, "
-                  f"stood still {recovery.get('gaps', 0)} times, "
-                  f"last back after {recovery.get('to_full_s')} s")
+            print(
+                f"instance {instance.number}: {recovery.get('phase', 'no answer')}, "
+                f"stood still {recovery.get('gaps', 0)} times, "
+                f"last back after {recovery.get('to_full_s')} s"
+            )
     for shop in it.shops:
         print(f"{shop.name}: {len(shop.runs)} requests, {shop.worst_second()} in its worst second")
     print(verdict.figures())
--- a/standins/cluster/instances.py
+++ b/standins/cluster/instances.py
@@ -133,10 +133,20 @@
         """Its operator's file."""
         self.folder.mkdir(exist_ok=True)
         path = self.folder / "site.toml"
-        path.write_text(SITE.format(folder=self.folder, host=self.host, port=self.port, aim=self.aim,
-                                    deadline=self.deadline, servers=self.servers, fleet=self.fleet,
-                                    name=f"i{self.number}", slow_start=str(self.slow_start).lower())
-                        + self.talk)
+        path.write_text(
+            SITE.format(
+                folder=self.folder,
+                host=self.host,
+                port=self.port,
+                aim=self.aim,
+                deadline=self.deadline,
+                servers=self.servers,
+                fleet=self.fleet,
+                name=f"i{self.number}",
+                slow_start=str(self.slow_start).lower(),
+            )
+            + self.talk
+        )
         return path
 
     def start(self) -> None:
@@ -144,8 +154,11 @@
         path = self.write()
         with open(self.folder / "log", "ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, *self.program, str(path)], stderr=log,
-                stdin=subprocess.DEVNULL, env=os.environ | {"PYTHONUNBUFFERED": "1"})
+                [sys.executable, *self.program, str(path)],
+                stderr=log,
+                stdin=subprocess.DEVNULL,
+                env=os.environ | {"PYTHONUNBUFFERED": "1"},
+            )
         for span in self.killed:
             span[1] = min(span[1], time.monotonic())
 
@@ -245,6 +258,12 @@
 def talk_text(instance: Instance, known_as: list[tuple[str, int]], key: Path, judgements: bool) -> str:
     """What its file says of the others, each known by its place in the switch between them."""
     places = [f"{host}:{port}" for host, port in known_as]
-    return TALK.format(number=instance.number, host=instance.host, port=TALK_PORT,
-                       known_as=places[instance.number], key=key, judgements=str(judgements).lower(),
-                       all=", ".join(f'"{place}"' for place in places))
+    return TALK.format(
+        number=instance.number,
+        host=instance.host,
+        port=TALK_PORT,
+        known_as=places[instance.number],
+        key=key,
+        judgements=str(judgements).lower(),
+        all=", ".join(f'"{place}"' for place in places),
+    )
--- a/standins/cluster/judge.py
+++ b/standins/cluster/judge.py
@@ -56,8 +56,9 @@
             if run.ran:
                 runs[run.ident].append(shop.name)
             if run.at > shop.told_drain + DRAIN_S:
-                verdict.broken.append(f"drained: {run.ident} reached {shop.name} "
-                                      f"{run.at - shop.told_drain:.2f} s after word")
+                verdict.broken.append(
+                    f"drained: {run.ident} reached {shop.name} {run.at - shop.told_drain:.2f} s after word"
+                )
     for one in sent:
         ends = one.sent + one.deadline_s
         process = by_number[one.instance]
--- a/standins/cluster/load.py
+++ b/standins/cluster/load.py
@@ -111,8 +111,10 @@
     """As a client sends it, on a connection of its own."""
     line = "POST /buy" if one.unsafe else "GET /read"
     length = "Content-Length: 1\r\n" if one.unsafe else ""
-    head = (f"{line} HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: {one.ident}\r\n"
-            f"X-Deadline-Ms: {int(one.deadline_s * 1000)}\r\n{length}Connection: close\r\n\r\n")
+    head = (
+        f"{line} HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: {one.ident}\r\n"
+        f"X-Deadline-Ms: {int(one.deadline_s * 1000)}\r\n{length}Connection: close\r\n\r\n"
+    )
     return head.encode() + (b"x" if one.unsafe else b"")
 
 
--- a/standins/cluster/play.py
+++ b/standins/cluster/play.py
@@ -39,9 +39,12 @@
         return [self.relays[one, server] for one in event.instances for server in event.servers]
 
     def ways(self, event: Event) -> list[Way]:
-        return [way for relay in self.links(event)
-                for way, name in ((relay.forth, "forth"), (relay.back, "back"))
-                if event.link in (name, "both")]
+        return [
+            way
+            for relay in self.links(event)
+            for way, name in ((relay.forth, "forth"), (relay.back, "back"))
+            if event.link in (name, "both")
+        ]
 
     async def do(self, event: Event) -> None:
         """One event of the schedule."""
@@ -57,8 +60,9 @@
             self.talk(event)
         else:
             self.fault(event)
-        self.told.append(f"{event.at:.2f} s  {event.do} instances {list(event.instances)} "
-                         f"servers {list(event.servers)}")
+        self.told.append(
+            f"{event.at:.2f} s  {event.do} instances {list(event.instances)} servers {list(event.servers)}"
+        )
 
     async def change(self, number: int, do: str) -> None:
         """What becomes of one server; the lists are written after it."""
@@ -76,7 +80,7 @@
     async def put(self, number: int, shop: Shop) -> None:
         """A server at a place, reached through relays of its own."""
         await shop.web.start()
-        self.shops[number:number + 1] = [shop]
+        self.shops[number : number + 1] = [shop]
         for one, listed in enumerate(self.lists):
             relay = TcpRelay(("127.0.0.1", shop.web.port), random.Random(self.rng.random()))
             await relay.start()
@@ -135,12 +139,26 @@
 async def cluster(schedule: Schedule, folder: Path) -> AsyncIterator[Cluster]:
     """Everything started and ready; all of it ended afterwards."""
     rng = random.Random(schedule.seed)
-    instances = [Instance(one, folder / f"i{one}", folder / f"servers{one}.txt",
-                          deadline=f"{schedule.deadline_s:g}s", plain_loop=schedule.plain_loop,
-                          fleet=schedule.instances, slow_start=schedule.slow_start)
-                 for one in range(schedule.instances)]
-    load = Load(instances, random.Random(rng.random()), schedule.per_s, schedule.unsafe, schedule.deadline_s,
-                schedule.tries)
+    instances = [
+        Instance(
+            one,
+            folder / f"i{one}",
+            folder / f"servers{one}.txt",
+            deadline=f"{schedule.deadline_s:g}s",
+            plain_loop=schedule.plain_loop,
+            fleet=schedule.instances,
+            slow_start=schedule.slow_start,
+        )
+        for one in range(schedule.instances)
+    ]
+    load = Load(
+        instances,
+        random.Random(rng.random()),
+        schedule.per_s,
+        schedule.unsafe,
+        schedule.deadline_s,
+        schedule.tries,
+    )
     it = Cluster(schedule, rng, instances, load)
     if schedule.fellows:
         it.switch = Switch([each.talks_at for each in instances], random.Random(rng.random()))
--- a/standins/cluster/relay.py
+++ b/standins/cluster/relay.py
@@ -102,7 +102,8 @@
         self.numbers = {address: number for number, address in enumerate(bound)}
         self.rng = rng
         self.ways: dict[tuple[int, int], Way] = {
-            (one, other): Way() for one in range(len(bound)) for other in range(len(bound)) if one != other}
+            (one, other): Way() for one in range(len(bound)) for other in range(len(bound)) if one != other
+        }
         self.transports: list[asyncio.DatagramTransport] = []
         self.known_as: list[Address] = []
         self.passed = self.lost = 0
@@ -112,7 +113,8 @@
         loop = asyncio.get_running_loop()
         for number in range(len(self.bound)):
             transport, _ = await loop.create_datagram_endpoint(
-                partial(Port, self, number), local_addr=("127.0.0.1", 0))
+                partial(Port, self, number), local_addr=("127.0.0.1", 0)
+            )
             self.transports.append(transport)
             self.known_as.append(transport.get_extra_info("sockname")[:2])
 
--- a/standins/cluster/schedule.py
+++ b/standins/cluster/schedule.py
@@ -1,21 +1,21 @@
 """A schedule of faults in TOML, checked before anything starts.
 
-    seed = 7
-    seconds = 8
-    instances = 4
-    servers = 4
-    per_s = 80          # requests of all clients together
-    unsafe = 0.7
-    deadline_s = 3.0
-    answer_s = 0.02
-    [[events]]
-    at = 2.0
-    do = "stop"         # SIGSTOP; ends with "wake"
-    instances = [0]
-    [[events]]
-    at = 3.0
-    do = "drain"
-    servers = [1]
+seed = 7
+seconds = 8
+instances = 4
+servers = 4
+per_s = 80          # requests of all clients together
+unsafe = 0.7
+deadline_s = 3.0
+answer_s = 0.02
+[[events]]
+at = 2.0
+do = "stop"         # SIGSTOP; ends with "wake"
+instances = [0]
+[[events]]
+at = 3.0
+do = "drain"
+servers = [1]
 """
 
 from __future__ import annotations
@@ -27,17 +27,41 @@
 
 # what an event may do, and the keys that it has besides `at` and `do`
 INSTANCES, SERVERS, LINK = "instances", "servers", "link"
-OF_PROCESS = ("stop", "wake", "kill", "start", "lose_state", "keep_state", "old_state", "fill_disk",
-              "free_disk", "hide_list", "show_list")  # methods of an instance
+OF_PROCESS = (
+    "stop",
+    "wake",
+    "kill",
+    "start",
+    "lose_state",
+    "keep_state",
+    "old_state",
+    "fill_disk",
+    "free_disk",
+    "hide_list",
+    "show_list",
+)  # methods of an instance
 OF_SERVER = ("drain", "undrain", "silent", "failing", "well", "replace")
 OTHERS = "others"  # of the talk between instances: that between `instances` and these
-OF_TALK = {"split": (OTHERS, LINK), "heal": (OTHERS, LINK),
-           "blur": (OTHERS, LINK, "loss", "repeats", "reordered", "seconds", "jitter")}
-OF_LINK = {"cut": (LINK,), "mend": (LINK,), "delay": (LINK, "seconds", "jitter"),
-           "slow": (LINK, "bytes_per_s"), "reset": (), "refuse": (), "accept": ()}
-KEYS = (dict.fromkeys(OF_PROCESS, (INSTANCES,)) | dict.fromkeys(OF_SERVER, (SERVERS,))
-        | {do: (INSTANCES, SERVERS, *more) for do, more in OF_LINK.items()}
-        | {do: (INSTANCES, *more) for do, more in OF_TALK.items()})
+OF_TALK = {
+    "split": (OTHERS, LINK),
+    "heal": (OTHERS, LINK),
+    "blur": (OTHERS, LINK, "loss", "repeats", "reordered", "seconds", "jitter"),
+}
+OF_LINK = {
+    "cut": (LINK,),
+    "mend": (LINK,),
+    "delay": (LINK, "seconds", "jitter"),
+    "slow": (LINK, "bytes_per_s"),
+    "reset": (),
+    "refuse": (),
+    "accept": (),
+}
+KEYS = (
+    dict.fromkeys(OF_PROCESS, (INSTANCES,))
+    | dict.fromkeys(OF_SERVER, (SERVERS,))
+    | {do: (INSTANCES, SERVERS, *more) for do, more in OF_LINK.items()}
+    | {do: (INSTANCES, *more) for do, more in OF_TALK.items()}
+)
 WAYS = ("both", "forth", "back")
 
 
@@ -94,8 +118,11 @@
 def members(raw: Any, where: str, count: int) -> tuple[int, ...]:
     if raw == "all":
         return tuple(range(count))
-    if not isinstance(raw, list) or not raw or any(
-            type(each) is not int or not 0 <= each < count for each in raw):
+    if (
+        not isinstance(raw, list)
+        or not raw
+        or any(type(each) is not int or not 0 <= each < count for each in raw)
+    ):
         raise BadSchedule(f'{where}: expected "all" or numbers from 0 to {count - 1}, got {raw!r}')
     return tuple(raw)
 
@@ -106,8 +133,9 @@
     do = raw["do"]
     unknown = raw.keys() - {"at", "do", *KEYS[do]}
     if unknown:
-        raise BadSchedule(f"{where}.{sorted(unknown)[0]}: {do!r} has no such key; "
-                          f"it takes {', '.join(KEYS[do])}")
+        raise BadSchedule(
+            f"{where}.{sorted(unknown)[0]}: {do!r} has no such key; it takes {', '.join(KEYS[do])}"
+        )
     at = number(raw.get("at"), f"{where}.at")
     if at >= seconds:
         raise BadSchedule(f"{where}.at: {at:g} s is past the play's end at {seconds:g} s; raise seconds")
@@ -115,13 +143,19 @@
     if link not in WAYS:
         raise BadSchedule(f"{where}.link: expected one of {', '.join(WAYS)}, got {link!r}")
     return Event(
-        at, do,
+        at,
+        do,
         members(raw.get("instances", "all"), f"{where}.instances", instances)
-        if INSTANCES in KEYS[do] else (),
+        if INSTANCES in KEYS[do]
+        else (),
         members(raw.get("servers", "all"), f"{where}.servers", servers) if SERVERS in KEYS[do] else (),
         members(raw.get("others", "all"), f"{where}.others", instances) if OTHERS in KEYS[do] else (),
-        link, *(number(raw.get(key, 0.0), f"{where}.{key}")
-                for key in ("seconds", "jitter", "bytes_per_s", "loss", "repeats", "reordered")))
+        link,
+        *(
+            number(raw.get(key, 0.0), f"{where}.{key}")
+            for key in ("seconds", "jitter", "bytes_per_s", "loss", "repeats", "reordered")
+        ),
+    )
 
 
 def checked(raw: dict[str, Any]) -> Schedule:
@@ -142,18 +176,24 @@
             found = number(raw[name], name, 1 if name in ("instances", "servers", "slots", "tries") else 0)
             plain[name] = int(found) if isinstance(default, int) else found
     whole = Schedule(**plain)
-    events = [event(each, f"events[{place}]", whole.instances, whole.servers, whole.seconds)
-              for place, each in enumerate(raw.get("events", []))]
+    events = [
+        event(each, f"events[{place}]", whole.instances, whole.servers, whole.seconds)
+        for place, each in enumerate(raw.get("events", []))
+    ]
     asleep: set[int] = set()
     dead: set[int] = set()
     for each in sorted(events, key=lambda one: one.at):
         for one in each.instances:
             if each.do in ("stop", "wake") and (one in asleep) != (each.do == "wake"):
-                raise BadSchedule(f"at {each.at:g} s: instance {one} can't {each.do}: it "
-                                  f"{'is stopped already' if one in asleep else 'is not stopped'}")
+                raise BadSchedule(
+                    f"at {each.at:g} s: instance {one} can't {each.do}: it "
+                    f"{'is stopped already' if one in asleep else 'is not stopped'}"
+                )
             if each.do in ("kill", "start") and (one in dead) != (each.do == "start"):
-                raise BadSchedule(f"at {each.at:g} s: instance {one} can't {each.do}: it "
-                                  f"{'is dead already' if one in dead else 'runs'}")
+                raise BadSchedule(
+                    f"at {each.at:g} s: instance {one} can't {each.do}: it "
+                    f"{'is dead already' if one in dead else 'runs'}"
+                )
             if each.do in ("stop", "wake"):
                 asleep ^= {one}
             elif each.do in ("kill", "start"):
--- a/standins/cluster/servers.py
+++ b/standins/cluster/servers.py
@@ -77,8 +77,11 @@
 
     def write(self) -> None:
         """As the servers are now."""
-        lines = [f"127.0.0.1:{self.ports[shop.name]} id={shop.name} drain="
-                 f"{'true' if shop.told_drain < float('inf') else 'false'}" for shop in self.shops]
+        lines = [
+            f"127.0.0.1:{self.ports[shop.name]} id={shop.name} drain="
+            f"{'true' if shop.told_drain < float('inf') else 'false'}"
+            for shop in self.shops
+        ]
         beside = self.path.with_suffix(".tmp")
         beside.write_bytes(sealed(self.path.name, ("\n".join(lines) + "\n").encode()))
         os.replace(beside, self.path)
--- a/standins/door_model.py
+++ b/standins/door_model.py
@@ -44,8 +44,9 @@
 class DoorModel:
     """One door in front of so many slots; `fair` False lets through by arrival, as a pool without a door."""
 
-    def __init__(self, settings: DoorSettings, slots: int, loads: list[Load], seed: int,
-                 fair: bool = True) -> None:
+    def __init__(
+        self, settings: DoorSettings, slots: int, loads: list[Load], seed: int, fair: bool = True
+    ) -> None:
         self.rng = random.Random(seed)
         self.now_us = START_US
         self.door = Door(settings, self.now_us, self.rng.random)
@@ -71,8 +72,10 @@
 
     def _think(self, load: Load, client: str) -> None:
         """A client of a closed loop asks again after a pause."""
-        self.later(self.rng.expovariate(load.a_second / load.clients / 1e6),
-                   lambda: self._come_back(load, load.name, client, False))
+        self.later(
+            self.rng.expovariate(load.a_second / load.clients / 1e6),
+            lambda: self._come_back(load, load.name, client, False),
+        )
 
     def _next_of(self, load: Load) -> None:
         if load.a_second > 0:
@@ -97,8 +100,9 @@
             else:
                 self._refused(ident, int(self.rng.uniform(0.5, 1.5) * load.work_us))
             return ident
-        for action in self.door.arrived(ident, tenant, client, load.worth, self.now_us + DEADLINE_US,
-                                        self.now_us, self.busy < self.slots):
+        for action in self.door.arrived(
+            ident, tenant, client, load.worth, self.now_us + DEADLINE_US, self.now_us, self.busy < self.slots
+        ):
             self._take(action)
         return ident
 
