--- a/tests/check.sh
+++ b/tests/check.sh
@@ -4,6 +4,7 @@
 set -eu
 cd "$(dirname "$0")/.."
 python -m ruff check .
+python -m ruff format --check .
 python -m mypy
 lint-imports --no-cache
 # what waits in real time waits beside other tests; a file stays with one worker
