--- a/tests/cli/__init__.py
+++ b/tests/cli/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the command line."""
--- a/tests/cluster/__init__.py
+++ b/tests/cluster/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the cluster of daemon processes."""
--- a/tests/decisions/__init__.py
+++ b/tests/decisions/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the decisions, which need no sockets and no clock."""
--- a/tests/fronts/__init__.py
+++ b/tests/fronts/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the listeners and the client connections."""
--- a/tests/http1/__init__.py
+++ b/tests/http1/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of reading and writing HTTP/1.1."""
--- a/tests/simulator/__init__.py
+++ b/tests/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the simulator's wire and adapter."""
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the project's own servers and models."""
--- a/tests/store/__init__.py
+++ b/tests/store/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the journal and the snapshots."""
--- a/tests/upstreams/__init__.py
+++ b/tests/upstreams/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the connections to the servers."""
--- a/tests/websocket/__init__.py
+++ b/tests/websocket/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the WebSocket handshake and frames."""
