--- a/benchmarks/hook_cost.py
+++ b/benchmarks/hook_cost.py
@@ -21,7 +21,7 @@
 from plovertrail.clock import clock_us
 from plovertrail.config.hooks import HookSetup
 from plovertrail.decisions.interface import RequestClass
-from plovertrail.hooks.chain import Chain, Refused, Seen, Trail, make_chain
+from plovertrail.hooks.chain import Chain, RequestRefusedError, Seen, Trail, make_chain
 from plovertrail.hooks.engine import Bounds, Instance, Runtime
 from plovertrail.hooks.hook import Hook
 
@@ -65,7 +65,7 @@
     made = Trail(through, seen, clock_us() + 1_000_000, clock_us)
     try:
         made.request()
-    except Refused:
+    except RequestRefusedError:
         raise SystemExit("a hook that should allow has refused, or faulted") from None
     made.changes.apply(HEADERS)
     return made
--- a/benchmarks/nginx_equivalence.py
+++ b/benchmarks/nginx_equivalence.py
@@ -173,7 +173,7 @@
     from hypothesis import HealthCheck, Phase, given, settings
     from hypothesis import strategies as st
 
-    from plovertrail.nginx.importer import NothingToServe
+    from plovertrail.nginx.importer import NothingToServeError
     from tests.nginx.generated import configurations
 
     found: Counter[str] = Counter()
@@ -192,7 +192,7 @@
         conf.write_text(text)
         try:
             imported = Importer(read_tree(str(conf))).run()
-        except NothingToServe:
+        except NothingToServeError:
             found["nothing to serve"] += 1
             return
         found["configurations"] += 1
--- a/plovertrail/cli/hook.py
+++ b/plovertrail/cli/hook.py
@@ -38,7 +38,7 @@
 
 def compiled_or_exit(path: str) -> tuple[Runtime, Compiled]:
     try:
-        from plovertrail.hooks.engine import BadModule, Runtime
+        from plovertrail.hooks.engine import InvalidModuleError, Runtime
     except ImportError as error:
         click.echo(f"hooks can't be run here: {error}; install plovertrail[hooks]", err=True)
         sys.exit(NO_MODULE)
@@ -46,7 +46,7 @@
     runtime.start()
     try:
         return runtime, runtime.compile_module(module_bytes(path))
-    except BadModule as error:
+    except InvalidModuleError as error:
         click.echo(f"{path}: {error}", err=True)
         sys.exit(NO_MODULE)
 
@@ -116,14 +116,14 @@
     file: str, pairs: tuple[str, ...], counters: tuple[str, ...], fuel: int, memory: str, body: int
 ) -> None:
     """Check FILE as a daemon would before taking it: its form, its size, and a trial of each phase."""
-    from plovertrail.hooks.engine import BadModule
+    from plovertrail.hooks.engine import InvalidModuleError
     from plovertrail.hooks.trial import try_out
 
     setup = settings(file, pairs, counters, fuel, memory, body)
     runtime, compiled = compiled_or_exit(file)
     try:
         try_out(runtime, compiled, setup, DEFAULT_HEAD)
-    except BadModule as error:
+    except InvalidModuleError as error:
         click.echo(f"{file}: {error}", err=True)
         sys.exit(FAULTED)
     click.echo(f"{file}: good: {', '.join(sorted(compiled.phases))}; sha256 {compiled.digest}")
@@ -164,9 +164,9 @@
 ) -> None:
     """Run FILE against a written request, and print its verdict, the fuel and the time that it took. Sends
     nothing. Exits with 1 if it faults."""
-    from plovertrail.decisions.verdicts import Allowed, BadVerdict
+    from plovertrail.decisions.verdicts import Allowed, InvalidVerdictError
     from plovertrail.hooks import abi
-    from plovertrail.hooks.bounds import HookFault
+    from plovertrail.hooks.bounds import HookError
     from plovertrail.hooks.engine import Bounds, Instance
     from plovertrail.hooks.trial import CHECKS
     from plovertrail.hooks.written import WrittenRequest, told
@@ -193,7 +193,7 @@
         took_us = (time.perf_counter() - began) * 1e6
         verdict = abi.read_verdict(answer)
         CHECKS[phase](verdict, allowed)
-    except (HookFault, BadVerdict) as fault:
+    except (HookError, InvalidVerdictError) as fault:
         click.echo(f"fault: {fault}")
         sys.exit(FAULTED)
     shown: dict[str, object] = {
--- a/plovertrail/cli/import_nginx.py
+++ b/plovertrail/cli/import_nginx.py
@@ -23,15 +23,15 @@
     """Write an operator's file that does as nginx's CONF says, and a report on each of its directives. What
     is not carried over and might keep somebody out is answered 501. Exits with 2 if CONF can't be read."""
     try:
-        from plovertrail.nginx.importer import Importer, NothingToServe
+        from plovertrail.nginx.importer import Importer, NothingToServeError
         from plovertrail.nginx.report import Treatment
-        from plovertrail.nginx.tree import BadNginxConfig, read_tree
+        from plovertrail.nginx.tree import NginxConfigError, read_tree
     except ImportError as error:
         click.echo(f"it can't be read here: {error}; install plovertrail[nginx]", err=True)
         sys.exit(2)
     try:
         found = Importer(read_tree(conf)).run()
-    except (BadNginxConfig, NothingToServe) as error:
+    except (NginxConfigError, NothingToServeError) as error:
         click.echo(str(error), err=True)
         sys.exit(2)
     told = found.report.text()
--- a/plovertrail/cli/route.py
+++ b/plovertrail/cli/route.py
@@ -8,7 +8,14 @@
 
 from plovertrail.cli.files import load_or_exit
 from plovertrail.config import operator
-from plovertrail.decisions.requests import TurnedAway, client_of, read_head, route_request, tenant_of, told_by
+from plovertrail.decisions.requests import (
+    RequestRejectedError,
+    client_of,
+    read_head,
+    route_request,
+    tenant_of,
+    told_by,
+)
 
 
 @click.command()
@@ -35,14 +42,14 @@
     try:
         version = "1.1" if hosts else "1.0"
         head, path, authority = read_head(method.encode(), url.encode(), version, hosts, found, listener)
-    except TurnedAway as away:
+    except RequestRejectedError as away:
         click.echo(f"answered {away.status}: {away.why}")
         sys.exit(1)
     click.echo(f"request   {head.method} host {head.host or '(none)'} path {head.path}")
     taken = False
     try:
         routed = route_request(setup.routes, head, path, authority)
-    except TurnedAway as away:
+    except RequestRejectedError as away:
         allowed = f" (Allow: {', '.join(sorted(away.allowed))})" if away.allowed else ""
         click.echo(f"answered {away.status}: {away.why}{allowed}")
     else:
--- a/plovertrail/decisions/requests.py
+++ b/plovertrail/decisions/requests.py
@@ -21,7 +21,7 @@
 IDENT = re.compile(rb"[!-~]{1,128}")
 
 
-class TurnedAway(Exception):
+class RequestRejectedError(Exception):
     """A request that no route takes: the status to answer with, why, and the methods that would be taken."""
 
     def __init__(self, status: int, why: str, allowed: frozenset[str] = frozenset()) -> None:
@@ -50,7 +50,7 @@
     listener: str = "",
 ) -> tuple[Head, str, bytes]:
     """The head as routes see it, the path as it goes on, and the host as it was named. `hosts` are all values
-    of Host. Raises TurnedAway (RFC 9112, section 3.2)."""
+    of Host. Raises RequestRejectedError (RFC 9112, section 3.2)."""
     try:
         named, raw_path, query = split_target(target)
         if len(hosts) > 1:
@@ -61,23 +61,23 @@
         host = normalise_host(authority) if authority else ""
         path, seen = normalise_path(raw_path)
     except BadTarget as error:
-        raise TurnedAway(400, str(error)) from None
+        raise RequestRejectedError(400, str(error)) from None
     return Head(method.decode("ascii"), host, seen, query, headers, listener), path, authority
 
 
 def route_request(table: RouteTable, head: Head, path: str, host: bytes, body: int = 0) -> Routed:
-    """The route that takes a request with so many bytes of body; raises TurnedAway."""
+    """The route that takes a request with so many bytes of body; raises RequestRejectedError."""
     match = table.lookup(head)
     if match.route is None:
         if match.allowed:
-            raise TurnedAway(405, "no route takes this method here", match.allowed)
-        raise TurnedAway(404, "no route")
+            raise RequestRejectedError(405, "no route takes this method here", match.allowed)
+        raise RequestRejectedError(404, "no route")
     if match.route.max_body is not None and body > match.route.max_body:
-        raise TurnedAway(413, "the body is longer than this route takes")
+        raise RequestRejectedError(413, "the body is longer than this route takes")
     try:
         target = rewritten_path(match.route, path).encode("latin-1")
     except BadTarget as error:
-        raise TurnedAway(400, str(error)) from None
+        raise RequestRejectedError(400, str(error)) from None
     if head.query and match.route.keep_query:
         target += b"?" + head.query
     return Routed(match.route, head, target, host)
@@ -149,7 +149,7 @@
             method.encode(), sent, "1.1", [host.encode("latin-1")], joined, listener
         )
         routed = route_request(table, head, path, authority)
-    except TurnedAway as away:
+    except RequestRejectedError as away:
         return Outline(away.status, away.why, head=head)
     route = routed.route
     values = told_by(head, path, authority, sent, address, address, b"", port, route)
@@ -213,16 +213,19 @@
 
 def deadline_us(own: bytes | None, longest_us: int) -> int:
     """How long a client waits: its own word, in whole milliseconds, may shorten the route's; raises
-    TurnedAway."""
+    RequestRejectedError."""
     if own is None:
         return longest_us
     if not own.isdigit() or len(own) > 9 or int(own) == 0:
-        raise TurnedAway(400, "the deadline is no whole number of milliseconds above 0")
+        raise RequestRejectedError(400, "the deadline is no whole number of milliseconds above 0")
     return min(int(own) * 1000, longest_us)
 
 
 def checked_key(key: bytes | None) -> bytes:
-    """The key of a keyed request; raises TurnedAway. Hazard: without one, servers could not drop a repeat."""
+    """The key of a keyed request; raises RequestRejectedError.
+
+    Hazard: without a key, servers could not drop a repeat.
+    """
     if key is None or not IDENT.fullmatch(key):
-        raise TurnedAway(400, "this route needs a key header of 1 to 128 printable characters")
+        raise RequestRejectedError(400, "this route needs a key header of 1 to 128 printable characters")
     return key
--- a/plovertrail/decisions/verdicts.py
+++ b/plovertrail/decisions/verdicts.py
@@ -47,7 +47,7 @@
 LONGEST_LOG = 256
 
 
-class BadVerdict(Exception):
+class InvalidVerdictError(Exception):
     """A hook asked for what it may not have; the text says what, for its author."""
 
 
@@ -88,68 +88,70 @@
 
 
 def check_header_name(name: bytes, allowed: Allowed) -> None:
-    """Raises BadVerdict for a header that is not a hook's to change."""
+    """Raises InvalidVerdictError for a header that is not a hook's to change."""
     if not TOKEN.fullmatch(name):
-        raise BadVerdict(f"{_shown(name)} is no header name")
+        raise InvalidVerdictError(f"{_shown(name)} is no header name")
     lower = name.lower()
     if lower in PROTECTED or lower in allowed.protected or lower.startswith(PROTECTED_PREFIXES):
-        raise BadVerdict(f"the header {_shown(name)} is not a hook's to change")
+        raise InvalidVerdictError(f"the header {_shown(name)} is not a hook's to change")
 
 
 def check_common(verdict: Verdict, allowed: Allowed) -> None:
-    """What holds in every phase; raises BadVerdict."""
+    """What holds in every phase; raises InvalidVerdictError."""
     for name, _ in verdict.counts:
         if name not in allowed.counters:
-            raise BadVerdict(f"no counter is called {_shown(name)}")
+            raise InvalidVerdictError(f"no counter is called {_shown(name)}")
     if len(verdict.logs) > MOST_LOGS:
-        raise BadVerdict(f"{len(verdict.logs)} log lines; at most {MOST_LOGS} are taken")
+        raise InvalidVerdictError(f"{len(verdict.logs)} log lines; at most {MOST_LOGS} are taken")
     if any(len(text) > LONGEST_LOG for text in verdict.logs):
-        raise BadVerdict(f"a log line of over {LONGEST_LOG} bytes")
+        raise InvalidVerdictError(f"a log line of over {LONGEST_LOG} bytes")
 
 
 def check_headers(verdict: Verdict, allowed: Allowed) -> None:
-    """Headers set and removed, of a request or an answer; raises BadVerdict."""
+    """Headers set and removed, of a request or an answer; raises InvalidVerdictError."""
     if len(verdict.set_headers) + len(verdict.remove_headers) > MOST_HEADERS:
-        raise BadVerdict(f"more than {MOST_HEADERS} headers set or removed")
+        raise InvalidVerdictError(f"more than {MOST_HEADERS} headers set or removed")
     if sum(len(name) + len(value) for name, value in verdict.set_headers) > MOST_HEADER_BYTES:
-        raise BadVerdict(f"more than {MOST_HEADER_BYTES} bytes of headers")
+        raise InvalidVerdictError(f"more than {MOST_HEADER_BYTES} bytes of headers")
     for name, value in verdict.set_headers:
         check_header_name(name, allowed)
         if not FIELD_VALUE.fullmatch(value):
-            raise BadVerdict(f"the value of {_shown(name)} is not plain text")
+            raise InvalidVerdictError(f"the value of {_shown(name)} is not plain text")
     for name in verdict.remove_headers:
         check_header_name(name, allowed)
 
 
 def check_request(verdict: Verdict, allowed: Allowed) -> None:
-    """A verdict on a request's head; raises BadVerdict."""
+    """A verdict on a request's head; raises InvalidVerdictError."""
     check_common(verdict, allowed)
     check_headers(verdict, allowed)
     if verdict.refuse and verdict.refuse not in REFUSALS:
-        raise BadVerdict(f"a request can't be refused with {verdict.refuse}")
+        raise InvalidVerdictError(f"a request can't be refused with {verdict.refuse}")
     if len(verdict.body) > MOST_BODY:
-        raise BadVerdict(f"a refusal's body of over {MOST_BODY} bytes")
+        raise InvalidVerdictError(f"a refusal's body of over {MOST_BODY} bytes")
     if verdict.body and not verdict.refuse:
-        raise BadVerdict("a body without a refusal")
+        raise InvalidVerdictError("a body without a refusal")
     if verdict.tenant is not None and not TENANT.fullmatch(verdict.tenant):
-        raise BadVerdict(f"{_shown(verdict.tenant)} is no tenant")
+        raise InvalidVerdictError(f"{_shown(verdict.tenant)} is no tenant")
     if verdict.class_name is not None and verdict.class_name not in allowed.classes:
-        raise BadVerdict(f"{_shown(verdict.class_name)} is none of the classes that may be chosen here")
+        raise InvalidVerdictError(
+            f"{_shown(verdict.class_name)} is none of the classes that may be chosen here"
+        )
 
 
 def check_answer(verdict: Verdict, allowed: Allowed) -> None:
-    """A verdict on an answer's head; raises BadVerdict."""
+    """A verdict on an answer's head; raises InvalidVerdictError."""
     check_common(verdict, allowed)
     check_headers(verdict, allowed)
     if verdict.refuse or verdict.body or verdict.tenant is not None or verdict.class_name is not None:
-        raise BadVerdict("an answer has headers to change, and nothing else")
+        raise InvalidVerdictError("an answer has headers to change, and nothing else")
 
 
 def check_end(verdict: Verdict, allowed: Allowed) -> None:
-    """A verdict on a request that is over; raises BadVerdict."""
+    """A verdict on a request that is over; raises InvalidVerdictError."""
     check_answer(verdict, allowed)
     if verdict.set_headers or verdict.remove_headers:
-        raise BadVerdict("a request that is over has nothing left to change")
+        raise InvalidVerdictError("a request that is over has nothing left to change")
 
 
 def named_headers(verdict: Verdict) -> set[bytes]:
--- a/plovertrail/fronts/application.py
+++ b/plovertrail/fronts/application.py
@@ -65,7 +65,7 @@
 }
 
 
-class Reject(Exception):
+class InvalidRequestError(Exception):
     """Input that is not taken: it is answered with this status, and the connection closed."""
 
     def __init__(self, status: int, why: str) -> None:
@@ -75,7 +75,7 @@
 
 def whole_number(text: bytes, what: str) -> int:
     if not text.isdigit() or len(text) > MOST_DIGITS:
-        raise Reject(400, f"{what} is no whole number")
+        raise InvalidRequestError(400, f"{what} is no whole number")
     return int(text)
 
 
@@ -94,27 +94,27 @@
         for name, value in headers:
             name = name.lower()
             if name in found and name in SINGLE_HEADERS:
-                raise Reject(400, "a header is repeated")
+                raise InvalidRequestError(400, "a header is repeated")
             if not VALUE.fullmatch(value):
-                raise Reject(400, "a header's value is not plain text")
+                raise InvalidRequestError(400, "a header's value is not plain text")
             found[name] = value.strip()
         path, _, query = target.partition(b"?")
         name = path[1:].split(b"/")[0]
         index = self.classes.get(name) if path.startswith(b"/") and b"#" not in target else None
         if index is None or found.get(b"x-class") != name:
-            raise Reject(404, "unknown class")
+            raise InvalidRequestError(404, "unknown class")
         if not IDENT.fullmatch(found.get(b"x-request-id", b"")):
-            raise Reject(400, "no X-Request-Id")
+            raise InvalidRequestError(400, "no X-Request-Id")
         kind = self.settings.classes[index]
         if method != (b"GET" if kind.effect == "idempotent" else b"POST"):
-            raise Reject(400, "not the method of this class")
+            raise InvalidRequestError(400, "not the method of this class")
         if method == b"GET" and body:
-            raise Reject(400, "a GET has no body")
+            raise InvalidRequestError(400, "a GET has no body")
         if kind.effect == "deduplicated":
             if not IDENT.fullmatch(found.get(b"idempotency-key", b"")):
-                raise Reject(400, "no Idempotency-Key")
+                raise InvalidRequestError(400, "no Idempotency-Key")
         elif b"idempotency-key" in found:
-            raise Reject(400, "an Idempotency-Key, but not for this class")
+            raise InvalidRequestError(400, "an Idempotency-Key, but not for this class")
         key = found.get(b"x-key")
         cost = found.get(b"x-cost-hint")
         deadline_us = 1000 * whole_number(found.get(b"x-deadline-ms", b""), "X-Deadline-Ms")
@@ -195,9 +195,9 @@
         plain = name.lower()
         if plain == b"transfer-encoding":
             # hazard: who goes by it and who goes by the length see the next request begin at different places
-            raise Reject(400, "no chunked requests")
+            raise InvalidRequestError(400, "no chunked requests")
         if plain == b"content-length" and int(value) > LONGEST_BODY:
-            raise Reject(413, "the body is too long")  # hazard: 60 MB would be read for nothing
+            raise InvalidRequestError(413, "the body is too long")  # hazard: 60 MB would be read for nothing
         self.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
@@ -233,7 +233,7 @@
             self.feed(data)
             if self.whole:
                 self.take()
-        except Reject as reject:
+        except InvalidRequestError as reject:
             self.write(reject.status, str(reject).encode() + b"\n", last=True)
         except Exception:
             # hazard: a fault with one request must end neither the process nor other requests
@@ -246,19 +246,21 @@
             self.parser.feed_data(data)
         except httptools.HttpParserCallbackError as error:
             cause = error.__context__
-            raise cause if isinstance(cause, Reject) else error from None
+            raise cause if isinstance(cause, InvalidRequestError) else error from None
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             # hazard: what follows a whole request and is no request shows that its length was wrong
-            raise Reject(400, "malformed request") from None
+            raise InvalidRequestError(400, "malformed request") from None
         if not self.head_done and self.size > LONGEST_HEAD:
-            raise Reject(413, "the head is too long")  # hazard: one without end would fill the memory
+            raise InvalidRequestError(
+                413, "the head is too long"
+            )  # hazard: one without end would fill the memory
 
     def take(self) -> None:
         """The request has come whole."""
         assert self.transport is not None and self.parser is not None
         method = self.parser.get_method()
         if self.parser.get_http_version() not in ("1.0", "1.1"):
-            raise Reject(400, "not HTTP/1.1")
+            raise InvalidRequestError(400, "not HTTP/1.1")
         target, headers, body = self.target, self.headers, bytes(self.body)
         if target == b"/up" and method == b"GET":
             self.write(200 if self.server.ready else 503, b"")
@@ -267,9 +269,11 @@
         call.left = self.left
         if not self.server.seen.add(call.ident):
             # hazard: an upstream that has it already turns it away; its answer might go to the wrong client
-            raise Reject(409, "this X-Request-Id has been used")
+            raise InvalidRequestError(409, "this X-Request-Id has been used")
         if self.transport.get_write_buffer_size() > 0:
-            raise Reject(400, "the last answer was not read")  # hazard: unread answers would fill the memory
+            raise InvalidRequestError(
+                400, "the last answer was not read"
+            )  # hazard: unread answers would fill the memory
         self.server.move(self, State.OPEN)
         call.deadline_us = self.server.within(call)
         self.ident = self.server.host.arrived(call, self.answer, self.server.pools)
--- a/plovertrail/fronts/ordinary.py
+++ b/plovertrail/fronts/ordinary.py
@@ -6,6 +6,7 @@
 import os
 import socket
 import time
+from dataclasses import dataclass
 
 from plovertrail.clock import clock_us
 from plovertrail.config import operator
@@ -13,8 +14,8 @@
 from plovertrail.decisions.limits import OverLimit, limit_header, policy_header
 from plovertrail.decisions.requests import (
     IDENT,
+    RequestRejectedError,
     Routed,
-    TurnedAway,
     checked_key,
     client_of,
     deadline_us,
@@ -27,15 +28,15 @@
 from plovertrail.decisions.sockets import Cause
 from plovertrail.exchange import Answer, Call, Result, Tunnel, Verdict
 from plovertrail.fronts.connections import ClientConnection, Listener, Patience, State
-from plovertrail.fronts.sockets import Asker, PendingSocket, SocketKeeper, TurnedAwayNow
+from plovertrail.fronts.sockets import Asker, PendingSocket, SocketKeeper, SocketLimitError
 from plovertrail.generation import Current, Plan, dropped_by_listener
-from plovertrail.hooks.chain import AnswerWithheld, Refused, Seen, Trail
+from plovertrail.hooks.chain import AnswerWithheldError, RequestRefusedError, Seen, Trail
 from plovertrail.host import Host
 from plovertrail.http1.heads import Headers, answer_head, end_to_end
 from plovertrail.http1.requests import RequestMessage, RequestReader
 from plovertrail.websocket.handshake import (
     OWN_HEADERS,
-    BadHandshake,
+    HandshakeError,
     answer_headers,
     asks_for_socket,
     check_origin,
@@ -66,13 +67,12 @@
     return retry_after(over.retry_after_us) + named
 
 
-class AnsweredHere(Exception):
-    """A request that its route answers by itself, and what the request tells."""
+@dataclass(frozen=True, slots=True)
+class LocalReply:
+    """The answer of a route that answers by itself, without a server."""
 
-    def __init__(self, fixed: FixedAnswer, told: dict[str, str]) -> None:
-        super().__init__(fixed.status)
-        self.fixed = fixed
-        self.told = told
+    fixed: FixedAnswer
+    told: dict[str, str]  # the request's values by the names that templates use
 
 
 class OrdinaryClient(ClientConnection):
@@ -156,31 +156,35 @@
         self.message = message
         self.front.move(self, State.OPEN)
         try:
-            call, plan = self.call(message)
-        except TurnedAway as away:
+            found = self.call(message)
+        except RequestRejectedError as away:
             extra: Headers = [(b"Allow", ", ".join(sorted(away.allowed)).encode())] if away.allowed else []
             self.reject(away.status, away.why, extra=extra)
-        except BadHandshake as bad:
+        except HandshakeError as bad:
             # hazard: what follows may be frames already, and must not be read as requests
             self.reject(bad.status, bad.why, extra=bad.headers, last=True)
-        except TurnedAwayNow as away_now:
+        except SocketLimitError as away_now:
             self.reject_for_now(str(away_now), away_now.retry_after_us)
-        except Refused as refused:
+        except RequestRefusedError as refused:
             extra = retry_after(refused.retry_after_us)
             self.write(refused.status, [PLAIN_TEXT, *extra], len(refused.body), refused.body, outcome=REFUSED)
-        except AnsweredHere as here:
-            self.answer_here(here)
         except Exception:
             # hazard: a fault with one request must end neither the process nor other requests
             log.exception("a request could not be taken")
             self.reject(500, "this request could not be taken", last=True)
         else:
+            if isinstance(found, LocalReply):
+                self.answer_here(found)
+                return
+            call, plan = found
             self.plan = plan
             self.ident = self.front.host.arrived(call, self.answer, plan.pools, plan.limiters)
 
-    def call(self, message: RequestMessage) -> tuple[Call, Plan]:
-        """The request as it goes on; raises TurnedAway, BadHandshake, TurnedAwayNow, Refused or
-        AnsweredHere."""
+    def call(self, message: RequestMessage) -> tuple[Call, Plan] | LocalReply:
+        """Find a request's route: the call to make with the plan of its route, or the route's own answer.
+
+        Raises RequestRejectedError, HandshakeError, SocketLimitError or RequestRefusedError.
+        """
         front, generation = self.front, self.front.current.generation
         arrived_us = self.arrived_us()
         headers: dict[bytes, bytes] = {}
@@ -197,7 +201,7 @@
         routed = route_request(generation.setup.routes, head, path, authority, len(message.body))
         if routed.route.answers is not None:
             told = self.told(routed, path, message.target, b"", self.peer())
-            raise AnsweredHere(routed.route.answers, told)
+            return LocalReply(routed.route.answers, told)
         plan = generation.plans[routed.route.name]
         wait_us = deadline_us(headers.get(listener.deadline_header), plan.deadline_us)
         tenant_name = tenant_of(routed.route, head, self.peer())
@@ -346,7 +350,7 @@
         if self.trail is not None:
             try:
                 headers = self.trail.answer(status, headers)
-            except AnswerWithheld:
+            except AnswerWithheldError:
                 self.reject(502, "a rule on the answer failed, and the request may have run", outcome=FAILED)
                 return
         length: int | None = len(result.body)
@@ -367,13 +371,13 @@
         body = why.encode() + b"\n"
         self.write(status, [PLAIN_TEXT, *(extra or [])], len(body), body, last, outcome)
 
-    def answer_here(self, here: AnsweredHere) -> None:
+    def answer_here(self, reply: LocalReply) -> None:
         """A route's own answer."""
-        fixed = here.fixed
-        body = fixed.body.filled(here.told).encode() if fixed.body is not None else b""
+        fixed = reply.fixed
+        body = fixed.body.filled(reply.told).encode() if fixed.body is not None else b""
         headers: Headers = [(b"Content-Type", fixed.content_type.encode("latin-1"))] if body else []
         if fixed.location is not None:
-            headers.append((b"Location", fixed.location.filled(here.told).encode("latin-1")))
+            headers.append((b"Location", fixed.location.filled(reply.told).encode("latin-1")))
         self.write(fixed.status, headers, None if fixed.status in NO_BODY else len(body), body)
 
     def reject_for_now(self, why: str, retry_after_us: int) -> None:
--- a/plovertrail/fronts/sockets.py
+++ b/plovertrail/fronts/sockets.py
@@ -84,7 +84,7 @@
         self.keeper.tell(api.NeverOpened(self.ident, cause))
 
 
-class TurnedAwayNow(Exception):
+class SocketLimitError(Exception):
     """There is no room for one more socket; nothing has run."""
 
     def __init__(self, cause: api.Cause, retry_after_us: int) -> None:
@@ -111,7 +111,7 @@
     # What happens
 
     def ask(self, asker: Asker, key: bytes, subprotocols: tuple[bytes, ...]) -> PendingSocket:
-        """A client's handshake is in order; raises TurnedAwayNow if there is no room."""
+        """A client's handshake is in order; raises SocketLimitError if there is no room."""
         assert asker.plan.websocket is not None
         ident = next(self.idents)
         self.askers[ident] = asker
@@ -121,7 +121,7 @@
         self.carry_out(actions)
         for action in actions:
             if isinstance(action, api.TurnAway):
-                raise TurnedAwayNow(action.cause, action.retry_after_us)
+                raise SocketLimitError(action.cause, action.retry_after_us)
         return PendingSocket(self, ident, asker, key, subprotocols)
 
     def open(
--- a/plovertrail/hooks/abi.py
+++ b/plovertrail/hooks/abi.py
@@ -10,7 +10,7 @@
 import struct
 from collections.abc import Iterable, Sequence
 
-from plovertrail.decisions.verdicts import BadVerdict, Verdict
+from plovertrail.decisions.verdicts import InvalidVerdictError, Verdict
 
 VERSION = 1
 HEAD = struct.Struct("<HHI")
@@ -76,35 +76,38 @@
 
 
 def records(data: bytes) -> list[tuple[int, bytes, bytes]]:
-    """Tags, names and values; raises BadVerdict if a record goes over the end."""
+    """Tags, names and values; raises InvalidVerdictError if a record goes over the end."""
     found: list[tuple[int, bytes, bytes]] = []
     at = 0
     while at < len(data):
         if len(found) == MOST_RECORDS:
-            raise BadVerdict(f"more than {MOST_RECORDS} records")
+            raise InvalidVerdictError(f"more than {MOST_RECORDS} records")
         if at + HEAD.size > len(data):
-            raise BadVerdict("a record is cut off")
+            raise InvalidVerdictError("a record is cut off")
         tag, name_size, value_size = HEAD.unpack_from(data, at)
         at += HEAD.size
         end = at + name_size + value_size
         if end > len(data):
-            raise BadVerdict("a record goes over the end of the verdict")
+            raise InvalidVerdictError("a record goes over the end of the verdict")
         found.append((tag, data[at : at + name_size], data[at + name_size : end]))
         at = end
     return found
 
 
 def read_verdict(data: bytes) -> Verdict:
-    """A verdict as a hook wrote it; raises BadVerdict. Hazard: a tag that a later version means something by
-    must not be passed over here, so an unknown one is a fault."""
+    """Read a verdict as a hook wrote it; raises InvalidVerdictError.
+
+    Hazard: a tag that a later version gives a meaning must not be passed over here, so an unknown one is an
+    error.
+    """
     verdict = Verdict()
     for tag, name, value in records(data):
         if tag == Write.REFUSE:
             if verdict.refuse or len(value) < 2:
-                raise BadVerdict("refused twice, or without a status")
+                raise InvalidVerdictError("refused twice, or without a status")
             verdict.refuse = int.from_bytes(value[:2], "little")
             if not verdict.refuse:
-                raise BadVerdict("refused with the status 0")
+                raise InvalidVerdictError("refused with the status 0")
             verdict.body = value[2:]
         elif tag == Write.SET_HEADER:
             verdict.set_headers.append((name, value))
@@ -116,12 +119,12 @@
             verdict.class_name = value
         elif tag == Write.COUNT:
             if len(value) != U32.size:
-                raise BadVerdict("a count is 4 bytes")
+                raise InvalidVerdictError("a count is 4 bytes")
             verdict.counts.append((name, U32.unpack(value)[0]))
         elif tag == Write.LOG:
             verdict.logs.append(value)
         else:
-            raise BadVerdict(f"an unknown tag, {tag}")
+            raise InvalidVerdictError(f"an unknown tag, {tag}")
     return verdict
 
 
--- a/plovertrail/hooks/bounds.py
+++ b/plovertrail/hooks/bounds.py
@@ -16,9 +16,9 @@
 MOST_COMPILED = 64  # modules kept in the cache
 
 
-class HookFault(Exception):
+class HookError(Exception):
     """A call that went wrong."""
 
 
-class TooLong(HookFault):
+class RequestTooLongError(HookError):
     """The request doesn't fit into the hook's buffer, which is not the hook's doing."""
--- a/plovertrail/hooks/chain.py
+++ b/plovertrail/hooks/chain.py
@@ -25,7 +25,7 @@
 )
 from plovertrail.hooks import abi
 from plovertrail.hooks.abi import Read
-from plovertrail.hooks.bounds import LONGEST_CALL_US, HookFault, TooLong
+from plovertrail.hooks.bounds import LONGEST_CALL_US, HookError, RequestTooLongError
 
 if TYPE_CHECKING:  # listeners load this file with or without hooks, and the engine is large
     from plovertrail.hooks.hook import Check, Hook
@@ -54,7 +54,7 @@
     tenant: bytes
 
 
-class Refused(Exception):
+class RequestRefusedError(Exception):
     """A hook refuses the request, or can't be asked and the route says to fail. Nothing has run."""
 
     def __init__(self, status: int, body: bytes, retry_after_us: int = 0) -> None:
@@ -64,7 +64,7 @@
         self.retry_after_us = retry_after_us
 
 
-class AnswerWithheld(Exception):
+class AnswerWithheldError(Exception):
     """A hook on the answer can't be asked, and the route says to fail. The request may have run."""
 
 
@@ -130,12 +130,12 @@
         self.ended = False
 
     def request(self) -> None:
-        """The first phase; raises Refused."""
+        """The first phase; raises RequestRefusedError."""
         chain, seen, changes = self.chain, self.seen, self.changes
         for hook in chain.hooks:  # also those that would be asked later: then the request has run
             if not chain.passes and not hook.breaker.may(self.began_us):
                 hook.figures.skipped += 1
-                raise Refused(503, SWITCHED_OFF, hook.breaker.left_us(self.began_us))
+                raise RequestRefusedError(503, SWITCHED_OFF, hook.breaker.left_us(self.began_us))
         self.facts = self._facts()
         headers, told_headers = seen.headers, abi.headers(seen.headers)
         for number, hook in enumerate(chain.hooks):
@@ -145,15 +145,17 @@
             try:
                 told = told_headers + self._body(hook)
                 verdict = self._ask(hook, "on_request", told, allowed, check_request)
-            except HookFault as fault:
+            except HookError as fault:
                 if chain.passes:
                     continue
-                too_long = isinstance(fault, TooLong)
-                raise Refused(431 if too_long else 500, TOO_LONG if too_long else FAILED) from None
+                too_long = isinstance(fault, RequestTooLongError)
+                raise RequestRefusedError(
+                    431 if too_long else 500, TOO_LONG if too_long else FAILED
+                ) from None
             if verdict is NOTHING:
                 continue
             if verdict.refuse:
-                raise Refused(verdict.refuse, verdict.body)
+                raise RequestRefusedError(verdict.refuse, verdict.body)
             if verdict.set_headers or verdict.remove_headers:
                 headers = changed_headers(headers, verdict)
                 told_headers = abi.headers(headers)
@@ -163,7 +165,7 @@
 
     def answer(self, status: int, headers: Headers) -> Headers:
         """The second phase: the headers of a server's answer as the hooks leave them, the last hook first;
-        raises AnswerWithheld."""
+        raises AnswerWithheldError."""
         chain = self.chain
         told_status = abi.number(Read.STATUS, status)
         for hook, allowed in zip(reversed(chain.hooks), reversed(chain.answers), strict=True):
@@ -172,9 +174,9 @@
                     verdict = self._ask(
                         hook, "on_answer", told_status + abi.headers(headers), allowed, check_answer
                     )
-                except HookFault:
+                except HookError:
                     if not chain.passes:
-                        raise AnswerWithheld from None
+                        raise AnswerWithheldError from None
                 else:
                     headers = headers if verdict is NOTHING else changed_headers(headers, verdict)
         return headers
@@ -196,18 +198,18 @@
             if hook.has("on_end"):
                 try:
                     self._ask(hook, "on_end", told, allowed, check_end)
-                except HookFault:
+                except HookError:
                     continue  # counted and logged where it was found
 
     def _ask(self, hook: Hook, phase: str, told: bytes, allowed: Allowed, check: Check) -> Verdict:
-        """A hook's verdict; raises HookFault. Hazard: a call that is stopped by the clock takes
+        """A hook's verdict; raises HookError. Hazard: a call that is stopped by the clock takes
         LONGEST_CALL_US; begun later than that before the client's time is out, it would make the answer late.
         After the end nobody waits."""
         now_us = self.clock_us()
         left_us = self.due_us - now_us
         if not hook.breaker.may(now_us) or (phase != "on_end" and left_us <= LONGEST_CALL_US):
             hook.figures.skipped += 1
-            raise HookFault("not asked")
+            raise HookError("not asked")
         told = self.facts + told + abi.number(Read.REMAINING_MS, left_us // 1000)
         return hook.run(phase, told, allowed, check, now_us)
 
--- a/plovertrail/hooks/engine.py
+++ b/plovertrail/hooks/engine.py
@@ -27,15 +27,15 @@
     START_FUEL,
     TICK_S,
     TICKS,
-    HookFault,
-    TooLong,
+    HookError,
+    RequestTooLongError,
 )
 
 _TrapPointer = ctypes.POINTER(ffi.wasm_trap_t)
 _Result = ffi.wasmtime_val_t * 1
 
 
-class BadModule(Exception):
+class InvalidModuleError(Exception):
     """A file that is no hook; the text says what is wrong with it."""
 
 
@@ -102,8 +102,10 @@
             self.engine.increment_epoch()
 
     def compile_module(self, data: bytes) -> Compiled:
-        """The module in a file's bytes, from the cache if its content is known; raises BadModule. Takes
-        milliseconds: not for the loop."""
+        """Compile the module in a file's bytes, or take it from the cache if its content is known.
+
+        Takes milliseconds: not for the event loop. Raises InvalidModuleError.
+        """
         digest = hashlib.sha256(data).hexdigest()
         with self._lock:
             if digest in self._compiled:
@@ -117,26 +119,26 @@
 
     def _compile(self, data: bytes, digest: str) -> Compiled:
         if len(data) > LARGEST_MODULE:
-            raise BadModule(f"the module holds more than {LARGEST_MODULE >> 20} MiB")
+            raise InvalidModuleError(f"the module holds more than {LARGEST_MODULE >> 20} MiB")
         if not data.startswith(b"\0asm"):
-            raise BadModule("not WebAssembly: it doesn't begin with the bytes of a module")
+            raise InvalidModuleError("not WebAssembly: it doesn't begin with the bytes of a module")
         try:
             module = wasmtime.Module(self.engine, data)
         except wasmtime.WasmtimeError as error:
-            raise BadModule(f"it can't be compiled: {_first_line(error)}") from None
+            raise InvalidModuleError(f"it can't be compiled: {_first_line(error)}") from None
         if module.imports:
             names = ", ".join(f"{each.module}.{each.name}" for each in module.imports[:5])
-            raise BadModule(f"it imports {names}; a hook imports nothing")
+            raise InvalidModuleError(f"it imports {names}; a hook imports nothing")
         exports = {each.name: each.type for each in module.exports}
         if not isinstance(exports.get("memory"), wasmtime.MemoryType):
-            raise BadModule('it exports no memory called "memory"')
+            raise InvalidModuleError('it exports no memory called "memory"')
         for name in ("plovertrail_abi", "plovertrail_buffer", "plovertrail_buffer_size"):
             kind = exports.get(name)
             if not isinstance(kind, wasmtime.GlobalType) or str(kind.content) != "i32" or kind.mutable:
-                raise BadModule(f'it exports no constant global called "{name}" of type i32')
+                raise InvalidModuleError(f'it exports no constant global called "{name}" of type i32')
         phases = frozenset(name for name in PHASES if name in exports)
         if not phases:
-            raise BadModule(f"it exports none of {', '.join(PHASES)}")
+            raise InvalidModuleError(f"it exports none of {', '.join(PHASES)}")
         for name in phases:
             call = exports[name]
             if (
@@ -144,7 +146,9 @@
                 or call.params
                 or [str(kind) for kind in call.results] != ["i32"]
             ):
-                raise BadModule(f"{name} must be a function of no parameters and one i32 as its result")
+                raise InvalidModuleError(
+                    f"{name} must be a function of no parameters and one i32 as its result"
+                )
         return Compiled(digest, self.linker.instantiate_pre(module), phases, *self._layout(module))
 
     def _layout(self, module: wasmtime.Module) -> tuple[int, int]:
@@ -154,19 +158,21 @@
         try:
             exports = self.linker.instantiate(store, module).exports(store)
         except (wasmtime.WasmtimeError, wasmtime.Trap) as error:
-            raise BadModule(f"it can't be started: {_first_line(error)}") from None
+            raise InvalidModuleError(f"it can't be started: {_first_line(error)}") from None
         version, buffer, size = (
             int(exports[name].value(store))  # type: ignore[union-attr]
             for name in ("plovertrail_abi", "plovertrail_buffer", "plovertrail_buffer_size")
         )
         if version != abi.VERSION:
-            raise BadModule(f"it is written for version {version} of the interface; this is {abi.VERSION}")
+            raise InvalidModuleError(
+                f"it is written for version {version} of the interface; this is {abi.VERSION}"
+            )
         if not LEAST_BUFFER <= size <= LARGEST_BUFFER:
-            raise BadModule(f"its buffer has {size} bytes, not {LEAST_BUFFER} to {LARGEST_BUFFER}")
+            raise InvalidModuleError(f"its buffer has {size} bytes, not {LEAST_BUFFER} to {LARGEST_BUFFER}")
         memory = exports["memory"]
         assert isinstance(memory, wasmtime.Memory)
         if buffer < 0 or buffer + size > memory.data_len(store):
-            raise BadModule("its buffer goes over the end of its memory")
+            raise InvalidModuleError("its buffer goes over the end of its memory")
         return buffer, size
 
 
@@ -181,7 +187,7 @@
     """One instance of a module, with a memory of its own. Not to be used again after a fault."""
 
     def __init__(self, runtime: Runtime, compiled: Compiled, bounds: Bounds) -> None:
-        """Raises HookFault: a start function may do what any call may."""
+        """Raises HookError: a start function may do what any call may."""
         self.bounds = bounds
         self.buffer, self.size = compiled.buffer, compiled.size
         self.store = wasmtime.Store(runtime.engine)
@@ -189,7 +195,7 @@
         try:
             exports = compiled.module.instantiate(self.store).exports(self.store)
         except (wasmtime.WasmtimeError, wasmtime.Trap) as error:
-            raise HookFault(f"it can't be started: {_first_line(error)}") from None
+            raise HookError(f"it can't be started: {_first_line(error)}") from None
         memory = exports["memory"]
         assert isinstance(memory, wasmtime.Memory)
         self.memory = memory
@@ -198,11 +204,13 @@
         }
 
     def call(self, phase: str, told: bytes) -> bytes:
-        """One call, told of records; raises HookFault. Records that don't fit into the buffer are a fault."""
+        """One call, told of records; raises HookError. Records that don't fit into the buffer are a fault."""
         store, memory = self.store, self.memory
         told = abi.U32.pack(len(told)) + told
         if len(told) > self.size:
-            raise TooLong(f"the request takes {len(told)} bytes, and the hook's buffer has {self.size}")
+            raise RequestTooLongError(
+                f"the request takes {len(told)} bytes, and the hook's buffer has {self.size}"
+            )
         store.set_fuel(self.bounds.fuel)
         store.set_epoch_deadline(TICKS)
         # hazard: a memory that grows may move, so its place is asked for anew each time; it never shrinks,
@@ -212,15 +220,15 @@
         try:
             size = call_for_size(store, self.calls[phase])
         except wasmtime.Trap as trap:
-            raise HookFault(_trap_text(trap)) from None
+            raise HookError(_trap_text(trap)) from None
         except wasmtime.WasmtimeError as error:
-            raise HookFault(_first_line(error)) from None
+            raise HookError(_first_line(error)) from None
         if size == 0:
             return b""
         if size < 0:
-            raise HookFault(f"the hook gave up with its own code {size}")
+            raise HookError(f"the hook gave up with its own code {size}")
         if size > self.size:
-            raise HookFault(f"a verdict of {size} bytes in a buffer of {self.size}")
+            raise HookError(f"a verdict of {size} bytes in a buffer of {self.size}")
         start = ctypes.addressof(memory.data_ptr(store).contents) + self.buffer
         return ctypes.string_at(start, size)
 
--- a/plovertrail/hooks/hook.py
+++ b/plovertrail/hooks/hook.py
@@ -9,9 +9,9 @@
 
 from plovertrail.config.hooks import HookSetup
 from plovertrail.decisions.breaker import Breaker
-from plovertrail.decisions.verdicts import NOTHING, Allowed, BadVerdict, Verdict
+from plovertrail.decisions.verdicts import NOTHING, Allowed, InvalidVerdictError, Verdict
 from plovertrail.hooks import abi
-from plovertrail.hooks.bounds import HookFault, TooLong
+from plovertrail.hooks.bounds import HookError, RequestTooLongError
 from plovertrail.hooks.engine import Bounds, Compiled, Instance, Runtime
 
 log = logging.getLogger(__name__)
@@ -65,17 +65,17 @@
         return phase in self.compiled.phases
 
     def run(self, phase: str, told: bytes, allowed: Allowed, check: Check, began_us: int) -> Verdict:
-        """One call, and its verdict, checked; raises HookFault. Only while its breaker lets it."""
+        """One call, and its verdict, checked; raises HookError. Only while its breaker lets it."""
         self.figures.calls += 1
         try:
             verdict = self._call(phase, told)
             if verdict is not NOTHING:
                 check(verdict, allowed)
-        except TooLong as fault:
+        except RequestTooLongError as fault:
             self.figures.too_long += 1
             self.figures.last_fault = str(fault)
             raise
-        except (BadVerdict, HookFault) as fault:
+        except (InvalidVerdictError, HookError) as fault:
             raise self._faulted(f"{phase}: {fault}", began_us) from None
         except Exception as error:
             # hazard: a fault of the engine's own must end neither the request nor the daemon
@@ -111,7 +111,7 @@
         )
         return counters + abi.config(self.setup.config)
 
-    def _faulted(self, why: str, began_us: int) -> HookFault:
+    def _faulted(self, why: str, began_us: int) -> HookError:
         self.instance = None  # hazard: what it left in its globals would spoil the next request
         self.figures.faults += 1
         self.figures.last_fault = why[:MOST_KEPT_FAULT]
@@ -125,7 +125,7 @@
             )
         elif self._may_log(now_us):
             log.warning("hook %s faulted: %s", self.setup.name, self.figures.last_fault)
-        return HookFault(why)
+        return HookError(why)
 
     def _take(self, verdict: Verdict, now_us: int) -> None:
         """Its counts and log lines."""
--- a/plovertrail/hooks/keeper.py
+++ b/plovertrail/hooks/keeper.py
@@ -10,18 +10,18 @@
 from plovertrail.config.problems import ConfigError, Problem
 from plovertrail.config.tables import key_path
 from plovertrail.hooks.bounds import LARGEST_MODULE
-from plovertrail.hooks.engine import BadModule, Compiled, Runtime
+from plovertrail.hooks.engine import Compiled, InvalidModuleError, Runtime
 from plovertrail.hooks.hook import Hook
 from plovertrail.hooks.trial import try_out
 
 
 def read_module(path: str) -> bytes:
-    """A module's file; raises BadModule."""
+    """A module's file; raises InvalidModuleError."""
     try:
         with open(path, "rb") as file:
             return file.read(LARGEST_MODULE + 1)
     except OSError as error:
-        raise BadModule(f"{path} can't be read: {error.strerror}") from None
+        raise InvalidModuleError(f"{path} can't be read: {error.strerror}") from None
 
 
 class HookKeeper:
@@ -47,7 +47,7 @@
                     setup.limits.max_head,
                     [kind.name for kind in setup.classes],
                 )
-            except BadModule as error:
+            except InvalidModuleError as error:
                 problems.append(
                     Problem(
                         f"{key_path('hooks', name)}.file",
--- a/plovertrail/hooks/trial.py
+++ b/plovertrail/hooks/trial.py
@@ -7,14 +7,14 @@
 from plovertrail.config.hooks import HookSetup
 from plovertrail.decisions.verdicts import (
     Allowed,
-    BadVerdict,
+    InvalidVerdictError,
     check_answer,
     check_end,
     check_request,
 )
 from plovertrail.hooks import abi
-from plovertrail.hooks.bounds import PHASES, HookFault
-from plovertrail.hooks.engine import BadModule, Bounds, Compiled, Instance, Runtime
+from plovertrail.hooks.bounds import PHASES, HookError
+from plovertrail.hooks.engine import Bounds, Compiled, Instance, InvalidModuleError, Runtime
 from plovertrail.hooks.written import WrittenRequest, told
 from plovertrail.http1.requests import MOST_HEADERS
 
@@ -32,8 +32,11 @@
 def try_out(
     runtime: Runtime, compiled: Compiled, setup: HookSetup, max_head: int, classes: Iterable[str] = ()
 ) -> None:
-    """Raises BadModule if it faults on a plain request, or has no room for a long one. It may choose any of
-    these classes, as it is not known here of which route the request would be."""
+    """Run each phase of a hook once on a plain request, with room left for a head of `max_head` bytes.
+
+    The hook may choose any of `classes`, as it is not known here of which route the request would be. Raises
+    InvalidModuleError if a call fails, or if the hook's buffer is too small for a long request.
+    """
     allowed = Allowed(
         (),
         frozenset(name.encode() for name in (*classes, "trial")),
@@ -47,11 +50,11 @@
             instance = Instance(runtime, compiled, Bounds(setup.fuel, setup.memory))
             room = abi.U32.size + len(records) + max_head + MOST_HEADERS * abi.HEAD.size + setup.body
             if instance.size < room:
-                raise BadModule(
+                raise InvalidModuleError(
                     f"its buffer of {instance.size} bytes is too small: with limits.max_head and "
                     f"its body it must have {room}"
                 )
             answer = instance.call(phase, records)
             CHECKS[phase](abi.read_verdict(answer), allowed)
-        except (HookFault, BadVerdict) as fault:
-            raise BadModule(f"tried out, {phase}: {fault}") from None
+        except (HookError, InvalidVerdictError) as fault:
+            raise InvalidModuleError(f"tried out, {phase}: {fault}") from None
--- a/plovertrail/http1/requests.py
+++ b/plovertrail/http1/requests.py
@@ -14,7 +14,7 @@
 VALUE = re.compile(rb"[\t -~\x80-\xff]*")  # RFC 9110, section 5.5
 
 
-class Malformed(Exception):
+class MalformedRequestError(Exception):
     """What is no request that may be taken: the status to answer with, and why. The connection ends with it,
     as where the next request would begin is not known."""
 
@@ -48,7 +48,7 @@
         self.stopped = False  # behind an Upgrade
         self.rest = bytearray()  # what has come behind it; the one who feeds bounds it
         self.messages: deque[RequestMessage] = deque()
-        self.error: Malformed | None = None
+        self.error: MalformedRequestError | None = None
         self.full = False  # more requests came than may wait: what follows is not read
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self._begin()
@@ -91,17 +91,21 @@
                     return
             except httptools.HttpParserCallbackError as error:
                 cause = error.__context__
-                self.error = cause if isinstance(cause, Malformed) else Malformed(400, "malformed request")
+                self.error = (
+                    cause
+                    if isinstance(cause, MalformedRequestError)
+                    else MalformedRequestError(400, "malformed request")
+                )
             except httptools.HttpParserError:
-                self.error = Malformed(400, "malformed request")
+                self.error = MalformedRequestError(400, "malformed request")
         if self.full:
             self.error = None
         elif self.error is None:
             # hazard: a head, or chunks of a byte with long extensions, without end would fill the memory
             if self._partial and not self._head_done and self._size > self.longest_head:
-                self.error = Malformed(431, "the head is too long")
+                self.error = MalformedRequestError(431, "the head is too long")
             elif self._size > self.longest_head + 2 * self.longest_body + 65_536:
-                self.error = Malformed(413, "the request is too long")
+                self.error = MalformedRequestError(413, "the request is too long")
 
     def read_on(self) -> None:
         """The upgrade is ignored: what follows is the next request."""
@@ -114,7 +118,7 @@
         if len(self.messages) >= MOST_PIPELINED:
             self.messages[-1].keep_alive = False
             self.full = True
-            raise Malformed(400, "too many requests at once")
+            raise MalformedRequestError(400, "too many requests at once")
         self._partial = True
 
     def on_url(self, url: bytes) -> None:
@@ -124,10 +128,10 @@
         if self._head_done:
             return  # a trailer: it must not pass for a header
         if len(self._headers) >= MOST_HEADERS:
-            raise Malformed(431, "too many headers")
+            raise MalformedRequestError(431, "too many headers")
         value = value.strip(b" \t")
         if not VALUE.fullmatch(value):
-            raise Malformed(400, "a header's value is not text")
+            raise MalformedRequestError(400, "a header's value is not text")
         self._headers.append((name, value))
         plain = name.lower()
         if plain not in CHECKED:
@@ -136,14 +140,16 @@
             self._framing.append(plain)
         if plain == b"content-length":
             if not value.isdigit() or len(value) > 15:
-                raise Malformed(400, "Content-Length is no whole number")
+                raise MalformedRequestError(400, "Content-Length is no whole number")
             if int(value) > self.longest_body:
-                raise Malformed(413, "the body is too long")  # hazard: it would be read for nothing
+                raise MalformedRequestError(
+                    413, "the body is too long"
+                )  # hazard: it would be read for nothing
         elif plain == b"transfer-encoding" and value.lower() != b"chunked":
-            raise Malformed(501, "a Transfer-Encoding other than chunked")
+            raise MalformedRequestError(501, "a Transfer-Encoding other than chunked")
         elif plain == b"expect":
             if value.lower() != b"100-continue":
-                raise Malformed(417, "an Expect other than 100-continue")
+                raise MalformedRequestError(417, "an Expect other than 100-continue")
             self.continue_wanted = True
 
     def on_headers_complete(self) -> None:
@@ -151,13 +157,13 @@
         self._head_done = True
         size = len(self._target) + sum(len(name) + len(value) + 4 for name, value in self._headers)
         if size > self.longest_head:
-            raise Malformed(431, "the head is too long")
+            raise MalformedRequestError(431, "the head is too long")
         version = self._parser.get_http_version()
         if version not in ("1.0", "1.1"):
-            raise Malformed(505, "not HTTP/1.1")
+            raise MalformedRequestError(505, "not HTTP/1.1")
         if len(self._framing) > 1 or (version == "1.0" and b"transfer-encoding" in self._framing):
             # hazard: who goes by one of them and who by the other see the next request begin elsewhere
-            raise Malformed(400, "a body with two lengths")
+            raise MalformedRequestError(400, "a body with two lengths")
         if version == "1.0":
             self.continue_wanted = False
 
@@ -165,7 +171,7 @@
         self.continue_wanted = False
         self._body += data
         if len(self._body) > self.longest_body:
-            raise Malformed(413, "the body is too long")
+            raise MalformedRequestError(413, "the body is too long")
 
     def on_message_complete(self) -> None:
         assert self._parser is not None
--- a/plovertrail/nginx/importer.py
+++ b/plovertrail/nginx/importer.py
@@ -20,13 +20,13 @@
 from plovertrail.decisions.templates import escaped, parse_template
 from plovertrail.nginx.directives import GUARDS, INHERITED, KNOWN
 from plovertrail.nginx.limits import Limits
-from plovertrail.nginx.locations import CrossedPatterns, Kind, Location, Region, Rule, order, runs, whole
+from plovertrail.nginx.locations import Kind, Location, NestedPatternsError, Region, Rule, order, runs, whole
 from plovertrail.nginx.report import Report, Treatment
 from plovertrail.nginx.routes import RouteSettings, RouteWriter
 from plovertrail.nginx.scope import Scope, size_bytes, time_ms, time_text
 from plovertrail.nginx.tree import Directive, Tree
 from plovertrail.nginx.upstreams import Group, Server, address_of, pool_name, pool_text, read_group
-from plovertrail.nginx.variables import VARIABLE, Unmappable, template, variables
+from plovertrail.nginx.variables import VARIABLE, UnmappableError, template, variables
 
 MOST_ROUNDS = 20
 LARGEST_BODY = 64 << 20
@@ -46,7 +46,7 @@
 """
 
 
-class Shut(Exception):
+class UnmappableServerError(Exception):
     """A directive for which a whole server can't be carried over."""
 
     def __init__(self, by: Directive, why: str) -> None:
@@ -55,7 +55,7 @@
         self.why = why
 
 
-class NothingToServe(Exception):
+class NothingToServeError(Exception):
     """No server block of the configuration listens where the daemon can."""
 
 
@@ -96,7 +96,7 @@
         self.origin = ""  # of redirects to a path, of the server that is read
 
     def run(self) -> Imported:
-        """Raises NothingToServe, and AssertionError where the result would not pass `check`."""
+        """Raises NothingToServeError, and AssertionError where the result would not pass `check`."""
         for include in self.tree.walk():
             if include.name == "include" and include.block is None:
                 if include.wrong:
@@ -110,7 +110,7 @@
         self._choose(servers)
         live = [server for server in servers if server.listens]
         if not live:
-            raise NothingToServe("no server block listens on an IPv4 address without TLS")
+            raise NothingToServeError("no server block listens on an IPv4 address without TLS")
         for server in live:
             self._server(server)
         self._leftovers()
@@ -226,7 +226,7 @@
         text, options = (listen.args[0], listen.args[1:]) if listen.args else ("", ())
         try:
             if text.startswith("unix:") or text.startswith("["):
-                raise Unmappable("the daemon listens on IPv4 addresses only")
+                raise UnmappableError("the daemon listens on IPv4 addresses only")
             host, colon, port = text.rpartition(":")
             if not colon:
                 host, port = ("*", text) if text.isdecimal() else (text, "80")
@@ -234,14 +234,14 @@
             try:
                 address = f"{ipaddress.IPv4Address(host)}:{int(port)}"
             except ValueError:
-                raise Unmappable(f"{text!r} is no IPv4 address and port") from None
+                raise UnmappableError(f"{text!r} is no IPv4 address and port") from None
             hints = []
             for option in options:
                 if LISTEN_HINTS.fullmatch(option):
                     hints.append(option)
                 elif option not in LISTEN_FLAGS:
-                    raise Unmappable(f"{option}: the daemon speaks plain HTTP/1.1; end it in front")
-        except Unmappable as why:
+                    raise UnmappableError(f"{option}: the daemon speaks plain HTTP/1.1; end it in front")
+        except UnmappableError as why:
             self.report.not_mapped(listen, str(why))
             return
         wanted.setdefault(address, []).append((server, any(o in LISTEN_FLAGS for o in options), listen))
@@ -259,7 +259,7 @@
                             server.names.append((host, directive))
                     if not self.report.known(directive):
                         self.report.mapped(directive, "hosts")
-                except Unmappable as why:
+                except UnmappableError as why:
                     self.report.not_mapped(directive, f"{name}: {why}")
 
     # One server
@@ -272,17 +272,17 @@
         try:
             guard = server.scope.guard()
             if guard is not None:
-                raise Shut(guard, shut_note(guard))
+                raise UnmappableServerError(guard, shut_note(guard))
             if self._answers_all(server.scope):
                 return
             locations = self._locations(server.scope, None)
             for rule in order(locations):
                 self._rule(rule)
-        except CrossedPatterns as crossed:
+        except NestedPatternsError as crossed:
             self._shut_server(
                 server, crossed.location.directive, "two patterns that must hold together can't be one route"
             )
-        except Shut as shut:
+        except UnmappableServerError as shut:
             self._shut_server(server, shut.by, shut.why)
         else:
             if not any(each.text == "/" for each in locations if each.kind in (Kind.PREFIX, Kind.FINAL)):
@@ -326,7 +326,7 @@
     # Locations
 
     def _locations(self, scope: Scope, outer: Location | None) -> list[Location]:
-        """Those of one level, without what nginx refuses. Raises Shut."""
+        """Those of one level, without what nginx refuses. Raises UnmappableServerError."""
         found: list[Location] = []
         for block in scope.own("location"):
             made = self._location(block, scope)
@@ -357,7 +357,10 @@
         return found
 
     def _location(self, block: Directive, outer: Scope) -> Location | None:
-        """One block and what is nested in it; None if no request comes to it. Raises Shut."""
+        """One block and what is nested in it; None if no request comes to it.
+
+        Raises UnmappableServerError.
+        """
         scope = Scope(block.block or [], outer, location=True)
         args = block.args
         modifier, text = (args[0], args[1]) if len(args) == 2 else ("", args[0] if args else "")
@@ -372,7 +375,7 @@
         if modifier in ("~", "~*"):
             regex = text if modifier == "~" else f"(?i){text}"
             if wrong := runs(whole(regex)):
-                raise Shut(block, f"{wrong}, so which requests it takes isn't known")
+                raise UnmappableServerError(block, f"{wrong}, so which requests it takes isn't known")
             made = Location(Kind.REGEX, regex, block, scope)
         else:
             kind = {"=": Kind.EXACT, "^~": Kind.FINAL, "": Kind.PREFIX}.get(modifier)
@@ -436,7 +439,7 @@
         try:
             self._proxy(rule, scope, passes[-1])
             self.report.mapped(block, "its routes; GET and HEAD are safe to repeat, all else is unsafe")
-        except Unmappable as why:
+        except UnmappableError as why:
             self.report.not_mapped(passes[-1], f"{why}; its location is answered 501")
             self._shut(rule, passes[-1])
 
@@ -461,23 +464,23 @@
         args = [self._plain(each, rule.location.scope) for each in directive.args]
         try:
             if not args or len(args) > 2:
-                raise Unmappable("neither a status nor a URL")
+                raise UnmappableError("neither a status nor a URL")
             if len(args) == 1 and not args[0].isdecimal():
                 status, text = 302, args[0]
             else:
                 status, text = int(args[0]), args[1] if len(args) == 2 else ""
             if status == 444:
-                raise Unmappable(
+                raise UnmappableError(
                     "444 closes the connection unanswered, and every request has an answer here: "
                     "404 is answered"
                 )
             if not 200 <= status <= 599:
-                raise Unmappable(f"{status} is no status of an answer")
+                raise UnmappableError(f"{status} is no status of an answer")
             if status in (301, 302, 303, 307, 308):
                 self._add(directive, rule, status, self._leads_to(text), "")
             else:
                 self._add(directive, rule, status, "", template(text) if text else "")
-        except Unmappable as why:
+        except UnmappableError as why:
             if "444" in str(why):
                 self.report.differs(directive, str(why))
                 self.routes.add(directive, rule, respond=(404, "", ""))
@@ -492,30 +495,32 @@
     def _leads_to(self, text: str) -> str:
         """A Location as nginx writes it: a path is made a URL."""
         if not text:
-            raise Unmappable("a redirect to nowhere")
+            raise UnmappableError("a redirect to nowhere")
         made = template(text)
         return f"{self.origin}{made}" if text.startswith("/") else made
 
     def _add(self, directive: Directive, rule: Rule, status: int, location: str, body: str) -> None:
-        """An answer whose templates have no groups but the rule's own; raises Unmappable."""
+        """An answer whose templates have no groups but the rule's own; raises UnmappableError."""
         groups = re2.compile(rule.regex).groups if rule.regex is not None else 0
         for text in (location, body):
             if any(name.isdigit() and int(name) > groups for name in parse_template(text).names):
-                raise Unmappable("groups of an expression that isn't its location's")
+                raise UnmappableError("groups of an expression that isn't its location's")
         self.routes.add(directive, rule, respond=(status, location, body))
 
     def _rewrite(self, directive: Directive, rule: Rule) -> None:
-        """One rewrite, as a route for the requests that it takes; the others go on. Raises Shut where it
-        can't be told which these are."""
+        """One rewrite, as a route for the requests that it takes; the others go on.
+
+        Raises UnmappableServerError where it can't be told which these are.
+        """
         if len(directive.args) not in (2, 3):
-            raise Shut(directive, "it has neither two nor three parts")
+            raise UnmappableServerError(directive, "it has neither two nor three parts")
         regex, text, flag = (*directive.args, "")[:3]
         scope = rule.location.scope
         text = self._plain(text, scope)
         if wrong := runs(whole(regex)):
-            raise Shut(directive, f"{wrong}, so which requests it takes isn't known")
+            raise UnmappableServerError(directive, f"{wrong}, so which requests it takes isn't known")
         if rule.regex is not None:
-            raise Shut(directive, "a rewrite under a regular expression can't be one route")
+            raise UnmappableServerError(directive, "a rewrite under a regular expression can't be one route")
         taken = Rule(rule.location, rule.region, regex=regex)
         if rule.exact is not None:
             match = re2.search(regex, rule.exact)
@@ -533,35 +538,35 @@
                 keeps = not text.endswith("?")
                 where = self._leads_to(text.removesuffix("?"))
                 if keeps and "?" in where:
-                    raise Unmappable("a query in the replacement, and the request's own behind it")
+                    raise UnmappableError("a query in the replacement, and the request's own behind it")
                 self._add(directive, taken, status, where + ("{args}" if keeps else ""), "")
                 self.report.mapped(directive, "respond")
                 return
             if flag != "break" or not scope.location:
-                raise Unmappable("what it becomes is looked up again among all locations")
+                raise UnmappableError("what it becomes is looked up again among all locations")
             passes = scope.own("proxy_pass")
             if not passes:
-                raise Unmappable("its location serves files")
+                raise UnmappableError("its location serves files")
             if "?" in text[:-1] or not text.startswith("/"):
-                raise Unmappable("the replacement is no plain path")
+                raise UnmappableError("the replacement is no plain path")
             self._proxy(taken, scope, passes[-1], rewritten=replacement(text))
             self.report.mapped(directive, "rewrite")
-        except Unmappable as why:
+        except UnmappableError as why:
             self.report.not_mapped(directive, f"{why}: the requests that it takes are answered 501")
             self._shut(taken, directive)
 
     # Requests that go on
 
     def _proxy(self, rule: Rule, scope: Scope, directive: Directive, rewritten: str = "") -> None:
-        """The two routes of a location that passes its requests on. Raises Unmappable."""
+        """The two routes of a location that passes its requests on. Raises UnmappableError."""
         written = directive.args[0] if directive.args else ""
         url = self._plain(written, scope)
         found = re.fullmatch(r"http://([^/?#]+)([^?#]*)", url)
         if found is None:
-            raise Unmappable(f"{url!r} is no plain http URL")
+            raise UnmappableError(f"{url!r} is no plain http URL")
         name, uri = found[1], found[2]
         if "$" in name:
-            raise Unmappable("a server by variables: write a route for each value")
+            raise UnmappableError("a server by variables: write a route for each value")
         group = self._group(name, directive)
         regex, replace = rule.regex, rewritten
         settings = RouteSettings(group.pools, keep_query=not rewritten.endswith("?"))
@@ -576,7 +581,7 @@
         replace = replace.removesuffix("?")
         groups = re2.compile(regex).groups if regex is not None else 0
         if any(int(number) > groups for number in re.findall(r"\\(\d)", replace)):
-            raise Unmappable("groups of an expression that isn't its location's")
+            raise UnmappableError("groups of an expression that isn't its location's")
         self._headers(scope, name, settings)
         self._times(scope, group, settings)
         self._body(scope, settings)
@@ -613,14 +618,14 @@
         """What proxy_pass with a URI makes of a path: that in place of what the location matched."""
         if rule.exact is not None:
             if "$" in uri:
-                raise Unmappable("variables in its URI")
+                raise UnmappableError("variables in its URI")
             return None, uri
         if rule.location.kind is Kind.REGEX or rule.regex is not None:
             if set(variables(uri)) - set("123456789") or not variables(uri):
-                raise Unmappable("under a regular expression only its groups may stand in the URI")
+                raise UnmappableError("under a regular expression only its groups may stand in the URI")
             return rule.regex, replacement(uri)
         if "$" in uri:
-            raise Unmappable("variables in its URI")
+            raise UnmappableError("variables in its URI")
         # a text in place of a text: borders of segments don't matter to nginx
         return "^" + re2.escape(rule.location.text) + "(.*)", replacement(uri) + "\\1"
 
@@ -641,7 +646,7 @@
             name, value = directive.args
             try:
                 self._header(directive, name, self._plain(value, scope), host, settings)
-            except Unmappable as why:
+            except UnmappableError as why:
                 settings.removed.append(name)
                 settings.headers.pop(name, None)
                 self.report.not_mapped(directive, f"{why}: the client's own is removed, and none is sent")
@@ -651,7 +656,7 @@
     ) -> None:
         low = name.lower()
         if not re.fullmatch(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+", name):
-            raise Unmappable("no name of a header")
+            raise UnmappableError("no name of a header")
         if low == "upgrade" and value == "$http_upgrade":
             settings.websocket = True
             self.report.mapped(directive, "websocket")
@@ -676,9 +681,9 @@
         else:
             made = template(value, {"proxy_host": escaped(host)})
             if any(name.isdigit() for name in parse_template(made).names):
-                raise Unmappable("groups of an expression")
+                raise UnmappableError("groups of an expression")
             if not re.fullmatch(r"[\t -~]*", made):
-                raise Unmappable("a value that is not plain ASCII")
+                raise UnmappableError("a value that is not plain ASCII")
             key = "Host" if low == "host" else name
             settings.headers.pop(
                 next((known for known in settings.headers if known.lower() == low), ""), None
@@ -693,7 +698,7 @@
             try:
                 settings.deadline_ms = max(1, min(time_ms(read.args[0] if read.args else ""), 86_400_000))
                 self.report.differs(read, "the whole answer must come in this time, not each part of it")
-            except Unmappable as why:
+            except UnmappableError as why:
                 self.report.not_mapped(read, f"{why}; 60 s hold")
         connect = scope.one("proxy_connect_timeout")
         if connect is not None:
@@ -703,7 +708,7 @@
                 self.report.differs(
                     connect, "connect_timeout of the pool: the shortest that a location asks for"
                 )
-            except Unmappable as why:
+            except UnmappableError as why:
                 self.report.not_mapped(connect, f"{why}; 500 ms hold")
         after = scope.one("proxy_next_upstream")
         if after is not None:
@@ -740,7 +745,7 @@
                     self.report.differs(directive, "64 MiB is the longest body")
                 else:
                     self.report.mapped(directive, "max_body")
-            except Unmappable as why:
+            except UnmappableError as why:
                 self.report.not_mapped(directive, f"{why}; 1 MiB holds")
         self.bodies.append(settings.max_body)
 
@@ -759,7 +764,7 @@
                 try:
                     times.append(time_ms(directive.args[0] if directive.args else ""))
                     self.report.differs(directive, f"{key} of all listeners: the longest that is written")
-                except Unmappable as why:
+                except UnmappableError as why:
                     self.report.not_mapped(directive, str(why))
             longest = max(times, default=0)
             if longest:
@@ -866,11 +871,11 @@
 
 
 def hosts_of(name: str) -> list[str]:
-    """A server_name as hosts; raises Unmappable."""
+    """A server_name as hosts; raises UnmappableError."""
     if name.startswith("~"):
         regex = f"(?i){name[1:]}"
         if wrong := runs(regex):
-            raise Unmappable(wrong)
+            raise UnmappableError(wrong)
         return [f"~{regex}"]
     low = name.lower().rstrip(".")
     found = [low[1:], f"*{low}"] if low.startswith(".") else [low]
@@ -881,7 +886,7 @@
             or ".." in plain
             or (host.startswith("*.") and host.endswith(".*"))
         ):
-            raise Unmappable("no name that requests come with")
+            raise UnmappableError("no name that requests come with")
     return found
 
 
@@ -900,12 +905,12 @@
 
 
 def replacement(text: str) -> str:
-    """$1 as \\1; raises Unmappable on other variables."""
+    """$1 as \\1; raises UnmappableError on other variables."""
     made, at = "", 0
     for found in VARIABLE.finditer(text):
         name = found[1] or found[2]
         if not name.isdigit() or name == "0":
-            raise Unmappable(f"${name} in a path has no counterpart")
+            raise UnmappableError(f"${name} in a path has no counterpart")
         made += text[at : found.start()].replace("\\", "\\\\") + f"\\{name}"
         at = found.end()
     return made + text[at:].replace("\\", "\\\\")
--- a/plovertrail/nginx/limits.py
+++ b/plovertrail/nginx/limits.py
@@ -10,7 +10,7 @@
 from plovertrail.nginx.scope import Scope, size_bytes
 from plovertrail.nginx.tree import Directive
 from plovertrail.nginx.upstreams import pool_name
-from plovertrail.nginx.variables import Unmappable
+from plovertrail.nginx.variables import UnmappableError
 
 BYTES_A_KEY = 128  # of nginx's zones, about
 MOST_KEYS = 100_000
@@ -43,12 +43,12 @@
                     key, zone = self._zone(directive)
                     into[key] = zone
                     self.report.mapped(directive, "limiters of the routes that use it")
-                except Unmappable as why:
+                except UnmappableError as why:
                     self.report.not_mapped(directive, str(why))
 
     def _zone(self, directive: Directive) -> tuple[str, Zone]:
         if not directive.args:
-            raise Unmappable("it has no key")
+            raise UnmappableError("it has no key")
         by, tenant = _keyed(directive.args[0])
         name, keys, rate = "", 0, 0.0
         for option in directive.args[1:]:
@@ -59,12 +59,12 @@
             elif key == "rate":
                 count, _, each = value.partition("r/")
                 if not count.isdecimal() or each not in ("s", "m"):
-                    raise Unmappable(f"{value!r} is no rate")
+                    raise UnmappableError(f"{value!r} is no rate")
                 rate = int(count) / (60 if each == "m" else 1)
             else:
-                raise Unmappable(f"{option} has no counterpart")
+                raise UnmappableError(f"{option} has no counterpart")
         if not name or (directive.name == "limit_req_zone" and rate <= 0):
-            raise Unmappable("it has no zone, or no rate")
+            raise UnmappableError("it has no zone, or no rate")
         return name, Zone(directive, by, tenant, keys, rate)
 
     def of(self, scope: Scope, settings: RouteSettings, server: int) -> None:
@@ -86,7 +86,7 @@
     ) -> None:
         try:
             name, lines, note = self._limiter(directive, zones, settings, server)
-        except Unmappable as why:
+        except UnmappableError as why:
             self.report.not_mapped(directive, f"{why}; no limit holds in its place")
             return
         if name not in self.limiters and len(self.limiters) >= MOST_LIMITERS:
@@ -103,19 +103,19 @@
         self, directive: Directive, zones: dict[str, Zone], settings: RouteSettings, server: int
     ) -> tuple[str, list[str], str]:
         if not directive.args:
-            raise Unmappable("it names no zone")
+            raise UnmappableError("it names no zone")
         rate = directive.name == "limit_req"
         options = dict(option.partition("=")[::2] for option in directive.args)
         name = options.get("zone", "") if rate else directive.args[0]
         if name not in zones:
-            raise Unmappable(f"no zone is called {name!r}, or it isn't imported")
+            raise UnmappableError(f"no zone is called {name!r}, or it isn't imported")
         zone = zones[name]
         if zone.tenant:
             if settings.tenant not in ("", zone.tenant):
-                raise Unmappable("another limit of this location counts by another key")
+                raise UnmappableError("another limit of this location counts by another key")
             settings.tenant = zone.tenant
         if len(settings.limiters) >= MOST_A_ROUTE:
-            raise Unmappable(f"more than {MOST_A_ROUTE} limits on a location")
+            raise UnmappableError(f"more than {MOST_A_ROUTE} limits on a location")
         called = pool_name(name)[:30]
         by_server = zone.by == "server"
         lines = [f'by = "{"all" if by_server else zone.by}"', f"max_keys = {zone.keys}"]
@@ -124,13 +124,13 @@
         if rate:
             burst = options.get("burst", "0")
             if not burst.isdecimal():
-                raise Unmappable(f"burst={burst} is no whole number")
+                raise UnmappableError(f"burst={burst} is no whole number")
             called += f"-burst{int(burst)}"
             lines += [f"rate_per_s = {zone.rate_per_s!r}", f"burst = {int(burst) + 1}"]
             note = "limiters; what nginx delays within the burst goes on at once; over it: 429"
         else:
             if len(directive.args) < 2 or not directive.args[1].isdecimal() or directive.args[1] == "0":
-                raise Unmappable("it has no number of connections")
+                raise UnmappableError("it has no number of connections")
             called += f"-{int(directive.args[1])}"
             lines.append(f"concurrent = {int(directive.args[1])}")
             note = "limiters, concurrent: requests that are open, not connections; over it: 429"
@@ -147,7 +147,7 @@
 
 
 def _keyed(key: str) -> tuple[str, str]:
-    """What a zone counts by: `by` of a limiter, and where a tenant is read. Raises Unmappable."""
+    """What a zone counts by: `by` of a limiter, and where a tenant is read. Raises UnmappableError."""
     if key in ("$binary_remote_addr", "$remote_addr"):
         return "client", ""
     if key == "$server_name":
@@ -158,4 +158,4 @@
         return "tenant", "host"
     if key.startswith("$http_") and key[6:].replace("_", "").isalnum():
         return "tenant", "header:" + key[6:].replace("_", "-")
-    raise Unmappable(f"a limit by {json.dumps(key)} has no counterpart")
+    raise UnmappableError(f"a limit by {json.dumps(key)} has no counterpart")
--- a/plovertrail/nginx/locations.py
+++ b/plovertrail/nginx/locations.py
@@ -75,7 +75,7 @@
     slash: bool = False  # its closing slash is missing: the client is sent there
 
 
-class CrossedPatterns(Exception):
+class NestedPatternsError(Exception):
     """Patterns that must match together, where one rule has one. The location that can't be placed."""
 
     def __init__(self, location: Location) -> None:
@@ -84,7 +84,7 @@
 
 
 def order(locations: Sequence[Location]) -> list[Rule]:
-    """The rules of a server's locations, the first one first. Raises CrossedPatterns."""
+    """The rules of a server's locations, the first one first. Raises NestedPatternsError."""
     exact, nested, finals, regexes, rest = _level(locations, Region())
     return [*exact, *nested, *finals, *regexes, *rest]
 
@@ -141,7 +141,7 @@
             if each.kind is Kind.PREFIX and any(each.text.startswith(text) for text in shut)
         ]
         if open_again:
-            raise CrossedPatterns(open_again[0])
+            raise NestedPatternsError(open_again[0])
         regexes = [
             Rule(rule.location, rule.region.part("", shut), regex=rule.regex, exact=rule.exact)
             for rule in regexes
@@ -155,7 +155,7 @@
     behind: list[Rule] = []
     for inner in each.nested:
         if inner.nested or inner.kind is Kind.REGEX:
-            raise CrossedPatterns(inner)
+            raise NestedPatternsError(inner)
         if inner.kind is Kind.EXACT:
             if re2.search(each.text, inner.text) and region.has(inner.text):
                 rules.append(Rule(inner, region, exact=inner.text))
--- a/plovertrail/nginx/scope.py
+++ b/plovertrail/nginx/scope.py
@@ -8,7 +8,7 @@
 
 from plovertrail.nginx.directives import guards
 from plovertrail.nginx.tree import Directive
-from plovertrail.nginx.variables import Unmappable
+from plovertrail.nginx.variables import UnmappableError
 
 TIME = re.compile(r"(\d+)(ms|s|m|h|d|w|M|y)?")
 UNITS_MS = {
@@ -98,22 +98,22 @@
 
 
 def time_ms(text: str) -> int:
-    """Milliseconds of nginx's times, as 1m30s; raises Unmappable."""
+    """Milliseconds of nginx's times, as 1m30s; raises UnmappableError."""
     total, at = 0, 0
     for found in TIME.finditer(text):
         if found.start() != at:
             break
         total, at = total + int(found[1]) * UNITS_MS[found[2] or ""], found.end()
     if not text or at != len(text):
-        raise Unmappable(f"{text!r} is no time")
+        raise UnmappableError(f"{text!r} is no time")
     return total
 
 
 def size_bytes(text: str) -> int:
-    """Bytes of nginx's sizes, as 10m; raises Unmappable."""
+    """Bytes of nginx's sizes, as 10m; raises UnmappableError."""
     found = SIZE.fullmatch(text)
     if found is None:
-        raise Unmappable(f"{text!r} is no size")
+        raise UnmappableError(f"{text!r} is no size")
     return int(found[1]) * UNITS_BYTES[found[2].lower()]
 
 
--- a/plovertrail/nginx/tree.py
+++ b/plovertrail/nginx/tree.py
@@ -13,7 +13,7 @@
 MOST_DIRECTIVES = 200_000  # with each file as often as it is included
 
 
-class BadNginxConfig(Exception):
+class NginxConfigError(Exception):
     """A configuration that can't be read: what is wrong, with file and line."""
 
 
@@ -67,12 +67,14 @@
         self, raws: list[dict[str, Any]], file: str, depth: int, files: tuple[int, ...]
     ) -> list[Directive]:
         if depth > DEEPEST:
-            raise BadNginxConfig(f"{file}: nested more than {DEEPEST} deep")
+            raise NginxConfigError(f"{file}: nested more than {DEEPEST} deep")
         found: list[Directive] = []
         for raw in raws:
             self.count += 1
             if self.count > MOST_DIRECTIVES:
-                raise BadNginxConfig(f"{file}: more than {MOST_DIRECTIVES} directives with what is included")
+                raise NginxConfigError(
+                    f"{file}: more than {MOST_DIRECTIVES} directives with what is included"
+                )
             number = self.numbers.setdefault(id(raw), len(self.numbers))
             new = number == len(self.tree.written)
             made = Directive(number, raw["directive"], tuple(raw["args"]), file, raw["line"])
@@ -93,11 +95,11 @@
 
 
 def read_tree(path: str) -> Tree:
-    """Read a configuration; raises BadNginxConfig. Files are named as seen from the main one's folder."""
+    """Read a configuration; raises NginxConfigError. Files are named as seen from the main one's folder."""
     try:
         payload = crossplane.parse(path, check_ctx=False, check_args=False)
     except (OSError, ValueError, RecursionError, StopIteration, RuntimeError) as error:
-        raise BadNginxConfig(f"{path}: it can't be read: {error or type(error).__name__}") from None
+        raise NginxConfigError(f"{path}: it can't be read: {error or type(error).__name__}") from None
     base = os.path.dirname(os.path.abspath(path))
     missing: dict[tuple[str, int], str] = {}
     wrong = []
@@ -108,7 +110,7 @@
         else:
             wrong.append(f"{name}:{told['line'] or '?'}: {told['error']}")
     if wrong:
-        raise BadNginxConfig("\n".join(wrong))
+        raise NginxConfigError("\n".join(wrong))
     configs = payload["config"]
     builder = _Builder(configs, missing, base)
     builder.tree.main = builder.build(configs[0]["parsed"], os.path.basename(path), 0, (0,))
--- a/plovertrail/nginx/upstreams.py
+++ b/plovertrail/nginx/upstreams.py
@@ -9,7 +9,7 @@
 from plovertrail.nginx.report import Report
 from plovertrail.nginx.scope import time_ms, time_text
 from plovertrail.nginx.tree import Directive
-from plovertrail.nginx.variables import Unmappable
+from plovertrail.nginx.variables import UnmappableError
 
 MOST_ATTEMPTS = 10
 LARGEST_WEIGHT = 1000
@@ -70,22 +70,22 @@
 
 
 def address_of(text: str) -> str:
-    """IPv4 address and port; raises Unmappable."""
+    """IPv4 address and port; raises UnmappableError."""
     host, colon, port = text.rpartition(":")
     if not colon:
         host, port = text, "80"
     host = "127.0.0.1" if host == "localhost" else host
     if text.startswith("unix:"):
-        raise Unmappable("Unix sockets are not dialled: write an address and port")
+        raise UnmappableError("Unix sockets are not dialled: write an address and port")
     try:
         plain = str(ipaddress.IPv4Address(host))
     except ValueError:
-        raise Unmappable(
+        raise UnmappableError(
             f"{host!r} is no IPv4 address, and names are not looked up: write its address, or a "
             "list in servers_from"
         ) from None
     if not port.isdecimal() or not 0 < int(port) < 65_536:
-        raise Unmappable(f"{port!r} is no port")
+        raise UnmappableError(f"{port!r} is no port")
     return f"{plain}:{int(port)}"
 
 
@@ -123,7 +123,7 @@
             try:
                 group.idle_ms = time_ms(directive.args[0] if directive.args else "")
                 report.mapped(directive, "pools.NAME.idle_timeout")
-            except Unmappable as why:
+            except UnmappableError as why:
                 report.not_mapped(directive, str(why))
         elif name in ("keepalive_requests", "keepalive_time"):
             report.differs(directive, "connections end when they are idle for long, and by no count")
@@ -146,7 +146,7 @@
     weight, backup, down, conns = 1, False, False, 0
     try:
         if not directive.args:
-            raise Unmappable("it names no server")
+            raise UnmappableError("it names no server")
         address = address_of(directive.args[0])
         for option in directive.args[1:]:
             key, _, value = option.partition("=")
@@ -169,8 +169,8 @@
                     "slow_start: pools.NAME.warm_up holds, for servers that come to a running daemon"
                 )
             else:
-                raise Unmappable(f"{option} has no counterpart")
-    except Unmappable as why:
+                raise UnmappableError(f"{option} has no counterpart")
+    except UnmappableError as why:
         report.not_mapped(directive, f"the server is left out: {why}")
         return
     if weight > LARGEST_WEIGHT:
@@ -196,7 +196,7 @@
 
 def _number(text: str, key: str, least: int) -> int:
     if not text.isdecimal() or int(text) < least:
-        raise Unmappable(f"{key}={text} is no whole number from {least} on")
+        raise UnmappableError(f"{key}={text} is no whole number from {least} on")
     return int(text)
 
 
--- a/plovertrail/nginx/variables.py
+++ b/plovertrail/nginx/variables.py
@@ -27,7 +27,7 @@
 }
 
 
-class Unmappable(Exception):
+class UnmappableError(Exception):
     """Something that has no counterpart here: what, for the report."""
 
 
@@ -37,7 +37,7 @@
 
 
 def template(text: str, own: Mapping[str, str] | None = None) -> str:
-    """A text as a template; `own` has further variables. Raises Unmappable."""
+    """A text as a template; `own` has further variables. Raises UnmappableError."""
     known = {**TEMPLATES, **(own or {})}
     made, at = "", 0
     text = text.replace("$is_args$args", "${_args}")
@@ -50,7 +50,7 @@
         elif name in known:
             made += known[name]
         else:
-            raise Unmappable(f"${name} has no counterpart")
+            raise UnmappableError(f"${name} has no counterpart")
     if "$" in VARIABLE.sub("", text):
-        raise Unmappable("a $ that begins no variable")
+        raise UnmappableError("a $ that begins no variable")
     return made + escaped(text[at:])
--- a/plovertrail/rehearsal/daemon.py
+++ b/plovertrail/rehearsal/daemon.py
@@ -18,7 +18,7 @@
 from plovertrail.decisions.membership import Candidate, Entry, State
 from plovertrail.exchange import Call
 from plovertrail.fronts import connections
-from plovertrail.fronts.ordinary import OrdinaryClient, OrdinaryFront
+from plovertrail.fronts.ordinary import LocalReply, OrdinaryClient, OrdinaryFront
 from plovertrail.generation import Plan
 from plovertrail.hearsay import class_key, server_key
 from plovertrail.rehearsal.servers import Behaviour, PlayedServers
@@ -122,8 +122,12 @@
         if data != b"HTTP/1.1 100 Continue\r\n\r\n":
             self.asked.answers.append((clock_us(), data))
 
-    def call(self, message: Any) -> tuple[Call, Plan]:
-        call, plan = super().call(message)
+    def call(self, message: Any) -> tuple[Call, Plan] | LocalReply:
+        """As the daemon's own, and noted: the route, class, tenant and deadline that the request got."""
+        found = super().call(message)
+        if isinstance(found, LocalReply):
+            return found
+        call, plan = found
         asked = self.asked
         asked.route, asked.kind, asked.tenant = plan.route.name, plan.kind.name, call.tenant_name
         asked.deadline_us = call.deadline_us
--- a/plovertrail/store/files.py
+++ b/plovertrail/store/files.py
@@ -20,7 +20,7 @@
 from plovertrail.decisions.membership import State
 from plovertrail.store import format_1
 from plovertrail.store.frames import HEAD, LARGEST, NONCE_BYTES, digest, frame, frames
-from plovertrail.store.records import LISTS, BadRecords, Kept, Key, Record, others_of, state_of
+from plovertrail.store.records import LISTS, InvalidRecordsError, Kept, Key, Record, others_of, state_of
 
 FIRST_LINE = b"plovertrail-state 2\n"
 OTHERS = ""  # the part that holds what is kept beside lists; no pool has that name
@@ -29,7 +29,7 @@
 LEVEL = 1  # of compression: a third of the bytes at a tenth of the time of higher ones
 
 
-class BadStore(Exception):
+class StoreFileError(Exception):
     """A file that can't be used; the text says why."""
 
 
@@ -120,22 +120,24 @@
 
 
 def decode(data: bytes, journal: bytes, instance: str, clocks: Clocks) -> Found:
-    """What a snapshot and its journal hold; raises BadStore if nothing of it can be used. Each part is taken
-    whole or not at all; of the journal all up to the first frame that is damaged."""
+    """What a snapshot and its journal hold; raises StoreFileError if nothing of it can be used.
+
+    Each part is taken whole or not at all; of the journal all up to the first frame that is damaged.
+    """
     if not data.startswith(FIRST_LINE):
         if format_1.HEAD.match(data) is None:
-            raise BadStore("it has no first line of ours, or is of a format that is not known here")
+            raise StoreFileError("it has no first line of ours, or is of a format that is not known here")
         try:
             return Found(Kept(format_1.decode(data, clocks.now_us, clocks.unix_us, clocks.boot)))
-        except format_1.BadFile as error:
-            raise BadStore(str(error)) from None
+        except format_1.InvalidStateFileError as error:
+            raise StoreFileError(str(error)) from None
     first = next(frames(bytes(NONCE_BYTES), data, len(FIRST_LINE)), None)
     if first is None:
-        raise BadStore("it is damaged: what it is of can't be read")
+        raise StoreFileError("it is damaged: what it is of can't be read")
     try:
         head = msgspec.json.decode(first[0], type=Head)
     except msgspec.MsgspecError as error:
-        raise BadStore(f"it says nothing of what it is of: {error}") from None
+        raise StoreFileError(f"it says nothing of what it is of: {error}") from None
     found = Found(age_us=clocks.unix_us - head.written_us)
     images, lost = _parts(data, first[1], head, found)
     found.journal_frames = _replay(journal, head, images, lost, found)
@@ -146,7 +148,7 @@
         if name != OTHERS and image:
             try:
                 states[name] = state_of(image, name, ahead, clocks.now_us)
-            except BadRecords as error:
+            except InvalidRecordsError as error:
                 found.problems.append(f"{error}; its lists are read anew")
     others = others_of(images.get(OTHERS, {}), ahead)
     if head.instance != instance:
@@ -245,13 +247,13 @@
             return Found(problems=[f"{self.path} can't be read, and is not used: {error.strerror}"])
         try:
             if max(len(data), len(journal)) > LARGEST:
-                raise BadStore(f"it holds more than {LARGEST >> 20} MiB")
+                raise StoreFileError(f"it holds more than {LARGEST >> 20} MiB")
             found = decode(data, journal, self.instance, clocks)
             if any("not used" in problem or "damaged" in problem for problem in found.problems):
                 self._set_aside(keep=True)
             found.problems = [f"{self.path}: {problem}" for problem in found.problems]
             return found
-        except BadStore as error:
+        except StoreFileError as error:
             self._set_aside(keep=False)
             return Found(problems=[f"{self.path} is not used and set aside as {self.path}.bad: {error}"])
 
--- a/plovertrail/store/format_1.py
+++ b/plovertrail/store/format_1.py
@@ -17,26 +17,29 @@
 HEAD = re.compile(rb"plovertrail-state 1 (\d{1,9}) ([0-9a-f]{64})\n")
 
 
-class BadFile(Exception):
+class InvalidStateFileError(Exception):
     """A file that can't be used; the text says why."""
 
 
 def decode(data: bytes, clock_us: int, unix_us: int, boot: str = "") -> dict[str, State]:
-    """The states in the file's bytes; raises BadFile. Hazard: the system's clock may have been set since;
-    by it, a server that came a moment ago would count as warm, or as cold for a day."""
+    """The states in the file's bytes, by pool; raises InvalidStateFileError.
+
+    Hazard: the system's clock may have been set since; by it, a server that came a moment ago would count as
+    warm, or as cold for a day.
+    """
     head = HEAD.match(data)
     if head is None:
-        raise BadFile("it has no first line of ours")
+        raise InvalidStateFileError("it has no first line of ours")
     body = data[head.end() :]
     if len(body) != int(head[1]) or hashlib.sha256(body).hexdigest().encode() != head[2]:
-        raise BadFile("it is damaged: its length or checksum is wrong")
+        raise InvalidStateFileError("it is damaged: its length or checksum is wrong")
     try:
         whole = json.loads(body)
         same = bool(boot) and whole.get("boot") == boot  # one machine, not started again: its clock went on
         ahead = -int(whole["ahead"]) if same else clock_us - unix_us
         return {name: _state(pool, ahead, clock_us) for name, pool in whole["pools"].items()}
     except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
-        raise BadFile(f"it holds no states: {error!r}") from None
+        raise InvalidStateFileError(f"it holds no states: {error!r}") from None
 
 
 def _entry(raw: Any) -> Entry:
--- a/plovertrail/store/records.py
+++ b/plovertrail/store/records.py
@@ -22,7 +22,7 @@
 LISTS = frozenset((POOL, ROW, CAME, LEAVING, HELD))
 
 
-class BadRecords(Exception):
+class InvalidRecordsError(Exception):
     """Records that make no state; the text says why."""
 
 
@@ -112,8 +112,11 @@
 
 
 def state_of(found: Mapping[Key, Any], name: str, ahead: int, now_us: int) -> State:
-    """A pool's state; raises BadRecords. Numbers begin anew: they are this process's own. By a clock that was
-    set back some came tomorrow: they came now at the latest."""
+    """A pool's state from its records; raises InvalidRecordsError.
+
+    Server numbers begin anew: they are this process's own. By a clock that was set back some servers came
+    tomorrow: they are taken to have come now at the latest.
+    """
     try:
         generation, by_hand, heads = found[POOL, name]
         rows: dict[str, list[Entry]] = {str(source): [] for source, _, _ in heads}
@@ -143,7 +146,7 @@
             held,
         )
     except (KeyError, ValueError, TypeError, IndexError) as error:
-        raise BadRecords(f"what is kept of the pool {name!r} makes no list: {error!r}") from None
+        raise InvalidRecordsError(f"what is kept of the pool {name!r} makes no list: {error!r}") from None
 
 
 def restored(
--- a/plovertrail/websocket/handshake.py
+++ b/plovertrail/websocket/handshake.py
@@ -29,7 +29,7 @@
 )
 
 
-class BadHandshake(Exception):
+class HandshakeError(Exception):
     """A handshake that can't be taken: the status to answer with, why, and headers for the answer."""
 
     def __init__(self, status: int, why: str, headers: Headers | None = None) -> None:
@@ -66,16 +66,16 @@
 
 def check_request(method: bytes, version: str, headers: Headers) -> tuple[bytes, tuple[bytes, ...]]:
     """A client's handshake (section 4.2.1): its key and the subprotocols that it offers. Raises
-    BadHandshake."""
+    HandshakeError."""
     if method != b"GET" or version != "1.1":
-        raise BadHandshake(400, "a WebSocket handshake is a GET of HTTP/1.1")
+        raise HandshakeError(400, "a WebSocket handshake is a GET of HTTP/1.1")
     if b"upgrade" not in (part.lower() for part in tokens(headers, b"connection")):
-        raise BadHandshake(400, "Upgrade without Connection: Upgrade")
+        raise HandshakeError(400, "Upgrade without Connection: Upgrade")
     # hazard: bytes that one side takes for a body and the other for frames
     if values(headers, b"transfer-encoding") or values(headers, b"content-length") not in ([], [b"0"]):
-        raise BadHandshake(400, "a WebSocket handshake has no body")
+        raise HandshakeError(400, "a WebSocket handshake has no body")
     if values(headers, b"sec-websocket-version") != [VERSION]:
-        raise BadHandshake(
+        raise HandshakeError(
             426,
             "only WebSocket version 13 is spoken",
             [(b"Sec-WebSocket-Version", VERSION), (b"Upgrade", b"websocket")],
@@ -86,21 +86,24 @@
     except binascii.Error:
         whole = False
     if not whole:
-        raise BadHandshake(400, "Sec-WebSocket-Key must be 16 bytes in base64")
+        raise HandshakeError(400, "Sec-WebSocket-Key must be 16 bytes in base64")
     offered = tuple(tokens(headers, b"sec-websocket-protocol"))
     if len(offered) > MOST_SUBPROTOCOLS or len(set(offered)) < len(offered):
-        raise BadHandshake(400, "a subprotocol is offered twice, or too many are")
+        raise HandshakeError(400, "a subprotocol is offered twice, or too many are")
     if not all(TOKEN.fullmatch(name) for name in offered):
-        raise BadHandshake(400, "a subprotocol is no token")
+        raise HandshakeError(400, "a subprotocol is no token")
     return keys[0], offered
 
 
 def check_origin(headers: Headers, allowed: frozenset[str]) -> None:
-    """Hazard: browsers let any page open a socket, with the cookies of whom it shows itself to (section
-    10.2). Without `allowed`, any origin may; a client that sends none is no browser. Raises BadHandshake."""
+    """Check the Origin of a handshake; raises HandshakeError.
+
+    Hazard: browsers let any page open a socket, with the cookies of whom it shows itself to (section 10.2).
+    Without `allowed`, any origin may; a client that sends none is no browser.
+    """
     for origin in values(headers, b"origin") if allowed else []:
         if origin.decode("latin-1").lower() not in allowed:
-            raise BadHandshake(403, "this origin may not open sockets here")
+            raise HandshakeError(403, "this origin may not open sockets here")
 
 
 def request_headers(key: bytes, subprotocols: tuple[bytes, ...]) -> Headers:
--- a/standins/cluster/__main__.py
+++ b/standins/cluster/__main__.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from standins.cluster.play import cluster
-from standins.cluster.schedule import BadSchedule, Schedule, load
+from standins.cluster.schedule import Schedule, ScheduleError, load
 
 
 async def played(schedule: Schedule, folder: Path) -> int:
@@ -41,7 +41,7 @@
     told = parser.parse_args()
     try:
         schedule = load(told.schedule)
-    except (BadSchedule, OSError) as error:
+    except (ScheduleError, OSError) as error:
         print(f"{told.schedule}: {error}", file=sys.stderr)
         return 2
     if told.seed is not None:
--- a/standins/cluster/schedule.py
+++ b/standins/cluster/schedule.py
@@ -65,7 +65,7 @@
 WAYS = ("both", "forth", "back")
 
 
-class BadSchedule(ValueError):
+class ScheduleError(ValueError):
     """What is wrong, where, and what to write instead."""
 
 
@@ -111,7 +111,7 @@
 
 def number(raw: Any, where: str, least: float = 0.0) -> float:
     if isinstance(raw, bool) or not isinstance(raw, int | float) or raw < least:
-        raise BadSchedule(f"{where}: expected a number of {least:g} or more, got {raw!r}")
+        raise ScheduleError(f"{where}: expected a number of {least:g} or more, got {raw!r}")
     return float(raw)
 
 
@@ -123,25 +123,25 @@
         or not raw
         or any(type(each) is not int or not 0 <= each < count for each in raw)
     ):
-        raise BadSchedule(f'{where}: expected "all" or numbers from 0 to {count - 1}, got {raw!r}')
+        raise ScheduleError(f'{where}: expected "all" or numbers from 0 to {count - 1}, got {raw!r}')
     return tuple(raw)
 
 
 def event(raw: Any, where: str, instances: int, servers: int, seconds: float) -> Event:
     if not isinstance(raw, dict) or raw.get("do") not in KEYS:
-        raise BadSchedule(f"{where}.do: expected one of {', '.join(KEYS)}, got {raw!r}")
+        raise ScheduleError(f"{where}.do: expected one of {', '.join(KEYS)}, got {raw!r}")
     do = raw["do"]
     unknown = raw.keys() - {"at", "do", *KEYS[do]}
     if unknown:
-        raise BadSchedule(
+        raise ScheduleError(
             f"{where}.{sorted(unknown)[0]}: {do!r} has no such key; it takes {', '.join(KEYS[do])}"
         )
     at = number(raw.get("at"), f"{where}.at")
     if at >= seconds:
-        raise BadSchedule(f"{where}.at: {at:g} s is past the play's end at {seconds:g} s; raise seconds")
+        raise ScheduleError(f"{where}.at: {at:g} s is past the play's end at {seconds:g} s; raise seconds")
     link = raw.get("link", "both")
     if link not in WAYS:
-        raise BadSchedule(f"{where}.link: expected one of {', '.join(WAYS)}, got {link!r}")
+        raise ScheduleError(f"{where}.link: expected one of {', '.join(WAYS)}, got {link!r}")
     return Event(
         at,
         do,
@@ -159,18 +159,18 @@
 
 
 def checked(raw: dict[str, Any]) -> Schedule:
-    """A schedule from its TOML; raises BadSchedule."""
+    """A schedule from its TOML; raises ScheduleError."""
     known = {each.name: each.default for each in fields(Schedule) if each.name != "events"}
     unknown = raw.keys() - known.keys() - {"events"}
     if unknown:
-        raise BadSchedule(f"{sorted(unknown)[0]}: unknown; a schedule has {', '.join(known)} and events")
+        raise ScheduleError(f"{sorted(unknown)[0]}: unknown; a schedule has {', '.join(known)} and events")
     plain: dict[str, Any] = {}
     for name, default in known.items():
         if name not in raw:
             continue
         if isinstance(default, bool):
             if not isinstance(raw[name], bool):
-                raise BadSchedule(f"{name}: expected true or false, got {raw[name]!r}")
+                raise ScheduleError(f"{name}: expected true or false, got {raw[name]!r}")
             plain[name] = raw[name]
         else:
             found = number(raw[name], name, 1 if name in ("instances", "servers", "slots", "tries") else 0)
@@ -185,12 +185,12 @@
     for each in sorted(events, key=lambda one: one.at):
         for one in each.instances:
             if each.do in ("stop", "wake") and (one in asleep) != (each.do == "wake"):
-                raise BadSchedule(
+                raise ScheduleError(
                     f"at {each.at:g} s: instance {one} can't {each.do}: it "
                     f"{'is stopped already' if one in asleep else 'is not stopped'}"
                 )
             if each.do in ("kill", "start") and (one in dead) != (each.do == "start"):
-                raise BadSchedule(
+                raise ScheduleError(
                     f"at {each.at:g} s: instance {one} can't {each.do}: it "
                     f"{'is dead already' if one in dead else 'runs'}"
                 )
@@ -202,8 +202,8 @@
 
 
 def load(path: Path) -> Schedule:
-    """Raises BadSchedule or OSError."""
+    """Raises ScheduleError or OSError."""
     try:
         return checked(tomllib.loads(path.read_text()))
     except tomllib.TOMLDecodeError as error:
-        raise BadSchedule(f"{path}: not TOML: {error}") from None
+        raise ScheduleError(f"{path}: not TOML: {error}") from None
--- a/standins/nginx_reference.py
+++ b/standins/nginx_reference.py
@@ -66,7 +66,7 @@
     line: int = 0  # of the location
 
 
-class Unknown(Exception):
+class UnmodelledError(Exception):
     pass
 
 
@@ -242,13 +242,13 @@
     def follow(self, asked: Asked) -> Outcome:
         try:
             return self._follow(asked)
-        except Unknown as why:
+        except UnmodelledError as why:
             return Outcome(unknown=str(why))
 
     def _follow(self, asked: Asked) -> Outcome:
         server = self.server(asked)
         if server is None:
-            raise Unknown("no server listens there")
+            raise UnmodelledError("no server listens there")
         path = normalised(asked.path)
         changed = False
         self.set = {}
@@ -263,7 +263,7 @@
                 return Outcome(301, self._absolute(path + "/", asked) + args, line=slash.line)
             location, _ = self.location(server, path)
             if location is None:
-                raise Unknown("files")
+                raise UnmodelledError("files")
             self._refuse_unknown(location)
             kind, text = self.modifier(location)
             found = re.search(text, path, re.I if kind == "~*" else 0) if kind in ("~", "~*") else None
@@ -294,7 +294,7 @@
                     "auth_request",
                     "limit_except",
                 ):
-                    raise Unknown(each.name)
+                    raise UnmodelledError(each.name)
             block = block.outer
 
     def _rewritten(
@@ -330,7 +330,7 @@
             return Outcome(302, self._where(args[0], path, asked, groups))
         status, text = int(args[0]), args[1] if len(args) > 1 else ""
         if status == 444:
-            raise Unknown("444")
+            raise UnmodelledError("444")
         if status in (301, 302, 303, 307, 308):
             return Outcome(status, self._where(text, path, asked, groups))
         return Outcome(status, body=self.value(text, path, asked, groups))
@@ -376,7 +376,7 @@
                 return self.value(block.inner[0].args[0], path, asked, groups)
             if name.startswith("http_"):
                 return given.get(name[5:].replace("_", "-"), "")
-            raise Unknown(f"${name}")
+            raise UnmodelledError(f"${name}")
 
         return re.sub(r"\$(?:\{(\w+)\}|([1-9]|[A-Za-z_]\w*))", one, text)
 
@@ -392,7 +392,7 @@
         was changed, in full as changed."""
         passes = location.own("proxy_pass")
         if not passes:
-            raise Unknown("files")
+            raise UnmodelledError("files")
         written = passes[-1].args[0]
         # variables of `set` and maps are known by now; those of the request are kept for what follows
         known = re.sub(
@@ -400,7 +400,7 @@
         )
         found = re.fullmatch(r"http://([^/]+)(/.*)?", known)
         if found is None or "$" in found[1]:
-            raise Unknown(written)
+            raise UnmodelledError(written)
         group, uri = found[1], found[2] or ""
         query = f"?{asked.query}" if asked.query else ""
         kind, text = self.modifier(location)
@@ -409,7 +409,7 @@
         elif changed or not uri:
             sent = (path if changed else asked.path) + query
         elif kind in ("~", "~*"):
-            raise Unknown("a URI under a regular expression")
+            raise UnmodelledError("a URI under a regular expression")
         else:
             sent = uri + path[len(text) :] + query
         headers = {"host": group}
@@ -420,6 +420,6 @@
             # if the value of a header field is an empty string then this field will not be passed
             try:
                 headers[name] = self.value(value.replace("$proxy_host", group), path, asked, groups)
-            except Unknown:
+            except UnmodelledError:
                 headers[name] = UNKNOWN_VALUE
         return Outcome(group=group, uri=sent, headers=headers, line=location.line)
--- a/tests/cluster/test_rig.py
+++ b/tests/cluster/test_rig.py
@@ -11,7 +11,7 @@
 from standins.cluster.judge import judge
 from standins.cluster.load import Sent
 from standins.cluster.relay import Switch, TcpRelay, Way
-from standins.cluster.schedule import BadSchedule, checked
+from standins.cluster.schedule import ScheduleError, checked
 from standins.cluster.servers import Run, Shop
 from standins.web import WebServer
 from tests.daemons import Client, message
@@ -116,7 +116,7 @@
     ],
 )
 def test_a_schedule_that_can_not_be_played_says_what_and_where(raw: dict[str, Any], told: str) -> None:
-    with pytest.raises(BadSchedule) as found:
+    with pytest.raises(ScheduleError) as found:
         checked(raw)
     assert told in str(found.value)
 
--- a/tests/decisions/test_routes.py
+++ b/tests/decisions/test_routes.py
@@ -10,7 +10,7 @@
 
 from plovertrail.decisions.paths import BadTarget
 from plovertrail.decisions.requests import (
-    TurnedAway,
+    RequestRejectedError,
     checked_key,
     deadline_us,
     read_head,
@@ -174,10 +174,10 @@
 
 def test_a_method_that_no_route_takes_is_told_from_a_path() -> None:
     table = RouteTable([route("a", "/a", methods=frozenset(("POST", "PUT")))])
-    with pytest.raises(TurnedAway) as caught:
+    with pytest.raises(RequestRejectedError) as caught:
         route_request(table, head("/a"), "/a", b"")
     assert (caught.value.status, caught.value.allowed) == (405, frozenset(("POST", "PUT")))
-    with pytest.raises(TurnedAway) as caught:
+    with pytest.raises(RequestRejectedError) as caught:
         route_request(table, head("/b"), "/b", b"")
     assert caught.value.status == 404
 
@@ -245,7 +245,7 @@
     assert read(b"http://other/a", b"shop.example")[0] == "other"
     assert read(b"/", version="1.0") == ("", "/", b"")
     for target, named in [(b"/", ()), (b"/", (b"a", b"a")), (b"/", (b"a b",)), (b"*", (b"a",))]:
-        with pytest.raises(TurnedAway) as caught:
+        with pytest.raises(RequestRejectedError) as caught:
             read(target, *named)
         assert caught.value.status == 400
 
@@ -259,10 +259,10 @@
     assert (deadline_us(None, 5000), deadline_us(b"3", 5000), deadline_us(b"9", 5000)) == (5000, 3000, 5000)
     assert checked_key(b"k") == b"k"
     for wrong in (b"", b"-1", b"1.5", b"x", b"0", b"9" * 12):
-        with pytest.raises(TurnedAway):
+        with pytest.raises(RequestRejectedError):
             deadline_us(wrong, 5000)
     for key in (None, b"", b"a b", b"x" * 200):
-        with pytest.raises(TurnedAway):
+        with pytest.raises(RequestRejectedError):
             checked_key(key)
 
 
@@ -357,6 +357,6 @@
         if fits:
             assert route_request(table, head(path), path, b"h", size)
         else:
-            with pytest.raises(TurnedAway) as caught:
+            with pytest.raises(RequestRejectedError) as caught:
                 route_request(table, head(path), path, b"h", size)
             assert caught.value.status == 413
--- a/tests/decisions/test_verdicts.py
+++ b/tests/decisions/test_verdicts.py
@@ -11,7 +11,7 @@
     MOST_HEADERS,
     PROTECTED,
     Allowed,
-    BadVerdict,
+    InvalidVerdictError,
     Verdict,
     at_least_as_strict,
     changed_headers,
@@ -73,13 +73,13 @@
     for spelled in (name, name.upper(), name.title()):
         for verdict in (Verdict(set_headers=[(spelled, b"1")]), Verdict(remove_headers=[spelled])):
             for check in (check_request, check_answer, check_end):
-                with pytest.raises(BadVerdict):
+                with pytest.raises(InvalidVerdictError):
                     check(verdict, ALLOWED)
 
 
 @pytest.mark.parametrize("status", [-1, 1, 100, 200, 204, 301, 399, 408, 421, 500, 502, 504, 600, 65_535])
 def test_a_refusal_is_no_success_no_redirect_and_no_leave_to_send_again(status: int) -> None:
-    with pytest.raises(BadVerdict):
+    with pytest.raises(InvalidVerdictError):
         check_request(Verdict(refuse=status), ALLOWED)
 
 
@@ -105,7 +105,7 @@
 
 @pytest.mark.parametrize("verdict", BAD)
 def test_a_bad_verdict_is_refused_whole(verdict: Verdict) -> None:
-    with pytest.raises(BadVerdict):
+    with pytest.raises(InvalidVerdictError):
         check_request(verdict, ALLOWED)
 
 
@@ -114,13 +114,13 @@
 )
 def test_later_phases_change_nothing_of_the_request(verdict: Verdict) -> None:
     for check in (check_answer, check_end):
-        with pytest.raises(BadVerdict):
+        with pytest.raises(InvalidVerdictError):
             check(verdict, ALLOWED)
 
 
 def test_the_end_changes_no_header() -> None:
     for verdict in (Verdict(set_headers=[(b"X-A", b"1")]), Verdict(remove_headers=[b"X-A"])):
-        with pytest.raises(BadVerdict):
+        with pytest.raises(InvalidVerdictError):
             check_end(verdict, ALLOWED)
 
 
@@ -139,7 +139,7 @@
     verdict = Verdict(set_headers=wanted, remove_headers=gone)
     try:
         check_request(verdict, ALLOWED)
-    except BadVerdict:
+    except InvalidVerdictError:
         return
     after = changed_headers(given_headers, verdict)
     for kept in (b"idempotency-key", b"x-request-id", b"host"):
@@ -177,7 +177,7 @@
 def test_noise_is_a_verdict_or_a_bad_one_and_nothing_else(data: bytes) -> None:
     try:
         verdict = abi.read_verdict(data)
-    except BadVerdict:
+    except InvalidVerdictError:
         return
     assert sum(len(value) for _, value in verdict.set_headers) <= len(data)
 
--- a/tests/hooks/test_chain.py
+++ b/tests/hooks/test_chain.py
@@ -10,11 +10,11 @@
 from plovertrail.config.hooks import HookSetup
 from plovertrail.decisions.breaker import Breaker
 from plovertrail.decisions.interface import RequestClass
-from plovertrail.decisions.verdicts import Allowed, BadVerdict, Verdict
+from plovertrail.decisions.verdicts import Allowed, InvalidVerdictError, Verdict
 from plovertrail.hooks import abi
 from plovertrail.hooks.abi import Read
-from plovertrail.hooks.bounds import LONGEST_CALL_US, HookFault
-from plovertrail.hooks.chain import AnswerWithheld, Chain, Refused, Seen, Trail, make_chain
+from plovertrail.hooks.bounds import LONGEST_CALL_US, HookError
+from plovertrail.hooks.chain import AnswerWithheldError, Chain, RequestRefusedError, Seen, Trail, make_chain
 from plovertrail.hooks.hook import Check, Figures, Hook
 
 CLASSES = {
@@ -45,8 +45,8 @@
         verdict = self.verdict(phase)
         try:
             check(verdict, allowed)
-        except BadVerdict as bad:
-            raise HookFault(str(bad)) from None
+        except InvalidVerdictError as bad:
+            raise HookError(str(bad)) from None
         return verdict
 
     def values(self, tag: Read, call: int = -1) -> list[bytes]:
@@ -126,7 +126,7 @@
     hooks = [Played(lambda phase, name=name: Verdict(class_name=name.encode())) for name in choices]  # type: ignore[misc]
     asked = trail(chain(*hooks))
     if ends is None:
-        with pytest.raises(Refused) as refused:
+        with pytest.raises(RequestRefusedError) as refused:
             asked.request()
         assert refused.value.status == 500
     else:
@@ -142,18 +142,18 @@
             if asked_for or passes:
                 through.request()
             else:
-                with pytest.raises(Refused):
+                with pytest.raises(RequestRefusedError):
                     through.request()
             assert len(played.told) == asked_for
             if not asked_for and not passes:
-                with pytest.raises(AnswerWithheld):
+                with pytest.raises(AnswerWithheldError):
                     through.answer(200, [])
 
 
 def test_with_a_hook_switched_off_nothing_runs_or_it_goes_on_without() -> None:
     first, second = Played(), Played()
     second.breaker.off_until_us = 3_000_000
-    with pytest.raises(Refused) as refused:
+    with pytest.raises(RequestRefusedError) as refused:
         trail(chain(first, second)).request()
     assert (refused.value.status, refused.value.retry_after_us) == (503, 3_000_000)
     assert not first.told  # asked before any other, as some may count what they see
@@ -163,5 +163,5 @@
 
 def test_headers_of_the_route_are_not_a_hooks() -> None:
     for verdict in (Verdict(set_headers=[(b"X-Own", b"1")]), Verdict(remove_headers=[b"x-own"])):
-        with pytest.raises(Refused):
+        with pytest.raises(RequestRefusedError):
             trail(chain(Played(lambda phase, verdict=verdict: verdict))).request()  # type: ignore[misc]
--- a/tests/hooks/test_hook.py
+++ b/tests/hooks/test_hook.py
@@ -9,8 +9,8 @@
 
 from plovertrail.config.hooks import HookSetup
 from plovertrail.decisions.verdicts import Allowed, Verdict, check_request
-from plovertrail.hooks.bounds import MOST_COMPILED, HookFault
-from plovertrail.hooks.engine import BadModule, Bounds, Instance, Runtime
+from plovertrail.hooks.bounds import MOST_COMPILED, HookError
+from plovertrail.hooks.engine import Bounds, Instance, InvalidModuleError, Runtime
 from plovertrail.hooks.hook import LOGS_A_SECOND, Hook
 from tests.hooks import wat
 
@@ -59,7 +59,7 @@
     for _ in range(count):
         try:
             found += hook.run("on_request", b"", ALLOWED, check_request, 0).set_headers[0][1].decode()
-        except HookFault:
+        except HookError:
             found += "-"
     return found
 
@@ -123,11 +123,11 @@
     data[at] ^= 0x55
     try:
         hook = make(runtime, bytes(data))
-    except BadModule:
+    except InvalidModuleError:
         return
     try:
         hook.run("on_request", b"", ALLOWED, check_request, 0)
-    except HookFault:
+    except HookError:
         assert hook.figures.faults == 1
 
 
@@ -135,5 +135,5 @@
 def test_the_clock_stops_what_fuel_would_let_run_for_a_minute(body: str, runtime: Runtime) -> None:
     compiled = runtime.compile_module(wat.module(on_request=body))
     instance = Instance(runtime, compiled, Bounds(fuel=1 << 60, memory=1 << 20))
-    with pytest.raises(HookFault, match="it ran for too long"):
+    with pytest.raises(HookError, match="it ran for too long"):
         instance.call("on_request", b"")
--- a/tests/nginx/test_equivalence.py
+++ b/tests/nginx/test_equivalence.py
@@ -12,7 +12,7 @@
 from benchmarks.nginx_corpus import corpus, filled
 from benchmarks.nginx_requests import decided, difference, requests
 from plovertrail.config.operator import parse
-from plovertrail.nginx.importer import Importer, NothingToServe
+from plovertrail.nginx.importer import Importer, NothingToServeError
 from plovertrail.nginx.tree import read_tree
 from standins.nginx_reference import Reference
 from tests.nginx.generated import configurations
@@ -61,5 +61,5 @@
     path.write_text(text)
     try:
         assert not unreported(path, 40, seed)
-    except NothingToServe:
+    except NothingToServeError:
         assert "listen 127.0.0.1:800" not in text
--- a/tests/nginx/test_import.py
+++ b/tests/nginx/test_import.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 
 from plovertrail.config.operator import Setup, parse
-from plovertrail.nginx.importer import Imported, Importer, NothingToServe
+from plovertrail.nginx.importer import Imported, Importer, NothingToServeError
 from plovertrail.nginx.report import Treatment
-from plovertrail.nginx.tree import BadNginxConfig, read_tree
+from plovertrail.nginx.tree import NginxConfigError, read_tree
 from tests.nginx.generated import configurations
 
 UP = "upstream shop { server 127.0.0.1:9001; }\n"
@@ -326,7 +326,7 @@
 def test_what_can_t_be_read_is_told(text: str, told: str, tmp_path: Path) -> None:
     path = tmp_path / "nginx.conf"
     path.write_text(text)
-    with pytest.raises((BadNginxConfig, NothingToServe)) as caught:
+    with pytest.raises((NginxConfigError, NothingToServeError)) as caught:
         Importer(read_tree(str(path))).run()
     assert told in str(caught.value)
 
@@ -378,7 +378,7 @@
     try:
         tree = read_tree(str(path))
         found = Importer(tree).run()
-    except (BadNginxConfig, NothingToServe):
+    except (NginxConfigError, NothingToServeError):
         return
     assert Counter(entry.directive.number for entry in found.report.entries.values()) == Counter(
         range(len(tree.written))
--- a/tests/store/test_files.py
+++ b/tests/store/test_files.py
@@ -193,7 +193,7 @@
     assert found.problems == [] and set(found.kept.states["main"].members) == {"s0", "s1"}
 
 
-class Killed(Exception):
+class KilledError(Exception):
     """The process ends here."""
 
 
@@ -227,7 +227,7 @@
     for at in range(40):
         folder = tmp_path / str(at)
         folder.mkdir()
-        files = Files(str(folder / "state"), "n1", breaking(at, Killed(), part))
+        files = Files(str(folder / "state"), "n1", breaking(at, KilledError(), part))
         one, two = state_of(2), state_of(3)
         last: list[State] = []  # all that it may be
         try:
@@ -237,7 +237,7 @@
                     snapshot(files, {"main": state})
                 else:
                     step(files, before, state)
-        except Killed:
+        except KilledError:
             ends.add(len(last))
         found = found_in(folder)
         back = found.kept.states.get("main")
--- a/tests/websocket/test_handshake.py
+++ b/tests/websocket/test_handshake.py
@@ -5,7 +5,7 @@
 import pytest
 
 from plovertrail.websocket.handshake import (
-    BadHandshake,
+    HandshakeError,
     Headers,
     accept_value,
     answer_headers,
@@ -61,7 +61,7 @@
     ],
 )
 def test_each_fault_of_a_client_has_its_status(headers: Headers, status: int) -> None:
-    with pytest.raises(BadHandshake) as caught:
+    with pytest.raises(HandshakeError) as caught:
         check_request(b"GET", "1.1", headers)
     assert caught.value.status == status
     if status == 426:
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize(("method", "version"), [(b"POST", "1.1"), (b"GET", "1.0")])
 def test_only_a_get_of_http_1_1_opens_a_socket(method: bytes, version: str) -> None:
-    with pytest.raises(BadHandshake):
+    with pytest.raises(HandshakeError):
         check_request(method, version, GOOD)
 
 
@@ -80,7 +80,7 @@
     check_origin([], allowed)
     check_origin([(b"Origin", b"https://other.example")], frozenset())
     for origin in (b"https://other.example", b"null", b"http://shop.example"):
-        with pytest.raises(BadHandshake) as caught:
+        with pytest.raises(HandshakeError) as caught:
             check_origin([(b"Origin", origin)], allowed)
         assert caught.value.status == 403
 
