--- a/plovertrail/__main__.py
+++ b/plovertrail/__main__.py
@@ -99,6 +99,7 @@
 
 
 def main() -> int:
+    """Load the configuration that BALANCER_CONFIG names and run until stopped; returns the exit code."""
     log_to_stderr()
     try:
         settings = config.load(os.environ["BALANCER_CONFIG"])
--- a/plovertrail/cli/demo.py
+++ b/plovertrail/cli/demo.py
@@ -81,6 +81,7 @@
 
 
 async def play(port: int, seconds: float) -> None:
+    """Start servers and a daemon on `port`, send it requests for `seconds`, and print what happens."""
     servers = [WebServer(always(OK), name=f"s{number}", keep=False) for number in (1, 2, 3)]
     for server in servers:
         await server.start()
--- a/plovertrail/cli/hook.py
+++ b/plovertrail/cli/hook.py
@@ -37,6 +37,10 @@
 
 
 def compiled_or_exit(path: str) -> tuple[Runtime, Compiled]:
+    """Compile the module in a file, in a runtime of its own whose clock runs.
+
+    Exits with NO_MODULE and a message if the engine is not installed or the file is no hook.
+    """
     try:
         from plovertrail.hooks.engine import InvalidModuleError, Runtime
     except ImportError as error:
--- a/plovertrail/cli/test.py
+++ b/plovertrail/cli/test.py
@@ -98,6 +98,7 @@
 
 
 def as_junit(report: Report) -> str:
+    """The report as a JUnit XML test suite, one test case for each result."""
     suite = ElementTree.Element(
         "testsuite", name="plovertrail", tests=str(len(report.results)), failures=str(len(report.failed))
     )
--- a/plovertrail/config/fellows.py
+++ b/plovertrail/config/fellows.py
@@ -17,6 +17,8 @@
 
 
 class FellowsTable(msgspec.Struct, kw_only=True):
+    """The table [fellows] as the operator writes it."""
+
     enabled: bool = True
     period: str = "1s"
     gossip: str = "200ms"
--- a/plovertrail/config/hooks.py
+++ b/plovertrail/config/hooks.py
@@ -20,6 +20,8 @@
 
 
 class HookTable(msgspec.Struct, kw_only=True):
+    """A table [hooks.NAME] as the operator writes it."""
+
     file: str
     fuel: Annotated[int, msgspec.Meta(ge=1_000, le=50_000_000)] = 500_000
     memory: str = "1MiB"
--- a/plovertrail/config/limiters.py
+++ b/plovertrail/config/limiters.py
@@ -21,12 +21,16 @@
 
 
 class AllowanceTable(msgspec.Struct, kw_only=True):
+    """What a tenant may use: requests a second, a burst of them, and requests at once; 0 is no limit."""
+
     rate_per_s: Rate = 0.0
     burst: Count = 0
     concurrent: Count = 0
 
 
 class LimiterTable(msgspec.Struct, kw_only=True):
+    """A table [limiters.NAME] as the operator writes it."""
+
     by: Literal["client", "tenant", "tenant+client", "all"]
     rate_per_s: Rate = 0.0
     burst: Count = 0
--- a/plovertrail/config/peers.py
+++ b/plovertrail/config/peers.py
@@ -27,6 +27,8 @@
 
 
 class PeersTable(msgspec.Struct, kw_only=True):
+    """The table [peers] as the operator writes it."""
+
     name: str
     address: str
     listed_as: str = ""
--- a/plovertrail/exchange.py
+++ b/plovertrail/exchange.py
@@ -97,6 +97,7 @@
     subprotocol: bytes  # the one that the server chose; empty: none
 
     def close(self) -> None:
+        """Drop the connection without taking it over."""
         self.transport.abort()
 
 
--- a/plovertrail/http1/requests.py
+++ b/plovertrail/http1/requests.py
@@ -115,6 +115,7 @@
     # What the parser calls
 
     def on_message_begin(self) -> None:
+        """Parser callback: a request begins. Raises if MOST_PIPELINED requests already wait."""
         if len(self.messages) >= MOST_PIPELINED:
             self.messages[-1].keep_alive = False
             self.full = True
@@ -122,9 +123,11 @@
         self._partial = True
 
     def on_url(self, url: bytes) -> None:
+        """Parser callback: a further piece of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Parser callback: one header, or a trailer, which is dropped. Raises MalformedRequestError."""
         if self._head_done:
             return  # a trailer: it must not pass for a header
         if len(self._headers) >= MOST_HEADERS:
@@ -153,6 +156,7 @@
             self.continue_wanted = True
 
     def on_headers_complete(self) -> None:
+        """Parser callback: the head has come whole. Raises MalformedRequestError if it may not be taken."""
         assert self._parser is not None
         self._head_done = True
         size = len(self._target) + sum(len(name) + len(value) + 4 for name, value in self._headers)
@@ -168,12 +172,14 @@
             self.continue_wanted = False
 
     def on_body(self, data: bytes) -> None:
+        """Parser callback: a further piece of the body. Raises MalformedRequestError if it is too long."""
         self.continue_wanted = False
         self._body += data
         if len(self._body) > self.longest_body:
             raise MalformedRequestError(413, "the body is too long")
 
     def on_message_complete(self) -> None:
+        """Parser callback: the request has come whole and is appended to `messages`."""
         assert self._parser is not None
         self.messages.append(
             RequestMessage(
--- a/plovertrail/lab/clock.py
+++ b/plovertrail/lab/clock.py
@@ -24,6 +24,7 @@
         heapq.heappush(self.due, (max(at_us, self.now_us), self.made, what, arguments))
 
     def after(self, after_us: int, what: Callable[..., None], *arguments: object) -> None:
+        """Call `what` with the arguments once `after_us` have passed on this clock."""
         self.at(self.now_us + after_us, what, *arguments)
 
     def run(self, until_us: int) -> None:
--- a/plovertrail/lab/fleet.py
+++ b/plovertrail/lab/fleet.py
@@ -80,10 +80,12 @@
         self.clock.run(self.clock.now_us + int(seconds * SECOND_US))
 
     def kill(self, instances: Iterable[int]) -> None:
+        """Kill the processes of these instances, by number; their clients get no answer to what was open."""
         for number in instances:
             self.instances[number].kill()
 
     def start(self, instances: Iterable[int], with_state: bool) -> None:
+        """Start new processes of these instances; with state, they recall what was stored of servers."""
         for number in instances:
             self.instances[number].start(with_state)
 
--- a/plovertrail/lab/instances.py
+++ b/plovertrail/lab/instances.py
@@ -64,6 +64,7 @@
     # Its life
 
     def start(self, with_state: bool) -> None:
+        """Start a process with a new decision module; with state, it recalls what was stored of servers."""
         around, now_us = self.around, self.around.clock.now_us
         self.life += 1
         self.up = True
@@ -106,6 +107,7 @@
     # Lists
 
     def listed(self, kind: api.ListKind, entries: list[api.Upstream]) -> None:
+        """Tell the decision module a list of servers, cut down to those that this instance uses."""
         where = {entry.id: ("10.0.0.1", entry.id) for entry in entries}
         mine = self.subset.listed(entries, where)
         if mine:
@@ -145,6 +147,7 @@
         return self.dials is not None and not self.dials.may(self.around.clock.now_us)
 
     def tell(self, event: api.Event) -> None:
+        """Give the decision module an event and carry out the actions that it returns."""
         now_us = self.around.clock.now_us
         for action in self.balancer.handle(now_us, event):
             if isinstance(action, api.Send):
@@ -162,10 +165,12 @@
                     self.tell(api.UpstreamsUpdated(api.ListKind.DELTA, wider, part=True))
 
     def fired(self, life: int, token: int) -> None:
+        """A timer of the decision module is due; it is void if the process of that `life` has ended."""
         if life == self.life:
             self.tell(api.TimerFired(token))
 
     def answered(self, ident: int, served: bool, after_us: int = 0) -> None:
+        """Answer a client, once: served, or refused with the time in us after which it may try again."""
         reply = self.owed.pop(ident, None)
         if reply is not None:
             reply(served, after_us)
@@ -173,6 +178,11 @@
     # Attempts
 
     def send(self, action: api.Send) -> None:
+        """Send an attempt to its server, over an idle connection or a new one.
+
+        It fails as NOT_SENT where no connection may be opened, and as CONNECT_FAILED where the server takes
+        none.
+        """
         clock, server = self.around.clock, self.around.servers[action.upstream]
         tried = self.attempts.setdefault(action.request, [])
         out = Out(action.request, len(tried), server, clock.now_us)
@@ -210,6 +220,7 @@
         self.around.clock.after(took_us + self.around.network_us, self.ended, life, out, outcome)
 
     def ended(self, life: int, out: Out, outcome: api.Outcome) -> None:
+        """Free an attempt's connection and tell the decision module its outcome; later ends are ignored."""
         if out.ended or life != self.life:
             return
         out.ended = True
@@ -232,6 +243,7 @@
             self.attempts.pop(out.request, None)
 
     def make_room(self) -> None:
+        """Close an idle connection if the budget of connections is used up."""
         if self.budget.connections and self.open.total() >= self.budget.connections and self.idle:
             number = next(iter(self.idle))
             self.idle[number] -= 1
@@ -240,5 +252,6 @@
             self.close(number)
 
     def close(self, number: int) -> None:
+        """Close one connection to a server, by the server's number."""
         self.open[number] -= 1
         self.around.servers[number].closed()
--- a/plovertrail/lab/servers.py
+++ b/plovertrail/lab/servers.py
@@ -49,6 +49,7 @@
 
     @property
     def second(self) -> int:
+        """The whole seconds since the start of the play; what the counters are kept by."""
         return (self.clock.now_us - START_US) // SECOND_US
 
     def warmth_at(self, at_us: int) -> float:
@@ -68,6 +69,7 @@
         return True
 
     def closed(self) -> None:
+        """A connection to the server has been closed."""
         self.open -= 1
 
     def waiting(self) -> int:
--- a/plovertrail/logs.py
+++ b/plovertrail/logs.py
@@ -19,6 +19,7 @@
         self.at = time.monotonic()
 
     def filter(self, record: logging.LogRecord) -> bool:
+        """Whether the line may pass: LINES_A_SECOND on average, LINES_AT_ONCE in a burst."""
         now = time.monotonic()
         self.left = min(LINES_AT_ONCE, self.left + (now - self.at) * LINES_A_SECOND)
         self.at = now
--- a/plovertrail/nginx/limits.py
+++ b/plovertrail/nginx/limits.py
@@ -20,6 +20,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Zone:
+    """A limit_req_zone or limit_conn_zone: what it counts by, how many keys it has, and its rate."""
+
     directive: Directive
     by: str
     tenant: str  # where it is read, if it counts by tenant
@@ -37,6 +39,7 @@
         self.limiters: dict[str, list[str]] = {}  # their lines, by name
 
     def zones(self, scope: Scope) -> None:
+        """Read the zones of an http block and report on each."""
         for name, into in (("limit_req_zone", self.rates), ("limit_conn_zone", self.counts)):
             for directive in scope.own(name):
                 try:
@@ -143,6 +146,7 @@
         )
 
     def text(self) -> list[str]:
+        """The lines of all limiters, as tables of the operator's file."""
         return [line for lines in self.limiters.values() for line in lines]
 
 
--- a/plovertrail/nginx/locations.py
+++ b/plovertrail/nginx/locations.py
@@ -21,6 +21,8 @@
 
 
 class Kind(enum.Enum):
+    """The modifier of a location, as nginx writes it."""
+
     EXACT = "="
     PREFIX = ""
     FINAL = "^~"  # a prefix behind which no regular expression is tried
@@ -29,6 +31,8 @@
 
 @dataclass(eq=False, slots=True)
 class Location:
+    """A location block with those nested in it."""
+
     kind: Kind
     text: str  # of a regular expression: as RE2 takes it
     directive: Directive
@@ -45,6 +49,7 @@
     excepts: tuple[str, ...] = ()
 
     def has(self, path: str) -> bool:
+        """Whether a path is in the region."""
         return path.startswith(self.within) and not (self.excepts and path.startswith(self.excepts))
 
     @property
--- a/plovertrail/nginx/report.py
+++ b/plovertrail/nginx/report.py
@@ -28,6 +28,8 @@
 
 @dataclass(slots=True)
 class Entry:
+    """What became of one directive, and the notes that say why."""
+
     directive: Directive
     treatment: Treatment
     notes: list[str] = field(default_factory=list)
@@ -40,6 +42,7 @@
         self.entries: dict[int, Entry] = {}
 
     def mark(self, directive: Directive, treatment: Treatment, note: str = "") -> None:
+        """Record a treatment of a directive; of several the worst holds, with its notes."""
         entry = self.entries.get(directive.number)
         if entry is None:
             self.entries[directive.number] = Entry(directive, treatment, [note] if note else [])
@@ -51,18 +54,23 @@
             entry.notes.append(note)
 
     def mapped(self, directive: Directive, note: str = "") -> None:
+        """The directive is carried over."""
         self.mark(directive, Treatment.MAPPED, note)
 
     def differs(self, directive: Directive, note: str) -> None:
+        """The directive is carried over with another meaning, which the note tells."""
         self.mark(directive, Treatment.DIFFERS, note)
 
     def no_effect(self, directive: Directive, note: str) -> None:
+        """The directive has no counterpart, and nothing is lost by that."""
         self.mark(directive, Treatment.NO_EFFECT, note)
 
     def not_mapped(self, directive: Directive, note: str) -> None:
+        """The directive is not carried over; the note says why, and what holds in its place."""
         self.mark(directive, Treatment.NOT_MAPPED, note)
 
     def known(self, directive: Directive) -> bool:
+        """Whether something has been recorded of the directive."""
         return directive.number in self.entries
 
     def close(self, tree: Tree) -> None:
@@ -76,6 +84,7 @@
                 )
 
     def counts(self) -> Counter[Treatment]:
+        """How many directives had each treatment."""
         return Counter(entry.treatment for entry in self.entries.values())
 
     def text(self) -> str:
--- a/plovertrail/nginx/routes.py
+++ b/plovertrail/nginx/routes.py
@@ -101,6 +101,7 @@
             self.rows.append(Row(directive, name, where | keys, settings))
 
     def text(self) -> list[str]:
+        """The lines of all routes for the operator's file; the first route has the highest priority."""
         lines: list[str] = []
         for number, row in enumerate(self.rows):
             lines += [
@@ -115,6 +116,7 @@
 
 
 def region_keys(region: Region) -> dict[str, str]:
+    """A region as the keys path_within and path_except of a route."""
     keys = {}
     if region.within:
         keys["path_within"] = toml(region.within)
@@ -142,6 +144,7 @@
 
 
 def answer(status: int, location: str, body: str) -> str:
+    """A fixed answer as the inline table that `respond` of a route takes."""
     parts = [f"status = {status}"]
     if location:
         parts.append(f"location = {toml(location)}")
--- a/plovertrail/nginx/scope.py
+++ b/plovertrail/nginx/scope.py
@@ -42,6 +42,7 @@
             self.by_name.setdefault(directive.name, []).append(directive)
 
     def own(self, name: str) -> list[Directive]:
+        """The directives of this name at this level, in their order."""
         return self.by_name.get(name, [])
 
     def nearest(self, name: str) -> list[Directive]:
@@ -66,10 +67,12 @@
         return {name: value for name, value in once.items() if "$" not in value}
 
     def one(self, name: str) -> Directive | None:
+        """The directive of this name that holds here; the last one if there are several."""
         found = self.nearest(name)
         return found[-1] if found else None
 
     def levels(self) -> Iterator[Scope]:
+        """This level and those around it, the innermost first."""
         scope: Scope | None = self
         while scope is not None:
             yield scope
--- a/plovertrail/nginx/tree.py
+++ b/plovertrail/nginx/tree.py
@@ -32,6 +32,7 @@
 
     @property
     def place(self) -> str:
+        """The file and line, as FILE:LINE."""
         return f"{self.file}:{self.line}"
 
     def __str__(self) -> str:
--- a/plovertrail/nginx/upstreams.py
+++ b/plovertrail/nginx/upstreams.py
@@ -29,6 +29,8 @@
 
 @dataclass(slots=True)
 class Server:
+    """A server of an upstream block; `where` is its file and line."""
+
     address: str
     weight: int
     down: bool
@@ -230,5 +232,6 @@
 
 
 def quoted_key(name: str) -> str:
+    """A name as a key of TOML, in quotes if it needs them."""
     plain = name.replace("-", "").replace("_", "")
     return name if plain.isascii() and plain.isalnum() else f'"{name}"'
--- a/plovertrail/rehearsal/daemon.py
+++ b/plovertrail/rehearsal/daemon.py
@@ -82,27 +82,32 @@
         self.closed = False
 
     def write(self, data: Any) -> None:
+        """Hand what the daemon writes to the client at once."""
         self.written(bytes(data))
 
     def is_closing(self) -> bool:
+        """Whether the daemon has closed or aborted the connection."""
         return self.closed
 
     def write_eof(self) -> None:
-        pass
+        """The client is not told: it reads whole answers only."""
 
     def abort(self) -> None:
+        """Close; nothing is ever left to be written."""
         self.closed = True
 
     def close(self) -> None:
+        """Close; nothing is ever left to be written."""
         self.closed = True
 
     def pause_reading(self) -> None:
-        pass
+        """Nothing to pause: the client sends its request whole."""
 
     def resume_reading(self) -> None:
-        pass
+        """Nothing to resume: the client sends its request whole."""
 
     def get_write_buffer_size(self) -> int:
+        """Always 0 bytes: the client reads at once."""
         return 0
 
 
@@ -116,9 +121,11 @@
         self.connection_made(PlayedTransport(address, self.heard_back))
 
     def unread(self) -> bytes | None:
+        """None: there is no socket with bytes that have not been read."""
         return None
 
     def heard_back(self, data: bytes) -> None:
+        """Note an answer with its time; an interim 100 Continue is none."""
         if data != b"HTTP/1.1 100 Continue\r\n\r\n":
             self.asked.answers.append((clock_us(), data))
 
@@ -145,12 +152,13 @@
     full = False
 
     def write(self, line: str) -> None:
-        pass
+        """Drop the line."""
 
     def reopen(self) -> None:
-        pass
+        """No file is open."""
 
     def close(self, patience_s: float) -> bool:
+        """True: no line ever waits to be written."""
         return True
 
 
--- a/plovertrail/rehearsal/judge.py
+++ b/plovertrail/rehearsal/judge.py
@@ -320,6 +320,7 @@
     )  # routes and predicates that turned a request away
 
     def saw(self, played: Played) -> None:
+        """Count what one played scenario has reached."""
         for asked in played.asked:
             self.routes.add(asked.route)
             self.classes.add(asked.kind)
--- a/plovertrail/rehearsal/loop.py
+++ b/plovertrail/rehearsal/loop.py
@@ -38,6 +38,7 @@
         super().__init__(selector)
 
     def time(self) -> float:
+        """The virtual time in seconds, in place of the system's monotonic clock."""
         return self.now
 
     def nanoseconds(self) -> int:
--- a/plovertrail/rehearsal/peers.py
+++ b/plovertrail/rehearsal/peers.py
@@ -38,6 +38,7 @@
         return limiter.shared_key(others.tenant, others.client) if limiter is not None else None
 
     def speak(self) -> None:
+        """Count the requests that are due by now and tell the daemon the sum, as a peer does once a round."""
         now_us, others, key = clock_us(), self.others, self.key()
         since_us = now_us - self.zero_us - others.at_us
         due = int(others.rate / others.instances * since_us / 1e6)
--- a/plovertrail/rehearsal/play.py
+++ b/plovertrail/rehearsal/play.py
@@ -73,6 +73,8 @@
 
 
 class Player:
+    """Plays a scenario with a seed through the daemon's code; of its requests those in `only`, or all."""
+
     def __init__(
         self, setup: operator.Setup, scenario: Scenario, seed: int, only: Collection[int] | None
     ) -> None:
@@ -88,6 +90,7 @@
         self.played = Played(seed, setup, clock_us() + SETTLE_US)
 
     async def play(self) -> Played:
+        """Schedule all events and requests, wait until the last must be over, and return what happened."""
         loop, played = asyncio.get_running_loop(), self.played
         if played.setup.peers is not None:
             begin(self.scenario.peers, played.setup.peers, self.daemon, played.zero_us)
@@ -106,6 +109,7 @@
         return played
 
     def asks(self, arrival: Arrival) -> None:
+        """A client sends its request, and leaves after `leaves_us` if its load says so."""
         load = arrival.load
         ident = b"%d" % arrival.number
         text = f"{load.asks.method} http://{load.asks.host}{load.asks.target}"
@@ -118,10 +122,12 @@
 
     @staticmethod
     def leaves(client: PlayedClient) -> None:
+        """A client closes its connection if it still has no answer."""
         if not client.asked.answers:
             client.leave()
 
     def happens(self, event: Event) -> None:
+        """Carry out one event: a reload, a list, reports of peers, a server's new behaviour or a move."""
         now_us = clock_us()
         if event.reload:
             self.played.told.append((now_us, f"reload: {event.reload}"))
--- a/plovertrail/rehearsal/run.py
+++ b/plovertrail/rehearsal/run.py
@@ -25,11 +25,14 @@
 
 @dataclass
 class Report:
+    """The results of all tests, and the names of what no test has reached."""
+
     results: list[Result] = field(default_factory=list)
     untouched: list[str] = field(default_factory=list)
 
     @property
     def failed(self) -> list[Result]:
+        """The results that have failures."""
         return [result for result in self.results if result.failures]
 
 
--- a/plovertrail/rehearsal/servers.py
+++ b/plovertrail/rehearsal/servers.py
@@ -29,6 +29,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Behaviour:
+    """How a server treats an attempt: what it does, and after how many microseconds."""
+
     does: Does = Does.OK
     after_us: int = USUAL_US
     status: int = 500  # of an error
@@ -54,6 +56,7 @@
         self.given_up: Callable[[], None] = lambda: None
 
     def give_up(self) -> None:
+        """Cancel the attempt: its answer will not come."""
         if self.timer is not None:
             self.timer.cancel()
         self.given_up()
@@ -81,6 +84,7 @@
         ended: Callable[[Result], None],
         within_us: int = 0,
     ) -> PlayedFlight:
+        """Send an attempt: `ended` is called when its server's behaviour says so, never if it is silent."""
         behaviour = self.behaviour(address)
         over = self.sent(self.pool, upstream, address, call, behaviour)
         flight = PlayedFlight(behaviour.does)
@@ -101,19 +105,22 @@
         return flight
 
     def shut(self, new: bool) -> Container[int]:
+        """No server is ever closed for lack of connections."""
         return ()
 
     def next_dial_us(self) -> int:
+        """0 us: a connection may be opened at once."""
         return 0
 
     def promised_dial_us(self, longest_us: int) -> int:
+        """0 us: a connection may be opened at once."""
         return 0
 
     def close_idle(self, upstream: int) -> None:
-        pass
+        """There are no idle connections to close."""
 
     def forget(self, upstream: int) -> None:
-        pass
+        """Nothing is kept of a server that has left."""
 
     def limit(self, budget: Budget, turn: float) -> None:
-        pass
+        """Budgets of connections are not played."""
--- a/plovertrail/rehearsal/written.py
+++ b/plovertrail/rehearsal/written.py
@@ -25,6 +25,8 @@
 
 
 class RequestTable(msgspec.Struct, kw_only=True, rename={"class_name": "class", "address": "from"}):
+    """A table [[requests]] of a test file: one request and what is expected of its route."""
+
     ask: str
     name: str = ""
     headers: dict[str, str] = {}
@@ -41,6 +43,8 @@
 
 
 class LoadTable(msgspec.Struct, kw_only=True, rename={"address": "from"}):
+    """A table [[scenarios.loads]]: requests that come at a rate or at once."""
+
     ask: str
     name: str = ""
     headers: dict[str, str] = {}
@@ -55,6 +59,8 @@
 
 
 class OthersTable(msgspec.Struct, kw_only=True):
+    """A table [[scenarios.peers]]: what other instances count meanwhile."""
+
     limiter: str = ""
     tenant: str = ""
     client: str = ""
@@ -65,6 +71,8 @@
 
 
 class EventTable(msgspec.Struct, kw_only=True, rename={"kind": "class"}):
+    """A table [[scenarios.events]]: what happens to a server, a list or the configuration."""
+
     at: str
     server: str = ""
     does: str = ""
@@ -81,6 +89,8 @@
 
 
 class ExpectTable(msgspec.Struct, kw_only=True, rename={"class_name": "class"}):
+    """A table [[scenarios.expect]]: what must hold for the requests that it selects."""
+
     of: str = ""
     route: str = ""
     class_name: str = ""
@@ -101,6 +111,8 @@
 
 
 class ScenarioTable(msgspec.Struct, kw_only=True):
+    """A table [[scenarios]] of a test file."""
+
     name: str
     seeds: Annotated[int, msgspec.Meta(ge=1, le=MOST_SEEDS)] = 5
     loads: list[Any]
@@ -110,6 +122,8 @@
 
 
 class FileTable(msgspec.Struct, kw_only=True):
+    """A whole test file."""
+
     requests: list[Any] = []
     scenarios: list[Any] = []
 
@@ -151,6 +165,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
+    """Requests of one kind that a scenario sends; times in microseconds from its start."""
+
     name: str
     asks: Target
     body: bytes
@@ -176,6 +192,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
+    """One thing that happens in a scenario, `at_us` from its start."""
+
     at_us: int
     pool: str = ""
     server: str = ""
@@ -191,6 +209,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Expectation:
+    """What must hold for the requests of a load, a route or a class that come in a span of time."""
+
     place: str
     of: str
     route: str
@@ -213,6 +233,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
+    """A scenario as it is played, once with each of `seeds` seeds."""
+
     place: str
     name: str
     seeds: int
--- a/plovertrail/running_pool.py
+++ b/plovertrail/running_pool.py
@@ -106,4 +106,5 @@
         )
 
     def retire(self, host: Host) -> None:
+        """Take the pool out of service: what is out finishes, and requests that wait are refused."""
         host.retire(self.pool)
--- a/plovertrail/store/files.py
+++ b/plovertrail/store/files.py
@@ -308,6 +308,7 @@
         self.written += len(data)
 
     def close(self) -> None:
+        """Close the journal's file descriptor. May be called again."""
         fd, self.fd = self.fd, -1
         if fd >= 0:
             os.close(fd)
--- a/plovertrail/store/keeper.py
+++ b/plovertrail/store/keeper.py
@@ -55,6 +55,7 @@
         self.closing = False
 
     def clocks(self) -> Clocks:
+        """The monotonic and the system's clock now, with the id of this boot."""
         from plovertrail.store.files import Clocks
 
         return Clocks(clock_us(), time.time_ns() // 1000, self.boot)
--- a/plovertrail/store/memory.py
+++ b/plovertrail/store/memory.py
@@ -85,12 +85,14 @@
         pool.balancer.recall = recall
 
     def recall_limiter(self, name: str, limiter: Limiter) -> None:
+        """Give a new limiter the levels that were stored under its name. A store is recalled once."""
         old = self.limits.pop(name, None)
         if old is not None:
             limiter.recall(old, clock_us())
             self.taken["limits"] += len(limiter.entries)
 
     def recall_counts(self, counts: Counts) -> None:
+        """Give new counts those that were stored, if they are of the same window."""
         old, self.former = self.former, None
         if old is not None and counts.recall(old, clock_us()):
             self.taken["counts"] += len(counts.former)
--- a/plovertrail/websocket/frames.py
+++ b/plovertrail/websocket/frames.py
@@ -63,9 +63,11 @@
         return self._frame(opcode | (FINAL if final else 0), payload)
 
     def ping(self, payload: bytes) -> bytes:
+        """A ping frame with a payload of at most 125 bytes."""
         return self._frame(Opcode.PING | FINAL, payload)
 
     def pong(self, payload: bytes) -> bytes:
+        """A pong frame; its payload is that of the ping that it answers."""
         return self._frame(Opcode.PONG | FINAL, payload)
 
     def close(self, code: int, reason: str) -> bytes:
--- a/simulator/adapter.py
+++ b/simulator/adapter.py
@@ -29,6 +29,11 @@
         self.instances: dict[int, Balancer] = {}
 
     def batch(self, now_us: int, count: int, body: bytes) -> bytes:
+        """Apply one batch of `count` event records and return the encoded reply with the actions.
+
+        `now_us` is the time of the batch. An exception in the decision module becomes an InternalError
+        record. Raises WireError on a batch that does not follow the format.
+        """
         records: list[bytes] = []
         for instance, event in self.decoder.batch(body, count):
             if isinstance(event, wire.InstanceStarted):
@@ -74,6 +79,7 @@
 
 
 def main() -> int:
+    """Serve the wire on standard input and output; returns the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as error:
--- a/simulator/wire.py
+++ b/simulator/wire.py
@@ -102,6 +102,7 @@
             raise WireError(f"{len(data) - self.at} bytes left over after {count} records")
 
     def take(self, size: int) -> bytes:
+        """The next `size` bytes; raises WireError if fewer are left."""
         end = self.at + size
         if end > len(self.data):
             raise WireError(f"truncated: {size} bytes wanted, {len(self.data) - self.at} left")
@@ -110,15 +111,18 @@
         return piece
 
     def fields(self, layout: struct.Struct) -> tuple[int, ...]:
+        """The next fields of a fixed layout; raises WireError if it is cut short."""
         return layout.unpack(self.take(layout.size))
 
     def floats(self, count: int) -> list[float]:
+        """The next `count` 32-bit floats; raises WireError if one is not finite."""
         values = list(struct.unpack(f"<{count}f", self.take(4 * count)))
         if not all(map(math.isfinite, values)):
             raise WireError("a load report value that is not a finite number")
         return values
 
     def read_list(self) -> None:
+        """Read a list of upstreams and keep it under its number, for the events that refer to it."""
         number, count = self.fields(_LIST_HEAD)
         entries = []
         for upstream, zone, kind, cell, state, weight, started in _ENTRY.iter_unpack(
