--- a/plovertrail/nginx/report.py
+++ b/plovertrail/nginx/report.py
@@ -69,6 +69,13 @@
         """The directive is not carried over; the note says why, and what holds in its place."""
         self.mark(directive, Treatment.NOT_MAPPED, note)
 
+    def not_mapped_block(self, block: Directive, note: str) -> None:
+        """A block isn't carried over, and neither is all that is in it."""
+        self.not_mapped(block, note)
+        for inner in block.inner():
+            if inner.name != "include":
+                self.not_mapped(inner, f"in a block that isn't imported, {block.place}")
+
     def known(self, directive: Directive) -> bool:
         """Whether something has been recorded of the directive."""
         return directive.number in self.entries
--- a/plovertrail/nginx/scope.py
+++ b/plovertrail/nginx/scope.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from plovertrail.nginx.directives import guards
+from plovertrail.nginx.directives import GUARDS, guards
 from plovertrail.nginx.tree import Directive
 from plovertrail.nginx.variables import UnmappableError
 
@@ -100,6 +100,13 @@
         return self.found
 
 
+def guard_note(directive: Directive) -> str:
+    """Why a location under a guard is shut."""
+    if directive.name in GUARDS:
+        return "not carried over, and it decides who may pass or what is told: 501 for what stands under it"
+    return "the importer doesn't know it, so it may guard what stands under it: that is answered 501"
+
+
 def time_ms(text: str) -> int:
     """Milliseconds of nginx's times, as 1m30s; raises UnmappableError."""
     total, at = 0, 0
--- a/plovertrail/nginx/tree.py
+++ b/plovertrail/nginx/tree.py
@@ -35,6 +35,14 @@
         """The file and line, as FILE:LINE."""
         return f"{self.file}:{self.line}"
 
+    def inner(self) -> Iterator[Directive]:
+        """All directives within this one's block, at any depth."""
+        stack = list(self.block or [])
+        while stack:
+            directive = stack.pop()
+            yield directive
+            stack.extend(directive.block or [])
+
     def __str__(self) -> str:
         return " ".join((self.name, *self.args))
 
