--- a/benchmarks/hook_cost.py
+++ b/benchmarks/hook_cost.py
@@ -100,7 +100,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--requests", type=int, default=20_000, help="of each kind")
     options = parser.parse_args()
-    runtime = Runtime(tick_s=0.1)  # hazard: on a busy machine the backstop would end calls of microseconds
+    runtime = Runtime()
     runtime.start()
     allow = bytes(wasmtime.wat2wasm(ALLOW))
     promo = bytes(wasmtime.wat2wasm((EXAMPLES / "promo_block.wat").read_text()))
--- a/plovertrail/hooks/bounds.py
+++ b/plovertrail/hooks/bounds.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 PHASES = ("on_request", "on_answer", "on_end")
-TICK_S = 0.005  # the clock of the backstop: a call is stopped between TICKS - 1 and TICKS of these
-TICKS = 2
-LONGEST_CALL_US = int(TICKS * TICK_S * 1e6)  # and what a loaded machine adds
+TICK_S = 0.005  # between two looks of the clock that stops calls, which goes by CPU time
+EPOCHS_OF_A_CALL = 2  # the clock counts one in each tick that a call uses up; at the second it is stopped
+LONGEST_CALL_US = int(EPOCHS_OF_A_CALL * TICK_S * 1e6)  # and what a loaded machine adds
 STACK_BYTES = 256 << 10
 LARGEST_MODULE = 4 << 20
 LEAST_BUFFER = 4 << 10
--- a/plovertrail/hooks/engine.py
+++ b/plovertrail/hooks/engine.py
@@ -1,6 +1,7 @@
 """Runs modules in wasmtime: compiled once by their content, bounded in fuel, time, memory and stack.
 
-All calls are made on the loop's thread, one after the other; `compile_module` alone may run on another one.
+An instance is called on the thread that made it: those in force on the event loop's, one call after the
+other; those that are tried out on another one, where `compile_module` runs as well.
 """
 
 from __future__ import annotations
@@ -16,6 +17,7 @@
 
 from plovertrail.hooks import abi
 from plovertrail.hooks.bounds import (
+    EPOCHS_OF_A_CALL,
     LARGEST_BUFFER,
     LARGEST_MEMORY,
     LARGEST_MODULE,
@@ -26,10 +28,10 @@
     STACK_BYTES,
     START_FUEL,
     TICK_S,
-    TICKS,
     HookError,
     RequestTooLongError,
 )
+from plovertrail.hooks.call_clock import CallClock
 
 _TrapPointer = ctypes.POINTER(ffi.wasm_trap_t)
 _Result = ffi.wasmtime_val_t * 1
@@ -77,29 +79,19 @@
     """One engine, its compiled modules, and the clock that stops calls. One a process."""
 
     def __init__(self, tick_s: float = TICK_S) -> None:
-        self.tick_s = tick_s  # between two looks of that clock
         self.engine = _engine()
+        self.clock = CallClock(self.engine, tick_s)
         self.linker = wasmtime.Linker(self.engine)  # hooks import nothing
         self._compiled: OrderedDict[str, Compiled] = OrderedDict()
         self._lock = threading.Lock()
-        self._stop = threading.Event()
-        self._clock: threading.Thread | None = None
 
     def start(self) -> None:
         """Begin to tick: from now on calls are bounded in time."""
-        if self._clock is None:
-            self._clock = threading.Thread(target=self._tick, name="hook-clock", daemon=True)
-            self._clock.start()
+        self.clock.start()
 
     def stop(self) -> None:
         """End the clock."""
-        self._stop.set()
-        if self._clock is not None:
-            self._clock.join()
-
-    def _tick(self) -> None:
-        while not self._stop.wait(self.tick_s):
-            self.engine.increment_epoch()
+        self.clock.stop()
 
     def compile_module(self, data: bytes) -> Compiled:
         """Compile the module in a file's bytes, or take it from the cache if its content is known.
@@ -155,10 +147,14 @@
         """Where its buffer is, and its size. Constants, so they are asked for once."""
         store = wasmtime.Store(self.engine)
         limit(store, LARGEST_MEMORY)
+        thread = self.clock.this_thread()
+        thread.enter()
         try:
             exports = self.linker.instantiate(store, module).exports(store)
         except (wasmtime.WasmtimeError, wasmtime.Trap) as error:
             raise InvalidModuleError(f"it can't be started: {_first_line(error)}") from None
+        finally:
+            thread.leave()
         version, buffer, size = (
             int(exports[name].value(store))  # type: ignore[union-attr]
             for name in ("plovertrail_abi", "plovertrail_buffer", "plovertrail_buffer_size")
@@ -180,7 +176,7 @@
     """Bounds for the start of an instance."""
     store.set_limits(memory_size=memory, table_elements=MOST_TABLE, instances=1, tables=4, memories=1)
     store.set_fuel(START_FUEL)
-    store.set_epoch_deadline(TICKS)
+    store.set_epoch_deadline(EPOCHS_OF_A_CALL)
 
 
 class Instance:
@@ -192,10 +188,14 @@
         self.buffer, self.size = compiled.buffer, compiled.size
         self.store = wasmtime.Store(runtime.engine)
         limit(self.store, bounds.memory)
+        self.thread = runtime.clock.this_thread()
+        self.thread.enter()
         try:
             exports = compiled.module.instantiate(self.store).exports(self.store)
         except (wasmtime.WasmtimeError, wasmtime.Trap) as error:
             raise HookError(f"it can't be started: {_first_line(error)}") from None
+        finally:
+            self.thread.leave()
         memory = exports["memory"]
         assert isinstance(memory, wasmtime.Memory)
         self.memory = memory
@@ -212,17 +212,20 @@
                 f"the request takes {len(told)} bytes, and the hook's buffer has {self.size}"
             )
         store.set_fuel(self.bounds.fuel)
-        store.set_epoch_deadline(TICKS)
+        store.set_epoch_deadline(EPOCHS_OF_A_CALL)
         # hazard: a memory that grows may move, so its place is asked for anew each time; it never shrinks,
         # and the buffer was inside it at the start
         start = ctypes.addressof(memory.data_ptr(store).contents) + self.buffer
         ctypes.memmove(start, told, len(told))
+        self.thread.enter()
         try:
             size = call_for_size(store, self.calls[phase])
         except wasmtime.Trap as trap:
             raise HookError(_trap_text(trap)) from None
         except wasmtime.WasmtimeError as error:
             raise HookError(_first_line(error)) from None
+        finally:
+            self.thread.leave()
         if size == 0:
             return b""
         if size < 0:
--- a/tests/hooks/test_hook.py
+++ b/tests/hooks/test_hook.py
@@ -33,8 +33,7 @@
 
 @pytest.fixture
 def runtime() -> Iterator[Runtime]:
-    # calls here are of microseconds; on a busy machine the clock of the backstop would end some of them
-    made = Runtime(tick_s=0.1)
+    made = Runtime()
     made.start()
     yield made
     made.stop()
