--- a/plovertrail/decisions/affinity.py
+++ b/plovertrail/decisions/affinity.py
@@ -65,6 +65,7 @@
             self.laid_out = False
 
     def discard(self, server: int) -> None:
+        """A server takes requests no more; nothing happens if the ring does not have it."""
         if self.names.pop(server, None) is not None:
             self.laid_out = False
 
--- a/plovertrail/decisions/background.py
+++ b/plovertrail/decisions/background.py
@@ -56,6 +56,7 @@
     latest_wait_us: int = 0  # the longest that a slice has waited
 
     def overdue(self, now_us: int) -> bool:
+        """Whether the work has waited for its latest start since it was due."""
         return now_us - max(self.due_us, self.waits_since_us) >= self.work.latest_us
 
 
@@ -80,6 +81,7 @@
             self.works[work.name] = Standing(work, now_us + first_us, waits_since_us=now_us + first_us)
 
     def remove(self, name: str) -> None:
+        """Forget a work by its name; nothing happens if there is none."""
         self.works.pop(name, None)
 
     def hurry(self, name: str, now_us: int) -> None:
--- a/plovertrail/decisions/counts.py
+++ b/plovertrail/decisions/counts.py
@@ -38,6 +38,7 @@
 
     @property
     def bucket_us(self) -> int:
+        """The length of one bucket in microseconds."""
         return self.span_us // self.buckets
 
     @property
@@ -71,6 +72,7 @@
         self.counts[place] = max(self.counts[place], min(count, MOST_COUNT))
 
     def add(self, bucket: int, count: int = 1) -> None:
+        """Count in the bucket with this number; a count stops at MOST_COUNT."""
         self.advance(bucket)
         place = bucket % len(self.counts)
         self.counts[place] = min(MOST_COUNT, self.counts[place] + count)
@@ -259,6 +261,7 @@
 
     @property
     def remembered_from_us(self) -> int:
+        """The time from which on usage is known, before a restart included."""
         return self.former_start_us if self.former else self.start_us
 
     def recall(self, old: Former, now_us: int) -> bool:
@@ -285,6 +288,7 @@
         return row.within(at, self.window.buckets) if row is not None else 0.0
 
     def bucket(self, now_us: int) -> int:
+        """The number of the bucket that a time lies in, from 0 at the start of these counts."""
         return max(0, now_us - self.start_us) // self.window.bucket_us
 
     # What goes out
@@ -406,6 +410,7 @@
         return self.own_count(key, now_us) + self._others(key, now_us).now
 
     def own_count(self, key: int, now_us: int) -> float:
+        """What this instance has counted under a key within the window, before a restart included."""
         row = self.own.get(key)
         at = (now_us - self.start_us) / self.window.bucket_us
         return (row.within(at, self.window.buckets) if row else 0.0) + self.former_usage(key, now_us)
--- a/plovertrail/decisions/escrow.py
+++ b/plovertrail/decisions/escrow.py
@@ -132,6 +132,8 @@
 
 @dataclass(slots=True)
 class Promised:
+    """A grant: to whom, its number, and when it ends on the grantor's clock."""
+
     holder: Who
     number: int
     until_us: int
--- a/plovertrail/decisions/escrow_plan.py
+++ b/plovertrail/decisions/escrow_plan.py
@@ -100,6 +100,7 @@
 
     @property
     def rules(self) -> Rules:
+        """The rules of the holder that this plans for."""
         return self.holder.rules
 
     def _tick_us(self) -> int:
--- a/plovertrail/decisions/failover.py
+++ b/plovertrail/decisions/failover.py
@@ -20,6 +20,7 @@
     may_have_run: bool = False
 
     def attempt_began(self) -> None:
+        """One more attempt is out."""
         self.attempts += 1
         self.out += 1
 
--- a/plovertrail/decisions/interface.py
+++ b/plovertrail/decisions/interface.py
@@ -164,6 +164,8 @@
 
 @dataclass(slots=True)
 class UpstreamsUpdated:
+    """A list of upstreams has come, whole or in part, or could not be had."""
+
     kind: ListKind
     upstreams: list[Upstream] = field(default_factory=list)
     version: int = 0
@@ -173,6 +175,8 @@
 
 @dataclass(slots=True)
 class RequestArrived:
+    """A request has come; exactly one final answer is owed to it."""
+
     request: int
     due_us: int  # when the client stops waiting
     class_index: int = 0
@@ -197,6 +201,8 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
+    """An attempt has ended, `elapsed_us` after it was sent; `report` is the server's load report, if any."""
+
     request: int
     attempt: int
     upstream: int
@@ -208,6 +214,8 @@
 
 @dataclass(slots=True)
 class StreamStarted:
+    """The first byte of a streamed answer has come, `elapsed_us` after the attempt was sent."""
+
     request: int
     attempt: int
     upstream: int
@@ -216,6 +224,8 @@
 
 @dataclass(slots=True)
 class ProbeEnded:
+    """A probe of an upstream has ended."""
+
     upstream: int
     outcome: Outcome
     elapsed_us: int = 0
@@ -224,6 +234,8 @@
 
 @dataclass(slots=True)
 class TimerFired:
+    """A timer that SetTimer asked for is due; `token` is that of SetTimer."""
+
     token: int
 
 
@@ -237,6 +249,8 @@
 
 @dataclass(slots=True)
 class PeerMessage:
+    """A message of another instance has come."""
+
     sender: int
     payload: bytes
 
@@ -284,44 +298,58 @@
 
 @dataclass(slots=True)
 class Cancel:
+    """Give up an attempt that is out."""
+
     request: int
     attempt: int
 
 
 @dataclass(slots=True)
 class Probe:
+    """Ask an upstream for its health and load, outside of requests."""
+
     upstream: int
 
 
 @dataclass(slots=True)
 class SetTimer:
+    """Tell TimerFired with this token at `at_us`."""
+
     at_us: int
     token: int = 0
 
 
 @dataclass(slots=True)
 class Subscribe:
+    """Begin to watch the list of upstreams, or end it."""
+
     active: bool = True
 
 
 @dataclass(slots=True)
 class FetchList:
-    pass
+    """Fetch the whole list of upstreams once."""
 
 
 @dataclass(slots=True)
 class CloseIdle:
+    """Close the idle connections to an upstream."""
+
     upstream: int
 
 
 @dataclass(slots=True)
 class TellPeer:
+    """Send a message to one other instance, or to all."""
+
     payload: bytes
     to: int | None = None  # None = every peer
 
 
 @dataclass(slots=True)
 class Log:
+    """Write a line to the log."""
+
     text: str
 
 
--- a/plovertrail/decisions/judgements.py
+++ b/plovertrail/decisions/judgements.py
@@ -52,6 +52,7 @@
     good_us: int = 0  # when one last went well
 
     def fade(self, now_us: int) -> None:
+        """Let what was seen count less as it ages, by the half-lives."""
         age_us = max(0, now_us - self.at_us)
         left = math.exp2(-age_us / HALF_LIFE_US)
         self.good *= math.exp2(-age_us / GOOD_HALF_LIFE_US)
@@ -65,6 +66,7 @@
 
     @property
     def attempts(self) -> float:
+        """Attempts seen, each by what it still counts."""
         return self.good + self.wrong
 
 
--- a/plovertrail/decisions/limits.py
+++ b/plovertrail/decisions/limits.py
@@ -162,6 +162,7 @@
                 self.entries[key] = Entry(now_us + owed_us)
 
     def allowance_of(self, tenant: str) -> Allowance:
+        """What a tenant may use: its own allowance, or that of those which are not listed."""
         return self.tenants.get(tenant, self.settings.allowance)
 
     def part_of(self, counts: Counts, whole: Allowance, entry: Entry, tenant: str, client: str) -> Allowance:
--- a/plovertrail/decisions/routes.py
+++ b/plovertrail/decisions/routes.py
@@ -201,6 +201,7 @@
     automaton: re2.Set | None = None
 
     def add(self, entry: Ranked) -> None:
+        """Add a route under its kind of path."""
         if entry.route.kind is PathKind.EXACT:
             self.exact.setdefault(entry.route.path, []).append(entry)
         elif entry.route.kind is PathKind.PREFIX:
--- a/plovertrail/decisions/share.py
+++ b/plovertrail/decisions/share.py
@@ -124,9 +124,11 @@
         return self.spent_us - self.gap_us * (DIAL_BURST - 1)
 
     def may(self, now_us: int) -> bool:
+        """Whether a connection may be opened now."""
         return now_us >= self.next_us
 
     def took(self, now_us: int) -> None:
+        """A connection is being opened: the next one may be a gap later."""
         self.spent_us = max(self.spent_us, now_us) + self.gap_us
 
     def promise_us(self, now_us: int, longest_us: int) -> int:
--- a/plovertrail/decisions/sockets.py
+++ b/plovertrail/decisions/sockets.py
@@ -32,6 +32,7 @@
 
     @property
     def other(self) -> Side:
+        """The side at the other end of a socket."""
         return SERVER if self is CLIENT else CLIENT
 
 
@@ -140,6 +141,8 @@
 
 @dataclass(slots=True)
 class Placed:
+    """A server has been chosen for a socket's handshake."""
+
     ident: int
     server: Server
 
@@ -167,11 +170,15 @@
 
 @dataclass(slots=True)
 class Opened:
+    """The client has its 101: frames may go both ways."""
+
     ident: int
 
 
 @dataclass(slots=True)
 class NeverOpened:
+    """The handshake has ended without an open socket."""
+
     ident: int
     cause: Cause
 
@@ -214,6 +221,8 @@
 
 @dataclass(slots=True)
 class Unblocked:
+    """A peer takes again what lies ready for it."""
+
     ident: int
     side: Side
 
@@ -228,6 +237,8 @@
 
 @dataclass(slots=True)
 class ServerChanged:
+    """A server has come, drains, or has gone."""
+
     server: Server
     word: Word
 
@@ -247,7 +258,7 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    pass
+    """The time that SetTimer asked for has come."""
 
 
 Event = (
@@ -291,6 +302,8 @@
 
 @dataclass(slots=True)
 class SendClose:
+    """Send a close frame to one side."""
+
     ident: int
     side: Side
     code: int
@@ -299,6 +312,8 @@
 
 @dataclass(slots=True)
 class SendPing:
+    """Send a ping frame to one side."""
+
     ident: int
     side: Side
 
@@ -327,6 +342,8 @@
 
 @dataclass(slots=True)
 class SetTimer:
+    """Tell TimerFired at `at_us`; it takes the place of an earlier one."""
+
     at_us: int
 
 
--- a/plovertrail/decisions/templates.py
+++ b/plovertrail/decisions/templates.py
@@ -40,9 +40,11 @@
 
     @property
     def names(self) -> frozenset[str]:
+        """The names of the values that the template needs."""
         return frozenset(name for _, name in self.pieces if name)
 
     def filled(self, values: Mapping[str, str]) -> str:
+        """The text with the values filled in; `values` has each of `names`."""
         return "".join(plain + (values[name] if name else "") for plain, name in self.pieces)
 
 
--- a/plovertrail/decisions/weighted.py
+++ b/plovertrail/decisions/weighted.py
@@ -56,6 +56,7 @@
         return True
 
     def discard(self, member: int) -> None:
+        """Draw a member no more; nothing happens if there is no such member."""
         place = self._place.pop(member, None)
         if place is not None:
             self._put(place, 0.0)
--- a/plovertrail/fronts/application.py
+++ b/plovertrail/fronts/application.py
@@ -74,6 +74,7 @@
 
 
 def whole_number(text: bytes, what: str) -> int:
+    """A header's value as a number; raises InvalidRequestError, whose text says `what` it is."""
     if not text.isdigit() or len(text) > MOST_DIGITS:
         raise InvalidRequestError(400, f"{what} is no whole number")
     return int(text)
@@ -168,6 +169,7 @@
         self.reset()
 
     def reset(self) -> None:
+        """Get ready to read the next request."""
         self.whole = False
         self.head_done = False
         self.target = b""
@@ -177,19 +179,23 @@
         self.body = bytearray()
 
     def release(self) -> None:
+        """Let go of the parser once the connection is over."""
         self.parser = None  # hazard: they hold each other, and would wait for a rare full collection
 
     # A request, as the parser reads it
 
     def on_message_begin(self) -> None:
+        """Parser callback: a request begins; behind a whole one it is pipelined."""
         if self.whole:
             self.extra = True
 
     def on_url(self, url: bytes) -> None:
+        """Parser callback: a further piece of the request target."""
         if not self.whole:
             self.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Parser callback: one header. Raises InvalidRequestError on a body that is not taken."""
         if self.whole:
             return
         plain = name.lower()
@@ -201,19 +207,23 @@
         self.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
+        """Parser callback: the head has come whole."""
         self.head_done = True
 
     def on_body(self, data: bytes) -> None:
+        """Parser callback: a further piece of the body."""
         if not self.whole:
             self.body += data
 
     def on_message_complete(self) -> None:
+        """Parser callback: the request has come whole."""
         assert self.parser is not None
         if not self.whole and not self.parser.should_keep_alive():
             self.last = True  # hazard: once the parser has gone on from here it says that all stay open
         self.whole = True
 
     def data_received(self, data: bytes) -> None:
+        """Read on; input that is not taken is answered with its status, and the connection closed."""
         if self.state is State.ENDING:
             self.discard(data)
             return
@@ -241,6 +251,7 @@
             self.write(500, b"", last=True)
 
     def feed(self, data: bytes) -> None:
+        """Give bytes to the parser; raises InvalidRequestError."""
         assert self.parser is not None
         try:
             self.parser.feed_data(data)
@@ -279,6 +290,7 @@
         self.ident = self.server.host.arrived(call, self.answer, self.server.pools)
 
     def answer(self, answer: Answer) -> None:
+        """Write the final answer of the open request, if its client still waits for it."""
         if self.state is not State.OPEN:
             return
         if answer.verdict is Verdict.SERVED:
@@ -292,9 +304,11 @@
             self.write(500, b"")
 
     def refuse(self, status: int) -> None:
+        """Answer with a bare status and close the connection."""
         self.write(status, b"", last=True)
 
     def write(self, status: int, body: bytes, head: bytes = b"", last: bool = False) -> None:
+        """Write an answer with further header lines in `head`; behind the `last` one the connection ends."""
         assert self.transport is not None
         if self.transport.is_closing():
             return
@@ -325,6 +339,7 @@
         self.ends_us: int | None = None  # when the process ends, once that is known
 
     def connection(self, sock: socket.socket) -> Client:
+        """The protocol of a new client connection."""
         return Client(self, sock)
 
     def finish_by(self, ends_us: int) -> None:
--- a/plovertrail/fronts/connections.py
+++ b/plovertrail/fronts/connections.py
@@ -115,12 +115,14 @@
         """The connection has gone: let go of what holds it."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is up; one that was closed meanwhile to make room is aborted."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         if self.state is State.ENDING:  # closed to make room while it came up
             transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
+        """The connection is over: an open request is given up."""
         self.listener.remove(self)
         self.release()
         if self.state is State.OPEN:
@@ -233,9 +235,11 @@
 
     @property
     def ready(self) -> bool:
+        """Whether requests are served: servers are known, and the listener is not being stopped."""
         return self.host.ready and not self.stopping
 
     def count(self) -> int:
+        """Open connections in all states."""
         return sum(len(group) for group in self.clients.values())
 
     def crowded(self) -> bool:
@@ -243,9 +247,11 @@
         return self.count() > self.most_clients // 2
 
     def listen(self, address: tuple[str, int]) -> None:
+        """Listen on an IPv4 address and port; raises OSError if that is not possible."""
         self.listen_on(socket.create_server(address, backlog=1024))
 
     def listen_on(self, sock: socket.socket) -> None:
+        """Accept connections on a socket that listens already."""
         self.sock = sock
         self.sock.setblocking(False)
         self.loop.add_reader(self.sock, self.accept)
@@ -282,6 +288,7 @@
         return True
 
     async def take(self, client: ClientConnection, sock: socket.socket) -> None:
+        """Bring up an accepted connection; one that is gone already is forgotten."""
         try:
             await self.loop.connect_accepted_socket(lambda: client, sock)
         except OSError:
@@ -295,6 +302,7 @@
             self.loop.call_later(NO_ROOM_S, self.resume)
 
     def resume(self) -> None:
+        """Accept again after a pause, if the listener has not been stopped."""
         if self.sock is not None:
             self.loop.add_reader(self.sock, self.accept)
 
@@ -333,6 +341,7 @@
             self.clients[state][client] = None
 
     def remove(self, client: ClientConnection) -> None:
+        """Forget a connection."""
         self.clients[client.state].pop(client, None)
 
     def sweep(self) -> None:
@@ -377,6 +386,7 @@
         self.stop_listening()
 
     def stop_listening(self) -> None:
+        """Close the listening socket; open connections go on."""
         if self.sock is not None:
             self.loop.remove_reader(self.sock)
             self.sock.close()
--- a/plovertrail/fronts/ordinary.py
+++ b/plovertrail/fronts/ordinary.py
@@ -93,6 +93,7 @@
         self.address = ""
 
     def release(self) -> None:
+        """The connection is over: let go of its reader, its handshake and its hooks."""
         self.reader.release()
         if self.socket is not None:
             self.socket.never_opened(Cause.CLIENT_GONE)
@@ -100,6 +101,7 @@
         self.end_trail(b"gone", 0)
 
     def data_received(self, data: bytes) -> None:
+        """Read on; what comes behind an open request waits, MOST_PENDING bytes of it."""
         if self.state is State.ENDING:
             self.discard(data)
             return
@@ -114,9 +116,11 @@
         self.proceed()
 
     def pause_writing(self) -> None:
+        """The client reads slowly: no further request is taken."""
         self.write_paused = True
 
     def resume_writing(self) -> None:
+        """The client has read: go on with the requests that wait."""
         self.write_paused = False
         if self.state is not State.ENDING:
             self.proceed()
@@ -381,9 +385,11 @@
         self.write(fixed.status, headers, None if fixed.status in NO_BODY else len(body), body)
 
     def reject_for_now(self, why: str, retry_after_us: int) -> None:
+        """Answer 503 with the time after which to try again, in us; 0 tells none."""
         self.reject(503, why, extra=retry_after(retry_after_us))
 
     def refuse(self, status: int) -> None:
+        """Answer a request that has not come whole in time, and close the connection."""
         self.reject(status, "the request did not come in time", last=True)
 
     def end_trail(self, outcome: bytes, status: int) -> None:
@@ -401,6 +407,11 @@
         last: bool = False,
         outcome: bytes = REFUSED,
     ) -> None:
+        """Write an answer of our own, and tell the hooks its outcome.
+
+        `length` is the Content-Length, None where the status allows none; the connection is closed behind the
+        `last`.
+        """
         message, self.message = self.message, None
         self.plan = None
         if self.transport is None or self.transport.is_closing():
@@ -449,6 +460,7 @@
         self.front.keeper.open(socket, transport, tunnel, rest, self.socket_ended)
 
     def socket_ended(self) -> None:
+        """The WebSocket that this connection became is over."""
         self.front.remove(self)
 
     # Time and room
@@ -477,4 +489,5 @@
         self.trusted = listener.forwarded.encode() if listener.trust_forwarded else b""
 
     def connection(self, sock: socket.socket) -> OrdinaryClient:
+        """The protocol of a new client connection."""
         return OrdinaryClient(self, sock)
--- a/plovertrail/fronts/relay.py
+++ b/plovertrail/fronts/relay.py
@@ -45,18 +45,23 @@
         self.side = side
 
     def get_buffer(self, sizehint: int) -> memoryview:
+        """The buffer that all ends read into, one after the other."""
         return _buffer
 
     def buffer_updated(self, nbytes: int) -> None:
+        """Hand the bytes that have come to the relay, which is done with them when it returns."""
         self.relay.read(self.side, _buffer[:nbytes])
 
     def pause_writing(self) -> None:
+        """This side reads slowly: the other side is read no further."""
         self.relay.blocked(self.side)
 
     def resume_writing(self) -> None:
+        """This side has read: the other side is read again."""
         self.relay.unblocked(self.side)
 
     def connection_lost(self, error: Exception | None) -> None:
+        """This side's connection is over."""
         self.relay.lost(self.side)
 
 
@@ -95,6 +100,7 @@
     # What comes
 
     def read(self, side: Side, data: bytes | memoryview) -> None:
+        """Bytes of one side have come; behind its last frame they are dropped."""
         framing = self.framings[side]
         if framing.ended:
             self.discarded[side] += len(data)
@@ -124,6 +130,7 @@
             self.tell(event)
 
     def proceed_later(self, side: Side) -> None:
+        """Go on with frames that have waited for the next turn of the loop."""
         self.waits[side] = False
         self.proceed(side)
         self.choose_reading(side)
@@ -163,9 +170,11 @@
             self.transports[side].write(data)
 
     def send_close(self, side: Side, code: int, reason: str) -> None:
+        """Write a close frame to one side."""
         self.transports[side].write(self.framings[side].close(code, reason))
 
     def send_ping(self, side: Side) -> None:
+        """Write a ping frame to one side, with a payload that is random for each relay."""
         if not self.ping_payload:
             self.ping_payload = os.urandom(8)
         self.write(side, self.framings[side].ping(self.ping_payload))
@@ -183,11 +192,13 @@
             transport.resume_reading()
 
     def blocked(self, side: Side) -> None:
+        """A side's write buffer is full: read no more of the other one."""
         self.stopped[side] = True
         self.choose_reading(side.other)
         self.tell(Blocked(self.ident, side))
 
     def unblocked(self, side: Side) -> None:
+        """A side's write buffer has room again."""
         self.stopped[side] = False
         self.choose_reading(side.other)
         self.tell(Unblocked(self.ident, side))
@@ -199,10 +210,12 @@
         self.transports[side].close()
 
     def cut(self) -> None:
+        """Abort both connections."""
         for transport in self.transports:
             transport.abort()
 
     def lost(self, side: Side) -> None:
+        """A side's connection is over: pass on what it sent last, then tell that it is lost."""
         # hazard: what its peer sent last may still wait for its turn
         while self.waits[side] and not self.framings[side].ended:
             self.waits[side] = False
--- a/plovertrail/fronts/sockets.py
+++ b/plovertrail/fronts/sockets.py
@@ -54,29 +54,37 @@
         self.server = ""  # pool and address of the one chosen last
 
     def opening(self) -> tuple[bytes, Headers]:
+        """The key and the headers of the handshake that goes to a server."""
         key = new_key()
         return key, request_headers(key, self.subprotocols)
 
     def checked(self, headers: Headers, key: bytes) -> bytes:
+        """The subprotocol that a server's answer chooses; raises ValueError if the answer is wrong."""
         return check_answer(headers, key, self.subprotocols)
 
     def barred(self, pool: str) -> Set[int]:
+        """The servers of a pool that may take no further socket."""
         return self.keeper.table.barred(pool)
 
     def has_room(self, pool: str, serving: Set[int]) -> bool:
+        """Whether some server of those that serve may take one more socket."""
         return self.keeper.table.has_room(pool, serving)
 
     def placed(self, pool: str, server: int, address: tuple[str, int]) -> bool:
+        """An attempt goes to a server; false if the socket may not open there."""
         self.server = "{}/{}:{}".format(pool, *address)
         return self.keeper.tell(api.Placed(self.ident, (pool, server)))
 
     def sent(self) -> None:
+        """The first byte of the handshake may be with the server."""
         self.keeper.tell(api.Sent(self.ident))
 
     def missed(self) -> None:
+        """The attempt brought no socket."""
         self.keeper.tell(api.Missed(self.ident))
 
     def accepted(self) -> bool:
+        """The server has answered with 101; false if the socket is not wanted there any more."""
         return self.keeper.tell(api.Accepted(self.ident))
 
     def never_opened(self, cause: api.Cause) -> None:
@@ -190,6 +198,7 @@
         return not any(isinstance(action, api.Decline) for action in actions)
 
     def carry_out(self, actions: Iterable[api.Action]) -> None:
+        """Carry out actions of the table, each whatever becomes of the others."""
         for action in actions:
             try:
                 self._carry_out(action)
--- a/plovertrail/hooks/chain.py
+++ b/plovertrail/hooks/chain.py
@@ -104,6 +104,7 @@
         return [pair for pair in headers if pair[0].lower() not in self.removed] + self.set_headers
 
     def take(self, verdict: Verdict) -> None:
+        """Add a verdict's changes; of a header that it names what earlier hooks said is void."""
         gone = named_headers(verdict)
         self.removed |= gone
         self.set_headers = [pair for pair in self.set_headers if pair[0].lower() not in gone]
--- a/plovertrail/hooks/engine.py
+++ b/plovertrail/hooks/engine.py
@@ -240,6 +240,7 @@
         return self.store.get_fuel()
 
     def memory_bytes(self) -> int:
+        """The size of the instance's linear memory, in bytes."""
         return self.memory.data_len(self.store)
 
 
--- a/plovertrail/hooks/hook.py
+++ b/plovertrail/hooks/hook.py
@@ -62,6 +62,7 @@
         self.logs_from_us = 0
 
     def has(self, phase: str) -> bool:
+        """Whether the module exports a phase: "on_request", "on_answer" or "on_end"."""
         return phase in self.compiled.phases
 
     def run(self, phase: str, told: bytes, allowed: Allowed, check: Check, began_us: int) -> Verdict:
--- a/plovertrail/hooks/keeper.py
+++ b/plovertrail/hooks/keeper.py
@@ -72,7 +72,9 @@
         return self.hooks
 
     def status(self) -> dict[str, Any]:
+        """Figures of each hook in force, by name."""
         return {name: hook.status() for name, hook in self.hooks.items()}
 
     def stop(self) -> None:
+        """End the engine's clock. No hook may be called afterwards."""
         self.runtime.stop()
--- a/plovertrail/hooks/loader.py
+++ b/plovertrail/hooks/loader.py
@@ -41,8 +41,10 @@
         return self.keeper.follow(setup.hooks, compiled) if self.keeper is not None else {}
 
     def status(self) -> dict[str, Any]:
+        """Figures of each hook in force, by name; empty if no hook was ever configured."""
         return self.keeper.status() if self.keeper is not None else {}
 
     def stop(self) -> None:
+        """End the engine's clock, if the engine was loaded."""
         if self.keeper is not None:
             self.keeper.stop()
