--- /dev/null
+++ b/benchmarks/capacity/hollow_roles.py
@@ -0,0 +1,11 @@
+"""Roles that are measured with hollow processes: real decisions and codecs on a virtual clock, no sockets."""
+
+from __future__ import annotations
+
+from benchmarks.capacity.membership_role import MembershipRole
+from benchmarks.capacity.roles import Role
+
+
+def hollow_roles(jobs: int) -> tuple[Role, ...]:
+    """All of them; each spreads its cases over so many processes."""
+    return (MembershipRole(jobs),)
