--- a/benchmarks/capacity/cpu_meter.py
+++ b/benchmarks/capacity/cpu_meter.py
@@ -35,11 +35,6 @@
             self.calls += 1
             self._depth -= 1
 
-    def wrap(self, target: object, *names: str) -> None:
-        """Meter every call of these methods of one object from now on."""
-        for name in names:
-            setattr(target, name, self._metered(getattr(target, name)))
-
     def reset(self) -> None:
         """Begin anew."""
         self.total_ns = self.calls = 0
@@ -48,12 +43,6 @@
         """The share of one core that one instance took over so many seconds of virtual time."""
         return self.total_ns / 1e9 / seconds / instances
 
-    def _metered(self, function: Callable[Parameters, Result]) -> Callable[Parameters, Result]:
-        def metered(*args: Parameters.args, **kwargs: Parameters.kwargs) -> Result:
-            return self.call(function, *args, **kwargs)
-
-        return metered
-
 
 def overhead_ns() -> float:
     """What the meter itself adds to the time of one call: an upper bound of the error of each."""
--- a/benchmarks/capacity/member_crowd.py
+++ b/benchmarks/capacity/member_crowd.py
@@ -76,7 +76,7 @@
         self.rng = random.Random(plan.seed)
         self.queue = EventQueue()
         self.meters = [CpuMeter() for _ in range(plan.whole)]
-        self.evidence_meters = [CpuMeter() for _ in range(plan.whole)]
+        self.evidence_meters = [CpuMeter() for _ in range(plan.whole)]  # of evidence outside of the protocol
         self.traffic = Traffic()
         self.codec = FellowsCodec("capacity", [KEY])
         self.addresses: list[Address] = [
@@ -120,10 +120,6 @@
             self.plan.size,
         )
         judgements = Judgements(teller(f"sidecar-{number}"), now_us, WALL_US) if self.plan.judge else None
-        if judgements is not None:
-            self.evidence_meters[number].wrap(
-                judgements, "tell", "take", "accused", "sweep", "opinions", "ended"
-            )
         mine = frozenset({self.addresses[number]})
         return Fellowship(fellows, judgements, self.codec, mine, GOSSIP_US, FAN_OUT, now_us)
 
@@ -316,13 +312,13 @@
         member = self.members[number]
         _, out = self.meters[number].call(member.received, data, sender, self.local_us)
         self._send(number, out)
-        if member.judgements is not None and member.judgements.news:
-            self._arm_news(number, member)
+        self.flush_news(number)
 
-    def _arm_news(self, number: int, member: Fellowship) -> None:
+    def flush_news(self, number: int) -> None:
         """News of a server doesn't wait for the next turn; a tick that finds nothing due is harmless."""
+        member = self.members[number]
         due_us = member.due_us()
-        if due_us < member.gossip_due_us:
+        if member.judgements is not None and member.judgements.news and due_us < member.gossip_due_us:
             wait_us = max(1_000, due_us - self.local_us)
             self.queue.after(wait_us, partial(self._tick_once, number, member))
 
