--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -18,6 +18,7 @@
     SERVICES = "services"
     SERVERS = "servers of a service"
     CHANGES = "changes a second"
+    DEPTH = "services called one behind the other"
 
 
 class Unit(Enum):
@@ -29,6 +30,7 @@
     MILLISECONDS = "ms"
     SECONDS = "s"
     MESSAGES_PER_S = "messages/s"
+    ATTEMPTS_PER_CALL = "attempts of a call at the top"
 
 
 class Situation(Enum):
@@ -39,6 +41,7 @@
     ZONE_RETURNS = "an eighth comes back at once"
     REGIONS_JOIN = "the regions meet again after five minutes"
     ORDINARY_DAY = "an ordinary day"
+    LAST_SERVICE_FAILS = "the last service fails every attempt"
 
 
 @dataclass(frozen=True, slots=True)
