--- a/benchmarks/capacity/retry_model.py
+++ b/benchmarks/capacity/retry_model.py
@@ -29,6 +29,7 @@
     calls_per_s: float
     servers: int = 9
     calm_s: float = 0.0  # for so long at the beginning the last service answers
+    failing_share: float = 1.0  # of its attempts, from then on
     attempts: int = 3
     aim_us: int = 1_000_000
     deadline_us: int = 4_000_000
@@ -151,6 +152,7 @@
         self.plan = plan
         self.clock = Clock()
         self.rng = random.Random(seed)
+        self.chance = random.Random(seed + 1).random
         self.fails_from_us = self.clock.now_us + int(plan.calm_s * 1e6) if plan.calls else NEVER_US
         self.attempts: list[Counter[int]] = [Counter() for _ in range(plan.depth + 1)]  # by depth and root
         self.first_sends: Counter[int] = Counter()  # by depth
@@ -187,7 +189,7 @@
     def serve(self, depth: int, number: int, root: int, timeout_us: int, ended: Reply) -> None:
         """An attempt sets out for a server; `ended` is called when its answer is back."""
         plan, clock = self.plan, self.clock
-        if depth == plan.depth and clock.now_us >= self.fails_from_us:
+        if depth == plan.depth and clock.now_us >= self.fails_from_us and self.chance() < plan.failing_share:
             self.fail(ended)
             return
         if depth == plan.depth:
