--- a/standins/balancers_model.py
+++ b/standins/balancers_model.py
@@ -70,11 +70,14 @@
     sent: list[int] = field(default_factory=list)
 
     def warmth(self, now_us: int, cold_share: float, warm_up_us: int) -> float:
+        """The part of its work that the server can do: `cold_share` at its start, 1 after `warm_up_us`."""
         age_us = now_us - self.entry.started_us
         return min(1.0, cold_share + (1 - cold_share) * age_us / warm_up_us) if self.entry.started_us else 1.0
 
 
 class Fleet:
+    """Decision modules and their servers on a virtual clock; each answer and send is held to the rules."""
+
     def __init__(self, servers: int, table: int = 1_000, sidecars: int = 40, seed: int = 1) -> None:
         self.random = random.Random(seed)
         self.settings = Settings(
@@ -112,6 +115,7 @@
             self.tell(number, UpstreamsUpdated(ListKind.FULL, listed))
 
     def at(self, at_us: int, sidecar: int, event: Event) -> None:
+        """Tell a sidecar an event at a time."""
         self.order += 1
         heapq.heappush(self.due, (at_us, self.order, sidecar, event))
 
@@ -124,6 +128,7 @@
             self.at(told_us, number, UpstreamsUpdated(ListKind.DELTA, [entry]))
 
     def tell(self, sidecar: int, event: Event) -> None:
+        """Give a sidecar an event, and carry out the actions that it returns."""
         if isinstance(event, UpstreamsUpdated):
             for entry in event.upstreams:
                 self.left[sidecar, entry.id] = entry.state is not UpstreamState.READY
@@ -150,6 +155,7 @@
                 self.servers[action.upstream].connections -= self.idle.pop((sidecar, action.upstream), 0)
 
     def answer(self, request: int, how: str) -> None:
+        """Count a final answer; raises on a second one and on a late one."""
         sidecar, event = self.owed.pop(request)  # rule 1: raises on a second answer
         assert self.now_us <= event.due_us + 4 * self.settings.tick_us, "rule 1: answered late"
         self.ended[how] += 1
@@ -157,6 +163,7 @@
             self.of_busy[how] += 1
 
     def send(self, sidecar: int, send: Send) -> None:
+        """Carry out an attempt; raises AssertionError if it breaks a rule."""
         server, now_us = self.servers[send.upstream], self.now_us
         assert send.request in self.owed, "rule 1: a send after the end"
         assert not self.left[sidecar, send.upstream], "rule 3: sent after word of its leave"
@@ -197,6 +204,7 @@
             ends(min(after_us, send.timeout_us), Outcome.OK if in_time else Outcome.TIMEOUT)
 
     def run(self, until_us: int) -> None:
+        """Play until this time."""
         while self.due and self.due[0][0] <= until_us:
             self.now_us, _, sidecar, event = heapq.heappop(self.due)
             self.tell(sidecar, event)
--- a/standins/cluster/__main__.py
+++ b/standins/cluster/__main__.py
@@ -14,6 +14,7 @@
 
 
 async def played(schedule: Schedule, folder: Path) -> int:
+    """Play a schedule, print what happened and each rule that broke; returns the exit code."""
     async with cluster(schedule, folder) as it:
         verdict = await it.play()
         for line in it.told:
@@ -35,6 +36,7 @@
 
 
 def main() -> int:
+    """Read the schedule and play it; returns the exit code."""
     parser = argparse.ArgumentParser(prog="python -m standins.cluster")
     parser.add_argument("schedule", type=Path)
     parser.add_argument("--seed", type=int)
--- a/standins/cluster/instances.py
+++ b/standins/cluster/instances.py
@@ -122,10 +122,12 @@
 
     @property
     def control(self) -> str:
+        """The path of its control socket."""
         return f"{self.folder}/control"
 
     @property
     def pid(self) -> int:
+        """The process id of the daemon that runs now."""
         assert self.process is not None
         return self.process.pid
 
@@ -196,6 +198,7 @@
         self.stopped.append([time.monotonic(), float("inf")])
 
     def wake(self) -> None:
+        """Let a stopped process go on."""
         self.stopped[-1][1] = time.monotonic()
         os.kill(self.pid, signal.SIGCONT)
 
@@ -227,6 +230,7 @@
         resource.prlimit(self.pid, resource.RLIMIT_FSIZE, (0, resource.RLIM_INFINITY))
 
     def free_disk(self) -> None:
+        """Let the process write files of any size again."""
         resource.prlimit(self.pid, resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY, resource.RLIM_INFINITY))
 
     def hide_list(self) -> None:
@@ -238,6 +242,7 @@
         self.servers.with_suffix(".hidden").rename(self.servers)
 
     def log(self) -> str:
+        """The log of all its processes."""
         return (self.folder / "log").read_text(errors="replace")
 
     def end(self) -> int | None:
--- a/standins/cluster/judge.py
+++ b/standins/cluster/judge.py
@@ -37,6 +37,7 @@
         return [line for line in self.broken if not line.startswith("late")]
 
     def figures(self) -> str:
+        """The counts as one line of text."""
         return ", ".join(f"{count} {what}" for what, count in sorted(self.counts.items()))
 
 
--- a/standins/cluster/load.py
+++ b/standins/cluster/load.py
@@ -19,7 +19,8 @@
     port: int
 
     @property
-    def host(self) -> str: ...
+    def host(self) -> str:
+        """The IPv4 address that requests are sent to."""
 
 
 @dataclass(slots=True)
@@ -55,10 +56,12 @@
     loop_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
+        """Begin to send, in a task of its own."""
         self.running = True
         self.loop_task = asyncio.create_task(self.run())
 
     async def run(self) -> None:
+        """Send requests at random times, `per_s` a second on average, until stopped."""
         due = time.monotonic()
         while self.running:
             due += self.rng.expovariate(self.per_s)
@@ -81,6 +84,7 @@
             door = self.doors[self.rng.randrange(len(self.doors))]
 
     async def ask(self, door: Door) -> Sent:
+        """Send one request on a connection of its own, and return what came of it."""
         unsafe = self.rng.random() < self.unsafe
         one = Sent(f"r{len(self.sent)}", unsafe, door.number, time.monotonic(), self.deadline_s)
         self.sent.append(one)
--- a/standins/cluster/play.py
+++ b/standins/cluster/play.py
@@ -36,9 +36,11 @@
     begins: float = 0.0  # of the play, by the monotonic clock
 
     def links(self, event: Event) -> list[TcpRelay]:
+        """The relays between the instances and the servers that an event names."""
         return [self.relays[one, server] for one in event.instances for server in event.servers]
 
     def ways(self, event: Event) -> list[Way]:
+        """The directions of those relays that an event names."""
         return [
             way
             for relay in self.links(event)
@@ -132,6 +134,7 @@
         return self.verdict()
 
     def verdict(self) -> Verdict:
+        """The judgement on all requests so far."""
         return judge(self.load.sent, [*self.shops, *self.gone], self.instances)
 
 
--- a/standins/cluster/relay.py
+++ b/standins/cluster/relay.py
@@ -31,9 +31,11 @@
         self.open.set()
 
     def cut(self) -> None:
+        """Let no bytes through from now on."""
         self.open.clear()
 
     def mend(self) -> None:
+        """Let bytes through again."""
         self.open.set()
 
     def wait_s(self, rng: random.Random, size: int) -> float:
@@ -54,6 +56,7 @@
     writers: set[asyncio.StreamWriter] = field(default_factory=set)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Pass one connection on to the target, in both directions, until one side ends it."""
         self.writers.add(writer)
         try:
             if self.refusing:
@@ -88,6 +91,7 @@
             writer.write_eof()
 
     def reset(self) -> None:
+        """Abort all connections."""
         for writer in list(self.writers):
             writer.transport.abort()
 
@@ -110,6 +114,7 @@
         self.held = 0
 
     async def start(self) -> None:
+        """Open a port for each instance."""
         loop = asyncio.get_running_loop()
         for number in range(len(self.bound)):
             transport, _ = await loop.create_datagram_endpoint(
@@ -136,12 +141,14 @@
             asyncio.get_running_loop().call_later(wait_s, self.leave, data, number, to)
 
     def leave(self, data: bytes, sender: int, to: int) -> None:
+        """Send a datagram on that was held for its delay."""
         self.held -= 1
         self.passed += 1
         if self.transports:
             self.transports[sender].sendto(data, self.bound[to])
 
     def stop(self) -> None:
+        """Close all ports; what is still held is dropped."""
         for transport in self.transports:
             transport.close()
         self.transports = []
@@ -155,4 +162,5 @@
         self.number = number
 
     def datagram_received(self, data: bytes, address: Address) -> None:
+        """Hand a datagram to the switch."""
         self.switch.came(data, address, self.number)
--- a/standins/cluster/schedule.py
+++ b/standins/cluster/schedule.py
@@ -110,12 +110,14 @@
 
 
 def number(raw: Any, where: str, least: float = 0.0) -> float:
+    """A number of at least `least`; raises ScheduleError, which names `where` it stands."""
     if isinstance(raw, bool) or not isinstance(raw, int | float) or raw < least:
         raise ScheduleError(f"{where}: expected a number of {least:g} or more, got {raw!r}")
     return float(raw)
 
 
 def members(raw: Any, where: str, count: int) -> tuple[int, ...]:
+    """Numbers from 0 to `count` - 1, or all of them; raises ScheduleError."""
     if raw == "all":
         return tuple(range(count))
     if (
@@ -128,6 +130,7 @@
 
 
 def event(raw: Any, where: str, instances: int, servers: int, seconds: float) -> Event:
+    """One event of a schedule, checked; raises ScheduleError."""
     if not isinstance(raw, dict) or raw.get("do") not in KEYS:
         raise ScheduleError(f"{where}.do: expected one of {', '.join(KEYS)}, got {raw!r}")
     do = raw["do"]
--- a/standins/cluster/servers.py
+++ b/standins/cluster/servers.py
@@ -43,6 +43,7 @@
         self.room = asyncio.Semaphore(self.slots)
 
     async def script(self, server: WebServer, arrival: Arrival, line: Line) -> bytes:
+        """Answer a request after its work, or at once that it has not run if the queue is full."""
         ident = arrival.all("X-Request-Id")[0].decode()
         ran = self.open < self.slots + QUEUE
         self.runs.append(Run(time.monotonic(), ident, ran))
--- a/standins/door_model.py
+++ b/standins/door_model.py
@@ -67,6 +67,7 @@
                 self._next_of(load)
 
     def later(self, after_us: float, what: Callable[[], None]) -> None:
+        """Call `what` after `after_us` on the model's clock."""
         self.number += 1
         heapq.heappush(self.due, (self.now_us + int(after_us), self.number, what))
 
--- a/standins/escrow_checker.py
+++ b/standins/escrow_checker.py
@@ -70,6 +70,7 @@
     claims = repeats = restarts = asks = spent = 0
 
     def clock(self, one: int) -> int:
+        """The time on the clock of one instance, which runs at a speed of its own."""
         return int(self.now * SPEEDS[one])
 
     def reach(self) -> int:
@@ -125,9 +126,11 @@
         self.elector = elector
 
     def new_holder(self, one: int, life: int) -> Holder:
+        """A holder for a new process of an instance; `life` counts its processes."""
         return self.holder(self.rules, Who(NAMES[one], life), [NAMES])
 
     def begin(self) -> World:
+        """The state that the search begins from."""
         world = World(self.rules)
         for one in range(len(NAMES)):
             # they have been there for long: no elector is in doubt any more
@@ -209,6 +212,7 @@
 
 
 def named(some: tuple[int, ...]) -> str:
+    """The names of some instances as text."""
     return ", ".join(NAMES[one] for one in some)
 
 
@@ -310,6 +314,7 @@
 
 
 def main() -> int:
+    """Search all limits for a broken rule; returns the exit code."""
     parser = argparse.ArgumentParser(prog="python -m standins.escrow_checker")
     parser.add_argument("--depth", type=int, default=8)
     parser.add_argument("--states", type=int, default=MOST_STATES)
--- a/standins/escrow_model.py
+++ b/standins/escrow_model.py
@@ -51,9 +51,11 @@
         self.start()
 
     def now(self) -> int:
+        """The time on the member's own clock, in microseconds."""
         return int(self.model.clock.now_us * self.speed)
 
     def start(self) -> None:
+        """Start a new process, which remembers nothing."""
         self.life += 1
         self.up = True
         rules, model = self.model.plan.rules, self.model
@@ -81,12 +83,14 @@
         self.model.clock.after(int(wait_us / self.speed) + 1, self.look, life)
 
     def send(self, out: Iterable[Out]) -> None:
+        """Send messages over the model's network."""
         who = Who(self.name, self.life)
         for each in out:
             self.sent += 1
             self.model.deliver(self, self.model.by_name[each.to], each.message, who)
 
     def came(self, message: Message, who: Who, sender: Member) -> None:
+        """A message has come; a stopped process finds it when it wakes, one that was killed never does."""
         if not self.up:
             return
         if not self.awake:
@@ -103,6 +107,7 @@
             self.send(self.planner.came(message, who, now))
 
     def wake(self) -> None:
+        """Go on after a stop, with the messages that have come meanwhile."""
         self.awake = True
         waiting, self.waiting = self.waiting, []
         for each in waiting:
@@ -129,9 +134,11 @@
         self.hot: list[int] = []
 
     def names(self) -> list[str]:
+        """The names of all members, in their order."""
         return self.all_names
 
     def deliver(self, sender: Member, receiver: Member, message: Message, who: Who) -> None:
+        """Bring a message to its receiver after a delay; it may be lost, and crosses no split."""
         apart = self.parts.get(sender.number, 0) != self.parts.get(receiver.number, 0)
         if apart or (sender is not receiver and self.rng.random() < self.plan.loss):
             return
@@ -197,24 +204,30 @@
     # Faults
 
     def kill(self, numbers: Iterable[int]) -> None:
+        """Kill the processes of these members."""
         for number in numbers:
             self.members[number].up = False
             self.members[number].life += 1
 
     def start(self, numbers: Iterable[int]) -> None:
+        """Start processes of these members."""
         for number in numbers:
             self.members[number].start()
 
     def stop(self, numbers: Iterable[int]) -> None:
+        """Stop these members' processes, as SIGSTOP does."""
         for number in numbers:
             self.members[number].awake = False
 
     def wake(self, numbers: Iterable[int]) -> None:
+        """Let stopped processes go on."""
         for number in numbers:
             self.members[number].wake()
 
     def split(self, parts: Iterable[Iterable[int]]) -> None:
+        """Split the network: members of different parts do not hear one another."""
         self.parts = {number: part for part, numbers in enumerate(parts) for number in numbers}
 
     def heal(self) -> None:
+        """Join all parts of the network again."""
         self.parts = {}
--- a/standins/fellows_model.py
+++ b/standins/fellows_model.py
@@ -94,6 +94,7 @@
         self.tick(number, self.ships[number])
 
     def kill(self, number: int) -> None:
+        """Kill an instance: it says and hears nothing any more."""
         self.alive[number] = False
 
     def sleep(self, number: int) -> None:
@@ -115,10 +116,12 @@
         self.alive[number] = False
 
     def at(self, at_us: int, what: Callable[..., None], *arguments: object) -> None:
+        """Call `what` with the arguments at a time on the model's clock."""
         self.order += 1
         heapq.heappush(self.due, (at_us, self.order, what, arguments))
 
     def tick(self, number: int, ship: Fellowship) -> None:
+        """Let an instance do what is due, and again when it says so; void for an earlier process of it."""
         if self.ships[number] is not ship or not self.alive[number] or number in self.asleep:
             return
         self.send(number, ship.tick(self.local_us(number)))
@@ -126,6 +129,7 @@
         self.at(self.now_us + wait_us, self.tick, number, ship)
 
     def send(self, number: int, out: list[tuple[Address, bytes]]) -> None:
+        """Send datagrams over the model's network, which loses, repeats and delays them."""
         for address, data in out:
             to = self.numbers.get(address)
             self.datagrams[number] += 1
@@ -136,6 +140,7 @@
                     self.at(self.now_us + delay_us, self.deliver, to, data, self.addresses[number])
 
     def deliver(self, to: int, data: bytes, sender: Address) -> None:
+        """Bring a datagram to an instance; one that is stopped finds it when it goes on."""
         if to in self.asleep:
             self.inbox[to].append((data, sender))
         elif self.alive[to]:
@@ -169,6 +174,7 @@
         )
 
     def judgements(self, number: int) -> Judgements:
+        """What an instance has been told of servers."""
         found = self.ships[number].judgements
         assert found is not None
         return found
--- a/standins/fleet/instances.py
+++ b/standins/fleet/instances.py
@@ -65,6 +65,7 @@
         self.host.narrow(self.pool)
 
     def listed(self, event: api.UpstreamsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
+        """A list of servers has come: hand it to the host, and fit the budget to its length."""
         self.host.list_changed(self.pool, event, addresses)
         budget = share.budget(self.fleet, self.bounds, len(self.pool.listed))
         if budget != self.connections.budget:
@@ -84,6 +85,7 @@
         self.taken: list[float] = []
 
     async def play(self) -> None:
+        """Ask instances drawn at random until the plan's seconds are over."""
         at = self.plan.starts_at
         while at < self.plan.starts_at + self.plan.seconds:
             at += self.rng.expovariate(1 / self.gap_s)
@@ -91,6 +93,7 @@
             self.ask(self.rng.choice(self.instances))
 
     def ask(self, instance: Instance) -> None:
+        """Send one request to an instance, and count its answer in the second in which it was asked."""
         began = time.monotonic()
         second = int(began - self.plan.starts_at)
         self.counts["asked"][second] += 1
@@ -109,6 +112,7 @@
         instance.host.arrived(call, reply, (instance.pool,))
 
     def told(self) -> dict[str, Any]:
+        """The counts by second, and a sample of the times that answers took, in seconds."""
         seconds = range(int(self.plan.seconds))
         found = {name: [count[second] for second in seconds] for name, count in self.counts.items()}
         step = max(1, len(self.taken) // 200)
--- a/standins/fleet/plan.py
+++ b/standins/fleet/plan.py
@@ -31,8 +31,10 @@
     idle_s: float = 60.0
 
     def dump(self) -> str:
+        """The plan as JSON, for another process."""
         return json.dumps(asdict(self))
 
     @staticmethod
     def load(text: str) -> Plan:
+        """The plan from its JSON."""
         return Plan(**json.loads(text))
--- a/standins/fleet/servers.py
+++ b/standins/fleet/servers.py
@@ -38,17 +38,21 @@
         return math.floor(time.monotonic() - self.plan.starts_at)
 
     def count(self, name: str) -> None:
+        """Count one event under a name, in this second."""
         self.counts.setdefault(name, Counter())[self.second()] += 1
 
     def opened(self, change: int) -> None:
+        """Note connections that were opened, or closed if negative."""
         self.open_now += change
         self.look()
 
     def look(self) -> None:
+        """Note how many connections are open, for the most in this second."""
         second = self.second()
         self.open_most[second] = max(self.open_most[second], self.open_now)
 
     def told(self) -> dict[str, Any]:
+        """The counts of each name by second, and the most open connections in each."""
         seconds = range(int(self.plan.seconds))
         found = {name: [counter[second] for second in seconds] for name, counter in self.counts.items()}
         return found | {"open": [self.open_most[second] for second in seconds]}
@@ -64,6 +68,7 @@
         self.target = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """A connection has been opened."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.server.lines.add(self)
@@ -71,16 +76,20 @@
         self.server.counts.count("dials")
 
     def connection_lost(self, error: Exception | None) -> None:
+        """The connection is over."""
         self.server.lines.discard(self)
         self.server.counts.opened(-1)
 
     def data_received(self, data: bytes) -> None:
+        """Give bytes to the parser."""
         self.parser.feed_data(data)
 
     def on_url(self, url: bytes) -> None:
+        """Parser callback: the request target."""
         self.target = url
 
     def on_message_complete(self) -> None:
+        """Parser callback: answer the request after its work, or at once if there is no room."""
         probe = self.target in (b"/alive", b"/metrics/load")
         self.server.counts.count("probes" if probe else "requests")
         if self.server.takes():
@@ -89,6 +98,7 @@
             self.write(NOT_RUN)
 
     def write(self, data: bytes) -> None:
+        """Write, unless the connection is over."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
@@ -110,6 +120,7 @@
         self.most_of_bound = 0.0  # the highest share of what would have pushed it over
 
     async def listen(self) -> None:
+        """Listen on the server's port; on any free one the first time."""
         loop = asyncio.get_running_loop()
         self.listener = await loop.create_server(
             lambda: Line(self), "127.0.0.1", self.port, backlog=BACKLOG, reuse_address=True
@@ -117,6 +128,7 @@
         self.port = self.listener.sockets[0].getsockname()[1]
 
     def vanish(self) -> None:
+        """Stop listening and abort all connections."""
         if self.listener is not None:
             self.listener.close()
         for line in list(self.lines):
@@ -147,24 +159,30 @@
         self.parser = httptools.HttpRequestParser(self)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """A client of the discovery has connected."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def connection_lost(self, error: Exception | None) -> None:
+        """The connection is over, and with it its watch."""
         self.discovery.watches.discard(self)
         self.transport = None
 
     def data_received(self, data: bytes) -> None:
+        """Give bytes to the parser."""
         self.parser.feed_data(data)
 
     def on_message_complete(self) -> None:
+        """Parser callback: a call has come whole."""
         self.discovery.called(self)
 
     def write(self, data: bytes) -> None:
+        """Write, unless the connection is over."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
     def line(self, text: bytes) -> None:
+        """Write one line as a chunk of the answer."""
         self.write(b"%x\r\n%s\n\r\n" % (len(text) + 1, text))
 
 
@@ -181,11 +199,13 @@
         self.port = 0
 
     async def listen(self) -> None:
+        """Listen on a free port."""
         loop = asyncio.get_running_loop()
         service = await loop.create_server(lambda: Call(self), "127.0.0.1", 0, backlog=BACKLOG)
         self.port = service.sockets[0].getsockname()[1]
 
     def entry(self, server: Server) -> dict[str, Any]:
+        """A server as the discovery lists it."""
         boot_ms = 0
         if server.boot_at is not None:
             boot_ms = int((time.time() - (time.monotonic() - server.boot_at)) * 1000)
@@ -201,9 +221,11 @@
         }
 
     def known(self) -> dict[str, Any]:
+        """The whole list."""
         return {"rev": 1, "all": True, "targets": [self.entry(server) for server in self.servers]}
 
     def called(self, call: Call) -> None:
+        """Answer a call in its turn, `list_calls_per_s` a second; turn it away if the queue is too long."""
         self.counts.count("calls")
         now = time.monotonic()
         if self.free_at > now + LONGEST_QUEUE_S:
@@ -214,6 +236,7 @@
         asyncio.get_running_loop().call_later(self.free_at - now, self.answer, call)
 
     def answer(self, call: Call) -> None:
+        """Begin a watch with the whole list."""
         call.write(WATCH)
         call.line(json.dumps(self.known() | {"rev": self.rev}).encode())
         self.watches.add(call)
@@ -226,6 +249,7 @@
             call.line(text)
 
     async def beat(self) -> None:
+        """Send an empty line on every watch each BEAT_S seconds, forever."""
         while True:
             calls = list(self.watches)
             for part in range(BEATS):  # hazard: 5,000 lines in one go would hold up the servers beside it
@@ -234,6 +258,7 @@
                 await asyncio.sleep(BEAT_S / BEATS)
 
     def end_watches(self) -> None:
+        """Abort all watches."""
         for call in list(self.watches):
             if call.transport is not None:
                 call.transport.abort()
--- a/standins/frames.py
+++ b/standins/frames.py
@@ -38,6 +38,7 @@
 
 
 def close_frame(code: int = 1000, reason: bytes = b"", masked: bool = False) -> bytes:
+    """A close frame with a code and a reason."""
     return frame(CLOSE, struct.pack("!H", code) + reason, masked=masked)
 
 
@@ -57,6 +58,7 @@
 
     @property
     def reason(self) -> str:
+        """The reason of a close frame."""
         return self.payload[2:].decode()
 
 
--- a/standins/listening.py
+++ b/standins/listening.py
@@ -20,9 +20,11 @@
 
     @property
     def address(self) -> str:
+        """The address and port that it listens on."""
         return f"127.0.0.1:{self.port}"
 
     async def start(self, port: int = 0) -> None:
+        """Listen on a port, on any free one for 0."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", port, backlog=BACKLOG)
         self.port = self.server.sockets[0].getsockname()[1]
 
--- a/standins/live.py
+++ b/standins/live.py
@@ -32,9 +32,11 @@
         return got
 
     def send(self, data: bytes) -> None:
+        """Write bytes as they are."""
         self.writer.write(data)
 
     def reset(self) -> None:
+        """Abort the connection."""
         self.writer.transport.abort()
 
     async def until_closed(self) -> None:
@@ -83,6 +85,7 @@
     open: set[Line] = field(default_factory=set)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Read the head of one connection and run the script on it."""
         line = Line(reader, writer)
         self.open.add(line)
         try:
@@ -95,5 +98,6 @@
             writer.close()
 
     def reset(self) -> None:
+        """Abort all connections."""
         for line in list(self.open):
             line.reset()
--- a/standins/nginx_reference.py
+++ b/standins/nginx_reference.py
@@ -21,6 +21,8 @@
 
 @dataclass(eq=False)
 class Block:
+    """A directive with its block, and the block around it."""
+
     name: str
     args: list[str]
     line: int
@@ -28,6 +30,7 @@
     outer: Block | None = None
 
     def own(self, name: str) -> list[Block]:
+        """The directives of this name in the block."""
         return [each for each in self.inner if each.name == name]
 
     def nearest(self, name: str) -> list[Block]:
@@ -43,6 +46,8 @@
 
 @dataclass(frozen=True)
 class Asked:
+    """One request."""
+
     method: str
     host: str  # as the Host header has it
     path: str  # as sent, with no query
@@ -67,10 +72,11 @@
 
 
 class UnmodelledError(Exception):
-    pass
+    """Something that this reference does not model; the text names it."""
 
 
 def read(path: str) -> Block:
+    """Read a configuration with its includes; returns the main block."""
     payload = crossplane.parse(path, check_ctx=False, check_args=False, combine=True)
     root = Block("main", [], 0)
 
@@ -99,6 +105,8 @@
 
 
 class Reference:
+    """What nginx does with a request under a configuration, as its documentation says."""
+
     def __init__(self, path: str) -> None:
         self.root = read(path)
         self.https = self.root.own("http")
@@ -162,6 +170,7 @@
 
     @staticmethod
     def listens(server: Block) -> Iterator[tuple[int, bool]]:
+        """The ports that a server listens on, each with whether it is the default there."""
         listens = server.own("listen")
         for listen in listens:
             port = listen.args[0].rpartition(":")[2]
@@ -174,6 +183,7 @@
 
     @staticmethod
     def modifier(location: Block) -> tuple[str, str]:
+        """The modifier and the text of a location; the modifier may stand without a space."""
         if len(location.args) == 2:
             return location.args[0], location.args[1]
         for tight in ("^~", "~*", "=", "~"):
@@ -240,6 +250,7 @@
     # What becomes of it
 
     def follow(self, asked: Asked) -> Outcome:
+        """What becomes of a request; one that leaves what is modelled has the reason in `unknown`."""
         try:
             return self._follow(asked)
         except UnmodelledError as why:
@@ -346,6 +357,7 @@
         return f"http://{host}{f':{asked.port}' if asked.port != 80 else ''}{path}"
 
     def value(self, text: str, path: str, asked: Asked, groups: list[str]) -> str:
+        """A text with its variables filled in; raises UnmodelledError on an unknown one."""
         given = {name.lower(): value for name, value in asked.headers}
         before = given.get("x-forwarded-for", "")
         names = {
--- a/standins/peers_model.py
+++ b/standins/peers_model.py
@@ -75,10 +75,12 @@
         self.gossips[number] = self.start(number)
 
     def at(self, at_us: int, what: Callable[..., None], *arguments: object) -> None:
+        """Call `what` with the arguments at a time on the model's clock."""
         self.order += 1
         heapq.heappush(self.due, (at_us, self.order, what, arguments))
 
     def tick(self, number: int) -> None:
+        """Let an instance send what is due in its round, and again one period later."""
         self.at(self.now_us + int(self.talk.period_s * 1e6), self.tick, number)
         if not self.alive[number]:
             return
@@ -92,10 +94,12 @@
                     self.at(self.now_us + delay_us, self.deliver, to, data, self.addresses[number])
 
     def deliver(self, to: int, data: bytes, sender: Address) -> None:
+        """Bring a datagram to an instance, if it lives."""
         if self.alive[to]:
             self.gossips[to].received(data, sender, self.local_us(to))
 
     def run(self, until_us: int) -> None:
+        """Play until this time."""
         while self.due and self.due[0][0] <= until_us:
             self.now_us, _, what, arguments = heapq.heappop(self.due)
             what(*arguments)
@@ -107,10 +111,12 @@
         self.truth.setdefault(key, []).append(self.now_us)
 
     def true_count(self, key: int) -> int:
+        """What has really been counted under a key within the window."""
         times = self.truth.get(key, [])
         return len(times) - bisect_right(times, self.now_us - self.window.span_us)
 
     def estimate(self, number: int, key: int) -> float:
+        """What an instance takes the count of all for."""
         return self.gossips[number].counts.estimate(key, self.local_us(number))
 
     def load(self, seconds: float, rates: dict[int, float], to: Callable[[], int] | None = None) -> None:
--- a/standins/web.py
+++ b/standins/web.py
@@ -44,32 +44,40 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """A connection has been opened."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.server.lines.add(self)
         self.server.connections += 1
 
     def connection_lost(self, error: Exception | None) -> None:
+        """The connection is over: answers in preparation are given up."""
         self.server.lines.discard(self)
         for task in self.tasks:
             task.cancel()
 
     def data_received(self, data: bytes) -> None:
+        """Give bytes to the parser."""
         self.parser.feed_data(data)
 
     def on_message_begin(self) -> None:
+        """Parser callback: a request begins."""
         self.target, self.headers, self.body = b"", [], b""
 
     def on_url(self, url: bytes) -> None:
+        """Parser callback: a further piece of the request target."""
         self.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Parser callback: one header."""
         self.headers.append((name, value))
 
     def on_body(self, data: bytes) -> None:
+        """Parser callback: a further piece of the body."""
         self.body += data
 
     def on_message_complete(self) -> None:
+        """Parser callback: run the server's script on the request, and write its answer when it is there."""
         arrival = Arrival(self.parser.get_method(), self.target, self.headers, self.body)
         self.server.count += 1
         if self.server.keep:
@@ -83,9 +91,11 @@
             task.add_done_callback(self.tasks.discard)
 
     async def write_later(self, answer: Awaitable[bytes]) -> None:
+        """Write an answer once it is there."""
         self.write(await answer)
 
     def write(self, answer: bytes) -> None:
+        """Write, unless the connection is over."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(answer)
 
@@ -112,9 +122,11 @@
 
     @property
     def address(self) -> str:
+        """The address and port that it listens on."""
         return f"127.0.0.1:{self.port}"
 
     async def start(self, port: int = 0) -> None:
+        """Listen on a port, on any free one for 0."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(lambda: Line(self), "127.0.0.1", port)
         self.port = self.server.sockets[0].getsockname()[1]
