--- a/benchmarks/coming_back.py
+++ b/benchmarks/coming_back.py
@@ -117,6 +117,7 @@
 
 
 def schedule(case: Case, instances: int, seed: int, after_s: float) -> Schedule:
+    """The schedule of a case for the cluster, its fault at FAULT_S and `after_s` of load behind it."""
     events = [event | {"at": FAULT_S + event["at"]} for event in case.events]
     return checked(
         {
@@ -166,6 +167,7 @@
 
 
 async def played(case: Case, instances: int, seed: int, after_s: float, folder: Path) -> Told:
+    """Play one case on a cluster of processes, and return its figures."""
     plan = schedule(case, instances, seed, after_s)
     async with cluster(plan, folder) as it:
         verdict = await it.play()
@@ -174,6 +176,7 @@
 
 
 def told(it: Cluster, case: Case, verdict: Verdict, gaps: int) -> Told:
+    """The figures of a play: what was served before, during and after the fault."""
     fault = it.begins + FAULT_S
     start, end = fault + case.begins_s, it.begins + it.schedule.seconds - 0.2
     sent = it.load.sent
@@ -190,6 +193,7 @@
 
 
 def main() -> int:
+    """Run the cases and print their table; returns 1 if a bar is missed or a rule broke."""
     parser = outage_parser("coming_back")
     parser.add_argument("--seconds", type=float, default=8.0, help="after the processes are there again")
     asked = parser.parse_args()
--- a/benchmarks/coming_back_model.py
+++ b/benchmarks/coming_back_model.py
@@ -34,6 +34,8 @@
 
 @dataclass(frozen=True)
 class Case:
+    """A fault: how long instances are down, how often, and under which load they come back."""
+
     name: str
     down_s: float = 0.5
     with_state: bool = True
@@ -67,6 +69,7 @@
 
 
 def played(job: tuple[Case, int, bool, float, int]) -> Told:
+    """Play one case in the model, for a pool of worker processes."""
     case, instances, on, after_s, seed = job
     per_s = LOAD * SERVERS * SLOTS * SECOND_US / ANSWER_US
     plan = FleetPlan(
@@ -113,6 +116,7 @@
 
 
 def main() -> int:
+    """Run the cases at each size and print their table; returns 1 if a bar is missed."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.coming_back_model")
     parser.add_argument("--sizes", type=int, nargs="+", default=[1_000, 5_000])
     parser.add_argument("--seconds", type=float, default=12.0, help="after the return")
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -37,7 +37,8 @@
 class Module(Protocol):
     """A Balancer, today's or the reference."""
 
-    def handle(self, now_us: int, event: api.Event) -> list[api.Action]: ...
+    def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
+        """Take an event at a time in us, and return the actions."""
 
 
 Make = Callable[[api.Settings, int, int], Module]
@@ -63,6 +64,7 @@
         self.tell(api.UpstreamsUpdated(api.ListKind.FULL, entries))
 
     def tell(self, event: api.Event) -> None:
+        """Give the module an event, count the time that it takes, and carry out its actions."""
         began = time.perf_counter_ns()
         actions = self.module.handle(self.now_us, event)
         self.spent_ns += time.perf_counter_ns() - began
@@ -78,6 +80,7 @@
                 self.later(action.at_us - self.now_us, api.TimerFired(action.token))
 
     def later(self, after_us: int, event: api.Event) -> None:
+        """Have an event come after `after_us`."""
         self.number += 1
         heapq.heappush(self.due, (self.now_us + max(0, after_us), self.number, event))
 
@@ -132,6 +135,7 @@
 
 
 def main() -> int:
+    """Measure both modules and print the table; returns 1 if a bar is missed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--requests", type=int, default=16_000, help="of each run, over all rounds")
     options = parser.parse_args()
--- a/benchmarks/fair_door.py
+++ b/benchmarks/fair_door.py
@@ -72,6 +72,7 @@
         self.came_back = self.let_in = 0
 
     async def script(self, server: WebServer, arrival: Arrival, line: Line) -> bytes:
+        """Answer a request after WORK_S, in the server's own slots."""
         async with self.lanes[self.servers.index(server)]:
             await asyncio.sleep(WORK_S)
         return OK
@@ -137,6 +138,7 @@
                 await asyncio.sleep(0.1)
 
     async def play(self) -> None:
+        """Start the servers and a daemon, and send the load of all tenants to it."""
         for server in self.servers:
             await server.start()
         port = free_port()
@@ -191,6 +193,7 @@
 
 
 def main() -> int:
+    """Run both plays and print their table; returns 1 if a bar is missed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=30.0, help="of each play")
     parser.add_argument("--names", type=int, default=1_000_000)
--- a/benchmarks/fellows.py
+++ b/benchmarks/fellows.py
@@ -74,6 +74,7 @@
         self.at(self.now_us + int(self.rng.expovariate(1.0) * S), self.probed, number)
 
     def send(self, number: int, out: list[tuple[tuple[str, int], bytes]]) -> None:
+        """Send datagrams; those to members that are not modelled whole are answered here."""
         for address, data in out:
             word = self.by_address.get(address)
             if word is None:
@@ -104,6 +105,7 @@
 
 
 def main() -> int:
+    """Measure fleets of several sizes and print their table; returns 1 if a bar is missed."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.fellows")
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument("--seconds", type=float, default=20.0)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -98,6 +98,7 @@
 
 
 def main() -> int:
+    """Play fleets of two sizes and print their table; returns 1 if a bar is missed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--instances", type=int, default=5_000)
     parser.add_argument("--base", type=int, default=BASE)
--- a/benchmarks/fleet_budgets.py
+++ b/benchmarks/fleet_budgets.py
@@ -48,6 +48,7 @@
 
 
 def all_killed(model: Model) -> None:
+    """All instances are killed at once, and started half a second later."""
     model.kill(range(24))
     model.play(0.5)
     model.start(range(24))
@@ -62,6 +63,8 @@
 
 @dataclass(frozen=True)
 class Case:
+    """A plan with a fault in it, and the least part of the budget that must be let in."""
+
     name: str
     plan: Plan
     fault: Callable[[Model], None] = nothing
@@ -87,6 +90,8 @@
 
 @dataclass(frozen=True)
 class Told:
+    """The figures of one play: the most let in at once, all of it, and the messages that it took."""
+
     worst: int
     total: int
     share: float
@@ -95,6 +100,7 @@
 
 
 def played(job: tuple[Case, float, int]) -> Told:
+    """Play one case in the model, for a pool of worker processes."""
     case, seconds, seed = job
     model = Model(case.plan, seed)
     model.play(SETTLE_S)
@@ -115,10 +121,12 @@
 
 
 def explored(job: tuple[str, int]) -> Found:
+    """Search the states of one set of limits, for a pool of worker processes."""
     return Checker(LIMITS[job[0]]).explore(12, job[1])
 
 
 def main() -> int:
+    """Run the cases and the model checker, and print their tables; returns 1 if a bar is missed."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.fleet_budgets")
     parser.add_argument("--seconds", type=float, default=10.0, help="of each play, after it has settled")
     parser.add_argument("--seed", type=int, default=1)
--- a/benchmarks/hook_cost.py
+++ b/benchmarks/hook_cost.py
@@ -61,6 +61,7 @@
 
 
 def trail(through: Chain) -> Trail:
+    """Take one request through the first phase of a chain of hooks."""
     seen = Seen(b"POST", "/serials/kidlat/7", b"", "shop.example", "192.0.2.1", HEADERS, b"", b"kidlat")
     made = Trail(through, seen, clock_us() + 1_000_000, clock_us)
     try:
@@ -97,6 +98,7 @@
 
 
 def main() -> int:
+    """Measure chains of several lengths and print their table; returns 1 if a bar is missed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--requests", type=int, default=20_000, help="of each kind")
     options = parser.parse_args()
--- a/benchmarks/hostile_hooks.py
+++ b/benchmarks/hostile_hooks.py
@@ -163,6 +163,7 @@
         return b"connection: close" not in head.lower()
 
     async def client(self, port: int, good: bool) -> None:
+        """Send requests, to good routes or to hostile ones, until the play ends."""
         gap_s = GOOD_GAP_S if good else HOSTILE_GAP_S
         while time.monotonic() < self.ends:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -176,6 +177,7 @@
             writer.close()
 
     async def control(self, folder: Path, what: str, number: int) -> None:
+        """Have the daemon drain or undrain a server, over its control socket."""
         reader, writer = await asyncio.open_unix_connection(str(folder / "control"))
         writer.write(json.dumps({"do": what, "pool": "main", "server": f"s{number}"}).encode() + b"\n")
         assert json.loads(await reader.readline())["ok"]
@@ -204,11 +206,13 @@
             os.kill(pid, signal.SIGHUP)
 
     async def watch(self, daemon: subprocess.Popen[bytes]) -> None:
+        """Note the daemon's memory in bytes about once a second."""
         while time.monotonic() < self.ends:
             self.memory.append(memory_bytes(daemon))
             await asyncio.sleep(min(1.0, self.seconds / 40))
 
     async def play(self) -> dict[str, Any]:
+        """Start the servers and a daemon, play all clients against it, and return the figures."""
         for server in self.servers:
             await server.start()
         port = free_port()
@@ -256,12 +260,14 @@
 
 
 def worker(hooked: bool, seconds: float, seed: int) -> None:
+    """Run one play on cores of its own, and print its figures as JSON for the parent process."""
     pin(1 + 2 * hooked)
     play = Play(hooked, seconds, seed, 2 + 2 * hooked)
     print(json.dumps(asyncio.run(play.play())), flush=True)
 
 
 def main() -> int:
+    """Run both plays side by side and print their table; returns 1 if a bar is missed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=600.0)
     parser.add_argument("--seed", type=int, default=1)
--- a/benchmarks/limits_cost.py
+++ b/benchmarks/limits_cost.py
@@ -24,6 +24,7 @@
 
 
 def limiter(rate: float, by: KeyedBy = KeyedBy.CLIENT, keys: int = 4096) -> Limiter:
+    """A limiter with `rate` requests a second, and a burst of one second."""
     settings = LimiterSettings("it", by, Allowance(rate, max(1, int(rate)), 1000), most_keys=keys)
     return Limiter(settings, random.Random(1).random)
 
@@ -84,6 +85,7 @@
 
 
 def main() -> int:
+    """Measure requests with no, one and five limiters and print the table; returns 1 if a bar is missed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--requests", type=int, default=50_000, help="of each round")
     parser.add_argument("--names", type=int, default=1_000_000, help="made up")
--- a/benchmarks/long_lists.py
+++ b/benchmarks/long_lists.py
@@ -29,6 +29,7 @@
 
 
 def entry(number: int, state: str = "active", weight: float = 1.0) -> dict[str, Any]:
+    """A server as the discovery lists it, with an address made of its number."""
     return {
         "uid": f"s-{number:08x}",
         "endpoint": f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:9000",
@@ -88,6 +89,7 @@
         self.loop.call_later(TICK_S, self.tick)
 
     def tick(self) -> None:
+        """Note by how much this call of the loop is late, and ask for the next one."""
         now = time.perf_counter()
         self.longest = max(self.longest, now - self.last - TICK_S)
         self.last = now
@@ -131,6 +133,7 @@
 
 
 def main() -> int:
+    """Measure a long list and its changes and print the table; returns 1 if a bar is missed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--servers", type=int, default=SERVERS)
     parser.add_argument("--serve", action="store_true", help=argparse.SUPPRESS)
--- a/benchmarks/nginx_equivalence.py
+++ b/benchmarks/nginx_equivalence.py
@@ -52,6 +52,7 @@
         self.numbers = itertools.count()
 
     def script(self, server: WebServer, arrival: Arrival, line: Line) -> bytes:
+        """Note which server has got a request, by the request's number."""
         for number in arrival.all(SEEN):
             self.arrived[number] = server, arrival
         return OK
@@ -90,6 +91,7 @@
         return Got(int(head.split(" ")[1]), where, body)
 
     async def play(self, count: int) -> None:
+        """Send requests through a daemon under the imported file, and hold each to the reference."""
         for server in self.servers:
             await server.start()
         conf, site = self.folder / f"{self.name}.conf", self.folder / f"{self.name}.toml"
@@ -210,6 +212,7 @@
 
 
 def main() -> int:
+    """Play the corpus and generated configurations and print their table; returns 1 if a bar is missed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--requests", type=int, default=1000, help="for each configuration of the corpus")
     parser.add_argument("--generated", type=int, default=1000, help="configurations made at random")
--- a/benchmarks/nginx_requests.py
+++ b/benchmarks/nginx_requests.py
@@ -48,6 +48,7 @@
 
 
 def blocks(block: Block, name: str) -> Iterator[Block]:
+    """The blocks of this name within a block, at any depth."""
     for each in block.inner:
         if each.name == name:
             yield each
--- a/benchmarks/path_cost.py
+++ b/benchmarks/path_cost.py
@@ -131,11 +131,13 @@
         self.sent = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is up: send the first request."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.ask()
 
     def ask(self) -> None:
+        """Send the next request, or close if none is left."""
         if self.run.left <= 0:
             self.transport.close()
             return
@@ -144,6 +146,7 @@
         self.transport.write(self.run.make(self.run.left))
 
     def data_received(self, data: bytes) -> None:
+        """Collect an answer; once it is whole note the time that it took and send the next request."""
         self.pending += data
         head, end, body = self.pending.partition(b"\r\n\r\n")
         length = int(head.lower().partition(b"content-length: ")[2].split(b"\r\n")[0]) if end else 0
@@ -155,6 +158,7 @@
         self.ask()
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Connect again if requests are left."""
         if self.run.left > 0:
             asyncio.ensure_future(self.run.connect())  # closed between requests
         else:
@@ -173,10 +177,12 @@
         self.done = asyncio.Event()
 
     async def connect(self) -> None:
+        """Open one connection, to each port in turn."""
         port = self.ports[self.left % len(self.ports)]
         await asyncio.get_running_loop().create_connection(lambda: Client(self), "127.0.0.1", port)
 
     def closed(self) -> None:
+        """A connection is over; after the last one the run is done."""
         self.open -= 1
         if self.open == 0:
             self.done.set()
@@ -195,23 +201,28 @@
 
 @dataclass
 class Subject:
+    """What is measured: its ports, the requests that it takes, and its process if it has one of its own."""
+
     name: str
     ports: list[int]
     make: Callable[[int], bytes]
     process: subprocess.Popen[bytes] | None = None
 
     def cpu_s(self) -> float:
+        """CPU seconds of its process so far; 0 without one."""
         if self.process is None:
             return 0.0
         return cpu_s(self.process)
 
     def memory_mb(self) -> float:
+        """Resident memory of its process in MB; 0 without one."""
         if self.process is None:
             return 0.0
         return memory_bytes(self.process) / 1e6
 
 
 def ordinary(number: int) -> bytes:
+    """A request of an ordinary client."""
     return (
         b"GET /comics/7/chapters?page=%d HTTP/1.1\r\nHost: shop.example\r\nUser-Agent: reader/3\r\n"
         b"Accept: */*\r\nAccept-Encoding: gzip\r\nCookie: session=0123456789abcdef\r\n\r\n" % number
@@ -219,6 +230,7 @@
 
 
 def platforms(number: int) -> bytes:
+    """A request to the platform's program, with its headers."""
     return (
         b"GET /read/7?page=%d HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: %x-%x\r\nX-Class: read\r\n"
         b"X-Deadline-Ms: 1000\r\nAccept: */*\r\n\r\n" % (number, number, time.perf_counter_ns())
@@ -288,11 +300,13 @@
 
 
 async def play(run: Run) -> float:
+    """Play a run within five minutes; returns the seconds that it took."""
     async with asyncio.timeout(300):
         return await run.play()
 
 
 def main() -> int:
+    """Measure all subjects in turns and print their table; returns 1 if a bar is missed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--requests", type=int, default=60_000, help="to each of the four")
     parser.add_argument("--child", choices=["stand-ins", "aiohttp"], help=argparse.SUPPRESS)
--- a/benchmarks/path_memory.py
+++ b/benchmarks/path_memory.py
@@ -84,6 +84,7 @@
 
 
 def main() -> int:
+    """Measure the memory of open connections and print the table; returns 1 if a bar is missed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--connections", type=int, default=4_000)
     parser.add_argument("--child", action="store_true", help=argparse.SUPPRESS)
--- a/benchmarks/planted_faults.py
+++ b/benchmarks/planted_faults.py
@@ -336,6 +336,7 @@
 
 
 def main() -> int:
+    """Plant each fault and print whether the expectations caught it; returns 1 if a bar is missed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--workers", type=int, default=4)
     parser.add_argument("--only", default="", help="faults with this in their names")
--- a/benchmarks/reference_balance.py
+++ b/benchmarks/reference_balance.py
@@ -89,6 +89,8 @@
 
 
 class Attempt:
+    """An attempt that was sent to a server, and what has been seen of it."""
+
     def __init__(self, server: Server, class_index: int, now_us: int) -> None:
         self.server = server
         self.entry = server.entry  # as it was listed then
@@ -102,6 +104,8 @@
 
 
 class Request:
+    """A request with its attempts."""
+
     def __init__(self, event: api.RequestArrived, now_us: int) -> None:
         self.event = event
         self.arrived_us = now_us
@@ -109,16 +113,21 @@
         self.done = self.streaming = False
 
     def out(self) -> int:
+        """How many attempts have not ended."""
         return sum(1 for attempt in self.attempts if attempt.ended is None)
 
     def attempts_made(self) -> int:
+        """All attempts so far, those of other pools included."""
         return self.event.earlier_attempts + len(self.attempts)
 
     def first_that_may_have_run(self) -> Attempt | None:
+        """The first attempt that may have had an effect; None if all are known not to have run."""
         return next((attempt for attempt in self.attempts if attempt.ended not in NEVER_RAN), None)
 
 
 class Balancer:
+    """The decision module as it was when this reference was taken; what costs are measured against."""
+
     def __init__(
         self, settings: api.Settings, seed: int, now_us: int, reissues: Reissues | None = None
     ) -> None:
@@ -144,6 +153,7 @@
         self.ask_list_at(now_us)
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
+        """Take an event at a time in us, and return the actions."""
         self.now_us = now_us
         if isinstance(event, api.AttemptEnded):
             self.on_attempt_ended(event)
@@ -165,6 +175,7 @@
         return actions
 
     def on_arrival(self, event: api.RequestArrived) -> None:
+        """A request has come: send it, keep it in the buffer, or refuse it."""
         if event.request in self.requests:
             return
         request = self.requests[event.request] = Request(event, self.now_us)
@@ -178,6 +189,7 @@
             self.overloaded = over
 
     def log(self, text: str) -> bool:
+        """Write a line to the log, unless one was written a moment ago; whether it was written."""
         if self.now_us < self.next_log_us:
             return False  # the change is told later, if it lasts
         self.next_log_us = self.now_us + LOG_GAP_US
@@ -220,6 +232,7 @@
         return worth
 
     def class_of(self, request: Request) -> api.RequestClass:
+        """The settings of a request's class."""
         return self.settings.classes[request.event.class_index]
 
     def half_aim_us(self, class_index: int) -> int:
@@ -239,6 +252,7 @@
         return self.useful_until_us(request) - int(answer_us)
 
     def fill_from_buffer(self) -> None:
+        """Send the request that waits in the buffer, if a server is free for it."""
         request = self.buffer
         server = self.draw(request) if request is not None else None
         if request is not None and server is not None:
@@ -261,6 +275,7 @@
         self.actions.append(api.Refuse(ident, advice_us) if harmless else api.Fail(ident))
 
     def close(self, request: Request) -> None:
+        """The request has its final answer; it is forgotten once no attempt is out."""
         request.done = True
         if self.buffer is request:
             self.buffer = None
@@ -399,6 +414,7 @@
         return first.entry.cell == server.entry.cell
 
     def send(self, request: Request, server: Server) -> None:
+        """Send an attempt of a request to a server."""
         if self.warmth(server) < 1.0:
             self.pace_cold(server, 1.0)
         server.used += 1
@@ -477,6 +493,7 @@
                 self.send(request, server)
 
     def on_attempt_ended(self, event: api.AttemptEnded) -> None:
+        """An attempt has ended: learn from it, and answer its request or try again."""
         request = self.requests.get(event.request)
         attempts = request.attempts[event.attempt : event.attempt + 1] if request is not None else []
         if request is None or not attempts or attempts[0].ended is not None:
@@ -517,6 +534,7 @@
                 self.finish(request)
 
     def on_list(self, event: api.UpstreamsUpdated) -> None:
+        """A list of servers has come, or could not be had."""
         if event.kind is api.ListKind.FAILED:
             self.list_failures += 1
             # doubles with each failure; jittered, as all sidecars fail together; inside ask-within (rule 3)
@@ -547,6 +565,7 @@
             pool.in_use = [server for server in pool.in_use if self.servers.get(server.entry.id) is server]
 
     def ask_list_at(self, at_us: int) -> None:
+        """Have the list asked for at a time, where lists come on request only."""
         if self.settings.list_on_request:
             self.ask_list_us = at_us
             self.wake(at_us, "list", 0)
@@ -558,9 +577,11 @@
             self.ask_list_at(self.now_us + max(FIRST_RETRY_US, self.settings.ask_within_us // 2))
 
     def wake(self, at_us: int, what: str, ident: int, attempt: int = 0) -> None:
+        """Note what is due at a time."""
         heapq.heappush(self.wakeups, (max(at_us, self.now_us + 1), what, ident, attempt))
 
     def arm(self) -> None:
+        """Ask for a timer if something is due before the one that was asked for."""
         times = [self.wakeups[0][0]] if self.wakeups else []
         if self.buffer is not None:  # a resting slot opens by time, not by an event
             index = self.buffer.event.class_index
@@ -571,6 +592,7 @@
             self.actions.append(api.SetTimer(self.armed_us, 0))
 
     def run_due(self) -> None:
+        """Do all that is due by now."""
         while self.wakeups and self.wakeups[0][0] <= self.now_us:
             _, what, ident, number = heapq.heappop(self.wakeups)
             if what == "list":
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -21,6 +21,7 @@
 
     @property
     def held(self) -> bool:
+        """Whether the figure is within its bar."""
         return self.figure <= self.most
 
 
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -23,6 +23,7 @@
 
 
 def prefixes(count: int) -> list[Route]:
+    """Routes by prefixes of the path, on one host."""
     return [
         Route(str(n), ("p",), "c", hosts=("shop.example",), path=f"/area{n % 50}/shelf{n}")
         for n in range(count)
@@ -30,10 +31,12 @@
 
 
 def hosts(count: int) -> list[Route]:
+    """Routes by hosts, one for each."""
     return [Route(str(n), ("p",), "c", hosts=(f"h{n}.example",), path="/shop") for n in range(count)]
 
 
 def regexes(count: int) -> list[Route]:
+    """Routes by regular expressions of the path, on one host."""
     return [
         Route(
             str(n),
@@ -48,6 +51,7 @@
 
 
 def requests(kind: str, count: int, rng: random.Random) -> list[Head]:
+    """Requests for routes of one kind drawn at random; one in eight matches none."""
     found = []
     for number in range(DIFFERENT):
         n = rng.randrange(count)
@@ -73,6 +77,7 @@
 
 
 def main() -> int:
+    """Measure tables of several kinds and sizes and print the figures; returns 1 if a bar is missed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=18.0, help="for all tables together")
     options = parser.parse_args()
--- a/benchmarks/shared_counts.py
+++ b/benchmarks/shared_counts.py
@@ -56,11 +56,13 @@
         self.fileno, self.close, self.recvfrom = sock.fileno, sock.close, sock.recvfrom
 
     def sendto(self, data: bytes, address: Any) -> None:
+        """Send a datagram after a random delay, or lose it."""
         if self.rng.random() >= self.talk.loss and self.through(address):
             late_s = self.rng.random() * self.talk.delay_s
             asyncio.get_running_loop().call_later(late_s, self.late, data, address)
 
     def late(self, data: bytes, address: Any) -> None:
+        """Send a datagram that was held back, if the socket is still open."""
         if self.sock.fileno() >= 0:
             self.sock.sendto(data, address)
 
@@ -81,9 +83,11 @@
 
     @property
     def now_us(self) -> int:
+        """The monotonic clock, in microseconds."""
         return clock_us()
 
     def start(self, number: int, sock: socket.socket) -> PeerTalk:
+        """Start an instance on its socket."""
         talk = self.talk
         window = Window(int(talk.window_s * SECOND_US), round(talk.window_s / talk.bucket_s))
         setup = PeersSetup(
@@ -114,21 +118,25 @@
         return PeerTalk(setup, sock, self.rng.randrange(2**32))
 
     def restart(self, number: int) -> None:
+        """Stop an instance and start a new one in its place, which remembers nothing."""
         again = self.socks[number].dup()
         self.talks[number].stop()
         self.socks[number] = again
         self.talks[number] = self.start(number, again)
 
     def count(self, number: int, key: int) -> None:
+        """Count once under a key at one instance, and in the truth."""
         now_us = clock_us()
         self.talks[number].counts.add(key, now_us)
         self.truth[key].append(now_us)
         self.halves[number % 2][key].append(now_us)
 
     def estimate(self, number: int, key: int) -> float:
+        """What an instance takes the count of all for."""
         return self.talks[number].counts.estimate(key, clock_us())
 
     def stop(self) -> None:
+        """Stop all instances."""
         for talk in self.talks:
             talk.stop()
 
@@ -144,6 +152,7 @@
         self.delivers = lambda sender, receiver: not self.split or sender % 2 == receiver % 2
 
     def count(self, number: int, key: int) -> None:
+        """Count once under a key at one instance, and in the truth."""
         super().count(number, key)
         self.halves[number % 2][key].append(self.now_us)
 
@@ -171,6 +180,7 @@
         self.lowest = self.highest = 0.0
 
     def look(self, fleet: Fleet, split_s: float, skip: set[int]) -> None:
+        """Hold the estimates of all instances, but those in `skip`, to the stated bound."""
         outside = 0
         for key in TENANTS:
             now_us = fleet.now_us
@@ -333,6 +343,7 @@
 
 
 def main() -> int:
+    """Play a fleet and print its errors; returns 1 if a bar is missed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--seed", type=int, default=11)
--- a/benchmarks/shared_judgements.py
+++ b/benchmarks/shared_judgements.py
@@ -42,6 +42,7 @@
 
 
 def cases(instances: int) -> list[Case]:
+    """All cases for a fleet of this size."""
     half = list(range(instances // 2))
     rest = list(range(instances // 2, instances))
     return [
@@ -62,6 +63,7 @@
 
 
 def schedule(case: Case, way: str, instances: int, per_s: float, seed: int) -> Schedule:
+    """The schedule of a case under one of the ways that are compared."""
     bad = list(case.bad)
     goes = {"oracle": "drain"}.get(way, case.do)
     events: list[dict[str, Any]] = [{"at": 0.0, "do": "blur", "loss": LOSS, "jitter": 0.005}, *case.talk]
@@ -109,11 +111,13 @@
 
 
 def served(it: Cluster, begins: float, ends: float) -> float:
+    """The part that was served of what was sent between two times, in seconds from the start."""
     sent = [one for one in it.load.sent if it.begins + begins <= one.sent < it.begins + ends]
     return sum(one.status == 200 for one in sent) / max(1, len(sent))
 
 
 def figures_of(it: Cluster, case: Case, rules: int) -> Told:
+    """The figures of a play: how soon bad servers were avoided and used again, and what was served."""
     step = WINDOW_S / 2
     times = [BAD_S + number * step for number in range(int((WELL_S - BAD_S) / step))]
     avoided = next(
@@ -134,6 +138,7 @@
 
 
 async def played(case: Case, way: str, instances: int, per_s: float, seed: int, folder: Path) -> Told:
+    """Play a case on a cluster of processes, once all instances know one another."""
     async with cluster(schedule(case, way, instances, per_s, seed), folder) as it:
         ends = asyncio.get_running_loop().time() + 30.0
         while asyncio.get_running_loop().time() < ends:  # till they know one another
@@ -146,6 +151,7 @@
 
 
 def main() -> int:
+    """Run the cases under each way and print their table; returns 1 if a bar is missed or a rule broke."""
     parser = outage_parser("shared_judgements")
     parser.add_argument("--rate", type=float, default=240.0, help="requests a second of all together")
     asked = parser.parse_args()
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -72,6 +72,7 @@
 
     @property
     def servers(self) -> list[WebServer]:
+        """The servers of all pools."""
         return [server for servers in self.pools.values() for server in servers]
 
     async def script(self, server: WebServer, arrival: Arrival, line: Line) -> bytes:
@@ -128,6 +129,7 @@
                 self.answers["no answer"] += 1
 
     def hostile_bytes(self) -> bytes:
+        """Bytes that are no good request: noise, mangled ones, floods and unfinished ones."""
         get = b"GET /page HTTP/1.1\r\nHost: a\r\n\r\n"
         post = b"POST /buy HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc"
         mangled = bytearray(post)
@@ -146,6 +148,7 @@
         )
 
     async def hostile(self) -> None:
+        """Send hostile bytes on connections that are broken off, until the soak ends."""
         while time.monotonic() < self.ends:
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
@@ -158,6 +161,7 @@
                 pass
 
     async def reloads(self, daemon: Daemon, path: Path) -> None:
+        """Reload the daemon again and again, with changed files and with broken ones."""
         for number in itertools.count():
             if time.monotonic() >= self.ends:
                 return
@@ -174,6 +178,7 @@
             await asyncio.sleep(0.3)
 
     async def outages(self) -> None:
+        """Stop a server drawn at random for 0.3 s, again and again."""
         while time.monotonic() < self.ends:
             await asyncio.sleep(0.5)
             server = self.rng.choice(self.servers)
@@ -217,6 +222,7 @@
         self.found: list[str] = []
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Keep a record that tells of a fault of the daemon's."""
         if record.exc_info or (
             record.levelno >= logging.ERROR and "reload refused" not in record.getMessage()
         ):
@@ -224,6 +230,7 @@
 
 
 def main() -> int:
+    """Run the soak and print its figures; returns 1 if a bar is missed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--seed", type=int, default=1)
--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -33,6 +33,7 @@
 
 
 def servers(count: int) -> State:
+    """The state of a pool with this many servers."""
     entries = tuple(Entry(f"s{n}", (f"127.{n >> 16}.{n >> 8 & 255}.{n & 255}", 9)) for n in range(count))
     return reduce(State(started=True), Candidate("file:x", entries), 1, Guards())[0]
 
@@ -107,6 +108,7 @@
 
 
 def main() -> int:
+    """Measure the journal against whole files and print the tables; returns 1 if a bar is missed."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.store_cost")
     parser.add_argument("--servers", type=int, default=10_000)
     parser.add_argument("--seconds", type=float, default=20.0)
--- a/benchmarks/websocket_cost.py
+++ b/benchmarks/websocket_cost.py
@@ -66,12 +66,14 @@
     """Accepts, and sends every frame back as it came, but unmasked."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """A connection has been opened."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.data = bytearray()
         self.open = False
 
     def data_received(self, data: bytes) -> None:
+        """Accept the handshake, then send each message back."""
         self.data += data
         if not self.open:
             head, end, rest = bytes(self.data).partition(b"\r\n\r\n")
@@ -109,6 +111,7 @@
 
 
 async def echo_server(port: int) -> None:
+    """Serve Echo on a port, forever."""
     loop = asyncio.get_running_loop()
     server = await loop.create_server(Echo, "127.0.0.1", port, backlog=4096)
     await server.serve_forever()
@@ -149,11 +152,13 @@
         self.out = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is up: send the handshake."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         transport.write(opening())
 
     def send(self, count: int) -> None:
+        """Send this many messages, or as many as the run has left."""
         count = min(count, self.run.left)
         self.run.left -= count
         self.out += count
@@ -161,6 +166,7 @@
             self.transport.write(self.run.message * count)
 
     def data_received(self, data: bytes) -> None:
+        """Count the messages that come back, and send as many again."""
         self.data += data
         if not self.open:
             head, end, rest = bytes(self.data).partition(b"\r\n\r\n")
@@ -173,6 +179,7 @@
         self.take()
 
     def connection_lost(self, error: Exception | None) -> None:
+        """The run is broken if messages are still out."""
         if self.out:
             self.run.broken = True
             self.run.done.set()
@@ -206,15 +213,18 @@
         self.ready, self.done = asyncio.Event(), asyncio.Event()
 
     def opened(self, load: Load) -> None:
+        """A socket has opened."""
         self.loads.append(load)
         if len(self.loads) == CONNECTIONS:
             self.ready.set()
 
     def finished(self) -> None:
+        """The run is done once no connection has a message out."""
         if not any(load.out for load in self.loads):
             self.done.set()
 
     async def connect(self) -> None:
+        """Open all sockets, one after the other."""
         loop = asyncio.get_running_loop()
         for number in range(CONNECTIONS):
             await loop.create_connection(lambda: Load(self), "127.0.0.1", self.port)
@@ -223,6 +233,7 @@
         await self.ready.wait()
 
     async def play(self) -> float:
+        """Send all messages; returns the seconds that it took."""
         began = time.perf_counter()
         for load in self.loads:
             load.send(self.window)
@@ -232,15 +243,19 @@
 
 @dataclass
 class Subject:
+    """What is measured: its port, and its process if it has one of its own."""
+
     name: str
     port: int
     process: subprocess.Popen[bytes] | None = None
 
     def cpu_s(self) -> float:
+        """CPU seconds of its process so far; 0 without one."""
         return cpu_s(self.process) if self.process is not None else 0.0
 
 
 async def one_round(subject: Subject, messages: int, window: int, size: int) -> dict[str, float]:
+    """Send messages of `size` bytes through a subject, `window` at a time; returns its figures."""
     async with asyncio.timeout(100):
         run = Run(subject.port, messages, window, size)
         await run.connect()
@@ -300,6 +315,7 @@
 
 
 def main() -> int:
+    """Measure all subjects in turns and print their tables; returns 1 if a bar is missed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--messages", type=int, default=180_000, help="to each of the three")
     parser.add_argument("--sockets", type=int, default=5_000, help="idle ones")
--- a/benchmarks/websocket_drain.py
+++ b/benchmarks/websocket_drain.py
@@ -90,6 +90,7 @@
     stopping: bool = False
 
     def script(self, name: str, hangs: bool) -> LiveServer:
+        """A server that notes when sockets come, and echoes messages; one that hangs stops at the mark."""
         times = self.accepted.setdefault(name, [])
 
         async def serve(line: Line) -> None:
@@ -124,6 +125,7 @@
             await asyncio.sleep(min(back_s, LONGEST_BACK_S) * self.rng.uniform(1.0, 1.2))
 
     async def ask(self, ident: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter] | None:
+        """Ask for a socket: its streams, or None if it is refused."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(opening("/live", f"X-Request-Id: {ident}"))
         head = await reader.readuntil(b"\r\n\r\n")
@@ -181,6 +183,7 @@
 
 
 async def play(folder: Path, sockets: int, seconds: float, seed: int, log: Path) -> int:
+    """Open the sockets, then drain, hang, reload and stop; returns 1 if a bar is missed."""
     port, control = free_port(), str(folder / "control")
     run = Play(port, random.Random(seed))
     servers = [run.script(f"s{number}", number == HANGS) for number in range(SERVERS)]
@@ -278,6 +281,7 @@
 
 
 def main() -> int:
+    """Run the play in a folder of its own; returns its exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--sockets", type=int, default=1000)
     parser.add_argument("--seconds", type=float, default=4.0, help="between the events")
--- a/plovertrail/decisions/fellows.py
+++ b/plovertrail/decisions/fellows.py
@@ -58,6 +58,7 @@
 
     @property
     def rank(self) -> tuple[int, int]:
+        """What decides between two records of one member: the higher incarnation, then the higher state."""
         return self.incarnation, self.state
 
 
@@ -192,6 +193,7 @@
         return 1 + len(self.roll)
 
     def living(self) -> list[Word]:
+        """The records of the other members that are alive or suspect."""
         return [self.table[name].word for name in self.roll]
 
     @property
