--- a/plovertrail/nginx/upstreams.py
+++ b/plovertrail/nginx/upstreams.py
@@ -92,48 +92,10 @@
 
 
 def read_group(block: Directive, report: Report) -> Group:
-    """One upstream block."""
+    """Read one upstream block, and report on its directives."""
     group = Group(pool_name(block.args[0] if block.args else ""), block.place)
     for directive in block.block or []:
-        name = directive.name
-        if name == "server":
-            _server(group, directive, report)
-        elif name in METHODS and len(directive.args) <= 2:
-            report.differs(directive, METHODS[name])
-        elif name in ("ip_hash", "hash"):
-            key = directive.args[0] if name == "hash" and directive.args else "$remote_addr"
-            group.affinity = AFFINITIES.get(key, "")
-            if key.startswith("$http_") and key[6:].replace("_", "").isalnum():
-                group.affinity = "header:" + key[6:].replace("_", "-")
-            if group.affinity:
-                report.differs(
-                    directive,
-                    "affinity of the pool: a preference, while the server has a free slot; "
-                    "which server it is differs",
-                )
-            else:
-                report.not_mapped(
-                    directive, f"{key} is nothing that a pool's affinity goes by: servers are drawn at random"
-                )
-        elif name == "sticky":
-            report.not_mapped(directive, "no cookies are set: write affinity by a header of the client's")
-        elif name == "keepalive":
-            report.differs(
-                directive, "idle connections are kept as needed, pools.NAME.max_connections at most"
-            )
-        elif name == "keepalive_timeout":
-            try:
-                group.idle_ms = time_ms(directive.args[0] if directive.args else "")
-                report.mapped(directive, "pools.NAME.idle_timeout")
-            except UnmappableError as why:
-                report.not_mapped(directive, str(why))
-        elif name in ("keepalive_requests", "keepalive_time"):
-            report.differs(directive, "connections end when they are idle for long, and by no count")
-        elif name in ("zone", "queue", "state", "ntlm"):
-            if name == "zone":
-                report.no_effect(directive, "the daemon is one process")
-            else:
-                report.not_mapped(directive, "nothing of the kind here")
+        _read_directive(group, directive, report)
     if not group.first and not group.backup:
         report.differs(block, "no server of it can be used: its pool refuses all with 503")
     elif all(server.down for server in (*group.first, *group.backup)):
@@ -143,57 +105,115 @@
     return group
 
 
-def _server(group: Group, directive: Directive, report: Report) -> None:
-    notes: list[str] = []
-    weight, backup, down, conns = 1, False, False, 0
+def _read_directive(group: Group, directive: Directive, report: Report) -> None:
+    name = directive.name
+    if name == "server":
+        _read_server(group, directive, report)
+    elif name in METHODS and len(directive.args) <= 2:
+        report.differs(directive, METHODS[name])
+    elif name in ("ip_hash", "hash"):
+        _read_affinity(group, directive, report)
+    elif name == "sticky":
+        report.not_mapped(directive, "no cookies are set: write affinity by a header of the client's")
+    elif name == "keepalive":
+        report.differs(directive, "idle connections are kept as needed, pools.NAME.max_connections at most")
+    elif name == "keepalive_timeout":
+        try:
+            group.idle_ms = time_ms(directive.args[0] if directive.args else "")
+            report.mapped(directive, "pools.NAME.idle_timeout")
+        except UnmappableError as why:
+            report.not_mapped(directive, str(why))
+    elif name in ("keepalive_requests", "keepalive_time"):
+        report.differs(directive, "connections end when they are idle for long, and by no count")
+    elif name == "zone":
+        report.no_effect(directive, "the daemon is one process")
+    elif name in ("queue", "state", "ntlm"):
+        report.not_mapped(directive, "nothing of the kind here")
+
+
+def _read_affinity(group: Group, directive: Directive, report: Report) -> None:
+    """What ip_hash or hash chooses a server by."""
+    key = directive.args[0] if directive.name == "hash" and directive.args else "$remote_addr"
+    group.affinity = AFFINITIES.get(key, "")
+    if key.startswith("$http_") and key[6:].replace("_", "").isalnum():
+        group.affinity = "header:" + key[6:].replace("_", "-")
+    if group.affinity:
+        report.differs(
+            directive,
+            "affinity of the pool: a preference, while the server has a free slot; "
+            "which server it is differs",
+        )
+    else:
+        report.not_mapped(
+            directive, f"{key} is nothing that a pool's affinity goes by: servers are drawn at random"
+        )
+
+
+@dataclass(slots=True)
+class _ServerOptions:
+    """The options of a server directive, and the notes on those that mean something else here."""
+
+    weight: int = 1
+    backup: bool = False
+    down: bool = False
+    max_conns: int = 0  # 0 = no limit
+    notes: list[str] = field(default_factory=list)
+
+    def read(self, option: str) -> None:
+        """Read one option; raises UnmappableError."""
+        key, _, value = option.partition("=")
+        if key == "weight":
+            self.weight = _number(value, key, 1)
+        elif key == "backup":
+            self.backup = True
+            self.notes.append("backup servers get requests also while the first ones have no free slot")
+        elif key == "down":
+            self.down = True
+        elif key == "max_conns":
+            self.max_conns = _number(value, key, 0)
+            self.notes.append(
+                "max_conns is connections of this daemon to each server, the least of the block's"
+            )
+        elif key in ("max_fails", "fail_timeout"):
+            self.notes.append(f"{key}: the daemon rests a failing server by what it sees of its answers")
+        elif key == "slow_start":
+            self.notes.append(
+                "slow_start: pools.NAME.warm_up holds, for servers that come to a running daemon"
+            )
+        else:
+            raise UnmappableError(f"{option} has no counterpart")
+
+
+def _read_server(group: Group, directive: Directive, report: Report) -> None:
+    options = _ServerOptions()
     try:
         if not directive.args:
             raise UnmappableError("it names no server")
         address = address_of(directive.args[0])
         for option in directive.args[1:]:
-            key, _, value = option.partition("=")
-            if key == "weight":
-                weight = _number(value, key, 1)
-            elif key == "backup":
-                backup = True
-                notes.append("backup servers get requests also while the first ones have no free slot")
-            elif key == "down":
-                down = True
-            elif key == "max_conns":
-                conns = _number(value, key, 0)
-                notes.append(
-                    "max_conns is connections of this daemon to each server, the least of the block's"
-                )
-            elif key in ("max_fails", "fail_timeout"):
-                notes.append(f"{key}: the daemon rests a failing server by what it sees of its answers")
-            elif key == "slow_start":
-                notes.append(
-                    "slow_start: pools.NAME.warm_up holds, for servers that come to a running daemon"
-                )
-            else:
-                raise UnmappableError(f"{option} has no counterpart")
+            options.read(option)
     except UnmappableError as why:
         report.not_mapped(directive, f"the server is left out: {why}")
         return
-    if weight > LARGEST_WEIGHT:
-        notes.append(f"a weight is {LARGEST_WEIGHT} at most")
-        weight = LARGEST_WEIGHT
-    servers = group.backup if backup else group.first
+    if options.weight > LARGEST_WEIGHT:
+        options.notes.append(f"a weight is {LARGEST_WEIGHT} at most")
+        options.weight = LARGEST_WEIGHT
+    servers = group.backup if options.backup else group.first
     same = next((each for each in (*group.first, *group.backup) if each.address == address), None)
     if same is not None:
-        if same in servers and not down and not same.down:
-            same.weight = min(LARGEST_WEIGHT, same.weight + weight)
+        if same in servers and not options.down and not same.down:
+            same.weight = min(LARGEST_WEIGHT, same.weight + options.weight)
             report.differs(directive, f"{same.where} has this address: their weights are added up")
         else:
             report.not_mapped(directive, f"left out: {same.where} has this address in another role")
         return
-    servers.append(Server(address, weight, down, directive.place))
-    if conns:
-        group.max_conns = min(group.max_conns or conns, conns)
-    for note in notes:
+    servers.append(Server(address, options.weight, options.down, directive.place))
+    if options.max_conns:
+        group.max_conns = min(group.max_conns or options.max_conns, options.max_conns)
+    for note in options.notes:
         report.differs(directive, note)
-    if not notes:
-        report.mapped(directive, "down: it drains" if down else "")
+    if not options.notes:
+        report.mapped(directive, "down: it drains" if options.down else "")
 
 
 def _number(text: str, key: str, least: int) -> int:
