--- a/benchmarks/capacity/evidence_role.py
+++ b/benchmarks/capacity/evidence_role.py
@@ -35,7 +35,8 @@
 DAY_S = 86_400.0
 NOTE = (
     "evidence: with it, less the same play without; a sidecar calls all services, 311 times a second in all, "
-    "one class; 2 whole members; servers fail for the first 5 of 10 s; looks as the background work's budget has them"
+    "one class; 2 whole members; servers fail for the first 5 of 10 s; looks as the "
+    "budget of background work has them"
 )
 DAY_NOTE = (
     "evidence's day: quiet, and one server's failure of 5 s, with 60 s from its begin, times the day's 172"
