--- a/benchmarks/capacity/member_crowd.py
+++ b/benchmarks/capacity/member_crowd.py
@@ -50,6 +50,7 @@
     seed: int = 1
     regions_cut: bool = False
     judge: bool = False
+    name_prefix: str = "sidecar-"
 
 
 @dataclass(slots=True)
@@ -103,9 +104,12 @@
         """The region of a member; all are in one where nothing is cut."""
         return number % REGIONS if self.plan.regions_cut else 0
 
+    def _name(self, number: int) -> str:
+        return f"{self.plan.name_prefix}{number}"
+
     def _record(self, number: int, incarnation: int) -> Word:
         address = self.addresses[number]
-        return Word(f"sidecar-{number}", address, WALL_US + incarnation, State.ALIVE, f"z{number % ZONES}")
+        return Word(self._name(number), address, WALL_US + incarnation, State.ALIVE, f"z{number % ZONES}")
 
     def _started(self, number: int) -> Fellowship:
         """A whole member that knows nobody."""
@@ -119,7 +123,7 @@
             seeds,
             self.plan.size,
         )
-        judgements = Judgements(teller(f"sidecar-{number}"), now_us, WALL_US) if self.plan.judge else None
+        judgements = Judgements(teller(self._name(number)), now_us, WALL_US) if self.plan.judge else None
         mine = frozenset({self.addresses[number]})
         return Fellowship(fellows, judgements, self.codec, mine, GOSSIP_US, FAN_OUT, now_us)
 
@@ -288,8 +292,8 @@
     def _as_told_by(self, hollow: int, sender: int, rows: Iterable[Evidence]) -> tuple[Evidence, ...]:
         """A sender's evidence, its own as if the hollow member had told it."""
         self.sequence += 1
-        own = teller(f"sidecar-{sender}")
-        other = teller(f"sidecar-{hollow}")
+        own = teller(self._name(sender))
+        other = teller(self._name(hollow))
         sequence = WALL_US + self.sequence
         return tuple(
             replace(row, teller=other, sequence=sequence) if row.teller == own else row for row in rows
--- a/benchmarks/capacity/membership_role.py
+++ b/benchmarks/capacity/membership_role.py
@@ -37,6 +37,7 @@
 AGREED = 0.99  # of the members known: the last ones come by chance, with random entries of others' tables
 NOT_AGREED = -1.0
 RESTART_PART = 10
+MODEL_PREFIX = "i"  # of the names in the cluster of whole members
 MODEL_SIZE, MODEL_STRETCH_S = 200, 20.0  # the cluster of whole members that the crowd is held against
 DAY_NOTE = "day: quiet, and the mean cost of four restarts and a loss times the day's 172"
 MODEL_NOTE = "each datagram read and written by the real codec; bytes are those sent"
@@ -52,6 +53,7 @@
     whole: int
     stretch_s: float
     to_agreement_s: float  # for how long to wait for all views to agree, from the event on
+    name_prefix: str = "sidecar-"
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,7 +110,9 @@
 def play(case: MemberCase) -> MemberMeasure:
     """Settle, let the event happen, and measure."""
     regions_cut = case.situation is Situation.REGIONS_JOIN
-    crowd = MemberCrowd(CrowdPlan(case.size, case.whole, case.seed, regions_cut))
+    crowd = MemberCrowd(
+        CrowdPlan(case.size, case.whole, case.seed, regions_cut, name_prefix=case.name_prefix)
+    )
     returning = [number for number in range(case.size) if number % ZONES == ZONES - 1]
     if case.situation is Situation.ZONE_RETURNS:
         crowd.stop(returning)
@@ -361,7 +365,7 @@
     found = []
     for restarts, situation in ((False, Situation.QUIET), (True, Situation.RESTARTS)):
         whole = whole_cluster_bytes(restarts)
-        crowd = play(MemberCase(MODEL_SIZE, situation, 1, WHOLE, MODEL_STRETCH_S, 0.0))
+        crowd = play(MemberCase(MODEL_SIZE, situation, 1, WHOLE, MODEL_STRETCH_S, 0.0, MODEL_PREFIX))
         ratio = crowd.mean.bytes_per_s / whole
         name = f"{MODEL_SIZE} sidecars, {situation.value}: bytes, crowd of {WHOLE} whole to all whole"
         found.append(Figure(name, ratio, "ratio"))
