--- a/benchmarks/capacity/evidence_role.py
+++ b/benchmarks/capacity/evidence_role.py
@@ -298,4 +298,13 @@
             found.append(Figure(f"{situation.value}: looks at all services", looks, "1/s"))
             share = max(measure.of_looks_share for measure in chosen)
             found.append(Figure(f"{situation.value}: of the CPU, attempts and looks", share, "core"))
+    for services in sorted({case.services for case in measures})[:: len(SERVICES) - 1]:
+        quiet = [
+            measure.protocol_bytes_per_s + measure.bytes_per_s
+            for case, measure in measures.items()
+            if (case.sidecars, case.services, case.servers, case.situation)
+            == (at.sidecars, services, at.servers, Situation.QUIET)
+        ]
+        name = f"membership's bytes beside {services} services, which it doesn't depend on"
+        found.append(Figure(name, Sample(services, tuple(quiet)).median, "B/s"))
     return found
--- a/benchmarks/capacity/hollow_roles.py
+++ b/benchmarks/capacity/hollow_roles.py
@@ -4,6 +4,7 @@
 
 from benchmarks.capacity.counts_role import CountsRole
 from benchmarks.capacity.evidence_role import EvidenceRole
+from benchmarks.capacity.list_calls_role import ListCallsRole
 from benchmarks.capacity.membership_role import MembershipRole
 from benchmarks.capacity.reducer_role import ReducerRole
 from benchmarks.capacity.roles import Role
@@ -11,4 +12,10 @@
 
 def hollow_roles(jobs: int) -> tuple[Role, ...]:
     """All of them; each spreads its cases over so many processes."""
-    return (MembershipRole(jobs), EvidenceRole(jobs), CountsRole(jobs), ReducerRole(jobs))
+    return (
+        MembershipRole(jobs),
+        EvidenceRole(jobs),
+        CountsRole(jobs),
+        ReducerRole(jobs),
+        ListCallsRole(jobs),
+    )
--- a/tests/benchmarks/test_short_forms.py
+++ b/tests/benchmarks/test_short_forms.py
@@ -44,7 +44,12 @@
         ("shared_counts", ("--virtual", "--seconds", "8"), "let_through"),
         ("store_cost", ("--servers", "200", "--seconds", "1"), "worst_turn_ms"),
         ("fellows", ("--short", "--seeds", "1", "--seconds", "5"), "load"),
-        ("capacity", ("--short", "--role", "membership"), "membership"),
+        (
+            "capacity",
+            ("--short", "--jobs", "2", "--role", "membership", "--role", "evidence", "--role", "counts")
+            + ("--role", "reducer"),
+            "reducer",
+        ),
     ],
 )
 def test_a_benchmark_prints_its_figures_and_bars(name: str, short: tuple[str, ...], figure: str) -> None:
