--- a/benchmarks/capacity/cpu_meter.py
+++ b/benchmarks/capacity/cpu_meter.py
@@ -5,6 +5,7 @@
 import statistics
 import time
 from collections.abc import Callable
+from functools import partial
 from typing import ParamSpec, TypeVar
 
 Parameters = ParamSpec("Parameters")
@@ -35,6 +36,10 @@
             self.calls += 1
             self._depth -= 1
 
+    def wrap(self, target: object, name: str) -> None:
+        """Meter every call of one method of one object from now on."""
+        setattr(target, name, partial(self.call, getattr(target, name)))
+
     def reset(self) -> None:
         """Begin anew."""
         self.total_ns = self.calls = 0
--- a/benchmarks/capacity/hollow_roles.py
+++ b/benchmarks/capacity/hollow_roles.py
@@ -4,6 +4,7 @@
 
 from benchmarks.capacity.counts_role import CountsRole
 from benchmarks.capacity.evidence_role import EvidenceRole
+from benchmarks.capacity.leases_role import LeasesRole
 from benchmarks.capacity.list_calls_role import ListCallsRole
 from benchmarks.capacity.membership_role import MembershipRole
 from benchmarks.capacity.reducer_role import ReducerRole
@@ -18,4 +19,5 @@
         CountsRole(jobs),
         ReducerRole(jobs),
         ListCallsRole(jobs),
+        LeasesRole(jobs),
     )
--- a/benchmarks/capacity/presentation.py
+++ b/benchmarks/capacity/presentation.py
@@ -38,7 +38,7 @@
 def _sample_rows(slope: Slope) -> list[list[object]]:
     return [
         [
-            slope.situation.value,
+            f"{slope.role}, {slope.situation.value}",
             slope.axis.value,
             slope.unit.value,
             f"{sample.size:g}",
@@ -52,7 +52,7 @@
 def _fit_row(slope: Slope) -> list[object]:
     fit, size = slope.fit, planned_size(slope.axis)
     return [
-        slope.situation.value,
+        f"{slope.role}, {slope.situation.value}",
         slope.axis.value,
         slope.unit.value,
         _shown(fit.base),
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -15,6 +15,8 @@
 from benchmarks.capacity.evidence_load import EvidenceLoad, FailingServers, ServiceSizes
 from benchmarks.capacity.evidence_role import evidence_cases
 from benchmarks.capacity.hollow_roles import hollow_roles
+from benchmarks.capacity.leases_role import LeasesCase
+from benchmarks.capacity.leases_role import play as play_leases
 from benchmarks.capacity.list_calls_role import ListCallsCase
 from benchmarks.capacity.list_calls_role import play as play_list_calls
 from benchmarks.capacity.member_crowd import SEEDS, CrowdPlan, MemberCrowd
@@ -312,3 +314,12 @@
     assert found.last_call_s <= 5.0
     assert 80 / 6 <= found.worst_second_of_all <= 80
     assert found.worst_second_of_machine <= found.worst_second_of_all
+
+
+# Leases
+
+
+def test_leases_are_played_within_their_budget() -> None:
+    found = play_leases(LeasesCase(8, Situation.RESTARTS, 1, settle_s=2.0, stretch_s=2.0))
+    assert found.overspent == 0
+    assert 0.0 < found.messages_per_s < found.acceptor_messages_per_s
