--- a/benchmarks/capacity/retry_chain.py
+++ b/benchmarks/capacity/retry_chain.py
@@ -68,6 +68,8 @@
 
 
 SCENARIOS = tuple(Scenario(*each) for each in itertools.product(Effect, Failure, Propagation))
+SHORT_SCENARIOS = tuple(scenario for scenario in SCENARIOS if scenario.effect is not Effect.KEYED)
+SHORT_LOADS = (ALONE, BUSY)
 PLANNED_SCENARIOS = tuple(
     Scenario(effect, failure, propagation)
     for effect in (Effect.SAFE, Effect.UNSAFE)
@@ -174,9 +176,10 @@
     def measure(self, short: bool, repeats: int) -> RoleResult:
         """Attempts of a call against the depth; the worst and the mean of the last service."""
         depths = SHORT_DEPTHS if short else DEPTHS
+        scenarios, loads = (SHORT_SCENARIOS, SHORT_LOADS) if short else (SCENARIOS, LOADS)
         jobs = [
             Job(scenario, load, depth, seed)
-            for scenario, load, depth in itertools.product(SCENARIOS, LOADS, depths)
+            for scenario, load, depth in itertools.product(scenarios, loads, depths)
             for seed in range(min(repeats, load.repeats))
         ]
         if not short:
@@ -187,7 +190,7 @@
             plans = healthy_plans(depths[-1])
             served = dict(zip(plans, pool.map(healthy, plans.values()), strict=True))
         return RoleResult(
-            slopes=tuple(self.slope(scenario, load) for scenario in SCENARIOS for load in LOADS),
+            slopes=tuple(self.slope(scenario, load) for scenario in scenarios for load in loads),
             figures=tuple(
                 Figure(f"served of a healthy chain {depths[-1]} deep, {name}", part, "of calls")
                 for name, part in served.items()
@@ -213,7 +216,7 @@
 def depth_rows(role: RetryChain, load: Load) -> list[list[object]]:
     """The worst and the mean at the last service, by depth."""
     rows = []
-    for scenario in SCENARIOS:
+    for scenario in scenarios_of(role.counts):
         row: list[object] = [scenario.name]
         for depth in sorted({count.job.depth for count in role.counts}):
             counts = matching(role.counts, scenario, load, depth)
@@ -223,6 +226,18 @@
     return rows
 
 
+def scenarios_of(counts: Sequence[Count]) -> list[Scenario]:
+    """Those that were played, in the order of the tables."""
+    played = {count.job.scenario for count in counts}
+    return [scenario for scenario in SCENARIOS if scenario in played]
+
+
+def loads_of(counts: Sequence[Count]) -> list[Load]:
+    """The same of the loads, but for the planned one, which has a table of its own."""
+    played = {count.job.load for count in counts}
+    return [load for load in LOADS if load in played]
+
+
 def matching(counts: Sequence[Count], scenario: Scenario, load: Load, depth: int) -> list[Count]:
     """The repeats of one play."""
     return [
@@ -235,7 +250,7 @@
 def bound_rows(role: RetryChain, depth: int) -> list[list[object]]:
     """The bounds at the last service beside the worst of each load, at any depth of the chain."""
     rows: list[list[object]] = []
-    for scenario in SCENARIOS:
+    for scenario in scenarios_of(role.counts):
         chain = Job(scenario, ALONE, depth, 0).plan.chain
         hops = retry_bound.factors(chain, scenario.effect, scenario.failure, scenario.propagation)
         row: list[object] = [
@@ -245,7 +260,7 @@
             min(retry_bound.by_budget(chain, hops)[-1], retry_bound.by_time(chain)),
             f"{retry_bound.sustained(hops)[-1]:.1f}",
         ]
-        for load in LOADS:
+        for load in loads_of(role.counts):
             counts = matching(role.counts, scenario, load, depth)
             worst = max(max(count.worst) for count in counts)
             total = sum(count.load for count in counts) / len(counts)
@@ -284,9 +299,16 @@
         f"{depths[-1]} deep: bounds; the most attempts of one call at any depth (all attempts, of what there"
     )
     print("would be if nothing failed)\n")
-    head = ["", "by attempts", "and time", "alone", "mean, long run", *(load.name for load in LOADS)]
+    head = [
+        "",
+        "by attempts",
+        "and time",
+        "alone",
+        "mean, long run",
+        *(load.name for load in loads_of(role.counts)),
+    ]
     table(head, bound_rows(role, depths[-1]))
-    for load in LOADS:
+    for load in loads_of(role.counts):
         print(f"\nat the last service by depth, worst (mean), {load.name}\n")
         table(["", *map(str, depths)], depth_rows(role, load))
     if not arguments.short:
