--- a/plovertrail/cli/check.py
+++ b/plovertrail/cli/check.py
@@ -14,7 +14,7 @@
 from plovertrail.config.problems import ConfigError, Problem
 from plovertrail.decisions.recovery import pieces
 from plovertrail.hooks.loader import HookLoader
-from plovertrail.sources.files import FileSource
+from plovertrail.sources.file_reading import FileSource
 from plovertrail.sources.lists import BadList
 
 
--- a/plovertrail/cli/seal.py
+++ b/plovertrail/cli/seal.py
@@ -7,7 +7,7 @@
 
 import click
 
-from plovertrail.sources.files import read_bounded
+from plovertrail.sources.file_reading import read_bounded
 from plovertrail.sources.lists import BadList, sealed
 from plovertrail.store.files import replace_file
 
--- a/plovertrail/daemon.py
+++ b/plovertrail/daemon.py
@@ -24,7 +24,8 @@
 from plovertrail.decisions import share
 from plovertrail.decisions.background import Priority, Work
 from plovertrail.decisions.limits import Limiter
-from plovertrail.decisions.membership import State
+from plovertrail.decisions.list_versions import SourceKey
+from plovertrail.decisions.membership import Address, State
 from plovertrail.fleet_keeper import FleetKeeper
 from plovertrail.fronts.ordinary import OrdinaryFront
 from plovertrail.fronts.sockets import SocketKeeper
@@ -35,9 +36,9 @@
 from plovertrail.line_log import LineLog
 from plovertrail.peers.keeper import PeerKeeper
 from plovertrail.recovery_keeper import RecoveryKeeper
-from plovertrail.roster import FirstRead, Roster
+from plovertrail.roster import Roster
 from plovertrail.running_pool import Connect, RunningPool, connect
-from plovertrail.sources.files import FileSource, first_read
+from plovertrail.sources.list_reader import FirstRead, ListReader
 from plovertrail.status import limiter_status, pool_status
 from plovertrail.store.keeper import StoreKeeper
 from plovertrail.store.memory import MemoryKeeper
@@ -84,22 +85,53 @@
     gc.freeze()
 
 
-def read_lists(setup: operator.Setup, known: frozenset[tuple[str, bool]]) -> dict[str, FirstRead]:
-    """The lists that a setup names and that are not known yet, by their sources' names. Blocking."""
-    lists = [key for pool in setup.pools.values() for key in pool.lists]
+def lists_of(setup: operator.Setup) -> list[SourceKey]:
+    """The lists that have to be read before a setup comes into force."""
+    found = [SourceKey(*key) for pool in setup.pools.values() for key in pool.lists]
     if setup.fleet.list_path:
-        lists.append((setup.fleet.list_path, False))
-    sources = [FileSource(*key) for key in dict.fromkeys(lists) if key not in known]
-    return {source.name: first_read(source) for source in sources}
+        found.append(SourceKey(setup.fleet.list_path, False))
+    return found
+
+
+class ElsewhereKnown(Mapping[tuple[str, Address], int]):
+    """Since when the servers of other pools are known. Looked up one by one: as a table it would have to be
+    made of all pools for each change of one."""
+
+    def __init__(self, name: str, pools: Callable[[], Mapping[str, RunningPool]]) -> None:
+        self.name = name
+        self.pools = pools
+
+    def __getitem__(self, server: tuple[str, Address]) -> int:
+        ident, address = server
+        for other, pool in reversed(list(self.pools().items())):
+            member = pool.roster.state.members.get(ident) if other != self.name else None
+            if member is not None and member.entry.address == address:
+                return member.came_us
+        raise KeyError(server)
+
+    def __iter__(self) -> Iterator[tuple[str, Address]]:
+        for other, pool in list(self.pools().items()):
+            if other != self.name:
+                yield from ((name, each.entry.address) for name, each in pool.roster.state.members.items())
+
+    def __len__(self) -> int:
+        return sum(1 for _ in self)
 
 
 class Daemon:
     """One process's listeners and pools under the setup in force."""
 
     def __init__(
-        self, setup: operator.Setup, seeds: Callable[[], int] = random_seed, connect: Connect = connect
+        self,
+        setup: operator.Setup,
+        seeds: Callable[[], int] = random_seed,
+        connect: Connect = connect,
+        lists: ListReader | None = None,
+        fresh: Mapping[SourceKey, FirstRead] | None = None,
     ) -> None:
+        """`lists` is the reader that has read `fresh`; without them the lists are read here, and block."""
         self.connect = connect
+        self.lists = lists or ListReader()
         self.approve: Approve | None = None  # what a file must pass before it is taken on a reload
         self.loop = asyncio.get_running_loop()
         self.seeds = seeds
@@ -109,20 +141,26 @@
         self.pools: dict[str, RunningPool] = {}
         self.keeper = StoreKeeper(setup.state_file, instance_name(setup))
         self.memory = MemoryKeeper(self.keeper, self._pools, lambda: self.limiters, lambda: self.peers.counts)
-        self.peers = PeerKeeper(seeds)
+        self.peers = PeerKeeper(seeds, self.lists)
         self.hearsay = HearsayKeeper(self.host, self._rosters, self._judgements, self.peers.hurry)
         self.background = Runner(self.loop)
         self.fronts: dict[str, OrdinaryFront] = {}
         self.control = ControlSocket(self, setup.control_socket)
         self.closing: list[OrdinaryFront] = []  # their addresses are configured no more
-        self.instances = FleetKeeper(self._list_changed)
+        self.instances = FleetKeeper(self._fleet_changed, self.lists)
         self.hooks = HookLoader(clock_us)
         self.limiters: dict[str, Limiter] = {}
         self.reloading = asyncio.Lock()
         self.recovery = RecoveryKeeper(self.host, self._rosters, self._reloaded, self._stood_still)
         self.current = Current(Generation(0, setup, {}, {}, {}))
         compiled = self.hooks.prepare(setup)
-        self.apply(setup, read_lists(setup, frozenset()), compiled)
+        if fresh is None:
+            fresh = self.lists.first_read_blocking(lists_of(setup))
+        try:
+            self.apply(setup, fresh, compiled)
+        except BaseException:
+            self.lists.stop()
+            raise
 
     @property
     def generation(self) -> Generation:
@@ -133,7 +171,10 @@
         return {name: front.listener.address for name, front in self.fronts.items()}
 
     def apply(
-        self, setup: operator.Setup, fresh: Mapping[str, FirstRead], compiled: Mapping[str, Compiled]
+        self,
+        setup: operator.Setup,
+        fresh: Mapping[SourceKey, FirstRead],
+        compiled: Mapping[str, Compiled],
     ) -> None:
         """Put a setup into force, in full or not at all; `fresh` has the lists that are not watched yet,
         `compiled` the modules of its hooks. Raises ConfigError."""
@@ -151,7 +192,7 @@
         for name, config in setup.pools.items():
             old = before.pop(name, None)
             roster = old.roster if old is not None else self._roster(name)
-            sources = [FileSource(path, config.checksum) for path in config.files]
+            sources = [SourceKey(*key) for key in config.lists]
             pool = old
             chosen_by = setup.fleet.fleet.number, share.group_of(setup.classes_at(name))
             if pool is None or not pool.fits(config, setup.limits.max_answer, chosen_by):
@@ -186,7 +227,7 @@
             self.fronts,
         )
         self.instances.follow(setup.fleet, fresh)
-        self._list_changed()
+        self._fleet_changed()
         self.recovery.follow()
         self.memory.follow(self.background)
         self.hearsay.follow(self.background)
@@ -252,27 +293,35 @@
 
     def _roster(self, name: str) -> Roster:
         state = self.memory.state_of(name) or State(started=bool(self.generation.number))
-        roster = Roster(name, self.host, state, partial(self._elsewhere, name), self._list_changed)
+        elsewhere = ElsewhereKnown(name, lambda: self.pools)
+        roster = Roster(
+            name, self.host, state, lambda: elsewhere, partial(self._list_changed, name), self.lists
+        )
         roster.heard = partial(self.recovery.told, name)
         return roster
 
-    def _elsewhere(self, name: str) -> dict[tuple[str, tuple[str, int]], int]:
-        """Since when the servers of other pools are known: one that another pool has is no newcomer here."""
-        return {
-            (ident, member.entry.address): member.came_us
-            for other, pool in list(self.pools.items())
-            if other != name
-            for ident, member in pool.roster.state.members.items()
-        }
-
-    def _list_changed(self) -> None:
+    def _fleet_changed(self) -> None:
+        """The number of instances, or a setup: all pools take their parts anew."""
         for pool in self.pools.values():
-            before = pool.overdrawn
-            # a reload is no start: this instance has its traffic, and would refuse some of it
-            starts = self.generation.number == 1 and self.generation.setup.fleet.slow_start
-            pool.take_part(self.instances.fleet, self.instances.place, starts)
-            if pool.overdrawn and not before:
-                log.error("%s: %s", pool.config.name, pool.overdrawn)
+            self._take_part(pool)
+        self._keep_lists()
+
+    def _list_changed(self, name: str) -> None:
+        """One pool's servers have changed."""
+        pool = self.pools.get(name)
+        if pool is not None:
+            self._take_part(pool)
+        self._keep_lists()
+
+    def _take_part(self, pool: RunningPool) -> None:
+        before = pool.overdrawn
+        # a reload is no start: this instance has its traffic, and would refuse some of it
+        starts = self.generation.number == 1 and self.generation.setup.fleet.slow_start
+        pool.take_part(self.instances.fleet, self.instances.place, starts)
+        if pool.overdrawn and not before:
+            log.error("%s: %s", pool.config.name, pool.overdrawn)
+
+    def _keep_lists(self) -> None:
         self.keeper.keep(lambda: {name: pool.roster.state for name, pool in self.pools.items()})
 
     def _bind(self, setup: operator.Setup) -> dict[str, socket.socket]:
@@ -339,8 +388,7 @@
                 setup = await asyncio.to_thread(operator.load, path)
             else:
                 setup = await self._approved(path, self.approve)
-            known = frozenset(key for pool in self.pools.values() for key in pool.config.lists)
-            fresh = await asyncio.to_thread(read_lists, setup, known)
+            fresh = await self.lists.first_read(lists_of(setup))
             self.apply(setup, fresh, await asyncio.to_thread(self.hooks.prepare, setup))
         except ConfigError as error:
             log.error("reload refused, the setup in force stays: %s", error)
@@ -348,6 +396,8 @@
         except Exception:
             log.exception("reload refused, the setup in force stays: %s can't be checked", path)
             return False
+        finally:
+            self.lists.drop_unfollowed()
         log.info("generation %d is in force: %s", self.generation.number, path)
         return True
 
@@ -378,6 +428,7 @@
         return {
             "recovery": self.recovery.status(),
             "fleet": self.instances.status(),
+            "lists": self.lists.status(""),
             "generation": self.generation.number,
             "file": self.generation.setup.path,
             "pools": {name: pool_status(running) for name, running in self.pools.items()},
@@ -407,6 +458,7 @@
             pool.roster.stop()
         self.instances.stop()
         self.peers.stop()
+        self.lists.stop()
         longest_us = max(kind.deadline_us for kind in self.generation.setup.classes)
         for front in fronts:
             front.drain_backlog()
@@ -439,7 +491,8 @@
     signals = {signal.SIGTERM: stop.set, signal.SIGINT: stop.set, signal.SIGHUP: hangup.set}
     for number, handler in signals.items():
         loop.add_signal_handler(number, handler)
-    daemon = Daemon(setup)
+    lists = ListReader()
+    daemon = Daemon(setup, lists=lists, fresh=await lists.first_read(lists_of(setup)))
     daemon.approve = approve
     await daemon.control.start()
     settle_heap()
--- a/plovertrail/fleet_keeper.py
+++ b/plovertrail/fleet_keeper.py
@@ -8,12 +8,12 @@
 from typing import Any
 
 from plovertrail.config.operator import FleetSetup
+from plovertrail.decisions.list_versions import SourceKey
 from plovertrail.decisions.membership import Candidate, Entry
 from plovertrail.decisions.share import Fleet
 from plovertrail.decisions.turns import Place, place
-from plovertrail.roster import FirstRead
-from plovertrail.sources.files import FileSource
 from plovertrail.sources.instances import InstanceList
+from plovertrail.sources.list_reader import FirstRead, ListReader
 
 log = logging.getLogger(__name__)
 
@@ -21,14 +21,14 @@
 class FleetKeeper:
     """`changed` is called when their number is another one."""
 
-    def __init__(self, changed: Callable[[], None]) -> None:
+    def __init__(self, changed: Callable[[], None], lists: ListReader) -> None:
         self.changed = changed
         self.fleet = Fleet()
         self.place = Place()  # among those that the list names
         self.name = ""
-        self.list = InstanceList("instances", self._listed)
+        self.list = InstanceList("instances", self._listed, lists)
 
-    def follow(self, setup: FleetSetup, fresh: Mapping[str, FirstRead]) -> None:
+    def follow(self, setup: FleetSetup, fresh: Mapping[SourceKey, FirstRead]) -> None:
         """Count the instances by their list, where there is one; limits.instances holds until it is read.
         `fresh` has what another list holds, as turns and parts go by it before anything is sent."""
         self.name = setup.name
@@ -37,7 +37,7 @@
             self.fleet = replace(setup.fleet, size=self.fleet.size)
             return
         self.fleet, self.place = setup.fleet, Place()
-        found = fresh.get(FileSource(setup.list_path, False).name)
+        found = fresh.get(SourceKey(setup.list_path, False))
         if isinstance(found, Candidate) and found.entries:
             self._count(found.entries)
 
--- a/plovertrail/peers/keeper.py
+++ b/plovertrail/peers/keeper.py
@@ -16,13 +16,15 @@
     from plovertrail.decisions.counts import Counts
     from plovertrail.decisions.judgements import Judgements
     from plovertrail.peers.talk import PeerTalk
+    from plovertrail.sources.list_reader import ListReader
 
 
 class PeerKeeper:
     """The talk of one daemon, if it has any."""
 
-    def __init__(self, seeds: Callable[[], int]) -> None:
+    def __init__(self, seeds: Callable[[], int], lists: ListReader | None = None) -> None:
         self.seeds = seeds
+        self.lists = lists  # reads the list of peers
         self.talk: PeerTalk | None = None
 
     @property
@@ -69,7 +71,7 @@
         self.stop()
         from plovertrail.peers.talk import PeerTalk
 
-        self.talk = PeerTalk(setup, sock, self.seeds())
+        self.talk = PeerTalk(setup, sock, self.seeds(), self.lists)
         self.talk.follow_fellows(fellows)
         return self.talk.counts
 
--- a/plovertrail/peers/talk.py
+++ b/plovertrail/peers/talk.py
@@ -18,6 +18,7 @@
 from plovertrail.peers.gossip import Address, Gossip, told
 from plovertrail.peers.wire import Codec
 from plovertrail.sources.instances import InstanceList
+from plovertrail.sources.list_reader import ListReader
 
 if TYPE_CHECKING:
     from plovertrail.config.fellows import FellowsSetup
@@ -67,7 +68,9 @@
 class PeerTalk:
     """This instance among its peers, from its start to its stop."""
 
-    def __init__(self, setup: PeersSetup, sock: socket.socket, seed: int) -> None:
+    def __init__(
+        self, setup: PeersSetup, sock: socket.socket, seed: int, lists: ListReader | None = None
+    ) -> None:
         self.loop = asyncio.get_running_loop()
         self.setup = setup
         self.sock = sock
@@ -78,7 +81,7 @@
         self.seed = seed
         self.lines = BoundedLog()
         self.listed: tuple[Address, ...] = ()  # by the file
-        self.list = InstanceList("peers", self._peers_listed)
+        self.list = InstanceList("peers", self._peers_listed, lists)
         self.list.follow(setup.list_path)
         self.unsent = 0
         self.twins: set[str] = set()
--- a/plovertrail/recovery_keeper.py
+++ b/plovertrail/recovery_keeper.py
@@ -12,7 +12,7 @@
 from plovertrail.host import Host
 from plovertrail.pulse import PulseLoop
 from plovertrail.roster import Roster
-from plovertrail.sources.files import FileWatch
+from plovertrail.sources.list_reader import Subscription
 
 log = logging.getLogger(__name__)
 
@@ -47,10 +47,10 @@
             loop.beat.on_gap = self.stood_still
             host.stale = loop.stale
 
-    def watches(self) -> dict[str, FileWatch]:
+    def watches(self) -> dict[str, Subscription]:
         """All sources that are watched."""
         return {
-            source_name(name, watch.source.name): watch
+            source_name(name, watch.key.name): watch
             for name, roster in self.rosters().items()
             for watch in roster.watches.values()
         }
@@ -60,8 +60,8 @@
         now_us, before = clock_us(), self.recovery.phase
         for name, roster in self.rosters().items():
             for source in roster.watches.values():
-                wrong = roster.unreadable.get(source.source.name, "")
-                self.recovery.told(source_name(name, source.source.name), wrong, now_us)
+                wrong = roster.unreadable.get(source.key.name, "")
+                self.recovery.told(source_name(name, source.key.name), wrong, now_us)
         self.recovery.begin(self.watches(), now_us)
         self.changed(before)
 
@@ -104,7 +104,7 @@
             self.changed(before)
             self.host.go_on()
 
-    async def _read(self, name: str, watch: FileWatch) -> None:
+    async def _read(self, name: str, watch: Subscription) -> None:
         """Until the file has settled. Hazard: of one that is written at this moment the last good list would
         hold, without the drain that it was written for."""
         while not await watch.look():
--- a/plovertrail/rehearsal/daemon.py
+++ b/plovertrail/rehearsal/daemon.py
@@ -24,7 +24,7 @@
 from plovertrail.rehearsal.servers import Behaviour, PlayedServers
 from plovertrail.rehearsal.written import Event
 from plovertrail.roster import INLINE
-from plovertrail.sources.files import FileSource, first_read
+from plovertrail.sources.file_reading import FileSource, first_read
 from plovertrail.upstreams.connections import ConnectionPool
 
 
--- a/plovertrail/roster.py
+++ b/plovertrail/roster.py
@@ -8,20 +8,21 @@
 import time
 from collections.abc import Callable, Mapping
 from dataclasses import replace
-from functools import lru_cache
+from functools import lru_cache, partial
 
 from plovertrail.clock import clock_us
 from plovertrail.decisions import membership
 from plovertrail.decisions.interface import ListKind, Upstream, UpstreamState, UpstreamsUpdated
+from plovertrail.decisions.list_versions import SourceKey
 from plovertrail.decisions.membership import Address, Candidate, Guards, Kind, Member, State, Step
 from plovertrail.host import Host, ServerPool
-from plovertrail.sources.files import FileSource, FileWatch
+from plovertrail.sources.list_reader import FirstRead, ListReader, Subscription
 
 log = logging.getLogger(__name__)
 
 REPEAT_S = 10.0  # a loud report is repeated so often while it lasts
 INLINE = "inline"
-FirstRead = Candidate | str  # a list, or what is wrong with it
+FEW_SERVERS = 500  # a step among no more of them takes less time on the loop than the way off it
 Elsewhere = Callable[[], Mapping[tuple[str, Address], int]]
 
 
@@ -36,7 +37,13 @@
     """The servers of one pool. It outlives the pool's module, which a reload may replace."""
 
     def __init__(
-        self, name: str, host: Host, state: State, elsewhere: Elsewhere, changed: Callable[[], None]
+        self,
+        name: str,
+        host: Host,
+        state: State,
+        elsewhere: Elsewhere,
+        changed: Callable[[], None],
+        lists: ListReader,
     ) -> None:
         self.name = name
         self.host = host
@@ -49,7 +56,8 @@
         self.order: tuple[str, ...] = ()
         self.home_zone = ""
         self.pool: ServerPool | None = None
-        self.watches: dict[str, FileWatch] = {}
+        self.lists = lists
+        self.watches: dict[str, Subscription] = {}
         self.unreadable: dict[str, str] = {}  # what is wrong with a source that gives no list
         self.said: dict[str, float] = {}  # loud reports, and when they were last logged
         self.lock = asyncio.Lock()
@@ -60,10 +68,10 @@
     def configure(
         self,
         inline: tuple[membership.Entry, ...],
-        sources: list[FileSource],
+        sources: list[SourceKey],
         guards: Guards,
         home_zone: str,
-        fresh: Mapping[str, FirstRead],
+        fresh: Mapping[SourceKey, FirstRead],
     ) -> None:
         """Follow a new setup; `fresh` has what the sources that are new hold. Hazard: a server that moves
         from one source to another is in neither for a moment, and would come back cold; so what is new goes
@@ -75,7 +83,8 @@
         self.order = (INLINE, *(source.name for source in sources))
         self.unreadable = {name: told for name, told in self.unreadable.items() if name in self.order}
         for source in sources:
-            found = fresh.get(source.name)
+            watched = self.watches.get(source.name)
+            found = fresh.get(source) if watched is None or watched.key != source else None
             if isinstance(found, str):
                 self.unreadable[source.name] = found
             elif found is not None:
@@ -91,24 +100,29 @@
             self.watches.pop(name).stop()
         for source in sources:
             old = self.watches.get(source.name)
-            if old is None or old.source.checksum != source.checksum:
+            if old is None or old.key != source:
                 if old is not None:
                     old.stop()
-                self.watches[source.name] = FileWatch(source, self.taken, self.refused)
+                self.watches[source.name] = self.lists.subscribe(source, self.name, self.taken, self.refused)
 
-    async def taken(self, candidate: Candidate) -> None:
-        """A source has a whole list. The step is made off the loop, as a long list takes long."""
+    async def taken(self, candidate: Candidate) -> str:
+        """A source has a whole list; returns why it is refused, if it is. The step among many servers is made
+        off the loop, as it takes long."""
         async with self.lock:
             self.unreadable.pop(candidate.source, None)
             if candidate.source not in self.order:
-                return
+                return "it is followed no more"
             self.heard(candidate.source, "")
             before = self.state
-            step = await asyncio.to_thread(self._reduced, before, candidate)
-            if self.state is before:
-                self.carry_out(step)
-            else:  # a hand drain or a reload came between
+            if len(candidate.entries) + len(before.members) <= FEW_SERVERS:
                 self.step(candidate)
+            else:
+                step = await self.lists.off_loop(partial(self._reduced, before, candidate))
+                if self.state is before:
+                    self.carry_out(step)
+                else:  # a hand drain or a reload came between
+                    self.step(candidate)
+            return "; ".join(self.state.refused.get(candidate.source, ()))
 
     async def refused(self, source: str, why: str) -> None:
         """A source has no list that can be used: the last good one stays."""
--- /dev/null
+++ b/plovertrail/sources/file_notifications.py
@@ -0,0 +1,94 @@
+"""One watch for the system's notifications on all folders that hold watched files.
+
+What it tells is a hint: notifications get lost, and the safety scan of the list reader is there for that. Its
+calls on the file system are made on a thread of its own, so that a folder that hangs holds up nothing else.
+"""
+
+from __future__ import annotations
+
+import logging
+import os
+import threading
+from collections.abc import Callable
+from pathlib import Path
+
+log = logging.getLogger(__name__)
+
+DEBOUNCE_MS = 50  # changes that come within it are told together
+STEP_MS = 20  # hazard: with less, the thread's own wake-ups are most of what an idle process costs
+LOOK_MS = 1000  # between two looks at the folders themselves: one may have been unlinked and made again
+Inodes = dict[str, tuple[int, int]]
+
+
+def inodes(folders: frozenset[str]) -> Inodes:
+    """The folders that are there, each with its device and inode."""
+    found: Inodes = {}
+    for folder in sorted(folders):
+        try:
+            status = os.stat(folder)
+        except OSError:
+            continue
+        found[folder] = status.st_dev, status.st_ino
+    return found
+
+
+class FolderNotifications:
+    """Calls `changed` with the paths of what changed, on its own thread; an empty set: anything may have."""
+
+    def __init__(self, changed: Callable[[frozenset[str]], None]) -> None:
+        self.changed = changed
+        self.folders: frozenset[str] = frozenset()
+        self.renew = threading.Event()  # the set of folders is another one, or the watch is over
+        self.stopped = False
+        self.problem = ""  # why there are no notifications; empty: there are
+        self.remade = 0
+        self.thread: threading.Thread | None = None
+
+    def follow(self, folders: frozenset[str]) -> None:
+        """Watch these from now on."""
+        if folders == self.folders:
+            return
+        self.folders = folders
+        self.renew.set()
+        if self.thread is None:
+            self.thread = threading.Thread(target=self._run, name="file-notifications", daemon=True)
+            self.thread.start()
+
+    def stop(self) -> None:
+        """Watch nothing more."""
+        self.stopped = True
+        self.renew.set()
+
+    def _run(self) -> None:
+        try:
+            while not self.stopped:
+                self.renew.clear()
+                self._watch(self.folders)
+        except Exception as error:
+            self.problem = repr(error)
+            log.warning("no notifications of changed files, they are looked at only: %r", error)
+
+    def _watch(self, folders: frozenset[str]) -> None:
+        """Until the folders are others."""
+        from watchfiles._rust_notify import RustNotify
+
+        watched = inodes(folders)
+        if not watched:
+            self.renew.wait(LOOK_MS / 1000)
+            return
+        try:
+            notify = RustNotify(list(watched), False, False, 0, False, True)
+        except FileNotFoundError:
+            return  # a folder went meanwhile
+        self.remade += 1
+        # hazard: what changed between two watches is told by neither
+        self.changed(frozenset())
+        try:
+            while not self.renew.is_set():
+                found = notify.watch(DEBOUNCE_MS, STEP_MS, LOOK_MS, self.renew)
+                if isinstance(found, set):
+                    self.changed(frozenset(str(Path(path)) for _, path in found))
+                if inodes(folders) != watched:
+                    return
+        finally:
+            notify.close()
--- a/plovertrail/sources/files.py
+++ b/plovertrail/sources/file_reading.py
@@ -1,28 +1,57 @@
-"""Watches files of server lists: a notification where there is one, and a poll behind it that needs none."""
+"""Bounded reads of files and folders of server lists, and how a file is told from half of one."""
 
 from __future__ import annotations
 
-import asyncio
-import logging
+import hashlib
 import os
 import stat
 import time
-from collections.abc import Awaitable, Callable
-from contextlib import suppress
 from dataclasses import dataclass, field
+from typing import Protocol
 
+from plovertrail.decisions.list_versions import SourceKey, SourceKind
 from plovertrail.decisions.membership import Candidate, Entry
 from plovertrail.sources.lists import LARGEST, MOST_SERVERS, BadList, parse
 
-log = logging.getLogger(__name__)
-
-POLL_S = 0.25  # notifications get lost; so a change is seen within 1 s whatever they do
 COARSE_S = 3.0  # a file whose times are so young may change again under the same times (NFS, FAT: 2 s)
 SETTLE_S = 0.2  # a file with no checksum must stay as it is for so long
 MOST_FRAGMENTS = 256
 Signature = tuple[int, int, int, int]
-Taken = Callable[[Candidate], Awaitable[None]]
-Refused = Callable[[str, str], Awaitable[None]]
+
+
+class FileSystem(Protocol):
+    """The calls on the file system that may hang, so that tests can block them."""
+
+    def status(self, path: str) -> os.stat_result:
+        """As os.stat: of what a link leads to."""
+
+    def names(self, path: str) -> list[str]:
+        """What a folder holds."""
+
+    def is_link(self, path: str) -> bool:
+        """Whether the path itself is a link."""
+
+    def read(self, path: str) -> tuple[bytes, Signature]:
+        """A plain file's bytes and its signature; raises BadList or OSError."""
+
+
+class LocalFileSystem:
+    """The system's own calls."""
+
+    def status(self, path: str) -> os.stat_result:
+        return os.stat(path)
+
+    def names(self, path: str) -> list[str]:
+        return os.listdir(path)
+
+    def is_link(self, path: str) -> bool:
+        return os.path.islink(path)
+
+    def read(self, path: str) -> tuple[bytes, Signature]:
+        return read_bounded(path)
+
+
+LOCAL = LocalFileSystem()
 
 
 def read_bounded(path: str) -> tuple[bytes, Signature]:
@@ -67,20 +96,32 @@
 
     path: str
     checksum: bool = True
+    files: FileSystem = LOCAL
+    kind: SourceKind = SourceKind.LIST
     seen: dict[str, Seen] = field(default_factory=dict)
     made: Candidate | BadList | None = None  # of what was seen, as far as it has settled
+    digest: str = ""  # of the bytes that `made` was made of
+    young: bool = False  # its times are so young that a change may hide under them: look again soon
+    opened: bool = False  # the last call read bytes
+    folder: bool = False  # the path is a folder
+    linked: bool = False  # it is reached through links in its folder, which may be swapped
+
+    @property
+    def key(self) -> SourceKey:
+        return SourceKey(self.path, self.checksum, self.kind)
 
     @property
     def name(self) -> str:
-        return f"file:{self.path}"
+        return self.key.name
 
     def names(self) -> list[str]:
         """The files: sorted, without hidden ones (config maps keep theirs in ..data) and temporary ones."""
-        if not os.path.isdir(self.path):
+        self.folder = self._is_folder()
+        if not self.folder:
             return [self.path]
         found = sorted(
             name
-            for name in os.listdir(self.path)
+            for name in self.files.names(self.path)
             if not name.startswith(".") and not name.endswith(("~", ".tmp", ".swp"))
         )
         if not found:
@@ -89,12 +130,19 @@
             raise BadList(f"more than {MOST_FRAGMENTS} files")
         return [os.path.join(self.path, name) for name in found]
 
+    def _is_folder(self) -> bool:
+        try:
+            return stat.S_ISDIR(self.files.status(self.path).st_mode)
+        except OSError:
+            return False
+
     def read(self, now: float, settle: bool = True) -> tuple[bool, Candidate | None]:
         """Whether the list is new since the last call, and the list; None: it has not settled yet. Blocking;
         raises BadList or OSError. What has not changed is not parsed again."""
         changed = False
         settled = True
         made, self.made = self.made, None
+        self.young = self.opened = False
         names = self.names()
         if self.seen.keys() - set(names):
             changed = True
@@ -104,7 +152,9 @@
             if old is not None and self._surely_same(name, old):
                 data, now_signature = old.data, old.signature
             else:
-                data, now_signature = read_bounded(name)
+                data, now_signature = self.files.read(name)
+                self.opened = True
+            self.young |= 0 <= time.time() - now_signature[3] / 1e9 <= COARSE_S
             if old is None or old.data != data:
                 changed = True
                 old = Seen(now_signature, data, now)
@@ -117,14 +167,29 @@
             return False, made
         if not settled:
             return changed, None
+        if self.opened:
+            self.linked = self.files.is_link(self.path)
         try:
+            self.digest = self._digest(names)
             self.made = self._parsed(names)
         except BadList as error:
             self.made = error
             raise
         return True, self.made
 
+    def _digest(self, names: list[str]) -> str:
+        """Of the bytes; of several files, of their names as well."""
+        if len(names) == 1:
+            return hashlib.sha256(self.seen[names[0]].data).hexdigest()
+        whole = hashlib.sha256()
+        for name in names:
+            whole.update(f"{os.path.basename(name)}\0{len(self.seen[name].data)}\0".encode())
+            whole.update(self.seen[name].data)
+        return whole.hexdigest()
+
     def _parsed(self, names: list[str]) -> Candidate:
+        if self.kind is SourceKind.PLAIN:
+            return Candidate(self.name, ())
         entries: list[Entry] = []
         version = 0
         for name in names:
@@ -139,10 +204,9 @@
             raise BadList(f"more than {MOST_SERVERS} servers")
         return Candidate(self.name, tuple(entries), version if len(names) == 1 else 0)
 
-    @staticmethod
-    def _surely_same(path: str, old: Seen) -> bool:
+    def _surely_same(self, path: str, old: Seen) -> bool:
         """Hazard: where times are coarse a second change leaves the signature as it is."""
-        found = os.stat(path)
+        found = self.files.status(path)
         return signature(found) == old.signature and time.time() - found.st_mtime > COARSE_S
 
 
@@ -161,69 +225,3 @@
 def complaint(error: BadList | OSError) -> str:
     """What the operator is told."""
     return error.strerror or repr(error) if isinstance(error, OSError) else str(error)
-
-
-class FileWatch:
-    """Follows one source: each list that is whole goes to `taken`, each that is not to `refused`."""
-
-    def __init__(self, source: FileSource, taken: Taken, refused: Refused) -> None:
-        self.source = source
-        self.taken = taken
-        self.refused = refused
-        self.poke = asyncio.Event()
-        self.again = False  # the list is to be passed on though it is not new: it may be judged otherwise now
-        self.complaint = ""  # the last one that was passed on, if no list has been since
-        self.looking = asyncio.Lock()
-        self.tasks = [asyncio.create_task(self._poll()), asyncio.create_task(self._notified())]
-
-    async def _poll(self) -> None:
-        while True:
-            await self.look()
-            with suppress(TimeoutError):
-                await asyncio.wait_for(self.poke.wait(), POLL_S)
-            self.poke.clear()
-
-    async def look(self) -> bool:
-        """Read the source once, off the loop; whether it has settled. Hazard: a look that began before the
-        process stood still ends after it, with what the file held before."""
-        async with self.looking:
-            return await self._look()
-
-    async def _look(self) -> bool:
-        try:
-            new, candidate = await asyncio.to_thread(self.source.read, time.monotonic())
-        except (BadList, OSError) as error:
-            text = complaint(error)
-            if self.complaint != text:
-                self.complaint = text
-                await self.refused(self.source.name, text)
-        except Exception:
-            # hazard: a fault with one reading would end the watch, and with it all drains told by the file
-            log.exception("%s can't be read", self.source.name)
-        else:
-            if candidate is not None and (new or self.again or self.complaint):
-                self.again, self.complaint = False, ""
-                await self.taken(candidate)
-            return candidate is not None
-        return True
-
-    async def _notified(self) -> None:
-        """Look at once where the system tells of a change; where it doesn't, the poll is enough."""
-        try:
-            from watchfiles import awatch
-
-            path = self.source.path
-            folder = path if os.path.isdir(path) else os.path.dirname(path) or "."
-            async for _ in awatch(folder, recursive=False, debounce=10, step=5, rust_timeout=1000):
-                self.poke.set()
-        except Exception as error:
-            log.info("%s: no notifications, polled only: %r", self.source.name, error)
-
-    def judge_again(self) -> None:
-        """The guards have changed. Hazard: a list that they refused is not new, and would stay refused."""
-        self.again = True
-        self.poke.set()
-
-    def stop(self) -> None:
-        for task in self.tasks:
-            task.cancel()
--- a/plovertrail/sources/instances.py
+++ b/plovertrail/sources/instances.py
@@ -5,8 +5,9 @@
 import logging
 from collections.abc import Callable
 
+from plovertrail.decisions.list_versions import SourceKey
 from plovertrail.decisions.membership import Candidate, Entry
-from plovertrail.sources.files import FileSource, FileWatch
+from plovertrail.sources.list_reader import ListReader, Subscription
 
 log = logging.getLogger(__name__)
 
@@ -15,21 +16,27 @@
     """Tells of each new list. One that can't be used, or names nobody, leaves what is known. Hazard: taken as
     it is, an empty one would make each instance the only one, with all that is to be shared out."""
 
-    def __init__(self, of_what: str, listed: Callable[[tuple[Entry, ...]], None]) -> None:
+    def __init__(
+        self, of_what: str, listed: Callable[[tuple[Entry, ...]], None], lists: ListReader | None = None
+    ) -> None:
         self.of_what = of_what
         self.listed = listed
+        self.lists = lists  # None: it gets a reader of its own when it has something to read
         self.read = False  # a list of this file has been told
         self.problem = ""
-        self.watch: FileWatch | None = None
+        self.watch: Subscription | None = None
 
     def follow(self, path: str) -> bool:
         """Watch this file from now on, none if empty; whether it is another one than before."""
-        if path == (self.watch.source.path if self.watch is not None else ""):
+        if path == (self.watch.key.path if self.watch is not None else ""):
             return False
         self.stop()
         self.read, self.problem = False, ""
         if path:
-            self.watch = FileWatch(FileSource(path, False), self._taken, self._refused)
+            self.lists = self.lists or ListReader()
+            self.watch = self.lists.subscribe(
+                SourceKey(path, False), f"list of {self.of_what}", self._taken, self._refused
+            )
         return True
 
     def stop(self) -> None:
@@ -37,12 +44,13 @@
             self.watch.stop()
             self.watch = None
 
-    async def _taken(self, candidate: Candidate) -> None:
+    async def _taken(self, candidate: Candidate) -> str:
         if not candidate.entries:
             await self._refused(candidate.source, "it lists no instance")
-            return
+            return self.problem
         self.read, self.problem = True, ""
         self.listed(candidate.entries)
+        return ""
 
     async def _refused(self, source: str, why: str) -> None:
         if why != self.problem:
--- /dev/null
+++ b/plovertrail/sources/read_workers.py
@@ -0,0 +1,208 @@
+"""Threads that read sources one after the other, so that a read that hangs holds up no other source.
+
+One thread works at a time. Whoever watches calls `hand_over` when it has been at one source for too long:
+that thread is left to itself and another one goes on with the rest. A source has one read in flight at most.
+"""
+
+from __future__ import annotations
+
+import logging
+import threading
+import time
+from collections import deque
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
+
+from plovertrail.decisions.membership import Candidate
+from plovertrail.sources.file_reading import FileSource, complaint
+from plovertrail.sources.lists import BadList
+
+log = logging.getLogger(__name__)
+
+MOST_STUCK = 8  # threads whose reads hang; with so many, no further source is tried
+Clock = Callable[[], float]  # seconds of a monotonic clock
+
+
+@dataclass(frozen=True, slots=True)
+class Reading:
+    """What one look at a source found. Neither a list nor a refusal: it has not settled yet."""
+
+    candidate: Candidate | None
+    refusal: str
+    new: bool  # other content than at the look before
+    young: bool  # it may change again under the same times
+    opened: bool  # its bytes were read, as its times had changed or were young
+    folder: bool
+    linked: bool
+    digest: str
+    cost_s: float  # of the thread's own time
+
+
+class ReadJob:
+    """A source's place in the queue; all but `source` is guarded by the workers' lock."""
+
+    def __init__(self, source: FileSource) -> None:
+        self.source = source
+        self.asked = 0  # grows with each call for a look
+        self.begun = 0  # `asked` when the last look began
+        self.queued = False
+        self.in_flight = False
+        self.wanted = False  # somebody waits for the look, and is told of it though nothing is new
+        self.dropped = False  # nobody follows the source any more
+
+
+class ReadWorker:
+    """One thread, and what it is at."""
+
+    def __init__(self, run: Callable[[ReadWorker], None], number: int) -> None:
+        self.job: ReadJob | None = None
+        self.looks = 0  # grows with each source, so that a long look is told from many short ones
+        self.abandoned = False
+        # hazard: a thread that hangs would keep the process from its end unless it is a daemon thread
+        self.thread = threading.Thread(target=run, args=(self,), name=f"list-reader-{number}", daemon=True)
+
+
+def look_at(source: FileSource, clock: Clock) -> Reading:
+    """Read a source once; whatever is wrong with it is told in the reading."""
+    began_s = time.thread_time()
+    candidate, refusal, new = None, "", False
+    try:
+        new, candidate = source.read(clock())
+    except (BadList, OSError) as error:
+        refusal = complaint(error)
+    except Exception as error:
+        # hazard: a fault with one source would end the thread, and with it all drains told by files
+        log.exception("%s can't be read", source.name)
+        refusal = f"it can't be read: {error!r}"
+    cost_s = time.thread_time() - began_s
+    return Reading(
+        candidate,
+        refusal,
+        new,
+        source.young,
+        source.opened,
+        source.folder,
+        source.linked,
+        source.digest if candidate is not None else "",
+        cost_s,
+    )
+
+
+class ReadWorkers:
+    """The queue of looks and the threads that work on it; may be called from any thread."""
+
+    def __init__(self, read: Callable[[ReadJob, Reading, int, bool], None], clock: Clock) -> None:
+        self.read = read  # called on the worker's thread with the job, what was found, `begun` and `wanted`
+        self.clock = clock
+        self.lock = threading.Condition()
+        self.pending: deque[ReadJob] = deque()
+        self.worker: ReadWorker | None = None  # the one that takes what is pending
+        self.stuck: set[ReadWorker] = set()
+        self.started = 0
+        self.closed = False
+
+    def submit(self, job: ReadJob, wanted: bool = False) -> int:
+        """Look at a source soon. Returns the number of the call: a look whose `begun` is as high began after
+        it. One that is in flight is followed by another one."""
+        with self.lock:
+            return self._submit(job, wanted)
+
+    def submit_all(self, jobs: Iterable[ReadJob]) -> None:
+        """Look at all of these soon, in this order."""
+        with self.lock:
+            for job in jobs:
+                self._submit(job, False)
+
+    def _submit(self, job: ReadJob, wanted: bool) -> int:
+        job.asked += 1
+        job.wanted |= wanted
+        if not job.queued and not job.in_flight:
+            self._queue(job)
+        return job.asked
+
+    def drop(self, job: ReadJob) -> None:
+        """Nobody follows the source any more."""
+        with self.lock:
+            job.dropped = True
+
+    def busy(self) -> tuple[ReadWorker, int] | None:
+        """The worker that has something to read, and how many sources it has come to; None: there is none."""
+        with self.lock:
+            worker = self.worker
+            if worker is None or (worker.job is None and not self.pending):
+                return None
+            return worker, worker.looks
+
+    def hand_over(self, worker: ReadWorker, looks: int) -> None:
+        """Another thread takes over if this one is still at the same source."""
+        with self.lock:
+            if worker is not self.worker or worker.looks != looks or worker.job is None:
+                return
+            worker.abandoned = True
+            self.stuck.add(worker)
+            self.worker = None
+            self._start_worker()
+
+    def hanging(self) -> list[ReadJob]:
+        """The jobs whose looks have been left to themselves."""
+        with self.lock:
+            return [worker.job for worker in self.stuck if worker.job is not None]
+
+    def untried(self) -> list[ReadJob]:
+        """What waits though no thread may be started for it any more."""
+        with self.lock:
+            return list(self.pending) if self.worker is None and len(self.stuck) >= MOST_STUCK else []
+
+    def close(self) -> None:
+        """Take nothing more; what hangs is left to itself."""
+        with self.lock:
+            self.closed = True
+            self.pending.clear()
+            self.lock.notify_all()
+
+    def _queue(self, job: ReadJob) -> None:
+        job.queued = True
+        self.pending.append(job)
+        if self.worker is None:
+            self._start_worker()
+        self.lock.notify_all()
+
+    def _start_worker(self) -> None:
+        if self.closed or len(self.stuck) >= MOST_STUCK:
+            return
+        self.started += 1
+        self.worker = ReadWorker(self._work, self.started)
+        self.worker.thread.start()
+
+    def _work(self, worker: ReadWorker) -> None:
+        while (job := self._next(worker)) is not None:
+            with self.lock:
+                begun, wanted = job.begun, job.wanted
+                job.wanted = False
+            reading = look_at(job.source, self.clock)
+            # hazard: told after its place in the queue is free, it could be told after a later look
+            self.read(job, reading, begun, wanted)
+            self._over(worker, job)
+
+    def _next(self, worker: ReadWorker) -> ReadJob | None:
+        with self.lock:
+            while not self.pending and not self.closed and not worker.abandoned:
+                self.lock.wait()
+            if self.closed or worker.abandoned:
+                return None
+            job = self.pending.popleft()
+            job.queued, job.in_flight, job.begun = False, True, job.asked
+            worker.job = job
+            worker.looks += 1
+            return job
+
+    def _over(self, worker: ReadWorker, job: ReadJob) -> None:
+        """A look has ended and was told."""
+        with self.lock:
+            worker.job = None
+            job.in_flight = False
+            self.stuck.discard(worker)
+            if job.asked > job.begun and not job.dropped and not self.closed:
+                self._queue(job)
+            elif self.pending and self.worker is None:
+                self._start_worker()
--- a/tests/sources/test_lists.py
+++ b/tests/sources/test_lists.py
@@ -16,7 +16,7 @@
 from hypothesis import strategies as st
 
 from plovertrail.decisions.membership import Candidate, Entry
-from plovertrail.sources.files import COARSE_S, FileSource
+from plovertrail.sources.file_reading import COARSE_S, FileSource
 from plovertrail.sources.lists import LARGEST, BadList, parse, sealed
 
 
