--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -3,8 +3,8 @@
 Five parts: (1) from the write of a file to its effect, with notifications and by the safety scan alone; (2)
 the longest the loop stands still while one weight of 100, 1,000 and 10,000 servers changes, by a task that
 wakes every millisecond; (3) requests lost while servers come and go under load; (4) a file torn in every way
-for a while, and the active set after each moment; (5) kills in mid-write of the state file, a daemon started
-each.
+for a while, and the active set after each moment; (5) kills in mid-write of the state file, a daemon
+started after each.
 """
 
 from __future__ import annotations
--- a/plovertrail/bounds.py
+++ b/plovertrail/bounds.py
@@ -5,10 +5,10 @@
 import resource
 
 from plovertrail.config import operator
+from plovertrail.config.descriptors import LEAST_BY_DEFAULT, OTHER_DESCRIPTORS, descriptors_allowed
 from plovertrail.config.problems import ConfigError, Problem
 from plovertrail.fronts.relay import SOCKET_BYTES
 
-OTHER_DESCRIPTORS = 64  # the log, the loop, sockets on their way to be closed
 PIPELINED = 64 * 1024 + 256 * 1024  # where reading stops, and the loop's last read
 
 
@@ -32,8 +32,32 @@
     return clients * client + servers + sockets + hooks
 
 
+def even_part(setup: operator.Setup) -> tuple[int, int]:
+    """How many pools write no max_connections, and how many connections each of them has."""
+    parts = [pool.max_connections for pool in setup.pools.values() if pool.even_part]
+    return len(parts), min(parts, default=0)
+
+
+def too_few(setup: operator.Setup) -> Problem | None:
+    """What is wrong where the descriptors leave too little to the pools that write no max_connections."""
+    pools, part = even_part(setup)
+    if not pools or part >= LEAST_BY_DEFAULT:
+        return None
+    needed = needed_descriptors(setup) + pools * (LEAST_BY_DEFAULT - part)
+    return Problem(
+        "pools",
+        f"{pools} pools write no max_connections, and the {descriptors_allowed()} descriptors that the "
+        f"process may have leave fewer than {LEAST_BY_DEFAULT} to each",
+        f"raise the limit (ulimit -n) to {needed} or more, or lower max_connections of listeners "
+        "or of the pools that write it",
+    )
+
+
 def check_descriptors(setup: operator.Setup) -> None:
     """Raise the process's own limit as far as needed; raises ConfigError if it can't be."""
+    few = too_few(setup)
+    if few is not None:
+        raise ConfigError(setup.path, [few])
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     needed = needed_descriptors(setup)
     if hard != resource.RLIM_INFINITY and needed > hard:
--- a/plovertrail/cli/__init__.py
+++ b/plovertrail/cli/__init__.py
@@ -11,6 +11,7 @@
 from plovertrail.cli.fellows import explain, fellows
 from plovertrail.cli.hook import hook
 from plovertrail.cli.import_nginx import import_nginx
+from plovertrail.cli.lists import list_file
 from plovertrail.cli.route import route
 from plovertrail.cli.seal import seal
 from plovertrail.cli.serve import serve
@@ -23,6 +24,7 @@
     """A balancer that keeps its rules when things break."""
 
 
+explain.add_command(list_file)
 for command in (
     serve,
     check,
--- a/plovertrail/cli/check.py
+++ b/plovertrail/cli/check.py
@@ -7,10 +7,11 @@
 
 import click
 
-from plovertrail.bounds import needed_descriptors, needed_memory
+from plovertrail.bounds import even_part, needed_descriptors, needed_memory, too_few
 from plovertrail.cli.files import load_or_exit
 from plovertrail.clock import clock_us
 from plovertrail.config import operator
+from plovertrail.config.descriptors import descriptors_allowed
 from plovertrail.config.problems import ConfigError, Problem
 from plovertrail.decisions.recovery import pieces
 from plovertrail.hooks.loader import HookLoader
@@ -28,6 +29,18 @@
     return f"{path}: {len(found.entries) if found is not None else 0} servers"
 
 
+def descriptors_of(setup: operator.Setup) -> list[str]:
+    """What max_connections comes to where pools don't write it, on this machine."""
+    pools, part = even_part(setup)
+    if not pools:
+        return []
+    allowed = descriptors_allowed()
+    of_what = "" if allowed is None else f", of the {allowed} descriptors that a process may have here"
+    found = [f"max_connections of {pools} pools that write none: {part} each{of_what}"]
+    few = too_few(setup)
+    return found if few is None else [*found, f"note: it would not start here: {few}"]
+
+
 def hooks_of(setup: operator.Setup) -> list[str]:
     """What the setup's hooks are, each compiled and tried out as at a start; exits with 2 if one can't be
     used."""
@@ -82,6 +95,8 @@
         f"at most {needed_descriptors(setup)} descriptors, "
         f"{needed_memory(setup) >> 20} MiB of messages"
     )
+    for line in descriptors_of(setup):
+        click.echo(line)
     for line in hooks_of(setup):
         click.echo(line)
     for line in state_of(setup):
--- a/plovertrail/cli/control.py
+++ b/plovertrail/cli/control.py
@@ -142,6 +142,22 @@
         click.echo(f"  {name}: {each['own']:g} here, {each['fleet']:g} in the fleet")
 
 
+def tell_lists(lists: dict[str, Any]) -> None:
+    """What is in force of all files, and which of them give none."""
+    click.echo(
+        f"lists: generation {lists['generation']}, {len(lists['sources'])} files, "
+        f"digest {lists['digest'][:16]}, a change is seen "
+        f"within {lists['detects_within_s']:g} s, notifications {lists['notifications']}"
+    )
+    for told in lists["problems"]:
+        click.echo(f"  ! {told}")
+    for source in lists["sources"]:
+        if source["hung_for_s"] is not None:
+            click.echo(f"  ! {source['path']}: {source['state']} for {source['hung_for_s']:.1f} s")
+        elif source["refusal"]:
+            click.echo(f"  ! {source['path']}: {source['refusal']}")
+
+
 @click.command()
 @SOCKET
 @click.option("--json", "as_json", is_flag=True, help="All of it, as JSON.")
@@ -158,6 +174,9 @@
         click.echo(f"phase: {tell_phase(found['recovery'])}")
         for name, why in found["recovery"]["missing"].items():
             click.echo(f"  ! {name}: {why}")
+        if found["reload"]["problem"]:
+            click.echo(f"  ! the last reload was refused: {found['reload']['problem']}")
+        tell_lists(found["lists"])
         for name, pool in found["pools"].items():
             click.echo(f"{name}: generation {pool['generation']}, {len(pool['servers'])} servers")
             for told in pool["problems"]:
@@ -165,5 +184,7 @@
             for server in pool["servers"]:
                 click.echo(f"  {server['id']} {server['address']} {server['state']}, {server['open']} open")
         tell_peers(found.get("peers") or {})
-    if any(pool["problems"] for pool in found["pools"].values()) or (found.get("peers") or {}).get("problem"):
+    pools = any(pool["problems"] for pool in found["pools"].values())
+    lists = found["lists"]["problems"] or found["lists"]["hung"]
+    if pools or lists or (found.get("peers") or {}).get("problem"):
         sys.exit(3)
--- a/plovertrail/config/operator.py
+++ b/plovertrail/config/operator.py
@@ -14,12 +14,18 @@
 import tomllib
 from collections.abc import Mapping
 from contextlib import suppress
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from typing import Any, TypeVar
 
 import re2
 
 from plovertrail.config import limiters
+from plovertrail.config.descriptors import (
+    MOST_BY_DEFAULT,
+    PoolNeed,
+    default_connections,
+    descriptors_allowed,
+)
 from plovertrail.config.fellows import FellowsSetup, read_fellows
 from plovertrail.config.hooks import MOST_A_ROUTE, HookSetup, read_hooks
 from plovertrail.config.peers import PeersSetup, read_peers
@@ -133,6 +139,7 @@
     bounds: Bounds  # what one of its servers bears from all instances
     door: DoorSettings | None  # None: requests take slots as they come
     affinity: Affinity | None  # None: requests prefer no server
+    even_part: bool = False  # max_connections is not written, and may change with the other pools
 
     @property
     def lists(self) -> list[tuple[str, bool]]:
@@ -191,6 +198,8 @@
     peers: PeersSetup | None  # None: this instance counts alone
     fleet_tenants: frozenset[int]  # the tenants whose allowance is for all instances
     fellows: FellowsSetup | None  # None: instances don't know one another
+    watched: bool = False  # the file is read again when it changes, and not on SIGHUP alone
+    digest: str = ""  # SHA-256 of the file's bytes, in hex; empty: they were given as a text
 
     def classes_at(self, pool: str) -> list[RequestClass]:
         """Those whose requests may go to a pool."""
@@ -226,7 +235,7 @@
         text = data.decode("utf-8")
     except UnicodeDecodeError as error:
         raise ConfigError(path, [Problem("", f"byte {error.start} is not UTF-8")]) from None
-    return parse(text, path)
+    return replace(parse(text, path), digest=hashlib.sha256(data).hexdigest())
 
 
 def parse(text: str, path: str = "") -> Setup:
@@ -289,6 +298,7 @@
             for name, item in whole.pools.items()
             if (pool := self.pool(name, item, classes, tenants, instances, home)) is not None
         }
+        pools = self.parted(listeners, pools)
         websockets = {
             name: made
             for name, item in whole.websockets.items()
@@ -335,6 +345,7 @@
             peers,
             fleet_tenants,
             fellows,
+            daemon.reload == "watch",
         )
 
     def name(self, name: str, place: str) -> None:
@@ -552,7 +563,7 @@
             name,
             settings,
             time("idle_timeout", 0),
-            table.max_connections,
+            table.max_connections or MOST_BY_DEFAULT,
             servers,
             home,
             tuple(table.servers_from),
@@ -563,8 +574,25 @@
             Bounds(share.servers, share.connections, share.dials_per_s),
             self.door(table, place, settings.max_retry_after_us),
             self.affinity(table, place),
+            table.max_connections is None,
         )
 
+    @staticmethod
+    def parted(listeners: list[Listener], pools: dict[str, Pool]) -> dict[str, Pool]:
+        """The pools that write no max_connections share the descriptors that are left."""
+        part = default_connections(
+            sum(1 + listener.max_connections for listener in listeners),
+            (
+                PoolNeed(None if pool.even_part else pool.max_connections, pool.max_sockets)
+                for pool in pools.values()
+            ),
+            descriptors_allowed(),
+        )
+        return {
+            name: replace(pool, max_connections=part) if pool.even_part else pool
+            for name, pool in pools.items()
+        }
+
     def affinity(self, table: PoolTable, place: str) -> Affinity | None:
         """What a pool's requests have in common that should meet at one server."""
         if table.affinity is None:
--- a/plovertrail/config/written.py
+++ b/plovertrail/config/written.py
@@ -99,7 +99,7 @@
     attempts: Annotated[int, msgspec.Meta(ge=1, le=10)] = 3
     connect_timeout: str = "500ms"
     idle_timeout: str = "4s"
-    max_connections: Whole = 256
+    max_connections: Whole | None = None  # an even part of the descriptors, 256 at most
     retry_after: str = "2s"
     warm_up: str = "10s"
     cold_share: Share = 0.3
@@ -173,6 +173,7 @@
     state_file: str = ""
     control_socket: str = ""
     socket_log: str = ""
+    reload: Literal["signal", "watch"] = "signal"
 
 
 class FileTable(msgspec.Struct, kw_only=True):
--- a/plovertrail/daemon.py
+++ b/plovertrail/daemon.py
@@ -24,8 +24,8 @@
 from plovertrail.decisions import share
 from plovertrail.decisions.background import Priority, Work
 from plovertrail.decisions.limits import Limiter
-from plovertrail.decisions.list_versions import SourceKey
-from plovertrail.decisions.membership import Address, State
+from plovertrail.decisions.list_versions import SourceKey, SourceKind
+from plovertrail.decisions.membership import Address, Candidate, State
 from plovertrail.fleet_keeper import FleetKeeper
 from plovertrail.fronts.ordinary import OrdinaryFront
 from plovertrail.fronts.sockets import SocketKeeper
@@ -38,7 +38,7 @@
 from plovertrail.recovery_keeper import RecoveryKeeper
 from plovertrail.roster import Roster
 from plovertrail.running_pool import Connect, RunningPool, connect
-from plovertrail.sources.list_reader import FirstRead, ListReader
+from plovertrail.sources.list_reader import FirstRead, ListReader, Subscription
 from plovertrail.status import limiter_status, pool_status
 from plovertrail.store.keeper import StoreKeeper
 from plovertrail.store.memory import MemoryKeeper
@@ -144,6 +144,8 @@
         self.peers = PeerKeeper(seeds, self.lists)
         self.hearsay = HearsayKeeper(self.host, self._rosters, self._judgements, self.peers.hurry)
         self.background = Runner(self.loop)
+        self.subsets: list[RunningPool] = []  # the pools of which this instance uses a part
+        self.troubled: set[str] = set()  # the pools whose reports last
         self.fronts: dict[str, OrdinaryFront] = {}
         self.control = ControlSocket(self, setup.control_socket)
         self.closing: list[OrdinaryFront] = []  # their addresses are configured no more
@@ -151,6 +153,9 @@
         self.hooks = HookLoader(clock_us)
         self.limiters: dict[str, Limiter] = {}
         self.reloading = asyncio.Lock()
+        self.reload_problem = ""  # why the last reload was refused; empty: it was not
+        self.setup_file: Subscription | None = None  # None: it is read on SIGHUP only
+        self.reloads: set[asyncio.Task[None]] = set()  # that a changed file has brought about
         self.recovery = RecoveryKeeper(self.host, self._rosters, self._reloaded, self._stood_still)
         self.current = Current(Generation(0, setup, {}, {}, {}))
         compiled = self.hooks.prepare(setup)
@@ -161,6 +166,7 @@
         except BaseException:
             self.lists.stop()
             raise
+        self.recovery.started()
 
     @property
     def generation(self) -> Generation:
@@ -206,7 +212,7 @@
                 self.memory.recall_pool(name, pool.pool, roster.state)
                 roster.attach(pool.pool)
             else:
-                pool.config = config
+                pool.adopt(config)
                 pool.use_door(self.host, self.seeds())
                 roster.configure(config.servers, sources, config.guards, config.home_zone, fresh)
             pools[name] = pool
@@ -228,22 +234,63 @@
         )
         self.instances.follow(setup.fleet, fresh)
         self._fleet_changed()
+        self.lists.in_force.use_setup(setup.digest)
+        self._watch_setup(setup)
         self.recovery.follow()
         self.memory.follow(self.background)
         self.hearsay.follow(self.background)
+        self.subsets = [pool for pool in pools.values() if pool.pool.subset is not None]
+        self.troubled &= pools.keys()
         self.background.add(SUBSETS, self._narrow, SUBSETS.every_us)
         self.background.add(REPORTS, self._speak, REPORTS.every_us)
 
+    def _watch_setup(self, setup: operator.Setup) -> None:
+        """Follow the operator's own file, where it says so."""
+        key = SourceKey(setup.path, False, SourceKind.PLAIN) if setup.watched else None
+        if self.setup_file is not None and self.setup_file.key != key:
+            self.setup_file.stop()
+            self.setup_file = None
+        if key is not None and self.setup_file is None:
+            self.setup_file = self.lists.subscribe(
+                key, "operator's file", self._setup_changed, self._setup_unreadable
+            )
+
+    async def _setup_changed(self, candidate: Candidate) -> str:
+        """The file is another one and has settled. Hazard: a reload may take minutes with its tests, and no
+        list may wait for it."""
+        if self.setup_file is not None and self.setup_file.digest != self.generation.setup.digest:
+            task = self.loop.create_task(self._reload_changed(self.setup_file.digest))
+            self.reloads.add(task)
+            task.add_done_callback(self.reloads.discard)
+        return "a reload brings it into force"
+
+    async def _setup_unreadable(self, source: str, why: str) -> None:
+        log.error("the setup in force stays: %s: %s", source, why)
+        self.reload_problem = f"{source}: {why}"
+
+    async def _reload_changed(self, digest: str) -> None:
+        async with self.reloading:
+            if self.generation.setup.digest != digest:
+                await self._reload()
+
     def _narrow(self) -> Iterator[None]:
-        for pool in list(self.pools.values()):
+        for pool in self.subsets:
             self.host.narrow(pool.pool)
             yield
 
     def _speak(self) -> Iterator[None]:
-        for pool in list(self.pools.values()):
-            pool.roster.speak()
+        for name in list(self.troubled):
+            if name in self.pools:
+                self.pools[name].roster.speak()
             yield
 
+    def _lasting(self, name: str, lasting: bool) -> None:
+        """A pool's list has something wrong that is to be repeated, or has it no more."""
+        if lasting:
+            self.troubled.add(name)
+        else:
+            self.troubled.discard(name)
+
     def _stood_still(self, gap_us: int) -> None:
         fleet, slow_start = self.instances, self.generation.setup.fleet.slow_start
         for pool in self.pools.values():
@@ -298,6 +345,7 @@
             name, self.host, state, lambda: elsewhere, partial(self._list_changed, name), self.lists
         )
         roster.heard = partial(self.recovery.told, name)
+        roster.lasting = partial(self._lasting, name)
         return roster
 
     def _fleet_changed(self) -> None:
@@ -392,12 +440,15 @@
             self.apply(setup, fresh, await asyncio.to_thread(self.hooks.prepare, setup))
         except ConfigError as error:
             log.error("reload refused, the setup in force stays: %s", error)
+            self.reload_problem = str(error)
             return False
-        except Exception:
+        except Exception as error:
             log.exception("reload refused, the setup in force stays: %s can't be checked", path)
+            self.reload_problem = repr(error)
             return False
         finally:
             self.lists.drop_unfollowed()
+        self.reload_problem = ""
         log.info("generation %d is in force: %s", self.generation.number, path)
         return True
 
@@ -428,9 +479,13 @@
         return {
             "recovery": self.recovery.status(),
             "fleet": self.instances.status(),
-            "lists": self.lists.status(""),
+            "lists": self.lists.status(),
             "generation": self.generation.number,
             "file": self.generation.setup.path,
+            "reload": {
+                "on": "change" if self.generation.setup.watched else "signal",
+                "problem": self.reload_problem,
+            },
             "pools": {name: pool_status(running) for name, running in self.pools.items()},
             "connections": self.count(),
             "requests": len(self.host.requests),
@@ -458,6 +513,8 @@
             pool.roster.stop()
         self.instances.stop()
         self.peers.stop()
+        for task in self.reloads:
+            task.cancel()
         self.lists.stop()
         longest_us = max(kind.deadline_us for kind in self.generation.setup.classes)
         for front in fronts:
--- a/plovertrail/decisions/list_versions.py
+++ b/plovertrail/decisions/list_versions.py
@@ -146,6 +146,7 @@
     """What subscribers have accepted, and a digest of it that is the same in each process with the same."""
 
     generation: int = 0  # grows with each change that comes into force in this process
+    setup: str = ""  # the digest of the operator's file
     accepted: dict[tuple[str, SourceKey], str] = field(default_factory=dict)  # digests, by subscriber
 
     def accept(self, subscriber: str, key: SourceKey, digest: str) -> None:
@@ -159,10 +160,16 @@
         if self.accepted.pop((subscriber, key), None) is not None:
             self.generation += 1
 
-    def digest(self, setup: str) -> str:
-        """Of all that is in force, with the operator's file, whose own digest is `setup`."""
+    def use_setup(self, digest: str) -> None:
+        """An operator's file has come into force."""
+        if self.setup != digest:
+            self.setup = digest
+            self.generation += 1
+
+    def digest(self) -> str:
+        """Of all that is in force, with the operator's file."""
         lines = sorted(f"{who}\0{key.path}\0{digest}\n" for (who, key), digest in self.accepted.items())
-        return hashlib.sha256(f"{setup}\n{''.join(lines)}".encode()).hexdigest()
+        return hashlib.sha256(f"{self.setup}\n{''.join(lines)}".encode()).hexdigest()
 
 
 def next_look_us(versions: Iterable[SourceVersion]) -> int | None:
--- a/plovertrail/decisions/recovery.py
+++ b/plovertrail/decisions/recovery.py
@@ -175,11 +175,13 @@
         """Whether what is known may be acted on."""
         return self.phase in (Phase.IN_PART, Phase.FULL)
 
-    def stood_still(self, gap_us: int, sources: Iterable[str], now_us: int) -> None:
-        """The process did nothing for so long; these sources are to be read again."""
-        self.gaps += 1
-        self.longest_gap_us = max(self.longest_gap_us, gap_us)
-        self.why = f"it stood still for {gap_us / 1e6:.1f} s"
+    def stood_still(self, gap_us: int, sources: Iterable[str], now_us: int, starting: bool = False) -> None:
+        """The process did nothing for so long, or began with that (`starting`); these sources are to be read
+        again."""
+        if not starting:
+            self.gaps += 1
+            self.longest_gap_us = max(self.longest_gap_us, gap_us)
+            self.why = f"it stood still for {gap_us / 1e6:.1f} s"
         self.waiting = set(sources)
         self.catch_up_ends_us = now_us + LONGEST_CATCH_UP_US
         if self.may_send:
--- a/plovertrail/recovery_keeper.py
+++ b/plovertrail/recovery_keeper.py
@@ -40,6 +40,7 @@
         self.settled = settled
         self.on_gap = on_gap  # what has piled up meanwhile is to be given up
         self.recovery = Recovery(clock_us())
+        self.started_us = 0  # when the start had been made
         self.again = False  # it stood still once more while it caught up
         self.task: asyncio.Task[None] | None = None
         loop = host.loop
@@ -71,12 +72,19 @@
         self.recovery.told(source_name(pool, source), wrong, clock_us())
         self.changed(before)
 
+    def started(self) -> None:
+        """All has been built, which may have taken one long turn of the loop."""
+        self.started_us = clock_us()
+
     def stood_still(self, gap_us: int) -> None:
         """The process did nothing for so long; called before anything is acted on."""
         self.host.hold(gap_us)
         self.on_gap(gap_us)
         before = self.recovery.phase
-        self.recovery.stood_still(gap_us, self.watches(), clock_us())
+        now_us = clock_us()
+        # hazard: a start that took long did not stand still, but what it has read may be overtaken as well
+        starting = now_us - gap_us < self.started_us
+        self.recovery.stood_still(gap_us, self.watches(), now_us, starting)
         self.changed(before)
         self.again = True
         if self.task is None or self.task.done():
--- a/plovertrail/rehearsal/servers.py
+++ b/plovertrail/rehearsal/servers.py
@@ -124,3 +124,6 @@
 
     def limit(self, budget: Budget, turn: float) -> None:
         """Budgets of connections are not played."""
+
+    def allow(self, most: int) -> None:
+        """Bounds of connections are not played."""
--- a/plovertrail/roster.py
+++ b/plovertrail/roster.py
@@ -52,6 +52,8 @@
         self.changed = changed  # called after each step that changed the state
         # called with a source that was read, and what is wrong with it
         self.heard: Callable[[str, str], None] = lambda source, wrong: None
+        # called with whether something is wrong that lasts, and so has to be said again
+        self.lasting: Callable[[bool], None] = lambda lasting: None
         self.guards = Guards()
         self.order: tuple[str, ...] = ()
         self.home_zone = ""
@@ -202,6 +204,7 @@
         would fill the log, and one alone scrolls away while the list stays wrong."""
         now = time.monotonic()
         lasting = self.loud()
+        self.lasting(bool(lasting))
         keys = {text[:60]: text for text in lasting}  # a figure in it may change with each look
         self.said = {key: at for key, at in self.said.items() if key in keys}
         for key, text in keys.items():
--- a/plovertrail/running_pool.py
+++ b/plovertrail/running_pool.py
@@ -61,6 +61,12 @@
                 ),
             )
 
+    def adopt(self, config: operator.Pool) -> None:
+        """Go on under a setup that it fits. Hazard: a pool that comes or goes changes the even part of all
+        others, and must not have them learn anew."""
+        self.config = config
+        self.connections.allow(config.max_connections)
+
     def use_door(self, host: Host, seed: int) -> None:
         """Share the slots as configured now."""
         host.use_door(self.pool, self.config.door, random.Random(seed).random)
@@ -97,7 +103,7 @@
         return (
             mine.settings == config.settings
             and mine.idle_us == config.idle_us
-            and mine.max_connections == config.max_connections
+            and (mine.max_connections == config.max_connections or (mine.even_part and config.even_part))
             and self.max_answer == max_answer
             and mine.home_zone == config.home_zone
             and mine.affinity == config.affinity
--- a/plovertrail/sources/file_notifications.py
+++ b/plovertrail/sources/file_notifications.py
@@ -16,6 +16,7 @@
 
 DEBOUNCE_MS = 50  # changes that come within it are told together
 STEP_MS = 20  # hazard: with less, the thread's own wake-ups are most of what an idle process costs
+RETRY_S = 10.0  # after a watch that could not be made, as when the machine has no inotify instance left
 LOOK_MS = 1000  # between two looks at the folders themselves: one may have been unlinked and made again
 Inodes = dict[str, tuple[int, int]]
 
@@ -60,13 +61,15 @@
         self.renew.set()
 
     def _run(self) -> None:
-        try:
-            while not self.stopped:
-                self.renew.clear()
+        while not self.stopped:
+            self.renew.clear()
+            try:
                 self._watch(self.folders)
-        except Exception as error:
-            self.problem = repr(error)
-            log.warning("no notifications of changed files, they are looked at only: %r", error)
+            except Exception as error:
+                if self.problem != repr(error):
+                    self.problem = repr(error)
+                    log.warning("no notifications of changed files, they are looked at only: %r", error)
+                self.renew.wait(RETRY_S)
 
     def _watch(self, folders: frozenset[str]) -> None:
         """Until the folders are others."""
@@ -80,7 +83,7 @@
             notify = RustNotify(list(watched), False, False, 0, False, True)
         except FileNotFoundError:
             return  # a folder went meanwhile
-        self.remade += 1
+        self.remade, self.problem = self.remade + 1, ""
         # hazard: what changed between two watches is told by neither
         self.changed(frozenset())
         try:
--- a/plovertrail/sources/list_reader.py
+++ b/plovertrail/sources/list_reader.py
@@ -87,6 +87,11 @@
     def key(self) -> SourceKey:
         return self.followed.version.key
 
+    @property
+    def digest(self) -> str:
+        """Of the last good content."""
+        return self.followed.version.digest
+
     def judge_again(self) -> None:
         """The guards have changed. Hazard: a list that they refused is not new, and would stay refused."""
         self.again = True
@@ -460,8 +465,8 @@
 
     # For operators
 
-    def status(self, setup_digest: str) -> dict[str, Any]:
-        """All sources, and what is in force of them; `setup_digest` is the operator's file's."""
+    def status(self) -> dict[str, Any]:
+        """All sources, and what is in force of them."""
         now_us = self._now_us()
         hung = [key.path for key, each in self.followed.items() if each.version.hung]
         problems = [self.too_slow()] if self.schedule.too_slow else []
@@ -469,8 +474,8 @@
             problems.append(f"{MOST_STUCK} reads hang: no further file is read until one comes back")
         return {
             "generation": self.in_force.generation,
-            "digest": self.in_force.digest(setup_digest),
-            "setup_digest": setup_digest,
+            "digest": self.in_force.digest(),
+            "setup_digest": self.in_force.setup,
             "notifications": self._notifications_status(),
             "scan_period_s": round(self.schedule.period_us / 1e6, 3),
             "detects_within_s": round(self.schedule.detection_us / 1e6, 3),
--- a/plovertrail/upstreams/connections.py
+++ b/plovertrail/upstreams/connections.py
@@ -439,6 +439,11 @@
         made.attempt, attempt.connection = attempt, made
         return made
 
+    def allow(self, most: int) -> None:
+        """So many connections at most from now on; what is open beyond that closes as it becomes idle."""
+        self.configured = most
+        self.most = min(most, self.budget.connections or most)
+
     def limit(self, budget: Budget, turn: float) -> None:
         """Keep to this instance's part from now on; its first dial comes after `turn`, a random number from 0
         to 1, of the time between two. What is open beyond its part closes as it becomes idle."""
