--- a/plovertrail/sources/file_notifications.py
+++ b/plovertrail/sources/file_notifications.py
@@ -11,6 +11,7 @@
 import threading
 from collections.abc import Callable
 from pathlib import Path
+from typing import Protocol
 
 log = logging.getLogger(__name__)
 
@@ -21,6 +22,25 @@
 Inodes = dict[str, tuple[int, int]]
 
 
+class FolderWatch(Protocol):
+    """The system's notifications on some folders."""
+
+    def watch(
+        self, debounce_ms: int, step_ms: int, timeout_ms: int, stop_event: threading.Event
+    ) -> set[tuple[int, str]] | str:
+        """Wait for changes; a text where there are none."""
+
+    def close(self) -> None:
+        """Watch no more."""
+
+
+def open_watch(folders: list[str]) -> FolderWatch:
+    """Of the system itself; raises FileNotFoundError."""
+    from watchfiles._rust_notify import RustNotify
+
+    return RustNotify(folders, False, False, 0, False, True)
+
+
 def inodes(folders: frozenset[str]) -> Inodes:
     """The folders that are there, each with its device and inode."""
     found: Inodes = {}
@@ -36,8 +56,13 @@
 class FolderNotifications:
     """Calls `changed` with the paths of what changed, on its own thread; an empty set: anything may have."""
 
-    def __init__(self, changed: Callable[[frozenset[str]], None]) -> None:
+    def __init__(
+        self,
+        changed: Callable[[frozenset[str]], None],
+        open_watch: Callable[[list[str]], FolderWatch] = open_watch,
+    ) -> None:
         self.changed = changed
+        self.open_watch = open_watch
         self.folders: frozenset[str] = frozenset()
         self.renew = threading.Event()  # the set of folders is another one, or the watch is over
         self.stopped = False
@@ -73,14 +98,12 @@
 
     def _watch(self, folders: frozenset[str]) -> None:
         """Until the folders are others."""
-        from watchfiles._rust_notify import RustNotify
-
         watched = inodes(folders)
         if not watched:
             self.renew.wait(LOOK_MS / 1000)
             return
         try:
-            notify = RustNotify(list(watched), False, False, 0, False, True)
+            notify = self.open_watch(list(watched))
         except FileNotFoundError:
             return  # a folder went meanwhile
         self.remade, self.problem = self.remade + 1, ""
--- /dev/null
+++ b/tests/test_many_lists.py
@@ -0,0 +1,455 @@
+"""Daemons with many pools on one reader of lists: starts, reloads, reads that hang, status."""
+
+from __future__ import annotations
+
+import asyncio
+import importlib
+import json
+import logging
+import threading
+import time
+from collections.abc import AsyncIterator, Callable, Iterator, Mapping
+from contextlib import asynccontextmanager, contextmanager
+from pathlib import Path
+
+import pytest
+from click.testing import CliRunner
+
+from plovertrail import bounds
+from plovertrail.bounds import check_descriptors, even_part
+from plovertrail.cli import main
+from plovertrail.clock import another_clock
+from plovertrail.config import descriptors, operator
+from plovertrail.config.descriptors import PoolNeed, default_connections
+from plovertrail.config.operator import load
+from plovertrail.config.problems import ConfigError
+from plovertrail.daemon import Daemon, ElsewhereKnown, lists_of
+from plovertrail.decisions.list_versions import SourceKey
+from plovertrail.decisions.share import Fleet
+from plovertrail.decisions.turns import Place
+from plovertrail.pulse import PulseLoop
+from plovertrail.running_pool import RunningPool
+from plovertrail.sources.list_reader import FIRST_READ_S, ListReader
+from standins.ports import free_port
+from tests.daemons import CLASSES, run
+from tests.net import PATIENCE_S, until
+from tests.sources.test_list_reader import BlockedFiles, put
+
+
+def setup_text(folder: Path, port: int, pools: list[str], extra: str = "", more: str = "") -> str:
+    """An operator's file with a list and a route for each pool."""
+    text = f'[listeners.web]\naddress = "127.0.0.1:{port}"\n{CLASSES}{extra}\n'
+    for name in pools:
+        text += f'[pools.{name}]\nservers_from = ["{folder}/{name}.list"]\n{more}'
+        text += f'[[routes]]\nname = "{name}"\npath = "/{name}"\nclass = "read"\npools = ["{name}"]\n'
+    return text
+
+
+class Site:
+    """A folder with an operator's file and lists."""
+
+    def __init__(self, folder: Path) -> None:
+        self.folder = folder
+        self.port = free_port()
+        self.path = folder / "site.toml"
+
+    def list_of(self, pool: str) -> Path:
+        return self.folder / f"{pool}.list"
+
+    def write(self, pools: list[str], extra: str = "", more: str = "") -> None:
+        beside = self.folder / ".site.new"
+        beside.write_text(setup_text(self.folder, self.port, pools, extra, more))
+        beside.rename(self.path)
+
+
+@asynccontextmanager
+async def serving(site: Site, files: BlockedFiles | None = None) -> AsyncIterator[Daemon]:
+    """As `serve` starts it, with no notifications."""
+    lists = ListReader(files or BlockedFiles(), notifications=False)
+    setup = load(str(site.path))
+    daemon = Daemon(setup, lists=lists, fresh=await lists.first_read(lists_of(setup)))
+    try:
+        yield daemon
+    finally:
+        if files is not None:
+            for gate in files.gates.values():
+                gate.set()
+        async with asyncio.timeout(PATIENCE_S):
+            await daemon.stop()
+
+
+def ports(daemon: Daemon) -> dict[str, list[int]]:
+    """Those of the servers in force."""
+    return {
+        name: [member.entry.address[1] for member in pool.roster.state.members.values()]
+        for name, pool in daemon.pools.items()
+    }
+
+
+def scan(daemon: Daemon) -> None:
+    if daemon.lists.scan_timer is not None:
+        daemon.lists.scan_timer.cancel()
+    daemon.lists._scan()
+
+
+def test_good_lists_serve_beside_one_that_is_missing_and_one_that_hangs_at_the_start(tmp_path: Path) -> None:
+    async def test() -> None:
+        site, files = Site(tmp_path), BlockedFiles()
+        names = ["missing", "hangs", *(f"good{number}" for number in range(20))]
+        for name in names[1:]:
+            put(site.list_of(name), 1)
+        site.write(names)
+        files.block(site.list_of("hangs"))
+        began = asyncio.get_running_loop().time()
+        async with serving(site, files) as daemon:
+            assert asyncio.get_running_loop().time() - began < FIRST_READ_S + PATIENCE_S
+            assert ports(daemon) == {"missing": [], "hangs": [], **dict.fromkeys(names[2:], [1])}
+            missing = daemon.recovery.recovery.missing
+            assert (
+                set(missing) == {f"{name}: file:{site.list_of(name)}" for name in ("missing", "hangs")}
+                and "No such file" in missing[f"missing: file:{site.list_of('missing')}"]
+            )
+            await until(lambda: daemon.status()["lists"]["hung"] == [str(site.list_of("hangs"))])
+            put(site.list_of("good3"), 2)
+            scan(daemon)
+            await until(lambda: ports(daemon)["good3"] == [2])
+            files.let_go(site.list_of("hangs"))
+            put(site.list_of("missing"), 3)
+            scan(daemon)
+            await until(lambda: ports(daemon)["hangs"] == [1] and ports(daemon)["missing"] == [3])
+            assert daemon.status()["recovery"]["phase"] == "full"
+
+    run(test)
+
+
+def test_a_half_written_list_waits_for_nobody_and_nobody_for_it(tmp_path: Path) -> None:
+    async def test() -> None:
+        site = Site(tmp_path)
+        names = [f"p{number}" for number in range(200)]
+        for name in names:
+            put(site.list_of(name), 1)
+        whole = site.list_of("p7").read_bytes()
+        site.list_of("p7").write_bytes(whole[:9])
+        site.write(names, more="max_connections = 16\n")
+        async with serving(site) as daemon:
+            assert [name for name, found in ports(daemon).items() if found != [1]] == ["p7"]
+            for name in names:
+                put(site.list_of(name), 2)
+            site.list_of("p9").write_bytes(whole[:9])
+            scan(daemon)
+            await until(lambda: [name for name, found in ports(daemon).items() if found != [2]] == ["p9"])
+            assert ports(daemon)["p9"] == [1]  # the last good one stays
+
+    run(test)
+
+
+def test_a_reload_that_adds_and_drops_pools_during_a_read(tmp_path: Path) -> None:
+    async def test() -> None:
+        site, files = Site(tmp_path), BlockedFiles()
+        for name in ("dropped", "stays", "added"):
+            put(site.list_of(name), 1)
+        site.write(["dropped", "stays"])
+        async with serving(site, files) as daemon:
+            files.block(site.list_of("dropped"), site.list_of("added"))
+            put(site.list_of("dropped"), 2)
+            scan(daemon)
+            await asyncio.to_thread(files.arrived[str(site.list_of("dropped"))].wait)
+            old = daemon.pools["dropped"].roster
+            site.write(["stays", "added"])
+            reload = asyncio.ensure_future(daemon.reload())
+            await asyncio.to_thread(files.arrived[str(site.list_of("added"))].wait)
+            put(site.list_of("stays"), 2)  # while the reload waits for its new list
+            scan(daemon)
+            await until(lambda: ports(daemon)["stays"] == [2])
+            files.let_go(site.list_of("added"))
+            assert await reload
+            assert ports(daemon) == {"stays": [2], "added": [1]}
+            assert set(daemon.lists.followed) == {
+                SourceKey(str(site.list_of(name))) for name in ("stays", "added")
+            }
+            files.let_go(site.list_of("dropped"))
+            put(site.list_of("added"), 2)
+            scan(daemon)
+            await until(lambda: ports(daemon) == {"stays": [2], "added": [2]})
+            assert [member.entry.address[1] for member in old.state.members.values()] == [1]
+
+    run(test)
+
+
+def test_a_refused_reload_leaves_no_list_behind(tmp_path: Path) -> None:
+    async def test() -> None:
+        site = Site(tmp_path)
+        for name in ("a", "b"):
+            put(site.list_of(name), 1)
+        site.write(["a"])
+        async with serving(site) as daemon:
+            taken = free_port()
+            server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", taken)
+            before, site.port = site.port, taken
+            site.write(["a", "b"])
+            assert not await daemon.reload() and "can't listen" in daemon.status()["reload"]["problem"]
+            assert list(daemon.lists.followed) == [SourceKey(str(site.list_of("a")))]
+            server.close()
+            site.port = before
+            site.write(["a", "b"])
+            assert await daemon.reload() and ports(daemon) == {"a": [1], "b": [1]}
+            assert daemon.status()["reload"] == {"on": "signal", "problem": ""}
+
+    run(test)
+
+
+def test_a_pool_that_is_added_has_its_list_at_once_though_another_pool_reads_it(tmp_path: Path) -> None:
+    async def test() -> None:
+        site = Site(tmp_path)
+        put(site.list_of("a"), 1)
+        site.write(["a"])
+        async with serving(site) as daemon:
+            text = setup_text(tmp_path, site.port, ["a", "b"])
+            site.path.write_text(text.replace(f"{tmp_path}/b.list", f"{tmp_path}/a.list"))
+            assert await daemon.reload()
+            assert ports(daemon) == {"a": [1], "b": [1]}  # in the same turn of the loop
+            assert len(daemon.lists.followed) == 1
+
+    run(test)
+
+
+def test_the_operators_file_is_followed_where_it_says_so(
+    tmp_path: Path, caplog: pytest.LogCaptureFixture
+) -> None:
+    async def test() -> None:
+        site = Site(tmp_path)
+        for name in ("a", "b", "c"):
+            put(site.list_of(name), 1)
+        watched = '[daemon]\nreload = "watch"\n'
+        site.write(["a"], watched)
+        async with serving(site) as daemon:
+            approved = []
+
+            async def approve(path: str) -> str:
+                approved.append(path)
+                return "it breaks its tests" if "pools.c" in Path(path).read_text() else ""
+
+            daemon.approve = approve
+            digest = daemon.status()["lists"]["digest"]
+            site.write(["a", "b"], watched)
+            scan(daemon)
+            await until(lambda: ports(daemon) == {"a": [1], "b": [1]})
+            assert approved == [str(site.path)] and daemon.status()["lists"]["digest"] != digest
+            for text, wrong in (("[pools", "not TOML"), (None, "breaks its tests")):
+                if text is None:
+                    site.write(["a", "c"], watched)
+                else:
+                    site.path.write_text(text)
+                await until(lambda: wrong in daemon.status()["reload"]["problem"])  # noqa: B023
+                assert set(ports(daemon)) == {"a", "b"}
+            site.write(["b"])  # and from now on by the signal only
+            await until(lambda: set(ports(daemon)) == {"b"})
+            assert daemon.setup_file is None and daemon.status()["reload"] == {"on": "signal", "problem": ""}
+            reloads = len(approved)
+            site.write(["a"])
+            scan(daemon)
+            await asyncio.sleep(0.5)
+            assert set(ports(daemon)) == {"b"} and len(approved) == reloads
+
+    with caplog.at_level(logging.ERROR):
+        run(test)
+    assert "the setup in force stays" in caplog.text
+
+
+def test_a_change_of_one_pool_touches_no_other(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    async def test() -> None:
+        site = Site(tmp_path)
+        names = [f"p{number}" for number in range(50)]
+        for name in names:
+            put(site.list_of(name), 1)
+        site.write(names, more="max_connections = 16\n")
+        async with serving(site) as daemon:
+            await until(lambda: len(daemon.lists.in_force.accepted) == 50)
+            touched: list[str] = []
+            take_part = RunningPool.take_part
+
+            def noted(pool: RunningPool, fleet: Fleet, place: Place, slow_start: bool) -> None:
+                touched.append(pool.config.name)
+                take_part(pool, fleet, place, slow_start)
+
+            monkeypatch.setattr(RunningPool, "take_part", noted)
+            put(site.list_of("p3"), 2)
+            scan(daemon)
+            await until(lambda: ports(daemon)["p3"] == [2])
+            assert touched == ["p3"] and not daemon.subsets and not daemon.troubled
+            site.list_of("p4").unlink()
+            scan(daemon)
+            await until(lambda: daemon.troubled == {"p4"})  # it alone is said again and again
+            put(site.list_of("p4"), 2)
+            scan(daemon)
+            await until(lambda: not daemon.troubled)
+
+    run(test)
+
+
+def test_servers_of_other_pools_are_known_by_id_and_address(tmp_path: Path) -> None:
+    async def test() -> None:
+        site = Site(tmp_path)
+        for name in ("a", "b"):
+            put(site.list_of(name), 1)
+        site.write(["a"])
+        async with serving(site) as daemon:
+            put(site.list_of("a"), 2)
+            scan(daemon)
+            await until(lambda: ports(daemon)["a"] == [2])
+            came_us = daemon.pools["a"].roster.state.members["s"].came_us
+            known: Mapping[tuple[str, tuple[str, int]], int] = ElsewhereKnown("b", lambda: daemon.pools)
+            assert dict(known) == {("s", ("127.0.0.1", 2)): came_us} and came_us > 0
+            assert known.get(("s", ("127.0.0.1", 1)), 7) == 7
+            assert not ElsewhereKnown("a", lambda: daemon.pools)
+
+    run(test)
+
+
+@contextmanager
+def slow_start() -> Iterator[Callable[[float], None]]:
+    """A clock that goes on while a daemon is built."""
+    ahead_us = 0
+
+    def jump(seconds: float) -> None:
+        nonlocal ahead_us
+        ahead_us += int(seconds * 1e6)
+
+    with another_clock(lambda: time.monotonic_ns() + ahead_us * 1000):
+        yield jump
+
+
+def test_a_start_that_takes_long_did_not_stand_still_but_reads_its_lists_again(tmp_path: Path) -> None:
+    async def test() -> None:
+        site, files = Site(tmp_path), BlockedFiles()
+        put(site.list_of("a"), 1)
+        site.write(["a"])
+        with slow_start() as jump:
+            lists = ListReader(files, notifications=False)
+            fresh = lists.first_read_blocking(lists_of(load(str(site.path))))
+            put(site.list_of("a"), 2)
+            jump(3.0)
+            daemon = Daemon(load(str(site.path)), lists=lists, fresh=fresh)
+            await until(lambda: ports(daemon) == {"a": [2]} and not daemon.host.held)
+            found = daemon.status()["recovery"]
+            assert (found["phase"], found["why"], found["gaps"]) == ("full", "it starts", 0)
+            await asyncio.sleep(0.01)
+            jump(5.0)
+            await until(lambda: daemon.status()["recovery"]["gaps"] == 1)
+            assert "stood still" in daemon.status()["recovery"]["why"]
+            await daemon.stop()
+
+    run(test, PulseLoop)
+
+
+# Descriptors
+
+
+def test_pools_that_write_no_max_connections_share_what_is_left() -> None:
+    none = PoolNeed(None, 0)
+    assert default_connections(1001, [none], None) == 256
+    assert default_connections(1001, [none] * 200, 20_000) == (20_000 - 64 - 1001) // 200 == 94
+    assert default_connections(1001, [none] * 10, 20_000) == 256
+    assert default_connections(1001, [none, PoolNeed(500, 100)], 1765) == 100
+    assert default_connections(1001, [none] * 200, 1000) == 1
+
+
+def test_a_pool_that_comes_changes_the_parts_of_others_and_not_what_they_have_learnt(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr("plovertrail.config.operator.descriptors_allowed", lambda: 1001 + 64 + 120)
+
+    async def test() -> None:
+        site = Site(tmp_path)
+        for name in "abc":
+            put(site.list_of(name), 1)
+        site.write(["a", "b"])
+        async with serving(site) as daemon:
+            learnt = daemon.pools["a"].pool.balancer
+            assert daemon.pools["a"].connections.most == 60
+            site.write(["a", "b", "c"])
+            assert await daemon.reload()
+            assert {pool.connections.most for pool in daemon.pools.values()} == {40}
+            assert daemon.pools["a"].pool.balancer is learnt
+
+    run(test)
+
+
+def test_too_few_descriptors_end_the_start_with_what_to_write(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    site = Site(tmp_path)
+    names = [f"p{number}" for number in range(20)]
+    for name in names:
+        put(site.list_of(name), 1)
+    site.write(names)
+    done = CliRunner().invoke(main, ["check", str(site.path)])
+    pools, part = even_part(load(str(site.path)))
+    assert pools == 20 and f"max_connections of 20 pools that write none: {part} each" in done.output
+    check_module = importlib.import_module("plovertrail.cli.check")
+    for module in (operator, bounds, check_module):
+        monkeypatch.setattr(module, "descriptors_allowed", lambda: 1001 + 64 + 140)
+    setup = load(str(site.path))
+    with pytest.raises(ConfigError) as caught:
+        check_descriptors(setup)
+    assert f"ulimit -n) to {1001 + 64 + 160} or more" in str(caught.value)
+    done = CliRunner().invoke(main, ["check", str(site.path)])
+    assert "7 each, of the 1205 descriptors" in done.output and "would not start here" in done.output
+    assert descriptors.LEAST_BY_DEFAULT == 8
+
+
+# Status
+
+
+def test_status_and_explain_tell_what_was_read_of_each_file(tmp_path: Path) -> None:
+    async def test() -> None:
+        site, files = Site(tmp_path), BlockedFiles()
+        for name in ("a", "b"):
+            put(site.list_of(name), 1)
+        control = tmp_path / "control"
+        site.write(["a", "b"], f'[daemon]\ncontrol_socket = "{control}"\n')
+
+        async def call(*words: str) -> tuple[int, str]:
+            done = await asyncio.to_thread(CliRunner().invoke, main, [*words, "--socket", str(control)])
+            return done.exit_code, done.output
+
+        async with serving(site, files) as daemon:
+            await daemon.control.start()
+            await until(lambda: len(daemon.lists.in_force.accepted) == 2)
+            code, text = await call("status", "--json")
+            lists = json.loads(text)["lists"]
+            assert code == 0 and lists["generation"] == 3 and len(lists["digest"]) == 64
+            source = next(each for each in lists["sources"] if each["path"] == str(site.list_of("a")))
+            assert (source["state"], source["servers"], source["subscribers"]) == ("good", 1, ["a"])
+            code, text = await call("status")
+            assert code == 0 and f"lists: generation 3, 2 files, digest {lists['digest'][:16]}" in text
+            code, text = await call("explain", "list", str(site.list_of("a")))
+            assert code == 0 and "good" in text and "followed by a" in text and source["digest"] in text
+            files.block(site.list_of("a"))
+            put(site.list_of("a"), 2)
+            site.list_of("b").write_bytes(b"torn")
+            scan(daemon)
+            await until(lambda: bool(daemon.status()["lists"]["hung"]) and len(daemon.troubled) == 2)
+            code, text = await call("explain", "list", str(site.list_of("a")))
+            assert code == 3 and "hangs for" in text and "what was read last stays" in text
+            code, text = await call("explain", "list", str(site.list_of("b")))
+            assert code == 3 and "doesn't end with its checksum" in text
+            code, text = await call("status")
+            assert code == 3 and "hangs for" in text
+            code, text = await call("explain", "list", "/none")
+            assert code == 1 and "no list is read" in text
+
+    run(test)
+
+
+def test_threads_of_hung_reads_don_t_keep_the_process_from_its_end(tmp_path: Path) -> None:
+    async def test() -> None:
+        site, files = Site(tmp_path), BlockedFiles()
+        put(site.list_of("a"), 1)
+        site.write(["a"])
+        files.block(site.list_of("a"))
+        async with serving(site, files):
+            readers = [each for each in threading.enumerate() if each.name.startswith("list-reader")]
+            assert readers and all(each.daemon for each in readers)
+
+    run(test)
