--- a/tests/sources/test_list_reader.py
+++ b/tests/sources/test_list_reader.py
@@ -16,10 +16,10 @@
 from plovertrail.decisions.list_versions import ReadState, SourceKey
 from plovertrail.decisions.membership import Candidate
 from plovertrail.sources.file_notifications import FolderNotifications
-from plovertrail.sources.file_reading import LocalFileSystem, Signature
+from plovertrail.sources.file_reading import FileSource, LocalFileSystem, Signature
 from plovertrail.sources.list_reader import ListReader, Subscription
 from plovertrail.sources.lists import sealed
-from plovertrail.sources.read_workers import MOST_STUCK
+from plovertrail.sources.read_workers import MOST_STUCK, Reading, ReadJob, ReadWorkers
 from tests.net import PATIENCE_S, until
 
 LONG_AGO = 1_600_000_000  # as Unix time: times that are trusted
@@ -54,6 +54,12 @@
         for path in paths:
             self.gates.pop(str(path)).set()
 
+    def let_one_go(self, path: Path) -> None:
+        """The read that hangs; the next one hangs again."""
+        gate = self.gates[str(path)]
+        self.block(path)
+        gate.set()
+
     def read(self, path: str) -> tuple[bytes, Signature]:
         """Hazard for a reader: the bytes are those of before the wait."""
         with self.lock:
@@ -511,6 +517,12 @@
             put(path, 3)
             look = asyncio.ensure_future(subscription.look())
             await asyncio.sleep(0)
+            assert reader.scan_timer is not None
+            reader.scan_timer.cancel()  # the look alone brings the second read about
+            files.let_one_go(path)
+            await told([follower], 2)
+            await asyncio.to_thread(files.arrived[str(path)].wait, PATIENCE_S)
+            assert not look.done()
             files.let_go(path)
             assert await look and follower.ports[-1] == 3
 
@@ -530,10 +542,16 @@
             await told([first, second], 1)
             files.block(gone)
             put(gone, 2)
+            os.utime(gone)
             scan(reader)
             await asyncio.to_thread(files.arrived[str(gone)].wait)
             subscription.stop()
             files.let_go(gone)
+            await until(lambda: not subscription.followed.job.in_flight)
+            # a reading that was on its way to the loop
+            late = Reading(None, "torn", True, True, True, False, False, "", 0.0)
+            reader._ended(subscription.followed, late, 1)
+            assert not reader.quick  # though its times are young
             put(stays, 2)
             scan(reader)
             await told([second], 2)
@@ -543,6 +561,50 @@
     run(test)
 
 
+def test_who_follows_a_file_after_its_first_read_is_told_what_changed_since(tmp_path: Path) -> None:
+    async def test() -> None:
+        path, follower = tmp_path / "x.list", Follower()
+        put(path, 1)
+        key = SourceKey(str(path))
+        async with reading() as reader:
+            found = (await reader.first_read([key]))[key]
+            assert isinstance(found, Candidate) and found.entries[0].address[1] == 1
+            put(path, 2)
+            await reader.look(reader.followed[key])
+            follower.follow(reader, path)
+            await told([follower], 2)
+
+    run(test)
+
+
+def test_what_was_not_tried_is_read_once_a_thread_comes_back(tmp_path: Path) -> None:
+    files, ended = BlockedFiles(), threading.Semaphore(0)
+    paths = [tmp_path / f"{number:02}.list" for number in range(MOST_STUCK + 1)]
+    for path in paths:
+        put(path, 1)
+    files.block(*paths[:MOST_STUCK])
+    read: list[str] = []
+
+    def note(job: ReadJob, found: Reading, begun: int, wanted: bool) -> None:
+        read.append(job.source.path)
+        ended.release()
+
+    workers = ReadWorkers(note, time.monotonic)
+    jobs = [ReadJob(FileSource(str(path), files=files)) for path in paths]
+    workers.submit_all(jobs)
+    for path in paths[:MOST_STUCK]:
+        assert files.arrived[str(path)].wait(PATIENCE_S)
+        busy = workers.busy()
+        assert busy is not None
+        workers.hand_over(*busy)
+    assert workers.untried() == jobs[MOST_STUCK:] and not read
+    files.let_go(paths[3])
+    assert ended.acquire(timeout=PATIENCE_S) and ended.acquire(timeout=PATIENCE_S)
+    assert read == [str(paths[3]), str(paths[MOST_STUCK])]
+    files.let_go(*paths[:3], *paths[4:MOST_STUCK])
+    workers.close()
+
+
 def test_the_generation_and_digest_tell_whether_a_change_is_in_force(tmp_path: Path) -> None:
     async def test() -> None:
         paths = [tmp_path / name for name in ("a.list", "b.list")]
