--- a/plovertrail/decisions/list_versions.py
+++ b/plovertrail/decisions/list_versions.py
@@ -8,7 +8,6 @@
 
 import enum
 import hashlib
-from collections.abc import Iterable
 from dataclasses import dataclass, field
 from typing import Any
 
@@ -64,7 +63,6 @@
     servers: int = 0
     refusal: str = ""  # what is wrong with its content; empty: nothing
     hung_since_us: int | None = None
-    look_due_us: int | None = None  # of a quick look; None: the next scan is soon enough
 
     @property
     def complaint(self) -> str:
@@ -172,11 +170,6 @@
         return hashlib.sha256(f"{self.setup}\n{''.join(lines)}".encode()).hexdigest()
 
 
-def next_look_us(versions: Iterable[SourceVersion]) -> int | None:
-    """When the first quick look is due; None: there is none."""
-    return min((each.look_due_us for each in versions if each.look_due_us is not None), default=None)
-
-
 def version_status(version: SourceVersion, subscribers: list[str], now_us: int) -> dict[str, Any]:
     """One source as operators are told of it; times in seconds ago."""
 
--- a/plovertrail/sources/list_reader.py
+++ b/plovertrail/sources/list_reader.py
@@ -25,7 +25,6 @@
     ScanSchedule,
     SourceKey,
     SourceVersion,
-    next_look_us,
     version_status,
 )
 from plovertrail.decisions.membership import Candidate
@@ -40,6 +39,8 @@
 FIRST_READ_S = 3.0  # a start waits no longer for its lists
 FIRST_WAIT_S = 0.02  # between two looks at the worker meanwhile
 FIRST_SIGHTINGS = 5  # a start goes on with other sources after 0.1 s
+READINGS_A_TURN = 32  # that are taken over at once
+FirstReading = tuple[ReadJob, Reading, int]  # with the number of the call that its look came after
 FirstRead = Candidate | str  # a list, or what is wrong with it
 Taken = Callable[[Candidate], Awaitable[str]]  # returns why the list is not in force; empty: it is
 Refused = Callable[[str, str], Awaitable[None]]  # called with the source's name and what is wrong
@@ -54,6 +55,8 @@
     version: SourceVersion
     candidate: Candidate | None = None  # the last good content
     settled: bool = False  # the last look found it whole, or wrong for good
+    young: bool = False  # it may change again under the same times; set by the worker
+    quick: bool = False  # it has quick looks
     folder: bool = False
     linked: bool = False
     subscriptions: list[Subscription] = field(default_factory=list)
@@ -142,8 +145,11 @@
         self.schedule = ScanSchedule()
         self.scan_began_us = 0
         self.scan_cost_s = 0.0  # of looks that found nothing, since the last scan began; by the worker
-        self.looked_us = 0  # when the last look ended; by the worker
-        self.first: queue.SimpleQueue[tuple[ReadJob, Reading]] | None = None
+        self.scan_left: set[ReadJob] = set()  # what the scan under way has not looked at; by the worker
+        self.scan_ended_us = 0
+        self.first: queue.SimpleQueue[FirstReading] | None = None
+        self.ended: deque[tuple[Followed, Reading, int]] = deque()  # looks that the loop has not taken yet
+        self.taking: asyncio.Handle | None = None  # the turn that takes more of them
         self.quick: dict[SourceKey, Followed] = {}
         self.deliveries: deque[Subscription] = deque()
         self.delivering: asyncio.Task[None] | None = None
@@ -234,28 +240,27 @@
 
     def _collect(
         self,
-        readings: queue.SimpleQueue[tuple[ReadJob, Reading]],
+        readings: queue.SimpleQueue[FirstReading],
         waiting: dict[ReadJob, SourceKey],
         found: dict[SourceKey, FirstRead],
         ends_s: float,
     ) -> list[ReadJob]:
         """One look at each; returns those that have not settled."""
-        left, unsettled = set(waiting), []
+        unsettled: list[ReadJob] = []
         sighted, sightings = None, 0
-        for job in waiting:
-            self.workers.submit(job, wanted=True)
+        left = {job: self.workers.submit(job, wanted=True) for job in waiting}
         while left and time.monotonic() < ends_s:
             try:
-                job, reading = readings.get(timeout=FIRST_WAIT_S)
+                job, reading, begun = readings.get(timeout=FIRST_WAIT_S)
             except queue.Empty:
                 busy = self.workers.busy()
                 sighted, sightings = busy, sightings + 1 if busy == sighted else 1
                 if busy is not None and sightings >= FIRST_SIGHTINGS:
                     self.workers.hand_over(*busy)
                 continue
-            if job not in left:
-                continue
-            left.remove(job)
+            if job not in left or begun < left[job]:
+                continue  # hazard: a quick look that came before would tell what had not settled then
+            del left[job]
             if reading.candidate is None and not reading.refusal:
                 unsettled.append(job)
                 found[waiting[job]] = "it has not settled yet"
@@ -283,11 +288,13 @@
             return
         now_us, was_slow = self._now_us(), self.schedule.too_slow
         if self.scan_began_us:
-            ended_us = now_us if self.workers.busy() else max(self.looked_us, self.scan_began_us)
+            ended_us = now_us if self.scan_left else self.scan_ended_us
             self.schedule.scanned(int(self.scan_cost_s * 1e6), ended_us - self.scan_began_us)
         if self.schedule.too_slow and not was_slow:
             log.error("%s", self.too_slow())
-        self.scan_began_us, self.scan_cost_s = now_us, 0.0
+        self.scan_began_us, self.scan_ended_us, self.scan_cost_s = now_us, now_us, 0.0
+        # hazard: one that hangs would make all scans look slow
+        self.scan_left = {each.job for each in self.followed.values() if not each.version.hung}
         self._submit(self.followed.values())
         self.scan_timer = self.loop.call_later(self.schedule.period_us / 1e6, self._scan)
 
@@ -303,35 +310,61 @@
     def _quick_looks(self) -> None:
         """Look again at what was changed a moment ago, or has not settled."""
         self.quick_timer = None
-        now_us = self._now_us()
-        due = [each for each in self.quick.values() if (each.version.look_due_us or 0) <= now_us]
-        for each in due:
-            del self.quick[each.version.key]
-            each.version.look_due_us = None
-        self._submit(due)
+        for key, each in list(self.quick.items()):
+            if each.settled and not each.young:
+                del self.quick[key]
+                each.quick = False
+        self._submit(self.quick.values())
         self._arm_quick()
 
     def _arm_quick(self) -> None:
-        at_us = next_look_us(each.version for each in self.quick.values())
-        if at_us is not None and self.quick_timer is None and not self.closed:
-            self.quick_timer = self.loop.call_at(at_us / 1e6, self._quick_looks)
+        if self.quick and self.quick_timer is None and not self.closed:
+            self.quick_timer = self.loop.call_later(QUICK_LOOK_US / 1e6, self._quick_looks)
 
     def _read_on_thread(self, job: ReadJob, reading: Reading, begun: int, wanted: bool) -> None:
         """A look has ended. Hazard: told of each that found nothing, the loop would wake for each source."""
-        self.looked_us = self._now_us()
+        now_us = self._now_us()
         if not reading.opened:
             self.scan_cost_s += reading.cost_s
+        if job in self.scan_left:
+            self.scan_left.discard(job)
+            self.scan_ended_us = now_us
         first = self.first
         if first is not None:
-            first.put((job, reading))
+            first.put((job, reading, begun))
         followed = self.followed.get(job.source.key)
         if followed is None:
             return
-        quiet = reading.candidate is not None and not (reading.new or reading.young or wanted)
-        if quiet and followed.version.state is ReadState.GOOD:
-            followed.version.read_us = self.looked_us
-            return
-        self._on_loop(self._ended, followed, reading, begun)
+        followed.young = reading.young
+        if wanted or not self._nothing_new(followed, reading):
+            self.ended.append((followed, reading, begun))
+            self._on_loop(self._take_ended)
+        else:
+            followed.version.read_us = now_us
+
+    @staticmethod
+    def _nothing_new(followed: Followed, reading: Reading) -> bool:
+        """Whether a look found what the one before it had found."""
+        state = followed.version.state
+        if reading.young and not followed.quick:
+            return False
+        if reading.candidate is not None:
+            return state is ReadState.GOOD and followed.settled and not reading.new
+        if reading.refusal:
+            return state is ReadState.REFUSED and followed.version.refusal == reading.refusal
+        return not followed.settled and state is not ReadState.UNREAD
+
+    def _take_ended(self) -> None:
+        """Hazard: readings of 200 files that changed in one moment would all be taken in one turn."""
+        if self.taking is None:
+            for _ in range(min(READINGS_A_TURN, len(self.ended))):
+                self._ended(*self.ended.popleft())
+            if self.ended and not self.closed:
+                self.taking = self.loop.call_soon(self._take_rest)
+
+    def _take_rest(self) -> None:
+        self.taking = None
+        self._take_ended()
 
     def _ended(self, followed: Followed, reading: Reading, begun: int) -> None:
         """On the loop: what a look found."""
@@ -354,8 +387,8 @@
         else:
             version.unsettled(now_us)
         if reading.young or not followed.settled or hung:
-            version.look_due_us = now_us + QUICK_LOOK_US
             self.quick[version.key] = followed
+            followed.quick = True
             self._arm_quick()
         if told:
             for subscription in followed.subscriptions:
@@ -401,6 +434,7 @@
             for subscription in followed.subscriptions:
                 self.queue_delivery(subscription)
         followed.settled = True
+        self.scan_left.discard(job)
         self._wake(followed, job.asked)
 
     # Notifications
--- a/tests/sources/test_list_reader.py
+++ b/tests/sources/test_list_reader.py
@@ -387,6 +387,9 @@
             scan(reader)
             await told([free], 2)
             assert files.reads[str(hangs)] == 2  # it is not read beside the read that hangs
+            await until(lambda: not reader.scan_left)  # and makes no scan look slow
+            scan(reader)
+            assert not reader.schedule.too_slow
             files.let_go(hangs)
             await told([stuck], 2)
             assert reader.status()["hung"] == [] and files.most_at_once == 1
