--- a/benchmarks/capacity/hollow_roles.py
+++ b/benchmarks/capacity/hollow_roles.py
@@ -6,8 +6,10 @@
 from benchmarks.capacity.evidence_role import EvidenceRole
 from benchmarks.capacity.leases_role import LeasesRole
 from benchmarks.capacity.list_calls_role import ListCallsRole
+from benchmarks.capacity.lost_watches import LostWatches
 from benchmarks.capacity.membership_role import MembershipRole
 from benchmarks.capacity.reducer_role import ReducerRole
+from benchmarks.capacity.retry_chain import RetryChain
 from benchmarks.capacity.roles import Role
 
 
@@ -19,5 +21,7 @@
         CountsRole(jobs),
         ReducerRole(jobs),
         ListCallsRole(jobs),
+        LostWatches(),
+        RetryChain(jobs),
         LeasesRole(jobs),
     )
--- a/benchmarks/capacity/list_calls.py
+++ b/benchmarks/capacity/lost_watches.py
@@ -1,4 +1,4 @@
-"""Calls at discovery when all watches end at one moment: `python -m benchmarks.capacity.list_calls`.
+"""Calls at discovery when all watches end at one moment: `python -m benchmarks.capacity.lost_watches`.
 
 A real Balancer for each sidecar, on a virtual clock: each is told that its subscription has broken, or that
 it fell silent, and asked when it calls. Counted: the calls of the worst second, of all sidecars together. The
@@ -75,10 +75,10 @@
     return max(Counter(called_after_us(case, sidecars, seed) // SECOND_US for seed in seeds).values())
 
 
-class ListCalls:
+class LostWatches:
     """Calls of all sidecars at discovery."""
 
-    name = "discovery"
+    name = "lost watches"
 
     def measure(self, short: bool, repeats: int) -> RoleResult:
         """The worst second against the number of sidecars."""
@@ -116,11 +116,11 @@
 
 def main() -> int:
     """Print the table; the exit status."""
-    parser = argparse.ArgumentParser(prog="python -m benchmarks.capacity.list_calls")
+    parser = argparse.ArgumentParser(prog="python -m benchmarks.capacity.lost_watches")
     parser.add_argument("--short", action="store_true", help="small sizes only")
     parser.add_argument("--repeats", type=int, default=3)
     arguments = parser.parse_args()
-    result = ListCalls().measure(arguments.short, arguments.repeats)
+    result = LostWatches().measure(arguments.short, arguments.repeats)
     sizes = [int(sample.size) for sample in result.slopes[0].samples]
     print("calls at discovery in the worst second after all watches ended, median and spread\n")
     rows = [
@@ -129,7 +129,7 @@
     ]
     table(["", *map(str, sizes)], rows)
     figures: dict[str, object] = {figure.name: round(figure.value, 1) for figure in result.figures}
-    return close("capacity.list_calls", figures, result.bars)
+    return close("capacity.lost_watches", figures, result.bars)
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity/retry_chain.py
+++ b/benchmarks/capacity/retry_chain.py
@@ -167,7 +167,7 @@
 class RetryChain:
     """Retries and deadlines over a chain of services."""
 
-    name = "retries over a chain"
+    name = "retries"
 
     def __init__(self, processes: int = 1) -> None:
         self.processes = processes
--- a/benchmarks/capacity/retry_model.py
+++ b/benchmarks/capacity/retry_model.py
@@ -101,6 +101,7 @@
             self.tell(api.RequestGone(ident))
 
     def tell(self, event: api.Event) -> None:
+        """Hand an event to the Balancer, and carry out the actions that it returns."""
         clock = self.model.clock
         for action in self.balancer.handle(clock.now_us, event):
             if isinstance(action, api.Send):
@@ -113,11 +114,13 @@
                 clock.at(action.at_us, self.tell, api.TimerFired(action.token))
 
     def answer(self, ident: int, outcome: api.Outcome) -> None:
+        """End a call, unless it has ended: the caller hears how."""
         call = self.calls.pop(ident, None)
         if call is not None:
             call.reply(outcome)
 
     def send(self, action: api.Send) -> None:
+        """Make an attempt at the server that was chosen."""
         call = self.calls.get(action.request)
         if call is None:
             return
@@ -176,6 +179,7 @@
         self.clock.run(int(at_us) + 2 * plan.deadline_us)
 
     def arrive(self, root: int) -> None:
+        """A call comes to one of the sidecars at the top."""
         sidecar = self.rng.choice(self.top)
         if self.clock.now_us >= self.fails_from_us:
             self.failing.add(root)
--- a/tests/benchmarks/test_list_calls.py
+++ b/tests/benchmarks/test_lost_watches.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from benchmarks.capacity.list_calls import (
+from benchmarks.capacity.lost_watches import (
     CASES,
     SECOND_US,
     Case,
-    ListCalls,
+    LostWatches,
     called_after_us,
     settings,
     worst_second,
@@ -29,6 +29,6 @@
 
 
 def test_the_short_form_has_a_slope_for_each_case() -> None:
-    result = ListCalls().measure(short=True, repeats=1)
+    result = LostWatches().measure(short=True, repeats=1)
     assert [slope.note for slope in result.slopes] == [case.name for case in CASES]
     assert all(slope.fit.slope > 0 for slope in result.slopes[:2])
--- a/tests/benchmarks/test_short_forms.py
+++ b/tests/benchmarks/test_short_forms.py
@@ -43,7 +43,11 @@
         ),
         ("shared_counts", ("--virtual", "--seconds", "8"), "let_through"),
         ("store_cost", ("--servers", "200", "--seconds", "1"), "worst_turn_ms"),
-        ("capacity.list_calls", ("--short", "--repeats", "1"), "silent, no rate stated: worst second at 160"),
+        (
+            "capacity.lost_watches",
+            ("--short", "--repeats", "1"),
+            "silent, no rate stated: worst second at 160",
+        ),
         ("capacity.retry_chain", ("--short", "--repeats", "1"), "safe, reset, told on as 5xx; 100 a second"),
         ("fellows", ("--short", "--seeds", "1", "--seconds", "5"), "load"),
         (
