--- a/plovertrail/daemon.py
+++ b/plovertrail/daemon.py
@@ -115,7 +115,7 @@
                 yield from ((name, each.entry.address) for name, each in pool.roster.state.members.items())
 
     def __len__(self) -> int:
-        return sum(1 for _ in self)
+        return sum(len(pool.roster.state.members) for name, pool in self.pools().items() if name != self.name)
 
 
 class Daemon:
--- a/plovertrail/decisions/membership.py
+++ b/plovertrail/decisions/membership.py
@@ -212,7 +212,8 @@
         state = replace(
             state, layers=tuple(layers[name] for name in names if name in layers), refused=refused
         )
-    return _settle(state, now_us, guards, elsewhere or {})
+    # hazard: whether a mapping is empty may take a look at all pools
+    return _settle(state, now_us, guards, {} if elsewhere is None else elsewhere)
 
 
 def drained_by_hand(state: State, ident: str, drain: bool, now_us: int, guards: Guards) -> Step:
--- a/plovertrail/sources/read_workers.py
+++ b/plovertrail/sources/read_workers.py
@@ -105,19 +105,23 @@
         """Look at a source soon. Returns the number of the call: a look whose `begun` is as high began after
         it. One that is in flight is followed by another one."""
         with self.lock:
-            return self._submit(job, wanted)
+            asked = self._submit(job, wanted)
+            self._wake()
+            return asked
 
     def submit_all(self, jobs: Iterable[ReadJob]) -> None:
         """Look at all of these soon, in this order."""
         with self.lock:
             for job in jobs:
                 self._submit(job, False)
+            self._wake()
 
     def _submit(self, job: ReadJob, wanted: bool) -> int:
         job.asked += 1
         job.wanted |= wanted
         if not job.queued and not job.in_flight:
-            self._queue(job)
+            job.queued = True
+            self.pending.append(job)
         return job.asked
 
     def drop(self, job: ReadJob) -> None:
@@ -160,10 +164,9 @@
             self.pending.clear()
             self.lock.notify_all()
 
-    def _queue(self, job: ReadJob) -> None:
-        job.queued = True
-        self.pending.append(job)
-        if self.worker is None:
+    def _wake(self) -> None:
+        """There may be something pending."""
+        if self.pending and self.worker is None:
             self._start_worker()
         self.lock.notify_all()
 
@@ -203,6 +206,6 @@
             job.in_flight = False
             self.stuck.discard(worker)
             if job.asked > job.begun and not job.dropped and not self.closed:
-                self._queue(job)
-            elif self.pending and self.worker is None:
-                self._start_worker()
+                job.queued = True
+                self.pending.append(job)
+            self._wake()
