--- a/plovertrail/decisions/recovery.py
+++ b/plovertrail/decisions/recovery.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 
 BEAT_US = 250_000  # a loop that has nothing to do turns so often, so that a gap shows
-# a drain is told through files that are looked at every 250 ms, and holds 2 s after word at the latest
+# a drain is told through files that are looked at every second, and holds 2 s after word at the latest
 STOOD_STILL_US = 500_000  # a gap that is longer: what was known before it may be overtaken
 LONGEST_CATCH_UP_US = 1_000_000  # then sources that give nothing count as missing, and the rest serves
 
