--- a/plovertrail/sources/list_reader.py
+++ b/plovertrail/sources/list_reader.py
@@ -227,8 +227,11 @@
 
     def _first_read(self, followed: list[Followed]) -> dict[SourceKey, FirstRead]:
         """Read all, and once more those that have not settled: one settling time for all of them."""
-        waiting = {each.job: each.version.key for each in followed}
-        found: dict[SourceKey, FirstRead] = dict.fromkeys(waiting.values(), "it was not read in time")
+        # hazard: a reload would wait in vain for what hangs already
+        waiting = {each.job: each.version.key for each in followed if not each.version.hung}
+        found: dict[SourceKey, FirstRead] = {
+            each.version.key: each.version.complaint or "it was not read in time" for each in followed
+        }
         self.first = queue.SimpleQueue()
         ends_s = time.monotonic() + FIRST_READ_S
         unsettled = self._collect(self.first, waiting, found, ends_s)
@@ -236,6 +239,9 @@
             time.sleep(max(0.0, min(SETTLE_S + 0.05, ends_s - time.monotonic())))
             self._collect(self.first, {job: waiting[job] for job in unsettled}, found, ends_s)
         self.first = None
+        for each in followed:
+            if isinstance(found[each.version.key], str) and each.candidate is not None:
+                found[each.version.key] = each.candidate  # the last good one; what is wrong is told later
         return found
 
     def _collect(
--- a/tests/test_many_lists.py
+++ b/tests/test_many_lists.py
@@ -219,6 +219,27 @@
     run(test)
 
 
+def test_a_pool_that_is_added_has_the_last_good_list_of_a_file_that_hangs(tmp_path: Path) -> None:
+    async def test() -> None:
+        site, files = Site(tmp_path), BlockedFiles()
+        put(site.list_of("a"), 1)
+        site.write(["a"])
+        async with serving(site, files) as daemon:
+            files.block(site.list_of("a"))
+            put(site.list_of("a"), 2)
+            scan(daemon)
+            await until(lambda: bool(daemon.status()["lists"]["hung"]))
+            text = setup_text(tmp_path, site.port, ["a", "b"])
+            site.path.write_text(text.replace(f"{tmp_path}/b.list", f"{tmp_path}/a.list"))
+            assert await daemon.reload()
+            assert ports(daemon) == {"a": [1], "b": [1]}
+            await until(lambda: daemon.troubled == {"a", "b"})  # both say that it hangs
+            files.let_go(site.list_of("a"))
+            await until(lambda: ports(daemon) == {"a": [2], "b": [2]} and not daemon.troubled)
+
+    run(test)
+
+
 def test_the_operators_file_is_followed_where_it_says_so(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
