--- a/plovertrail/daemon.py
+++ b/plovertrail/daemon.py
@@ -24,8 +24,8 @@
 from plovertrail.decisions import share
 from plovertrail.decisions.background import Priority, Work
 from plovertrail.decisions.limits import Limiter
-from plovertrail.decisions.list_versions import SourceKey, SourceKind
-from plovertrail.decisions.membership import Address, Candidate, State
+from plovertrail.decisions.list_versions import SourceKey
+from plovertrail.decisions.membership import State
 from plovertrail.fleet_keeper import FleetKeeper
 from plovertrail.fronts.ordinary import OrdinaryFront
 from plovertrail.fronts.sockets import SocketKeeper
@@ -37,8 +37,10 @@
 from plovertrail.peers.keeper import PeerKeeper
 from plovertrail.recovery_keeper import RecoveryKeeper
 from plovertrail.roster import Roster
-from plovertrail.running_pool import Connect, RunningPool, connect
-from plovertrail.sources.list_reader import FirstRead, ListReader, Subscription
+from plovertrail.running_pool import Connect, ElsewhereKnown, RunningPool, connect
+from plovertrail.setup_file import SetupFile
+from plovertrail.sources.first_read import FirstRead
+from plovertrail.sources.list_reader import ListReader
 from plovertrail.status import limiter_status, pool_status
 from plovertrail.store.keeper import StoreKeeper
 from plovertrail.store.memory import MemoryKeeper
@@ -93,31 +95,6 @@
     return found
 
 
-class ElsewhereKnown(Mapping[tuple[str, Address], int]):
-    """Since when the servers of other pools are known. Looked up one by one: as a table it would have to be
-    made of all pools for each change of one."""
-
-    def __init__(self, name: str, pools: Callable[[], Mapping[str, RunningPool]]) -> None:
-        self.name = name
-        self.pools = pools
-
-    def __getitem__(self, server: tuple[str, Address]) -> int:
-        ident, address = server
-        for other, pool in reversed(list(self.pools().items())):
-            member = pool.roster.state.members.get(ident) if other != self.name else None
-            if member is not None and member.entry.address == address:
-                return member.came_us
-        raise KeyError(server)
-
-    def __iter__(self) -> Iterator[tuple[str, Address]]:
-        for other, pool in list(self.pools().items()):
-            if other != self.name:
-                yield from ((name, each.entry.address) for name, each in pool.roster.state.members.items())
-
-    def __len__(self) -> int:
-        return sum(len(pool.roster.state.members) for name, pool in self.pools().items() if name != self.name)
-
-
 class Daemon:
     """One process's listeners and pools under the setup in force."""
 
@@ -154,8 +131,7 @@
         self.limiters: dict[str, Limiter] = {}
         self.reloading = asyncio.Lock()
         self.reload_problem = ""  # why the last reload was refused; empty: it was not
-        self.setup_file: Subscription | None = None  # None: it is read on SIGHUP only
-        self.reloads: set[asyncio.Task[None]] = set()  # that a changed file has brought about
+        self.setup_file = SetupFile(self.lists, self._reload_changed)
         self.recovery = RecoveryKeeper(self.host, self._rosters, self._reloaded, self._stood_still)
         self.current = Current(Generation(0, setup, {}, {}, {}))
         compiled = self.hooks.prepare(setup)
@@ -234,8 +210,7 @@
         )
         self.instances.follow(setup.fleet, fresh)
         self._fleet_changed()
-        self.lists.in_force.use_setup(setup.digest)
-        self._watch_setup(setup)
+        self.setup_file.follow(setup)
         self.recovery.follow()
         self.memory.follow(self.background)
         self.hearsay.follow(self.background)
@@ -244,35 +219,6 @@
         self.background.add(SUBSETS, self._narrow, SUBSETS.every_us)
         self.background.add(REPORTS, self._speak, REPORTS.every_us)
 
-    def _watch_setup(self, setup: operator.Setup) -> None:
-        """Follow the operator's own file, where it says so."""
-        key = SourceKey(setup.path, False, SourceKind.PLAIN) if setup.watched else None
-        if self.setup_file is not None and self.setup_file.key != key:
-            self.setup_file.stop()
-            self.setup_file = None
-        if key is not None and self.setup_file is None:
-            self.setup_file = self.lists.subscribe(
-                key, "operator's file", self._setup_changed, self._setup_unreadable
-            )
-
-    async def _setup_changed(self, candidate: Candidate) -> str:
-        """The file is another one and has settled. Hazard: a reload may take minutes with its tests, and no
-        list may wait for it."""
-        if self.setup_file is not None and self.setup_file.digest != self.generation.setup.digest:
-            task = self.loop.create_task(self._reload_changed(self.setup_file.digest))
-            self.reloads.add(task)
-            task.add_done_callback(self.reloads.discard)
-        return "a reload brings it into force"
-
-    async def _setup_unreadable(self, source: str, why: str) -> None:
-        log.error("the setup in force stays: %s: %s", source, why)
-        self.reload_problem = f"{source}: {why}"
-
-    async def _reload_changed(self, digest: str) -> None:
-        async with self.reloading:
-            if self.generation.setup.digest != digest:
-                await self._reload()
-
     def _narrow(self) -> Iterator[None]:
         for pool in self.subsets:
             self.host.narrow(pool.pool)
@@ -427,6 +373,12 @@
         async with self.reloading:
             return await self._reload()
 
+    async def _reload_changed(self, digest: str) -> None:
+        """The operator's file has changed to what has this digest."""
+        async with self.reloading:
+            if self.generation.setup.digest != digest:
+                await self._reload()
+
     async def _reload(self) -> bool:
         self.lines.reopen()
         path = self.generation.setup.path
@@ -484,7 +436,7 @@
             "file": self.generation.setup.path,
             "reload": {
                 "on": "change" if self.generation.setup.watched else "signal",
-                "problem": self.reload_problem,
+                "problem": self.setup_file.unreadable or self.reload_problem,
             },
             "pools": {name: pool_status(running) for name, running in self.pools.items()},
             "connections": self.count(),
@@ -513,8 +465,7 @@
             pool.roster.stop()
         self.instances.stop()
         self.peers.stop()
-        for task in self.reloads:
-            task.cancel()
+        self.setup_file.stop()
         self.lists.stop()
         longest_us = max(kind.deadline_us for kind in self.generation.setup.classes)
         for front in fronts:
--- a/plovertrail/fleet_keeper.py
+++ b/plovertrail/fleet_keeper.py
@@ -12,8 +12,9 @@
 from plovertrail.decisions.membership import Candidate, Entry
 from plovertrail.decisions.share import Fleet
 from plovertrail.decisions.turns import Place, place
+from plovertrail.sources.first_read import FirstRead
 from plovertrail.sources.instances import InstanceList
-from plovertrail.sources.list_reader import FirstRead, ListReader
+from plovertrail.sources.list_reader import ListReader
 
 log = logging.getLogger(__name__)
 
--- a/plovertrail/recovery_keeper.py
+++ b/plovertrail/recovery_keeper.py
@@ -12,7 +12,7 @@
 from plovertrail.host import Host
 from plovertrail.pulse import PulseLoop
 from plovertrail.roster import Roster
-from plovertrail.sources.list_reader import Subscription
+from plovertrail.sources.subscriptions import Subscription
 
 log = logging.getLogger(__name__)
 
--- a/plovertrail/roster.py
+++ b/plovertrail/roster.py
@@ -16,7 +16,9 @@
 from plovertrail.decisions.list_versions import SourceKey
 from plovertrail.decisions.membership import Address, Candidate, Guards, Kind, Member, State, Step
 from plovertrail.host import Host, ServerPool
-from plovertrail.sources.list_reader import FirstRead, ListReader, Subscription
+from plovertrail.sources.first_read import FirstRead
+from plovertrail.sources.list_reader import ListReader
+from plovertrail.sources.subscriptions import Subscription
 
 log = logging.getLogger(__name__)
 
--- a/plovertrail/running_pool.py
+++ b/plovertrail/running_pool.py
@@ -3,12 +3,13 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Callable
+from collections.abc import Callable, Iterator, Mapping
 
 from plovertrail.clock import clock_us
 from plovertrail.config import operator
 from plovertrail.decisions import share
 from plovertrail.decisions.admission import Admission
+from plovertrail.decisions.membership import Address
 from plovertrail.decisions.turns import Place
 from plovertrail.host import Host
 from plovertrail.roster import Roster
@@ -114,3 +115,28 @@
     def retire(self, host: Host) -> None:
         """Take the pool out of service: what is out finishes, and requests that wait are refused."""
         host.retire(self.pool)
+
+
+class ElsewhereKnown(Mapping[tuple[str, Address], int]):
+    """Since when the servers of other pools are known. Looked up one by one: as a table it would have to be
+    made of all pools for each change of one."""
+
+    def __init__(self, name: str, pools: Callable[[], Mapping[str, RunningPool]]) -> None:
+        self.name = name
+        self.pools = pools
+
+    def __getitem__(self, server: tuple[str, Address]) -> int:
+        ident, address = server
+        for other, pool in reversed(list(self.pools().items())):
+            member = pool.roster.state.members.get(ident) if other != self.name else None
+            if member is not None and member.entry.address == address:
+                return member.came_us
+        raise KeyError(server)
+
+    def __iter__(self) -> Iterator[tuple[str, Address]]:
+        for other, pool in list(self.pools().items()):
+            if other != self.name:
+                yield from ((name, each.entry.address) for name, each in pool.roster.state.members.items())
+
+    def __len__(self) -> int:
+        return sum(len(pool.roster.state.members) for name, pool in self.pools().items() if name != self.name)
--- a/plovertrail/sources/instances.py
+++ b/plovertrail/sources/instances.py
@@ -7,7 +7,8 @@
 
 from plovertrail.decisions.list_versions import SourceKey
 from plovertrail.decisions.membership import Candidate, Entry
-from plovertrail.sources.list_reader import ListReader, Subscription
+from plovertrail.sources.list_reader import ListReader
+from plovertrail.sources.subscriptions import Subscription
 
 log = logging.getLogger(__name__)
 
--- a/plovertrail/sources/list_reader.py
+++ b/plovertrail/sources/list_reader.py
@@ -10,12 +10,10 @@
 import asyncio
 import logging
 import os
-import queue
 import time
 from collections import deque
-from collections.abc import Awaitable, Callable, Iterable
+from collections.abc import Callable, Iterable
 from concurrent.futures import ThreadPoolExecutor
-from dataclasses import dataclass, field
 from typing import Any, TypeVar
 
 from plovertrail.decisions.list_versions import (
@@ -27,109 +25,20 @@
     SourceVersion,
     version_status,
 )
-from plovertrail.decisions.membership import Candidate
 from plovertrail.sources.file_notifications import FolderNotifications
-from plovertrail.sources.file_reading import LOCAL, SETTLE_S, FileSource, FileSystem
+from plovertrail.sources.file_reading import LOCAL, FileSource, FileSystem
+from plovertrail.sources.first_read import FirstRead, FirstReads
 from plovertrail.sources.read_workers import MOST_STUCK, Reading, ReadJob, ReadWorker, ReadWorkers
+from plovertrail.sources.subscriptions import Followed, Refused, Subscription, Taken
 
 log = logging.getLogger(__name__)
 
 WATCHDOG_S = 0.2  # between two looks at the worker
 WATCHDOG_SIGHTINGS = 3  # of the same look at the same source, after which it hangs: 0.4 to 0.6 s
-FIRST_READ_S = 3.0  # a start waits no longer for its lists
-FIRST_WAIT_S = 0.02  # between two looks at the worker meanwhile
-FIRST_SIGHTINGS = 5  # a start goes on with other sources after 0.1 s
 READINGS_A_TURN = 32  # that are taken over at once
-FirstReading = tuple[ReadJob, Reading, int]  # with the number of the call that its look came after
-FirstRead = Candidate | str  # a list, or what is wrong with it
-Taken = Callable[[Candidate], Awaitable[str]]  # returns why the list is not in force; empty: it is
-Refused = Callable[[str, str], Awaitable[None]]  # called with the source's name and what is wrong
 Result = TypeVar("Result")
 
 
-@dataclass(eq=False)
-class Followed:
-    """A source that is read, and who follows it. Changed on the loop only."""
-
-    job: ReadJob
-    version: SourceVersion
-    candidate: Candidate | None = None  # the last good content
-    settled: bool = False  # the last look found it whole, or wrong for good
-    young: bool = False  # it may change again under the same times; set by the worker
-    quick: bool = False  # it has quick looks
-    folder: bool = False
-    linked: bool = False
-    subscriptions: list[Subscription] = field(default_factory=list)
-    waiters: list[tuple[int, asyncio.Future[None]]] = field(default_factory=list)
-
-
-class Subscription:
-    """One subscriber's interest in one source. What it is told is always the latest that was read, so two
-    changes never reach it in another order."""
-
-    def __init__(
-        self, reader: ListReader, followed: Followed, subscriber: str, taken: Taken, refused: Refused
-    ) -> None:
-        self.reader = reader
-        self.followed = followed
-        self.subscriber = subscriber
-        self.taken = taken
-        self.refused = refused
-        self.again = False  # the list is to be told though it is not new: it may be judged otherwise now
-        self.complaint = ""  # the last one that was told, if no list has been since
-        self.delivered = 0  # the generation that was told last
-        self.queued = False
-        self.stopped = False
-        self.lock = asyncio.Lock()
-
-    @property
-    def source(self) -> FileSource:
-        return self.followed.job.source
-
-    @property
-    def key(self) -> SourceKey:
-        return self.followed.version.key
-
-    @property
-    def digest(self) -> str:
-        """Of the last good content."""
-        return self.followed.version.digest
-
-    def judge_again(self) -> None:
-        """The guards have changed. Hazard: a list that they refused is not new, and would stay refused."""
-        self.again = True
-        self.reader.queue_delivery(self)
-
-    async def look(self) -> bool:
-        """Read the source once more, from now on, and be told; whether it has settled."""
-        await self.reader.look(self.followed)
-        await self.deliver()
-        return self.followed.settled
-
-    async def deliver(self) -> None:
-        """Tell the subscriber what it has not been told yet."""
-        async with self.lock:
-            version, candidate = self.followed.version, self.followed.candidate
-            if self.stopped or (self.delivered == version.generation and not self.again):
-                return
-            self.delivered, digest = version.generation, version.digest
-            if version.complaint:
-                if self.complaint != version.complaint:
-                    self.complaint = version.complaint
-                    await self.refused(version.key.name, self.complaint)
-            elif candidate is not None:
-                self.again, self.complaint = False, ""
-                wrong = await self.taken(candidate)
-                if not wrong and not self.stopped:
-                    self.reader.in_force.accept(self.subscriber, version.key, digest)
-
-    def stop(self) -> None:
-        """Follow the source no more."""
-        if not self.stopped:
-            self.stopped = True
-            self.reader.unsubscribed(self)
-
-
 class ListReader:
     """Made and used on one loop; `files` are the calls on the file system."""
 
@@ -147,7 +56,7 @@
         self.scan_cost_s = 0.0  # of looks that found nothing, since the last scan began; by the worker
         self.scan_left: set[ReadJob] = set()  # what the scan under way has not looked at; by the worker
         self.scan_ended_us = 0
-        self.first: queue.SimpleQueue[FirstReading] | None = None
+        self.first = FirstReads(self.workers)
         self.ended: deque[tuple[Followed, Reading, int]] = deque()  # looks that the loop has not taken yet
         self.taking: asyncio.Handle | None = None  # the turn that takes more of them
         self.quick: dict[SourceKey, Followed] = {}
@@ -219,60 +128,11 @@
     async def first_read(self, keys: Iterable[SourceKey]) -> dict[SourceKey, FirstRead]:
         """What these hold now, within FIRST_READ_S; the loop goes on meanwhile."""
         followed = [self._follow(key) for key in dict.fromkeys(keys)]
-        return await asyncio.to_thread(self._first_read, followed)
+        return await asyncio.to_thread(self.first.read, followed)
 
     def first_read_blocking(self, keys: Iterable[SourceKey]) -> dict[SourceKey, FirstRead]:
         """The same where the loop has nothing else to do yet."""
-        return self._first_read([self._follow(key) for key in dict.fromkeys(keys)])
-
-    def _first_read(self, followed: list[Followed]) -> dict[SourceKey, FirstRead]:
-        """Read all, and once more those that have not settled: one settling time for all of them."""
-        # hazard: a reload would wait in vain for what hangs already
-        waiting = {each.job: each.version.key for each in followed if not each.version.hung}
-        found: dict[SourceKey, FirstRead] = {
-            each.version.key: each.version.complaint or "it was not read in time" for each in followed
-        }
-        self.first = queue.SimpleQueue()
-        ends_s = time.monotonic() + FIRST_READ_S
-        unsettled = self._collect(self.first, waiting, found, ends_s)
-        if unsettled:
-            time.sleep(max(0.0, min(SETTLE_S + 0.05, ends_s - time.monotonic())))
-            self._collect(self.first, {job: waiting[job] for job in unsettled}, found, ends_s)
-        self.first = None
-        for each in followed:
-            if isinstance(found[each.version.key], str) and each.candidate is not None:
-                found[each.version.key] = each.candidate  # the last good one; what is wrong is told later
-        return found
-
-    def _collect(
-        self,
-        readings: queue.SimpleQueue[FirstReading],
-        waiting: dict[ReadJob, SourceKey],
-        found: dict[SourceKey, FirstRead],
-        ends_s: float,
-    ) -> list[ReadJob]:
-        """One look at each; returns those that have not settled."""
-        unsettled: list[ReadJob] = []
-        sighted, sightings = None, 0
-        left = {job: self.workers.submit(job, wanted=True) for job in waiting}
-        while left and time.monotonic() < ends_s:
-            try:
-                job, reading, begun = readings.get(timeout=FIRST_WAIT_S)
-            except queue.Empty:
-                busy = self.workers.busy()
-                sighted, sightings = busy, sightings + 1 if busy == sighted else 1
-                if busy is not None and sightings >= FIRST_SIGHTINGS:
-                    self.workers.hand_over(*busy)
-                continue
-            if job not in left or begun < left[job]:
-                continue  # hazard: a quick look that came before would tell what had not settled then
-            del left[job]
-            if reading.candidate is None and not reading.refusal:
-                unsettled.append(job)
-                found[waiting[job]] = "it has not settled yet"
-            else:
-                found[waiting[job]] = reading.candidate or reading.refusal
-        return unsettled
+        return self.first.read([self._follow(key) for key in dict.fromkeys(keys)])
 
     # Looks
 
@@ -335,9 +195,7 @@
         if job in self.scan_left:
             self.scan_left.discard(job)
             self.scan_ended_us = now_us
-        first = self.first
-        if first is not None:
-            first.put((job, reading, begun))
+        self.first.note(job, reading, begun)
         followed = self.followed.get(job.source.key)
         if followed is None:
             return
--- a/tests/sources/test_list_reader.py
+++ b/tests/sources/test_list_reader.py
@@ -17,9 +17,10 @@
 from plovertrail.decisions.membership import Candidate
 from plovertrail.sources.file_notifications import FolderNotifications
 from plovertrail.sources.file_reading import FileSource, LocalFileSystem, Signature
-from plovertrail.sources.list_reader import ListReader, Subscription
+from plovertrail.sources.list_reader import ListReader
 from plovertrail.sources.lists import sealed
 from plovertrail.sources.read_workers import MOST_STUCK, Reading, ReadJob, ReadWorkers
+from plovertrail.sources.subscriptions import Subscription
 from tests.net import PATIENCE_S, until
 
 LONG_AGO = 1_600_000_000  # as Unix time: times that are trusted
--- a/tests/test_many_lists.py
+++ b/tests/test_many_lists.py
@@ -23,13 +23,14 @@
 from plovertrail.config.descriptors import PoolNeed, default_connections
 from plovertrail.config.operator import load
 from plovertrail.config.problems import ConfigError
-from plovertrail.daemon import Daemon, ElsewhereKnown, lists_of
+from plovertrail.daemon import Daemon, lists_of
 from plovertrail.decisions.list_versions import SourceKey
 from plovertrail.decisions.share import Fleet
 from plovertrail.decisions.turns import Place
 from plovertrail.pulse import PulseLoop
-from plovertrail.running_pool import RunningPool
-from plovertrail.sources.list_reader import FIRST_READ_S, ListReader
+from plovertrail.running_pool import ElsewhereKnown, RunningPool
+from plovertrail.sources.first_read import FIRST_READ_S
+from plovertrail.sources.list_reader import ListReader
 from standins.ports import free_port
 from tests.daemons import CLASSES, run
 from tests.net import PATIENCE_S, until
@@ -271,7 +272,10 @@
                 assert set(ports(daemon)) == {"a", "b"}
             site.write(["b"])  # and from now on by the signal only
             await until(lambda: set(ports(daemon)) == {"b"})
-            assert daemon.setup_file is None and daemon.status()["reload"] == {"on": "signal", "problem": ""}
+            assert daemon.setup_file.subscription is None and daemon.status()["reload"] == {
+                "on": "signal",
+                "problem": "",
+            }
             reloads = len(approved)
             site.write(["a"])
             scan(daemon)
