--- a/plovertrail/sources/list_reader.py
+++ b/plovertrail/sources/list_reader.py
@@ -323,10 +323,11 @@
             self._submit(self.followed.values())
             return
         concerned: dict[SourceKey, Followed] = {}
-        for path in paths:
-            folder = os.path.dirname(path)
-            for each in (*self.by_path.get(path, ()), *self.by_path.get(folder, ())):
+        folders = {os.path.dirname(path) for path in paths}
+        for path in paths | folders:
+            for each in self.by_path.get(path, ()):
                 concerned[each.version.key] = each
+        for folder in folders:
             for each in self.by_folder.get(folder, ()):
                 if each.linked:
                     concerned[each.version.key] = each
