--- a/benchmarks/capacity/counts_role.py
+++ b/benchmarks/capacity/counts_role.py
@@ -13,7 +13,7 @@
 from benchmarks.capacity.slopes import Axis, Sample, Situation, Slope, Unit
 from benchmarks.capacity.target import TARGET
 from plovertrail.config.peers import MOST_PEERS
-from plovertrail.decisions.counts import Counts, Message, Window
+from plovertrail.decisions.counts import MOST_PARTS, Counts, Message, Window
 
 SIZES, SHORT_SIZES = (25, 50, 100, MOST_PEERS), (12, 16, 20, 24)
 LIMITS, SHORT_LIMITS = (1, 10, 50, 200), (1, 4, 8, 16)
@@ -174,7 +174,7 @@
 
 def _full_tables(cost: TargetCost) -> TargetCost:
     """A line through small sizes goes on for ever, the tables don't: this is what all 1,800 leave in them."""
-    figure = counters_bytes(TARGET.sidecars, TARGET.services)
+    figure = counters_bytes(min(TARGET.sidecars, MOST_PARTS + 1), TARGET.services)
     return replace(cost, figure=figure, extrapolated=False, note="measured with the tables full")
 
 
