--- a/benchmarks/capacity/process_roles.py
+++ b/benchmarks/capacity/process_roles.py
@@ -2,6 +2,17 @@
 
 from __future__ import annotations
 
+from benchmarks.capacity.configuration_changes import ConfigurationChanges
+from benchmarks.capacity.list_changes import ListChanges
+from benchmarks.capacity.request_path import RequestPath
+from benchmarks.capacity.restarts import Restarts
 from benchmarks.capacity.roles import Role
+from benchmarks.capacity.starts import StartAndIdle
 
-PROCESS_ROLES: tuple[Role, ...] = ()
+PROCESS_ROLES: tuple[Role, ...] = (
+    StartAndIdle(),
+    RequestPath(),
+    ListChanges(),
+    ConfigurationChanges(),
+    Restarts(),
+)
