--- a/benchmarks/capacity/daemon_process.py
+++ b/benchmarks/capacity/daemon_process.py
@@ -89,6 +89,12 @@
         """What it holds in memory."""
         return memory_bytes(self.process)
 
+    @property
+    def forced_switches(self) -> int:
+        """How often the kernel has taken the core from its main thread for something else."""
+        lines = Path(f"/proc/{self.process.pid}/status").read_text().splitlines()
+        return next(int(line.split()[1]) for line in lines if line.startswith("nonvoluntary_ctxt_switches"))
+
     def wait_until_up(self, path: str = PROBE_PATH) -> StartCost:
         """Until it answers a request with 200; raises NotReady."""
         while time.perf_counter() - self.began < START_PATIENCE_S:
--- a/benchmarks/capacity/request_path.py
+++ b/benchmarks/capacity/request_path.py
@@ -48,6 +48,7 @@
     daemon_p99_ms: float
     core_share: float
     failed: int
+    forced_switches_per_s: float  # the kernel took the daemon's core for something else
 
     @property
     def added_median_ms(self) -> float:
@@ -121,6 +122,10 @@
         rows += [figure(f"path, {size} services: {name}", values, "ms") for name, values in parts.items()]
         shares = [each.core_share for each in runs]
         rows.append(figure(f"path, {size} services: daemon", shares, "core"))
+        forced = [each.forced_switches_per_s for each in runs]
+        rows.append(
+            figure(f"path, {size} services: forced switches", forced, "1/s", "other load on its core")
+        )
     return tuple(rows)
 
 
@@ -157,10 +162,11 @@
         lambda number: daemon.site.port,
         lambda number: f"/{services[number % len(services)]}",
     )
-    began, before = time.perf_counter(), daemon.cpu_s
+    began, before, forced = time.perf_counter(), daemon.cpu_s, daemon.forced_switches
     with pinned(CLIENT_CORE):
         play([direct, through], TARGET.calls_per_s_of_one, seconds)
-    share = (daemon.cpu_s - before) / (time.perf_counter() - began)
+    took = time.perf_counter() - began
+    share = (daemon.cpu_s - before) / took
     return PathCost(
         percentile(direct.latencies_s, 0.5) * 1e3,
         percentile(direct.latencies_s, PERCENTILE) * 1e3,
@@ -168,4 +174,5 @@
         percentile(through.latencies_s, PERCENTILE) * 1e3,
         share,
         direct.failed + through.failed,
+        (daemon.forced_switches - forced) / took,
     )
