--- a/benchmarks/capacity/process_slopes.py
+++ b/benchmarks/capacity/process_slopes.py
@@ -34,9 +34,9 @@
 
 
 def cost_at(line: Slope, size: float) -> TargetCost:
-    """The cost at a size: the median measured there, else what the fit gives."""
+    """The cost at a size: the median measured there, else what the fit gives, which is never below 0."""
     measured = [sample.median for sample in line.samples if sample.size == size]
-    figure = measured[0] if measured else line.fit.at(size)
+    figure = measured[0] if measured else max(0.0, line.fit.at(size))
     return TargetCost(line.role, line.unit, line.situation, figure, line.extrapolated(size), line.note)
 
 
--- a/benchmarks/capacity/service_site.py
+++ b/benchmarks/capacity/service_site.py
@@ -80,8 +80,8 @@
 class ServiceSite:
     """The files of one daemon. `addresses` are shared by all services; with fewer than `servers` of them the
     rest are addresses where nothing listens. With `linked` each list is a link to a file in another folder:
-    no notification on the list's own folder tells of a change. Without `checksums` a list is taken once it has
-    stayed as it is for a while."""
+    no notification on the list's own folder tells of a change. Without `checksums` a list is taken once it
+    has stayed as it is for a while."""
 
     folder: Path
     services: int
--- a/benchmarks/capacity/starts.py
+++ b/benchmarks/capacity/starts.py
@@ -4,10 +4,11 @@
 
 import tempfile
 import time
-from collections.abc import Iterator
+from collections.abc import Callable, Mapping, Sequence
 from concurrent.futures import ThreadPoolExecutor
 from dataclasses import dataclass
 from pathlib import Path
+from queue import SimpleQueue
 
 from benchmarks.capacity.daemon_process import StartCost, daemon_process
 from benchmarks.capacity.process_slopes import (
@@ -17,7 +18,6 @@
     SERVICES,
     SHORT_SERVICES,
     cost_at,
-    has_slope,
     slope,
 )
 from benchmarks.capacity.roles import Figure, RoleResult
@@ -27,12 +27,20 @@
 from benchmarks.report import Bar
 
 UP_S = 2.0
-SETTLE_S = 5.0
-IDLE_S = 20.0
-SHORT_IDLE_S = 0.5
 PARALLEL = 3  # daemons at once, each on a core of its own
 
 
+@dataclass(frozen=True, slots=True)
+class Case:
+    """What a daemon is started with, and for how long it is watched."""
+
+    services: int
+    servers: int = TARGET.servers_per_service
+    checksums: bool = True
+    settle_s: float = 5.0
+    idle_s: float = 20.0
+
+
 @dataclass(frozen=True, slots=True)
 class IdleCost:
     """Of a daemon that has settled."""
@@ -49,6 +57,9 @@
     idle: IdleCost
 
 
+Lives = Mapping[int, Sequence[Life]]  # by size
+
+
 class StartAndIdle:
     """Real processes of the daemon, from exec to the first answer, and then with no traffic."""
 
@@ -57,101 +68,108 @@
     def measure(self, short: bool, repeats: int) -> RoleResult:
         """Against services; in the long form against the servers of a service too."""
         services = SHORT_SERVICES if short else SERVICES
-        by_services = {n: lives(n, TARGET.servers_per_service, repeats, short) for n in services}
+        sealed = [Case(n, settle_s=0.0, idle_s=0.5) if short else Case(n) for n in services]
+        by_services = by_size(sealed, services, repeats)
+        settling = [Case(n, checksums=False, settle_s=0.0, idle_s=0.0) for n in services]
+        unsealed = unsealed_slope(by_size(settling, services, repeats))
         slopes = slopes_of(by_services, Axis.SERVICES, f"{TARGET.servers_per_service} servers each")
-        without_checksums = {n: starts_without_checksums(n, repeats) for n in services}
-        note = "until up; lists without checksums"
-        settling = slope("start", Axis.SERVICES, Unit.SECONDS, without_checksums, note=note)
-        if not short:
-            by_servers = {n: lives(SERVERS_AXIS_SERVICES, n, repeats, short) for n in SERVERS}
-            note = f"{SERVERS_AXIS_SERVICES} services"
-            slopes_servers = slopes_of(by_servers, Axis.SERVERS, note)
-        else:
-            slopes_servers = ()
-        seconds, start_cpu_s, idle, resident = (cost_at(line, TARGET.services) for line in slopes[:4])
-        at = f"at {TARGET.services} services"
+        by_servers = () if short else servers_slopes(repeats)
         return RoleResult(
-            slopes=(*slopes, settling, *slopes_servers),
-            costs=(idle, resident),
-            figures=(
-                Figure(f"a process is up {at}", seconds.figure, "s"),
-                Figure(f"CPU of a start {at}", start_cpu_s.figure, "s"),
-            ),
-            bars=(
-                Bar(f"a process is up {at}, s", seconds.figure, UP_S),
-                Bar(
-                    f"a process is up {at}, lists without checksums, s",
-                    cost_at(settling, TARGET.services).figure,
-                    UP_S,
-                ),
-                Bar("a process with no traffic, of a core", idle.figure, BUDGET.core_share),
-                Bar("a process with no traffic, resident B", resident.figure, BUDGET.resident_bytes),
-            ),
+            slopes=(*slopes, unsealed, *by_servers),
+            costs=tuple(cost_at(line, TARGET.services) for line in slopes if line.role == "idle"),
+            figures=figures_of(slopes),
+            bars=bars_of(slopes, unsealed),
         )
 
 
-def slopes_of(found: dict[int, list[Life]], axis: Axis, note: str) -> tuple[Slope, ...]:
-    """Seconds and CPU of a start, share of a core and memory when idle, memory at the first answer."""
-    assert has_slope(found)
-    return (
-        slope("start", axis, Unit.SECONDS, per_size(found, "up"), note=f"until up; {note}"),
-        slope("start", axis, Unit.SECONDS, per_size(found, "cpu"), note=f"CPU seconds; {note}"),
-        slope("idle", axis, Unit.CORE_SHARE, per_size(found, "idle"), note=note),
-        slope("idle", axis, Unit.RESIDENT_BYTES, per_size(found, "resident"), note=note),
-        slope("start", axis, Unit.RESIDENT_BYTES, per_size(found, "first"), note=f"when up; {note}"),
-    )
+def by_size(cases: Sequence[Case], sizes: Sequence[int], repeats: int) -> Lives:
+    """Repeats of all cases, a few daemons at once."""
+    cores: SimpleQueue[int] = SimpleQueue()
+    for number in range(PARALLEL):
+        cores.put(DAEMON_CORE + number)
 
+    def run(case: Case) -> Life:
+        core = cores.get()
+        try:
+            return one_life(case, core)
+        finally:
+            cores.put(core)
 
-def per_size(found: dict[int, list[Life]], what: str) -> dict[int, list[float]]:
-    """One cost of all repeats."""
-    return {size: [cost(life, what) for life in each] for size, each in found.items()}
-
-
-def cost(life: Life, what: str) -> float:
-    """One cost by its short name."""
-    return {
-        "up": life.start.seconds,
-        "cpu": life.start.cpu_s,
-        "idle": life.idle.core_share,
-        "resident": float(life.idle.resident_bytes),
-        "first": float(life.start.resident_bytes),
-    }[what]
-
-
-def lives(services: int, servers: int, repeats: int, short: bool) -> list[Life]:
-    """Repeats at one size, a few at once."""
-    idle_s, settle_s = (SHORT_IDLE_S, 0.0) if short else (IDLE_S, SETTLE_S)
     with ThreadPoolExecutor(PARALLEL) as pool:
-        jobs = [
-            pool.submit(one_life, services, servers, core, settle_s, idle_s) for core in cores_for(repeats)
-        ]
-        return [job.result() for job in jobs]
+        jobs = {
+            size: [pool.submit(run, case) for _ in range(repeats)]
+            for size, case in zip(sizes, cases, strict=True)
+        }
+        return {size: [job.result() for job in started] for size, started in jobs.items()}
 
 
-def cores_for(repeats: int) -> Iterator[int]:
-    """A core for each of those that run at once, from the second on."""
-    return (1 + number % PARALLEL for number in range(repeats))
-
-
-def one_life(services: int, servers: int, core: int, settle_s: float, idle_s: float) -> Life:
+def one_life(case: Case, core: int) -> Life:
     """Start one daemon, let it settle, and watch it."""
     with tempfile.TemporaryDirectory() as folder:
-        site = ServiceSite(Path(folder), services, servers)
+        site = ServiceSite(Path(folder), case.services, case.servers, checksums=case.checksums)
         site.write()
         with daemon_process(site, core) as daemon:
             start = daemon.wait_until_up()
-            time.sleep(settle_s)
-            share = daemon.core_share(idle_s)
+            time.sleep(case.settle_s)
+            share = daemon.core_share(case.idle_s) if case.idle_s else 0.0
             return Life(start, IdleCost(share, daemon.resident_bytes))
 
 
-def starts_without_checksums(services: int, repeats: int) -> list[float]:
+def servers_slopes(repeats: int) -> tuple[Slope, ...]:
+    """Against the servers of a service."""
+    found = by_size([Case(SERVERS_AXIS_SERVICES, n) for n in SERVERS], SERVERS, repeats)
+    return slopes_of(found, Axis.SERVERS, f"{SERVERS_AXIS_SERVICES} services")
+
+
+def slopes_of(found: Lives, axis: Axis, note: str) -> tuple[Slope, ...]:
+    """Seconds, CPU and memory of a start; share of a core and memory when idle."""
+    up = of_each(found, lambda life: life.start.seconds)
+    cpu = of_each(found, lambda life: life.start.cpu_s)
+    resident_when_up = of_each(found, lambda life: life.start.resident_bytes)
+    idle = of_each(found, lambda life: life.idle.core_share)
+    resident = of_each(found, lambda life: life.idle.resident_bytes)
+    return (
+        slope("start", axis, Unit.SECONDS, up, note=f"until up; {note}"),
+        slope("start", axis, Unit.SECONDS, cpu, note=f"CPU seconds until up; {note}"),
+        slope("start", axis, Unit.RESIDENT_BYTES, resident_when_up, note=f"when up; {note}"),
+        slope("idle", axis, Unit.CORE_SHARE, idle, note=note),
+        slope("idle", axis, Unit.RESIDENT_BYTES, resident, note=note),
+    )
+
+
+def unsealed_slope(found: Lives) -> Slope:
     """Seconds until up where each list must settle before it is taken."""
-    found: list[float] = []
-    for _ in range(repeats):
-        with tempfile.TemporaryDirectory() as folder:
-            site = ServiceSite(Path(folder), services, TARGET.servers_per_service, checksums=False)
-            site.write()
-            with daemon_process(site, DAEMON_CORE) as daemon:
-                found.append(daemon.wait_until_up().seconds)
-    return found
+    up = of_each(found, lambda life: life.start.seconds)
+    return slope("start", Axis.SERVICES, Unit.SECONDS, up, note="until up; lists without checksums")
+
+
+def of_each(found: Lives, cost: Callable[[Life], float]) -> dict[int, list[float]]:
+    """One cost of all repeats, by size."""
+    return {size: [float(cost(life)) for life in lives] for size, lives in found.items()}
+
+
+def figures_of(slopes: Sequence[Slope]) -> tuple[Figure, ...]:
+    """What a start takes at the planned size."""
+    up, cpu, resident = (cost_at(line, TARGET.services).figure for line in slopes[:3])
+    at = f"at {TARGET.services} services"
+    return (
+        Figure(f"a process is up {at}", up, "s"),
+        Figure(f"CPU of a start {at}", cpu, "s"),
+        Figure(f"resident when up {at}", resident, "B"),
+    )
+
+
+def bars_of(slopes: Sequence[Slope], unsealed: Slope) -> tuple[Bar, ...]:
+    """At the planned size."""
+    up, _, _, idle, resident = (cost_at(line, TARGET.services).figure for line in slopes)
+    at = f"at {TARGET.services} services"
+    return (
+        Bar(f"a process is up {at}, s", up, UP_S),
+        Bar(
+            f"a process is up {at}, lists without checksums, s",
+            cost_at(unsealed, TARGET.services).figure,
+            UP_S,
+        ),
+        Bar(f"a process with no traffic {at}, of a core", idle, BUDGET.core_share),
+        Bar(f"a process with no traffic {at}, resident B", resident, BUDGET.resident_bytes),
+    )
