--- a/benchmarks/capacity/list_changes.py
+++ b/benchmarks/capacity/list_changes.py
@@ -39,6 +39,8 @@
 CHANGING_S = 8.0
 RATES_PER_S = (0.5, 1.0, 2.0, 5.0)
 HOLD_S = 4.0
+OLD_S = 4.0  # a daemon may look more often at a file that has changed of late
+PHASE_S = 0.37  # by which repeats are shifted against what the daemon does at a steady pace
 BEFORE_ALL_S = 0.5  # a probe's time before the lists are replaced
 MOST_COST_RATIO = 1.3
 MOST_HOLD_MS = 5.0
@@ -52,9 +54,10 @@
     settle_s: float = SETTLE_S
     changing_s: float = CHANGING_S
     hold_s: float = HOLD_S
+    old_s: float = OLD_S
 
 
-SHORT_PACE = Pace(settle_s=0.2, changing_s=0.6, hold_s=0.8)
+SHORT_PACE = Pace(settle_s=0.2, changing_s=0.6, hold_s=0.6, old_s=0.2)
 
 
 @dataclass
@@ -194,10 +197,10 @@
     with settled(services, pace, linked=True) as editor:
         last = editor.services[-1]
         found: list[float] = []
-        for _ in range(repeats):
+        for number in range(repeats):
+            time.sleep(pace.old_s + number * PHASE_S)
             found.append(editor.wait_for_drain(last, editor.change(last, first_drains=True)))
             editor.wait_for(last, editor.change(last))
-            time.sleep(pace.settle_s)
         return found
 
 
