--- a/benchmarks/capacity/configuration_changes.py
+++ b/benchmarks/capacity/configuration_changes.py
@@ -6,6 +6,8 @@
 import time
 from collections.abc import Iterator
 from contextlib import ExitStack, contextmanager
+from dataclasses import dataclass, field
+from enum import Enum
 from pathlib import Path
 
 from benchmarks.capacity.daemon_process import DaemonProcess, NotReady, ProbeConnection, daemon_process
@@ -17,7 +19,7 @@
 from benchmarks.report import Bar
 
 PROCESSES = (1, 8, 24, 60, 120)
-SHORT_PROCESSES = (2,)
+SHORT_PROCESSES = 2
 SHORT_SERVICES = 2
 SETTLE_S = 3.0
 LOOK_S = 0.02
@@ -25,66 +27,111 @@
 MOST_MEMORY_SHARE = 0.5  # of the machine, for all processes together
 
 
+class Notice(Enum):
+    """How a daemon learns that its file has changed."""
+
+    SIGNAL = "SIGHUP"
+    WATCH = 'reload = "watch"'
+
+
+@dataclass(frozen=True, slots=True)
+class Case:
+    """So many daemons of one size."""
+
+    processes: int
+    services: int
+    notice: Notice
+    settle_s: float = SETTLE_S
+
+    def __str__(self) -> str:
+        return f"{self.processes} processes, {self.services} services, {self.notice.value}"
+
+
+@dataclass
+class ChangeCosts:
+    """Of repeated changes of one case."""
+
+    last_s: list[float] = field(default_factory=list)  # until the last process has it in force
+    cpu_s: list[float] = field(default_factory=list)  # of one process
+    resident_bytes: int = 0  # of all processes
+
+
 class ConfigurationChanges:
-    """The operator's files of many processes are replaced, and each is told with SIGHUP."""
+    """The operator's files of many processes are replaced at one moment."""
 
     name = "process-configuration"
 
-    def __init__(self, services: int = TARGET.services, processes: tuple[int, ...] = PROCESSES) -> None:
-        self.services = services
+    def __init__(
+        self, processes: tuple[int, ...] = PROCESSES, notices: tuple[Notice, ...] = tuple(Notice)
+    ) -> None:
         self.processes = processes
+        self.notices = notices
 
     def measure(self, short: bool, repeats: int) -> RoleResult:
         """Against processes at once, all on this machine."""
-        counts = SHORT_PROCESSES if short else self.processes
-        services = SHORT_SERVICES if short else self.services
-        found: dict[int, list[float]] = {}
-        figures: list[Figure] = []
-        for count in counts:
-            seconds, cpu_s, memory_bytes = changes(count, services, repeats, 0.0 if short else SETTLE_S)
-            found[count] = seconds
-            note = f"{services} services each"
-            figures += [
-                figure(f"{count} processes: a configuration in force at the last", seconds, "s", note),
-                figure(f"{count} processes: CPU of a change, of one process", cpu_s, "s", note),
-                figure(f"{count} processes: resident", [float(memory_bytes)], "B", note),
-            ]
-        slopes = slopes_of(found, services)
-        largest = max(found)
-        worst = Bar(
-            f"a configuration in force at {largest} processes, s", max(found[largest]), BUDGET.in_force_s
+        found = {notice: self._by_processes(notice, short, repeats) for notice in self.notices}
+        return RoleResult(
+            slopes=tuple(line for notice, costs in found.items() for line in slopes_of(notice, costs)),
+            figures=tuple(row for costs in found.values() for row in figures_of(costs)),
+            bars=tuple(bar_of(notice, costs) for notice, costs in found.items()),
         )
-        return RoleResult(slopes=slopes, figures=tuple(figures), bars=(worst,))
 
+    def _by_processes(self, notice: Notice, short: bool, repeats: int) -> dict[Case, ChangeCosts]:
+        if short:
+            cases = [Case(SHORT_PROCESSES, SHORT_SERVICES, notice, settle_s=0.0)]
+        else:
+            cases = [Case(count, TARGET.services, notice) for count in self.processes]
+        return {case: changes(case, repeats) for case in cases}
 
-def slopes_of(found: dict[int, list[float]], services: int) -> tuple[Slope, ...]:
+
+def slopes_of(notice: Notice, found: dict[Case, ChangeCosts]) -> tuple[Slope, ...]:
     """Where there are sizes enough."""
-    if not has_slope(found):
+    seconds = {case.processes: costs.last_s for case, costs in found.items()}
+    if not has_slope(seconds):
         return ()
-    note = f"processes on this machine at once, {services} services each: configuration in force at the last"
-    return (slope("configuration", Axis.SIDECARS, Unit.SECONDS, found, Situation.ORDINARY_DAY, note),)
+    note = f"processes on this machine at once, {notice.value}: configuration in force at the last"
+    return (slope("configuration", Axis.SIDECARS, Unit.SECONDS, seconds, Situation.ORDINARY_DAY, note),)
+
+
+def figures_of(found: dict[Case, ChangeCosts]) -> list[Figure]:
+    """All that was measured."""
+    rows: list[Figure] = []
+    for case, costs in found.items():
+        rows += [
+            figure(f"{case}: configuration in force at the last", costs.last_s, "s"),
+            figure(f"{case}: CPU of a change, of one process", costs.cpu_s, "s"),
+            figure(f"{case}: resident, all of them", [float(costs.resident_bytes)], "B"),
+        ]
+    return rows
+
+
+def bar_of(notice: Notice, found: dict[Case, ChangeCosts]) -> Bar:
+    """The worst of the most processes."""
+    case, costs = max(found.items(), key=lambda item: item[0].processes)
+    return Bar(f"configuration in force, {case}, s", max(costs.last_s), BUDGET.in_force_s)
 
 
-def changes(count: int, services: int, repeats: int, settle_s: float) -> tuple[list[float], list[float], int]:
-    """Seconds until the last process has a change, CPU seconds of one for it, and the memory of all."""
-    with tempfile.TemporaryDirectory() as folder, running(Path(folder), count, services) as daemons:
-        time.sleep(settle_s)
-        seconds: list[float] = []
-        cpu_s: list[float] = []
+def changes(case: Case, repeats: int) -> ChangeCosts:
+    """Change the files of running daemons again and again."""
+    costs = ChangeCosts()
+    with tempfile.TemporaryDirectory() as folder, running(Path(folder), case) as daemons:
+        time.sleep(case.settle_s)
         for _ in range(repeats):
             before = sum(daemon.cpu_s for daemon in daemons)
-            seconds.append(change(daemons))
-            cpu_s.append((sum(daemon.cpu_s for daemon in daemons) - before) / count)
-            time.sleep(settle_s)
-        return seconds, cpu_s, sum(daemon.resident_bytes for daemon in daemons)
+            costs.last_s.append(change(daemons, case.notice))
+            costs.cpu_s.append((sum(daemon.cpu_s for daemon in daemons) - before) / len(daemons))
+            time.sleep(case.settle_s)
+        costs.resident_bytes = sum(daemon.resident_bytes for daemon in daemons)
+    return costs
 
 
 @contextmanager
-def running(folder: Path, count: int, services: int) -> Iterator[list[DaemonProcess]]:
-    """So many daemons on all cores, with operator's files of their own and the same lists."""
+def running(folder: Path, case: Case) -> Iterator[list[DaemonProcess]]:
+    """Daemons on all cores, with operator's files of their own and the same lists."""
+    reload = "watch" if case.notice is Notice.WATCH else ""
     sites = [
-        ServiceSite(folder, services, TARGET.servers_per_service, name=f"site-{number}")
-        for number in range(count)
+        ServiceSite(folder, case.services, TARGET.servers_per_service, name=f"site-{number}", reload=reload)
+        for number in range(case.processes)
     ]
     sites[0].write_lists()
     with ExitStack() as stack:
@@ -96,7 +143,7 @@
             daemon.wait_until_up()
         check_memory(daemons)
         yield daemons
-        for daemon in daemons:
+        for daemon in daemons:  # all at once: one after the other takes long
             daemon.process.terminate()
 
 
@@ -114,15 +161,15 @@
     return int(first.split()[1]) * 1024
 
 
-def change(daemons: list[DaemonProcess]) -> float:
-    """Replace all files, tell all processes, and wait for the last one."""
+def change(daemons: list[DaemonProcess], notice: Notice) -> float:
+    """Replace all files, and wait for the last process; the seconds that it took."""
     connections = [ProbeConnection(daemon.site.port) for daemon in daemons]
+    began = time.perf_counter()
     for daemon in daemons:
         daemon.site.configuration += 1
         daemon.site.write_configuration()
-    began = time.perf_counter()
-    for daemon in daemons:
-        daemon.reload()
+        if notice is Notice.SIGNAL:
+            daemon.reload()
     for daemon, connection in zip(daemons, connections, strict=True):
         wait_for_configuration(daemon, connection)
     took = time.perf_counter() - began
