--- a/benchmarks/capacity/process_slopes.py
+++ b/benchmarks/capacity/process_slopes.py
@@ -40,6 +40,11 @@
     return TargetCost(line.role, line.unit, line.situation, figure, line.extrapolated(size), line.note)
 
 
+def largest_sample(line: Slope) -> Sample:
+    """The one at the largest size."""
+    return max(line.samples, key=lambda sample: sample.size)
+
+
 def figure(name: str, values: Sequence[float], unit: str, note: str = "") -> Figure:
     """The median of repeats, with their range in the note."""
     spread = f"{min(values):.4g} to {max(values):.4g} in {len(values)}"
