--- a/benchmarks/capacity/open_loop.py
+++ b/benchmarks/capacity/open_loop.py
@@ -16,6 +16,7 @@
 from benchmarks.capacity.daemon_process import content_length
 
 PATIENCE_S = 5.0  # for the last answers
+MOST_CONNECTIONS = 400  # of one route: select() takes descriptors below 1,024
 
 
 @dataclass
@@ -38,6 +39,9 @@
         if waiting:
             waiting.pop().ask(request, planned)
             return
+        if self.connections >= MOST_CONNECTIONS:
+            self.failed += 1  # the daemon is too far behind
+            return
         self.connections += 1
         connection = ClientConnection(self, port)
         task = asyncio.ensure_future(connection.open_and_ask(request, planned))
@@ -46,6 +50,7 @@
     def _opened(self, task: asyncio.Task[None]) -> None:
         if task.exception() is not None:
             self.failed += 1
+            self.connections -= 1
 
 
 class ClientConnection(asyncio.Protocol):
@@ -91,6 +96,7 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         """A request that was open has failed."""
+        self.route.connections -= 1
         if self.planned is not None:
             self.route.failed += 1
         idle = self.route.idle.get(self.port, [])
--- a/benchmarks/capacity/profiled_daemon.py
+++ b/benchmarks/capacity/profiled_daemon.py
@@ -234,6 +234,7 @@
     finally:
         report.write_text(json.dumps(recorder.report(), indent=1))
         if profile is not None:
+            profile.dump_stats(report.with_suffix(".pstats"))
             report.with_suffix(".functions").write_text(functions_of(profile))
 
 
--- a/benchmarks/capacity/request_path.py
+++ b/benchmarks/capacity/request_path.py
@@ -152,8 +152,10 @@
             return [one_run(daemon, ports, seconds) for _ in range(repeats)]
 
 
-def one_run(daemon: DaemonProcess, ports: Sequence[int], seconds: float) -> PathCost:
-    """Both ways at the planned rate."""
+def one_run(
+    daemon: DaemonProcess, ports: Sequence[int], seconds: float, per_s: float = TARGET.calls_per_s_of_one
+) -> PathCost:
+    """Both ways at one rate."""
     services = daemon.site.service_names()
     direct = Route("direct", lambda number: ports[number % len(ports)], lambda number: "/direct")
     through = Route(
@@ -163,7 +165,7 @@
     )
     began, before, forced = time.perf_counter(), daemon.cpu_s, daemon.forced_switches
     with pinned(CLIENT_CORE):
-        play([direct, through], TARGET.calls_per_s_of_one, seconds)
+        play([direct, through], per_s, seconds)
     took = time.perf_counter() - began
     share = (daemon.cpu_s - before) / took
     return PathCost(
