--- a/benchmarks/capacity/open_loop.py
+++ b/benchmarks/capacity/open_loop.py
@@ -27,12 +27,14 @@
     port_of: Callable[[int], int]
     path_of: Callable[[int], str]
     latencies_s: list[float] = field(default_factory=list)
+    sent: int = 0
     failed: int = 0
     connections: int = 0
     idle: dict[int, list[ClientConnection]] = field(default_factory=dict)
 
     def send(self, number: int, planned: float) -> None:
         """Send one request on an idle connection, or on a new one."""
+        self.sent += 1
         port = self.port_of(number)
         request = f"GET {self.path_of(number)} HTTP/1.1\r\nHost: shop.example\r\nAccept: */*\r\n\r\n".encode()
         waiting = self.idle.setdefault(port, [])
@@ -47,6 +49,11 @@
         task = asyncio.ensure_future(connection.open_and_ask(request, planned))
         task.add_done_callback(self._opened)
 
+    @property
+    def open(self) -> int:
+        """Requests that have no answer yet."""
+        return self.sent - len(self.latencies_s) - self.failed
+
     def _opened(self, task: asyncio.Task[None]) -> None:
         if task.exception() is not None:
             self.failed += 1
@@ -117,7 +124,7 @@
         self.gap_s = 1.0 / (per_s * len(routes))
 
     async def play(self, seconds: float) -> None:
-        """Send for so long, and wait for the answers."""
+        """Send for so long, and wait for the answers; what has none by then has failed."""
         begins = time.perf_counter() + self.gap_s
         for number in range(int(seconds / self.gap_s)):
             planned = begins + number * self.gap_s
@@ -126,17 +133,16 @@
                 await asyncio.sleep(wait_s)
             which = number % len(self.routes)
             self.routes[which].send(number // len(self.routes), planned)
-        await self._answered(int(seconds / self.gap_s))
+        await self._answered()
         for route in self.routes:
+            route.failed += route.open
             for connections in route.idle.values():
                 for connection in list(connections):
                     connection.close()
 
-    async def _answered(self, sent: int) -> None:
+    async def _answered(self) -> None:
         ends = time.perf_counter() + PATIENCE_S
-        while time.perf_counter() < ends:
-            if sum(len(route.latencies_s) + route.failed for route in self.routes) >= sent:
-                return
+        while any(route.open for route in self.routes) and time.perf_counter() < ends:
             await asyncio.sleep(0.01)
 
 
