--- a/benchmarks/capacity/profiled_daemon.py
+++ b/benchmarks/capacity/profiled_daemon.py
@@ -4,8 +4,8 @@
 A turn of the loop is what runs between two waits for events: an event that comes meanwhile waits for its end.
 A turn's time less the CPU time of the loop's thread in it is time in which the thread stood still. Where the
 kernel took the core (a forced switch), other processes had it; where the thread gave it up, it waited for the
-interpreter's lock or in a system call. With `--functions` cProfile runs beside it, which slows all functions
-down: its shares tell, its times don't.
+interpreter's lock or in a system call; with no switch at all the machine's host had taken the core. With
+`--functions` cProfile runs beside it, which slows all functions down: its shares tell, its times don't.
 """
 
 from __future__ import annotations
@@ -131,6 +131,10 @@
         else:
             self.collections_s[info["generation"]].append(time.perf_counter() - self.collecting_since)
 
+    def _blocked(self, kind: Callable[[Turn], bool]) -> float:
+        """Seconds in which turns of one kind stood still."""
+        return round(sum(turn.blocked_s for turn in self.turns if kind(turn)), 3)
+
     def _long(self, kind: Callable[[Turn], bool]) -> int:
         """Turns over LONG_TURN_S that stood still for the most of it, of one kind."""
         return sum(
@@ -152,10 +156,12 @@
             "turns": {
                 "count": len(walls),
                 "busy_s": round(sum(walls), 3),
-                "preempted_s": round(sum(turn.blocked_s for turn in self.turns if turn.forced), 3),
-                "waited_s": round(sum(turn.blocked_s for turn in self.turns if not turn.forced), 3),
+                "preempted_s": self._blocked(lambda turn: turn.forced > 0),
+                "waited_s": self._blocked(lambda turn: turn.given_up > 0 and not turn.forced),
+                "stolen_s": self._blocked(lambda turn: not turn.given_up and not turn.forced),
                 "over_1_ms_preempted": self._long(lambda turn: turn.forced > 0),
                 "over_1_ms_waited": self._long(lambda turn: turn.given_up > 0 and not turn.forced),
+                "over_1_ms_stolen": self._long(lambda turn: not turn.given_up and not turn.forced),
                 "over_1_ms": sum(wall > LONG_TURN_S for wall in walls),
                 "over_1_ms_of_cpu": sum(turn.cpu_s > LONG_TURN_S for turn in self.turns),
                 "median_ms": ms(percentile(walls, 0.5)),
--- a/benchmarks/capacity/request_path.py
+++ b/benchmarks/capacity/request_path.py
@@ -48,6 +48,8 @@
     core_share: float
     failed: int
     forced_switches_per_s: float  # the kernel took the daemon's core for something else
+    machine_busy: float  # of all cores, by all processes of the machine
+    machine_stolen: float  # of all cores, by the machine's host
 
     @property
     def added_median_ms(self) -> float:
@@ -121,10 +123,12 @@
         rows += [figure(f"path, {size} services: {name}", values, "ms") for name, values in parts.items()]
         shares = [each.core_share for each in runs]
         rows.append(figure(f"path, {size} services: daemon", shares, "core"))
-        forced = [each.forced_switches_per_s for each in runs]
-        rows.append(
-            figure(f"path, {size} services: forced switches", forced, "1/s", "other load on its core")
-        )
+        other_load = {
+            "forced switches of the daemon": ([each.forced_switches_per_s for each in runs], "1/s"),
+            "machine busy": ([each.machine_busy for each in runs], "of all cores"),
+            "machine stolen by its host": ([each.machine_stolen for each in runs], "of all cores"),
+        }
+        rows += [figure(f"path, {size} services: {name}", *measured) for name, measured in other_load.items()]
     return tuple(rows)
 
 
@@ -164,6 +168,7 @@
         lambda number: f"/{services[number % len(services)]}",
     )
     began, before, forced = time.perf_counter(), daemon.cpu_s, daemon.forced_switches
+    machine = machine_times()
     with pinned(CLIENT_CORE):
         play([direct, through], per_s, seconds)
     took = time.perf_counter() - began
@@ -176,4 +181,18 @@
         share,
         direct.failed + through.failed,
         (daemon.forced_switches - forced) / took,
+        *machine_shares(machine, machine_times()),
     )
+
+
+def machine_times() -> list[int]:
+    """Ticks of all cores since the machine's start: user, nice, system, idle, waiting, two kinds of
+    interrupts, stolen."""
+    return [int(each) for each in Path("/proc/stat").read_text().split("\n", 1)[0].split()[1:9]]
+
+
+def machine_shares(before: Sequence[int], after: Sequence[int]) -> tuple[float, float]:
+    """Of all cores: what was not idle, and what the host took."""
+    spent = [late - soon for soon, late in zip(before, after, strict=True)]
+    whole = max(1, sum(spent))
+    return 1.0 - (spent[3] + spent[4]) / whole, spent[7] / whole
--- a/tests/benchmarks/test_capacity_processes.py
+++ b/tests/benchmarks/test_capacity_processes.py
@@ -12,6 +12,7 @@
 from benchmarks.capacity.open_loop import OpenLoop, Route, precise_loop
 from benchmarks.capacity.process_roles import PROCESS_ROLES
 from benchmarks.capacity.process_slopes import cost_at, figure, has_slope, slope
+from benchmarks.capacity.request_path import machine_shares
 from benchmarks.capacity.service_site import ServiceSite
 from benchmarks.capacity.slopes import Axis, Unit
 from benchmarks.capacity.target import TARGET
@@ -142,3 +143,10 @@
 def test_roles_have_names_of_their_own() -> None:
     names = [role.name for role in PROCESS_ROLES]
     assert len(set(names)) == len(names) == 5
+
+
+def test_shares_of_the_machine_come_of_its_ticks() -> None:
+    before = [10, 0, 0, 100, 0, 0, 0, 5]
+    after = [40, 10, 10, 140, 5, 0, 0, 10]  # 55 of 100 not idle, 5 of these stolen
+    assert machine_shares(before, after) == pytest.approx((0.55, 0.05))
+    assert machine_shares(before, before) == (1.0, 0.0)
