--- a/benchmarks/capacity/list_changes.py
+++ b/benchmarks/capacity/list_changes.py
@@ -172,6 +172,7 @@
             costs.in_force_s.append(editor.wait_for(last, editor.change(last)))
             costs.drained_s.append(editor.wait_for_drain(last, editor.change(last, first_drains=True)))
             editor.wait_for(last, editor.change(last))
+            time.sleep(pace.old_s)
             idle = editor.daemon.core_share(pace.changing_s)
             busy = editor.share_at(CHANGES_PER_S, pace.changing_s)
             costs.cpu_ms.append((busy - idle) / CHANGES_PER_S * 1e3)
--- a/tests/benchmarks/test_capacity_processes.py
+++ b/tests/benchmarks/test_capacity_processes.py
@@ -3,11 +3,13 @@
 from __future__ import annotations
 
 import asyncio
+import os
+import time
 from pathlib import Path
 
 import pytest
 
-from benchmarks.capacity.daemon_process import content_length, list_version, server_state
+from benchmarks.capacity.daemon_process import content_length, cpu_clock, list_version, server_state
 from benchmarks.capacity.latencies import longest_gap, percentile
 from benchmarks.capacity.open_loop import OpenLoop, Route, precise_loop
 from benchmarks.capacity.process_roles import PROCESS_ROLES
@@ -150,3 +152,9 @@
     after = [40, 10, 10, 140, 5, 0, 0, 10]  # 55 of 100 not idle, 5 of these stolen
     assert machine_shares(before, after) == pytest.approx((0.55, 0.05))
     assert machine_shares(before, before) == (1.0, 0.0)
+
+
+def test_the_clock_of_a_process_is_its_cpu_time() -> None:
+    before = time.process_time()
+    told = time.clock_gettime(cpu_clock(os.getpid()))
+    assert before <= told <= time.process_time()
