--- a/benchmarks/capacity/daemon_process.py
+++ b/benchmarks/capacity/daemon_process.py
@@ -41,6 +41,18 @@
     resident_bytes: int
 
 
+@dataclass(frozen=True, slots=True)
+class CoreWaits:
+    """Of a thread, since its start."""
+
+    seconds: float  # ready to run, with no core
+    runs: int  # times that it got one
+
+    def mean_ms_since(self, before: CoreWaits) -> float:
+        """For each time that it ran since then."""
+        return (self.seconds - before.seconds) / max(1, self.runs - before.runs) * 1e3
+
+
 def cpu_clock(pid: int) -> int:
     """The id of the clock of a process's CPU time: as clock_getcpuclockid(3) makes it, which Python lacks. It
     has nanoseconds, where /proc has hundredths of a second."""
@@ -102,6 +114,12 @@
         lines = Path(f"/proc/{self.process.pid}/status").read_text().splitlines()
         return next(int(line.split()[1]) for line in lines if line.startswith("nonvoluntary_ctxt_switches"))
 
+    @property
+    def core_waits(self) -> CoreWaits:
+        """How long its main thread has waited for a core when it had something to do."""
+        fields = Path(f"/proc/{self.process.pid}/schedstat").read_text().split()
+        return CoreWaits(int(fields[1]) / 1e9, int(fields[2]))
+
     def wait_until_up(self, path: str = PROBE_PATH) -> StartCost:
         """Until it answers a request with 200; raises NotReady."""
         while time.perf_counter() - self.began < START_PATIENCE_S:
--- a/benchmarks/capacity/open_loop.py
+++ b/benchmarks/capacity/open_loop.py
@@ -55,7 +55,7 @@
         return self.sent - len(self.latencies_s) - self.failed
 
     def _opened(self, task: asyncio.Task[None]) -> None:
-        if task.exception() is not None:
+        if task.cancelled() or task.exception() is not None:
             self.failed += 1
             self.connections -= 1
 
--- a/benchmarks/capacity/request_path.py
+++ b/benchmarks/capacity/request_path.py
@@ -49,6 +49,7 @@
     core_share: float
     failed: int
     forced_switches_per_s: float  # the kernel took the daemon's core for something else
+    core_wait_ms: float  # the daemon's loop had something to do and no core, the mean of each time
     machine_busy: float  # of all cores, by all processes of the machine
     machine_stolen: float  # of all cores, by the machine's host
 
@@ -128,6 +129,7 @@
         rows.append(figure(f"path, {size} services: daemon", shares, "core"))
         other_load = {
             "forced switches of the daemon": ([each.forced_switches_per_s for each in runs], "1/s"),
+            "wait of the daemon's loop for a core": ([each.core_wait_ms for each in runs], "ms"),
             "machine busy": ([each.machine_busy for each in runs], "of all cores"),
             "machine stolen by its host": ([each.machine_stolen for each in runs], "of all cores"),
         }
@@ -171,7 +173,7 @@
         lambda number: f"/{services[number % len(services)]}",
     )
     began, before, forced = time.perf_counter(), daemon.cpu_s, daemon.forced_switches
-    machine = machine_times()
+    waits, machine = daemon.core_waits, machine_times()
     with pinned(CLIENT_CORE):
         play([direct, through], per_s, seconds)
     took = time.perf_counter() - began
@@ -184,6 +186,7 @@
         share,
         direct.failed + through.failed,
         (daemon.forced_switches - forced) / took,
+        daemon.core_waits.mean_ms_since(waits),
         *machine_shares(machine, machine_times()),
     )
 
