--- a/plovertrail/sources/instances.py
+++ b/plovertrail/sources/instances.py
@@ -22,7 +22,8 @@
     ) -> None:
         self.of_what = of_what
         self.listed = listed
-        self.lists = lists  # None: it gets a reader of its own when it has something to read
+        self.lists = lists  # None: it has a reader of its own while it has something to read
+        self.own: ListReader | None = None
         self.read = False  # a list of this file has been told
         self.problem = ""
         self.watch: Subscription | None = None
@@ -34,8 +35,10 @@
         self.stop()
         self.read, self.problem = False, ""
         if path:
-            self.lists = self.lists or ListReader()
-            self.watch = self.lists.subscribe(
+            reader = self.lists
+            if reader is None:
+                reader = self.own = ListReader()
+            self.watch = reader.subscribe(
                 SourceKey(path, False), f"list of {self.of_what}", self._taken, self._refused
             )
         return True
@@ -44,6 +47,9 @@
         if self.watch is not None:
             self.watch.stop()
             self.watch = None
+        if self.own is not None:
+            self.own.stop()
+            self.own = None
 
     async def _taken(self, candidate: Candidate) -> str:
         if not candidate.entries:
--- a/plovertrail/sources/list_reader.py
+++ b/plovertrail/sources/list_reader.py
@@ -117,6 +117,7 @@
         del self.followed[key]
         self.quick.pop(key, None)
         self.workers.drop(followed.job)
+        self._wake(followed, followed.job.asked)
         for table, at in ((self.by_path, path), (self.by_folder, os.path.dirname(path))):
             table[at].remove(followed)
             if not table[at]:
--- a/tests/sources/test_list_reader.py
+++ b/tests/sources/test_list_reader.py
@@ -552,7 +552,10 @@
             os.utime(gone)
             scan(reader)
             await asyncio.to_thread(files.arrived[str(gone)].wait)
+            look = asyncio.ensure_future(subscription.look())
+            await asyncio.sleep(0)
             subscription.stop()
+            await look  # who waits for a look is not left waiting
             files.let_go(gone)
             await until(lambda: not subscription.followed.job.in_flight)
             # a reading that was on its way to the loop
