--- a/plovertrail/decisions/list_versions.py
+++ b/plovertrail/decisions/list_versions.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-SCAN_PERIOD_US = 750_000  # between two safety scans, as long as they are cheap
+SCAN_PERIOD_US = 1_000_000  # between two safety scans, as long as they are cheap
 SCAN_SHARE = 0.01  # of one core, for the safety scans
 LATEST_DRAIN_US = 2_000_000  # in which a drain that a file tells must be seen, with no notification at all
 QUICK_LOOK_US = 200_000  # between two looks at a file that was changed a moment ago, or has not settled
@@ -116,7 +116,7 @@
 
 @dataclass(slots=True)
 class ScanSchedule:
-    """When the next safety scan begins: each 0.75 s, or less often where one costs more than its share."""
+    """When the next safety scan begins: once a second, or less often where one costs more than its share."""
 
     period_us: int = SCAN_PERIOD_US
     last_us: int = 0  # for how long the last scan ran, by the clock
--- a/plovertrail/store/memory.py
+++ b/plovertrail/store/memory.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterator, Mapping
+from dataclasses import dataclass
 from itertools import islice
 from typing import Any
 
@@ -21,9 +22,31 @@
 SLICE = 200  # servers or keys in one turn of the loop: under a millisecond
 # once a second where there is little; of 10,000 servers as often as half a hundredth of the loop allows
 GATHER = Work("state", Priority.STATE, every_us=1_000_000, latest_us=10_000_000, share=0.005)
+MOST_UNCHANGED_POOLS = 200  # that are passed over in one turn of the loop
 Pools = Callable[[], Mapping[str, tuple[ServerPool, State]]]
 
 
+@dataclass(frozen=True, slots=True)
+class GatheredPool:
+    """What was gathered of a pool, and what it was gathered from."""
+
+    pool: ServerPool
+    state: State
+    last_event_us: int  # of the pool's module
+    memory: Memory
+
+    def holds(self, pool: ServerPool, state: State) -> bool:
+        """Whether nothing has happened to the pool since: what no event changes fades by its age alone.
+
+        Hazard: a cold server isn't judged, and becomes warm with no event. So it is gathered anew until all
+        servers that were known by the last event are warm.
+        """
+        balancer = pool.balancer
+        all_warm_us = self.last_event_us + balancer.settings.warm_up_us
+        unchanged = self.pool is pool and self.state is state and self.last_event_us == balancer.now_us
+        return unchanged and self.memory.at_us >= all_warm_us
+
+
 def address_text(address: tuple[str, int]) -> str:
     """An address as records have it."""
     return f"{address[0]}:{address[1]}"
@@ -49,6 +72,7 @@
         self.memories = dict(found.memories)
         self.limits = dict(found.limits)
         self.former = found.counts
+        self.gathered: dict[str, GatheredPool] = {}
         self.taken: dict[str, int] = {"servers": 0, "limits": 0, "counts": 0}  # of what was kept, by kind
 
     def follow(self, runner: Runner) -> None:
@@ -107,19 +131,8 @@
 
     def run(self) -> Iterator[None]:
         """One run over all there is; a yield after each slice."""
-        memories: dict[str, Memory] = {}
+        yield from self._gather_pools()
         limits: dict[str, Remembered] = {}
-        for name, (pool, state) in list(self.pools().items()):
-            servers: dict[tuple[str, str], Judgement] = {}
-            at_us = clock_us()
-            called = (
-                (member.number, (ident, address_text(member.entry.address)))
-                for ident, member in state.members.items()
-            )  # an immutable value
-            while part := list(islice(called, SLICE)):
-                servers |= sweep(pool.balancer, part)
-                yield
-            memories[name] = Memory(at_us, servers, means(pool.balancer))
         for name, limiter in list(self.limiters().items()):
             free_us: dict[int, float] = {}
             keys = iter(list(limiter.entries))
@@ -136,8 +149,36 @@
                 yield
             window = counts.window
             former = Former(counts.name, counts.remembered_from_us, window.span_us, window.buckets, rows)
+        memories = {name: each.memory for name, each in self.gathered.items()}
         self.keeper.keep_others(Kept({}, memories, limits, former))
 
+    def _gather_pools(self) -> Iterator[None]:
+        """Gather the pools that something has happened to since the run before."""
+        pools, unchanged = dict(self.pools()), 0
+        self.gathered = {name: each for name, each in self.gathered.items() if name in pools}
+        for name, (pool, state) in pools.items():
+            before = self.gathered.get(name)
+            if before is None or not before.holds(pool, state):
+                yield from self._gather_pool(name, pool, state)
+                continue
+            unchanged += 1
+            if unchanged % MOST_UNCHANGED_POOLS == 0:
+                yield
+
+    def _gather_pool(self, name: str, pool: ServerPool, state: State) -> Iterator[None]:
+        """Gather one pool; a yield after each slice of its servers."""
+        at_us, last_event_us = clock_us(), pool.balancer.now_us
+        servers: dict[tuple[str, str], Judgement] = {}
+        called = (
+            (member.number, (ident, address_text(member.entry.address)))
+            for ident, member in state.members.items()
+        )  # an immutable value
+        while part := list(islice(called, SLICE)):
+            servers |= sweep(pool.balancer, part)
+            yield
+        memory = Memory(at_us, servers, means(pool.balancer))
+        self.gathered[name] = GatheredPool(pool, state, last_event_us, memory)
+
     def status(self) -> dict[str, Any]:
         """For operators: what was found at the start, and how much of it is in use."""
         return {**self.keeper.found, "taken_back": dict(self.taken)} if self.keeper.path else {}
--- /dev/null
+++ b/tests/store/test_gathering.py
@@ -0,0 +1,118 @@
+"""What is gathered for the state file: only of pools that something has happened to."""
+
+from __future__ import annotations
+
+import itertools
+from collections.abc import Iterable
+from pathlib import Path
+
+import pytest
+
+from plovertrail.clock import clock_us
+from plovertrail.config.operator import load
+from plovertrail.daemon import Daemon
+from plovertrail.decisions.balance import Balancer
+from plovertrail.decisions.remembered import Judgement, sweep
+from plovertrail.store import memory
+from standins.ports import free_port
+from standins.web import ERROR, OK, WebServer, always
+from tests.daemons import Running, message, run, site
+from tests.net import until
+
+Called = tuple[int, tuple[str, str]]
+ROUTES = """
+[[routes]]
+name = "other"
+path = "/other"
+class = "read"
+pools = ["other"]
+[[routes]]
+name = "rest"
+class = "read"
+pools = ["main"]
+"""
+
+
+class CountedSweeps:
+    """Stands in for `sweep`, and counts by Balancer how often it was asked."""
+
+    def __init__(self) -> None:
+        self.balancers: list[Balancer] = []
+
+    def __call__(self, balancer: Balancer, servers: Iterable[Called]) -> dict[tuple[str, str], Judgement]:
+        self.balancers.append(balancer)
+        return sweep(balancer, servers)
+
+
+def made(folder: Path, servers: list[WebServer], warm_up: str) -> Daemon:
+    path = folder / "site.toml"
+    pools = {"main": servers[:1], "other": servers[1:]}
+    head = f'[daemon]\nstate_file = "{folder}/state"\n'
+    path.write_text(site(free_port(), pools, ROUTES, pool_extra=f'warm_up = "{warm_up}"', head=head))
+    daemon = Daemon(load(str(path)), seeds=itertools.count(1).__next__)
+    daemon.background.remove("state")  # only the test's own runs gather
+    return daemon
+
+
+async def gathered(daemon: Daemon, counted: CountedSweeps) -> set[str]:
+    """The pools that one run looks at."""
+    counted.balancers.clear()
+    daemon.memory.gather()
+    by_balancer = {id(each.pool.balancer): name for name, each in daemon.pools.items()}
+    return {by_balancer[id(balancer)] for balancer in counted.balancers}
+
+
+def test_only_pools_that_something_happened_to_are_gathered_and_all_are_kept(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    counted = CountedSweeps()
+    monkeypatch.setattr(memory, "sweep", counted)
+
+    async def test() -> None:
+        servers = [WebServer(always(ERROR)), WebServer(always(OK))]
+        for server in servers:
+            await server.start()
+        daemon = made(tmp_path, servers, warm_up="1ms")
+        it = Running(daemon, daemon.addresses()["web"][1], tmp_path / "site.toml")
+        for _ in range(5):
+            await it.ask(message("GET /"))
+        pools = daemon.pools.values()
+        # all servers are warm a moment after the last event
+        await until(lambda: all(clock_us() > p.pool.balancer.now_us + 2_000 for p in pools))
+        assert await gathered(daemon, counted) == {"main", "other"}
+        before = daemon.memory.gathered["main"].memory
+        assert before.servers, "the failing server is judged"
+        assert await gathered(daemon, counted) == set()
+        assert daemon.memory.gathered["main"].memory == before
+
+        await it.ask(message("GET /other"))
+        assert await gathered(daemon, counted) == {"other"}
+        assert daemon.memory.gathered["main"].memory == before
+
+        daemon.drain("main", "main0", True)
+        assert await gathered(daemon, counted) >= {"main"}
+        await daemon.stop()
+        for server in servers:
+            server.stop()
+
+    run(test)
+
+
+def test_a_pool_whose_servers_may_be_cold_is_gathered_anew(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    counted = CountedSweeps()
+    monkeypatch.setattr(memory, "sweep", counted)
+
+    async def test() -> None:
+        servers = [WebServer(), WebServer()]
+        for server in servers:
+            await server.start()
+        daemon = made(tmp_path, servers, warm_up="1h")
+        for _ in range(2):
+            assert await gathered(daemon, counted) == {"main", "other"}
+        await daemon.stop()
+        for server in servers:
+            server.stop()
+
+    run(test)
