--- a/benchmarks/capacity/profiled_daemon.py
+++ b/benchmarks/capacity/profiled_daemon.py
@@ -29,7 +29,7 @@
 
 from benchmarks.capacity.latencies import percentile
 from plovertrail.cli import main
-from plovertrail.pulse import PulseSelector
+from plovertrail.stall_detector import StallDetectingSelector
 
 LONG_TURN_S = 0.001
 MOST_CALLBACKS = 25
@@ -103,9 +103,9 @@
         setattr(events.Handle, "_run", run)  # noqa: B010
 
     def _record_turns(self) -> None:
-        plain = PulseSelector.select
+        plain = StallDetectingSelector.select
 
-        def select(selector: PulseSelector, timeout: float | None = None) -> Any:
+        def select(selector: StallDetectingSelector, timeout: float | None = None) -> Any:
             if self.began:
                 wall = time.perf_counter() - self.began
                 cpu = time.thread_time() - self.began_cpu
@@ -118,7 +118,7 @@
             self.began, self.began_cpu = time.perf_counter(), time.thread_time()
             return found
 
-        setattr(PulseSelector, "select", select)  # noqa: B010
+        setattr(StallDetectingSelector, "select", select)  # noqa: B010
 
     def _taken(self) -> list[tuple[str, float]]:
         """The turn's callbacks; of a short turn, which there are many of, none are kept."""
--- a/plovertrail/cli/serve.py
+++ b/plovertrail/cli/serve.py
@@ -11,7 +11,7 @@
 from plovertrail.cli.files import load_or_exit
 from plovertrail.config.problems import ConfigError, Problem
 from plovertrail.logs import log_to_stderr
-from plovertrail.pulse import PulseLoop
+from plovertrail.stall_detector import StallDetectingLoop
 
 LONGEST_TEST_S = 300.0
 LONGEST_TOLD = 4000  # characters of what broke
@@ -67,7 +67,7 @@
         await daemon.serve(setup, approve=approve if tests else None)
 
     try:
-        with asyncio.Runner(loop_factory=PulseLoop) as runner:
+        with asyncio.Runner(loop_factory=StallDetectingLoop) as runner:
             runner.run(whole())
     except (ConfigError, OSError) as error:
         click.echo(str(error), err=True)
--- a/plovertrail/decisions/recovery.py
+++ b/plovertrail/decisions/recovery.py
@@ -10,9 +10,9 @@
 from collections.abc import Container, Iterable
 from dataclasses import dataclass, replace
 
-BEAT_US = 250_000  # a loop that has nothing to do turns so often, so that a gap shows
+LONGEST_IDLE_WAIT_US = 250_000  # a loop that has nothing to do turns so often, so that a gap shows
 # a drain is told through files that are looked at every second, and holds 2 s after word at the latest
-STOOD_STILL_US = 500_000  # a gap that is longer: what was known before it may be overtaken
+LONGEST_UNNOTICED_STALL_US = 500_000  # a gap that is longer: what was known before it may be overtaken
 LONGEST_CATCH_UP_US = 1_000_000  # then sources that give nothing count as missing, and the rest serves
 
 
@@ -128,30 +128,30 @@
     )
 
 
-class Pulse:
+class StallDetector:
     """Tells a process that stood still from one that had nothing to do, by the turns of its loop. Hazard: a
     clock alone doesn't: a stopped process and an idle one both let time go by."""
 
     def __init__(self, now_us: int) -> None:
         self.woke_us = now_us  # when the turn under way began
-        self.until_us = now_us  # when the wait under way should have ended at the latest
+        self.wait_ends_us = now_us  # when the wait under way should have ended at the latest
 
-    def waits(self, now_us: int, longest_us: int) -> int:
+    def before_wait(self, now_us: int, longest_us: int) -> int:
         """The loop is about to wait for so long at most. Returns for how long the turn before it stood still,
         0 if it didn't."""
         gap_us = now_us - self.woke_us
-        self.until_us = now_us + longest_us
-        return gap_us if gap_us > STOOD_STILL_US else 0
+        self.wait_ends_us = now_us + longest_us
+        return gap_us if gap_us > LONGEST_UNNOTICED_STALL_US else 0
 
-    def woke(self, now_us: int) -> int:
+    def after_wait(self, now_us: int) -> int:
         """The wait is over. Returns for how long the process stood still in it, 0 if it didn't."""
-        gap_us = now_us - self.until_us
+        gap_us = now_us - self.wait_ends_us
         self.woke_us = now_us
-        return gap_us if gap_us > STOOD_STILL_US else 0
+        return gap_us if gap_us > LONGEST_UNNOTICED_STALL_US else 0
 
     def stale(self, now_us: int) -> bool:
         """Whether the turn under way has lasted so long that what it began with may be overtaken."""
-        return now_us - self.woke_us > STOOD_STILL_US
+        return now_us - self.woke_us > LONGEST_UNNOTICED_STALL_US
 
 
 class Recovery:
--- a/plovertrail/recovery_keeper.py
+++ b/plovertrail/recovery_keeper.py
@@ -10,9 +10,9 @@
 from plovertrail.clock import clock_us
 from plovertrail.decisions.recovery import Phase, Recovery
 from plovertrail.host import Host
-from plovertrail.pulse import PulseLoop
 from plovertrail.roster import Roster
 from plovertrail.sources.subscriptions import Subscription
+from plovertrail.stall_detector import StallDetectingLoop
 
 log = logging.getLogger(__name__)
 
@@ -44,8 +44,8 @@
         self.again = False  # it stood still once more while it caught up
         self.task: asyncio.Task[None] | None = None
         loop = host.loop
-        if isinstance(loop, PulseLoop):
-            loop.beat.on_gap = self.stood_still
+        if isinstance(loop, StallDetectingLoop):
+            loop.stall_selector.on_gap = self.stood_still
             host.stale = loop.stale
 
     def watches(self) -> dict[str, Subscription]:
--- a/tests/decisions/test_recovery.py
+++ b/tests/decisions/test_recovery.py
@@ -7,10 +7,10 @@
 
 from plovertrail.decisions.recovery import (
     LONGEST_CATCH_UP_US,
-    STOOD_STILL_US,
+    LONGEST_UNNOTICED_STALL_US,
     Phase,
-    Pulse,
     Recovery,
+    StallDetector,
 )
 
 S = 1_000_000
@@ -26,19 +26,19 @@
 
 
 def test_an_idle_wait_is_no_gap_and_a_longer_one_is() -> None:
-    pulse = Pulse(0)
-    assert pulse.waits(1000, 250_000) == 0
-    assert pulse.woke(251_000 + STOOD_STILL_US) == 0  # a machine that is busy
-    assert pulse.waits(800_000, 250_000) == 0
-    assert pulse.woke(5 * S) == 5 * S - 1_050_000
+    detector = StallDetector(0)
+    assert detector.before_wait(1000, 250_000) == 0
+    assert detector.after_wait(251_000 + LONGEST_UNNOTICED_STALL_US) == 0  # a machine that is busy
+    assert detector.before_wait(800_000, 250_000) == 0
+    assert detector.after_wait(5 * S) == 5 * S - 1_050_000
 
 
 def test_a_turn_that_is_stopped_is_seen_while_it_lasts_and_at_its_end() -> None:
-    pulse = Pulse(0)
-    pulse.waits(0, 0)
-    pulse.woke(0)
-    assert not pulse.stale(STOOD_STILL_US) and pulse.stale(STOOD_STILL_US + 1)
-    assert pulse.waits(4 * S, 1000) == 4 * S
+    detector = StallDetector(0)
+    detector.before_wait(0, 0)
+    detector.after_wait(0)
+    assert not detector.stale(LONGEST_UNNOTICED_STALL_US) and detector.stale(LONGEST_UNNOTICED_STALL_US + 1)
+    assert detector.before_wait(4 * S, 1000) == 4 * S
 
 
 def test_nothing_is_sent_until_all_sources_were_read_again() -> None:
@@ -83,7 +83,7 @@
 SOURCES = st.sampled_from("abc")
 STEP = st.one_of(
     st.tuples(st.just("told"), SOURCES, st.sampled_from(["", "it is empty"])),
-    st.tuples(st.just("gap"), st.integers(STOOD_STILL_US, 100 * S)),
+    st.tuples(st.just("gap"), st.integers(LONGEST_UNNOTICED_STALL_US, 100 * S)),
     st.tuples(st.just("time")),
     st.tuples(st.just("setup"), st.sets(SOURCES)),
 )
--- a/tests/test_many_lists.py
+++ b/tests/test_many_lists.py
@@ -27,10 +27,10 @@
 from plovertrail.decisions.list_versions import SourceKey
 from plovertrail.decisions.share import Fleet
 from plovertrail.decisions.turns import Place
-from plovertrail.pulse import PulseLoop
 from plovertrail.running_pool import ElsewhereKnown, RunningPool
 from plovertrail.sources.first_read import FIRST_READ_S
 from plovertrail.sources.list_reader import ListReader
+from plovertrail.stall_detector import StallDetectingLoop
 from standins.ports import free_port
 from tests.daemons import CLASSES, run
 from tests.net import PATIENCE_S, until
@@ -370,7 +370,7 @@
             assert "stood still" in daemon.status()["recovery"]["why"]
             await daemon.stop()
 
-    run(test, PulseLoop)
+    run(test, StallDetectingLoop)
 
 
 # Descriptors
--- a/tests/test_standing_still.py
+++ b/tests/test_stalls.py
@@ -13,9 +13,9 @@
 import pytest
 
 from plovertrail.clock import another_clock
-from plovertrail.pulse import PulseLoop
 from plovertrail.sources.file_reading import LocalFileSystem
 from plovertrail.sources.lists import sealed
+from plovertrail.stall_detector import StallDetectingLoop
 from standins.web import WebServer
 from tests.daemons import Running, message, running
 from tests.daemons import run as run_test
@@ -41,7 +41,7 @@
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
-    run_test(test, PulseLoop)
+    run_test(test, StallDetectingLoop)
 
 
 def phase(it: Running) -> str:
