--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -86,7 +86,7 @@
 
 
 def members(daemon: Daemon) -> dict[str, Entry]:
-    return {ident: member.entry for ident, member in daemon.pools["main"].roster.state.members.items()}
+    return {ident: member.entry for ident, member in daemon.pools["main"].registry.state.members.items()}
 
 
 async def until(condition: Callable[[], bool]) -> None:
@@ -135,7 +135,7 @@
     put(path, many(count))
     daemon, _ = daemon_in(folder)
     await asyncio.sleep(1.0)
-    first = daemon.pools["main"].roster
+    first = daemon.pools["main"].registry
     datas = [many(count, 2.0 + number) for number in range(changes)]  # not on the loop's account
     await asyncio.sleep(0.1)
     stall, slowest = Stall(), 0.0
--- a/benchmarks/planted_faults.py
+++ b/benchmarks/planted_faults.py
@@ -44,7 +44,7 @@
 FAULTS = [
     Fault(
         "a drain is ignored",
-        "plovertrail/roster.py",
+        "plovertrail/endpoint_registry.py",
         "state = UpstreamState.DRAINING if entry.drain else UpstreamState.READY",
         "state = UpstreamState.READY",
     ),
@@ -64,7 +64,7 @@
     ),
     Fault(
         "a leave is told late by a second",
-        "plovertrail/roster.py",
+        "plovertrail/endpoint_registry.py",
         "            self.host.list_changed(self.pool, UpstreamsUpdated(ListKind.DELTA, entries), addresses)",
         "            self.host.loop.call_later(1.0, self.host.list_changed, self.pool,\n"
         "                                      UpstreamsUpdated(ListKind.DELTA, entries), addresses)",
--- a/plovertrail/daemon.py
+++ b/plovertrail/daemon.py
@@ -26,6 +26,7 @@
 from plovertrail.decisions.limits import Limiter
 from plovertrail.decisions.list_versions import SourceKey
 from plovertrail.decisions.membership import State
+from plovertrail.endpoint_registry import EndpointRegistry
 from plovertrail.fleet_keeper import FleetKeeper
 from plovertrail.fronts.ordinary import OrdinaryFront
 from plovertrail.fronts.sockets import SocketKeeper
@@ -36,7 +37,6 @@
 from plovertrail.line_log import LineLog
 from plovertrail.peers.keeper import PeerKeeper
 from plovertrail.recovery_keeper import RecoveryKeeper
-from plovertrail.roster import Roster
 from plovertrail.running_pool import Connect, ElsewhereKnown, RunningPool, connect
 from plovertrail.setup_file import SetupFile
 from plovertrail.sources.first_read import FirstRead
@@ -119,7 +119,7 @@
         self.keeper = StoreKeeper(setup.state_file, instance_name(setup))
         self.memory = MemoryKeeper(self.keeper, self._pools, lambda: self.limiters, lambda: self.peers.counts)
         self.peers = PeerKeeper(seeds, self.lists)
-        self.hearsay = HearsayKeeper(self.host, self._rosters, self._judgements, self.peers.hurry)
+        self.hearsay = HearsayKeeper(self.host, self._registries, self._judgements, self.peers.hurry)
         self.background = Runner(self.loop)
         self.subsets: list[RunningPool] = []  # the pools of which this instance uses a part
         self.troubled: set[str] = set()  # the pools whose reports last
@@ -132,7 +132,7 @@
         self.reloading = asyncio.Lock()
         self.reload_problem = ""  # why the last reload was refused; empty: it was not
         self.setup_file = SetupFile(self.lists, self._reload_changed)
-        self.recovery = RecoveryKeeper(self.host, self._rosters, self._reloaded, self._stood_still)
+        self.recovery = RecoveryKeeper(self.host, self._registries, self._reloaded, self._stood_still)
         self.current = Current(Generation(0, setup, {}, {}, {}))
         compiled = self.hooks.prepare(setup)
         if fresh is None:
@@ -173,24 +173,30 @@
         replaced = []
         for name, config in setup.pools.items():
             old = before.pop(name, None)
-            roster = old.roster if old is not None else self._roster(name)
+            registry = old.registry if old is not None else self._registry(name)
             sources = [SourceKey(*key) for key in config.lists]
             pool = old
             chosen_by = setup.fleet.fleet.number, share.group_of(setup.classes_at(name))
             if pool is None or not pool.fits(config, setup.limits.max_answer, chosen_by):
                 if old is not None:
                     replaced.append(old)
-                roster.pool = None
-                roster.configure(config.servers, sources, config.guards, config.home_zone, fresh)
+                registry.pool = None
+                registry.configure(config.servers, sources, config.guards, config.home_zone, fresh)
                 pool = RunningPool(
-                    self.host, config, setup.limits.max_answer, roster, self.seeds(), chosen_by, self.connect
+                    self.host,
+                    config,
+                    setup.limits.max_answer,
+                    registry,
+                    self.seeds(),
+                    chosen_by,
+                    self.connect,
                 )
-                self.memory.recall_pool(name, pool.pool, roster.state)
-                roster.attach(pool.pool)
+                self.memory.recall_pool(name, pool.pool, registry.state)
+                registry.attach(pool.pool)
             else:
                 pool.adopt(config)
                 pool.use_door(self.host, self.seeds())
-                roster.configure(config.servers, sources, config.guards, config.home_zone, fresh)
+                registry.configure(config.servers, sources, config.guards, config.home_zone, fresh)
             pools[name] = pool
         self.pools = pools  # till here the old ones, which tell what servers are known already
         modules: dict[str, ServerPool] = {name: pool.pool for name, pool in pools.items()}
@@ -202,7 +208,7 @@
         for gone in [*before.values(), *replaced]:
             gone.retire(self.host)
         for gone in before.values():
-            gone.roster.stop()
+            gone.registry.stop()
         self.sockets.reconfigure(
             self.generation.plans,
             {name: (pool.max_sockets, pool.max_sockets_per_server) for name, pool in setup.pools.items()},
@@ -227,7 +233,7 @@
     def _speak(self) -> Iterator[None]:
         for name in list(self.troubled):
             if name in self.pools:
-                self.pools[name].roster.speak()
+                self.pools[name].registry.speak()
             yield
 
     def _lasting(self, name: str, lasting: bool) -> None:
@@ -243,14 +249,14 @@
             pool.stood_still(fleet.fleet, fleet.place, slow_start)
         self.peers.stood_still(gap_us)
 
-    def _rosters(self) -> Mapping[str, Roster]:
-        return {name: pool.roster for name, pool in self.pools.items()}
+    def _registries(self) -> Mapping[str, EndpointRegistry]:
+        return {name: pool.registry for name, pool in self.pools.items()}
 
     def _judgements(self) -> Judgements | None:
         return self.peers.judgements
 
     def _pools(self) -> Mapping[str, tuple[ServerPool, State]]:
-        return {name: (pool.pool, pool.roster.state) for name, pool in self.pools.items()}
+        return {name: (pool.pool, pool.registry.state) for name, pool in self.pools.items()}
 
     def _bind_peers(self, setup: operator.Setup) -> socket.socket | None:
         return self.peers.bind(setup)
@@ -284,15 +290,15 @@
             limiter.counts = counts if settings.fleet_wide else None
             self.limiters[name] = limiter
 
-    def _roster(self, name: str) -> Roster:
+    def _registry(self, name: str) -> EndpointRegistry:
         state = self.memory.state_of(name) or State(started=bool(self.generation.number))
         elsewhere = ElsewhereKnown(name, lambda: self.pools)
-        roster = Roster(
+        registry = EndpointRegistry(
             name, self.host, state, lambda: elsewhere, partial(self._list_changed, name), self.lists
         )
-        roster.heard = partial(self.recovery.told, name)
-        roster.lasting = partial(self._lasting, name)
-        return roster
+        registry.heard = partial(self.recovery.told, name)
+        registry.lasting = partial(self._lasting, name)
+        return registry
 
     def _fleet_changed(self) -> None:
         """The number of instances, or a setup: all pools take their parts anew."""
@@ -316,7 +322,7 @@
             log.error("%s: %s", pool.config.name, pool.overdrawn)
 
     def _keep_lists(self) -> None:
-        self.keeper.keep(lambda: {name: pool.roster.state for name, pool in self.pools.items()})
+        self.keeper.keep(lambda: {name: pool.registry.state for name, pool in self.pools.items()})
 
     def _bind(self, setup: operator.Setup) -> dict[str, socket.socket]:
         """The sockets of the listeners that are new or have moved."""
@@ -420,10 +426,10 @@
         """Drain a server by hand, or end that; returns what is wrong, or nothing."""
         if pool not in self.pools:
             return f'no pool is called "{pool}"'
-        roster = self.pools[pool].roster
-        if drain and server not in roster.state.members:
+        registry = self.pools[pool].registry
+        if drain and server not in registry.state.members:
             return f'pool "{pool}" has no server "{server}"'
-        roster.drain(server, drain)
+        registry.drain(server, drain)
         return ""
 
     def status(self) -> dict[str, Any]:
@@ -462,7 +468,7 @@
         self.control.stop()
         self.recovery.stop()
         for pool in self.pools.values():
-            pool.roster.stop()
+            pool.registry.stop()
         self.instances.stop()
         self.peers.stop()
         self.setup_file.stop()
--- a/plovertrail/roster.py
+++ b/plovertrail/endpoint_registry.py
@@ -35,7 +35,7 @@
     return 1 + (int.from_bytes(hashlib.sha256(name.encode()).digest()[:8]) >> 1)
 
 
-class Roster:
+class EndpointRegistry:
     """The servers of one pool. It outlives the pool's module, which a reload may replace."""
 
     def __init__(
--- a/plovertrail/hearsay.py
+++ b/plovertrail/hearsay.py
@@ -14,14 +14,14 @@
 from plovertrail.decisions.interface import Outcome
 from plovertrail.decisions.judgements import Judgements, Known, Opinion, Window, hearsay
 from plovertrail.decisions.membership import State
+from plovertrail.endpoint_registry import EndpointRegistry
 from plovertrail.host import Host, ServerPool
-from plovertrail.roster import Roster
 
 # opinions follow evidence, which goes out five times a second as a rule
 OPINIONS = Work("opinions", Priority.PEERS, every_us=200_000, latest_us=1_000_000, share=0.02)
 FAULTS = frozenset((Outcome.ERROR, Outcome.RESET, Outcome.SPOILT, Outcome.CONNECT_FAILED))
 TELLING = FAULTS | {Outcome.OK, Outcome.FULL, Outcome.TIMEOUT}
-Rosters = Callable[[], Mapping[str, Roster]]
+Rosters = Callable[[], Mapping[str, EndpointRegistry]]
 
 
 @lru_cache(maxsize=16_384)  # hazard: digests of 10,000 ids at each change of a list would hold the loop up
@@ -41,23 +41,25 @@
     def __init__(
         self,
         host: Host,
-        rosters: Rosters,
+        registries: Rosters,
         judgements: Callable[[], Judgements | None],
         hurry: Callable[[Callable[[], None]], None],
     ) -> None:
         self.host = host
-        self.rosters = rosters
+        self.registries = registries
         self.judgements = judgements
         self.hurry = hurry  # tells others at once what is news, and calls back with what is
         self.runner: Runner | None = None
         self.known: dict[ServerPool, tuple[State, Known]] = {}  # of this state of its list
-        self.by_pool: dict[ServerPool, Roster] = {}
+        self.by_pool: dict[ServerPool, EndpointRegistry] = {}
         self.told: dict[ServerPool, Mapping[tuple[int, int], float]] = {}
         self.opinions: dict[tuple[int, int], Opinion] = {}
 
     def follow(self, runner: Runner) -> None:
         """A setup has come into force."""
-        self.by_pool = {roster.pool: roster for roster in self.rosters().values() if roster.pool is not None}
+        self.by_pool = {
+            registry.pool: registry for registry in self.registries().values() if registry.pool is not None
+        }
         self.told = {pool: held for pool, held in self.told.items() if pool in self.by_pool}
         self.known = {pool: known for pool, known in self.known.items() if pool in self.by_pool}
         on = self.judgements() is not None
@@ -81,22 +83,22 @@
         if self.runner is not None and OPINIONS.name in self.runner.begins:
             self.runner.hurry(OPINIONS.name)
 
-    def known_of(self, pool: ServerPool, roster: Roster) -> Known:
+    def known_of(self, pool: ServerPool, registry: EndpointRegistry) -> Known:
         """What a pool's servers are called; made anew when its list has changed."""
-        found, state = self.known.get(pool), roster.state
+        found, state = self.known.get(pool), registry.state
         if found is None or found[0] is not state:
             servers = {
-                member.number: server_key(roster.name, ident) for ident, member in state.members.items()
+                member.number: server_key(registry.name, ident) for ident, member in state.members.items()
             }
             classes = tuple(class_key(kind.name) for kind in pool.settings.classes)
             found = self.known[pool] = state, Known(servers, classes)
         return found[1]
 
     def _key(self, pool: ServerPool, number: int, class_index: int) -> tuple[int, int] | None:
-        roster = self.by_pool.get(pool)
-        if roster is None:
+        registry = self.by_pool.get(pool)
+        if registry is None:
             return None
-        known = self.known_of(pool, roster)
+        known = self.known_of(pool, registry)
         server = known.servers.get(number)
         return (server, known.classes[class_index]) if server is not None else None
 
@@ -132,8 +134,8 @@
         if judgements is None:
             return
         found: dict[tuple[int, int], Opinion] = {}
-        for pool, roster in list(self.by_pool.items()):
-            known = self.known_of(pool, roster)
+        for pool, registry in list(self.by_pool.items()):
+            known = self.known_of(pool, registry)
             opinions = judgements.opinions(known.numbers.keys(), clock_us())
             found |= opinions
             held = hearsay(opinions, known)
@@ -149,11 +151,11 @@
         if judgements is None:
             return {}
         found: dict[str, Any] = {}
-        for pool, roster in self.by_pool.items():
-            known = self.known_of(pool, roster)
+        for pool, registry in self.by_pool.items():
+            known = self.known_of(pool, registry)
             named = {
                 common: ident
-                for ident, member in roster.state.members.items()
+                for ident, member in registry.state.members.items()
                 if (common := known.servers.get(member.number)) is not None
             }
             kinds = {
@@ -164,7 +166,7 @@
                     opinion = self.opinions.get(key)
                     if opinion is None:
                         opinion = judgements.opinion(key, now_us, judgements.everywhere(key[1], now_us))
-                    found.setdefault(roster.name, {}).setdefault(named[key[0]], {})[kinds[key[1]]] = told(
+                    found.setdefault(registry.name, {}).setdefault(named[key[0]], {})[kinds[key[1]]] = told(
                         judgements, key, opinion, now_us
                     )
         return found
--- a/plovertrail/recovery_keeper.py
+++ b/plovertrail/recovery_keeper.py
@@ -9,8 +9,8 @@
 
 from plovertrail.clock import clock_us
 from plovertrail.decisions.recovery import Phase, Recovery
+from plovertrail.endpoint_registry import EndpointRegistry
 from plovertrail.host import Host
-from plovertrail.roster import Roster
 from plovertrail.sources.subscriptions import Subscription
 from plovertrail.stall_detector import StallDetectingLoop
 
@@ -31,12 +31,12 @@
     def __init__(
         self,
         host: Host,
-        rosters: Callable[[], Mapping[str, Roster]],
+        registries: Callable[[], Mapping[str, EndpointRegistry]],
         settled: Callable[[], Awaitable[None]],
         on_gap: Callable[[int], None],
     ) -> None:
         self.host = host
-        self.rosters = rosters
+        self.registries = registries
         self.settled = settled
         self.on_gap = on_gap  # what has piled up meanwhile is to be given up
         self.recovery = Recovery(clock_us())
@@ -52,16 +52,16 @@
         """All sources that are watched."""
         return {
             source_name(name, watch.key.name): watch
-            for name, roster in self.rosters().items()
-            for watch in roster.watches.values()
+            for name, registry in self.registries().items()
+            for watch in registry.watches.values()
         }
 
     def follow(self) -> None:
         """A setup has come into force; its lists have been read once."""
         now_us, before = clock_us(), self.recovery.phase
-        for name, roster in self.rosters().items():
-            for source in roster.watches.values():
-                wrong = roster.unreadable.get(source.key.name, "")
+        for name, registry in self.registries().items():
+            for source in registry.watches.values():
+                wrong = registry.unreadable.get(source.key.name, "")
                 self.recovery.told(source_name(name, source.key.name), wrong, now_us)
         self.recovery.begin(self.watches(), now_us)
         self.changed(before)
--- a/plovertrail/rehearsal/daemon.py
+++ b/plovertrail/rehearsal/daemon.py
@@ -16,6 +16,7 @@
 from plovertrail.decisions.counts import Counts
 from plovertrail.decisions.judgements import CAP, Evidence, Judgements
 from plovertrail.decisions.membership import Candidate, Entry, State
+from plovertrail.endpoint_registry import INLINE
 from plovertrail.exchange import Call
 from plovertrail.fronts import connections
 from plovertrail.fronts.ordinary import LocalReply, OrdinaryClient, OrdinaryFront
@@ -23,7 +24,6 @@
 from plovertrail.hearsay import class_key, server_key
 from plovertrail.rehearsal.servers import Behaviour, PlayedServers
 from plovertrail.rehearsal.written import Event
-from plovertrail.roster import INLINE
 from plovertrail.sources.file_reading import FileSource, first_read
 from plovertrail.upstreams.connections import ConnectionPool
 
@@ -234,7 +234,7 @@
     def entry(self, pool: str, address: tuple[str, int]) -> Entry:
         """The server that a pool has at an address, or had; looked for anew when its list has changed."""
         if pool in self.pools:
-            state = self.pools[pool].roster.state
+            state = self.pools[pool].registry.state
             known = self.entries.get(pool)
             if known is None or known[0] is not state:
                 members = [*(member for member, _ in state.leaving.values()), *state.members.values()]
@@ -268,18 +268,18 @@
 
     def change_servers(self, pool: str, change: Callable[[tuple[Entry, ...]], tuple[Entry, ...]]) -> None:
         """What is listed of a pool changes."""
-        roster = self.pools[pool].roster
-        layer = next(layer for layer in roster.state.layers if layer.source == INLINE)
-        roster.step(Candidate(INLINE, change(tuple(layer.entries)), by_operator=True))
+        registry = self.pools[pool].registry
+        layer = next(layer for layer in registry.state.layers if layer.source == INLINE)
+        registry.step(Candidate(INLINE, change(tuple(layer.entries)), by_operator=True))
 
     def list_servers(
         self, pool: str, wanted: frozenset[str], known: tuple[Entry, ...], version: int
     ) -> tuple[str, ...]:
         """A source's list comes, and is held to the guards as a file's would be; why it is refused, if so."""
-        roster = self.pools[pool].roster
+        registry = self.pools[pool].registry
         entries = tuple(entry for entry in known if entry.id in wanted)
-        roster.step(Candidate(INLINE, entries, version))
-        return roster.state.refused.get(INLINE, ())
+        registry.step(Candidate(INLINE, entries, version))
+        return registry.state.refused.get(INLINE, ())
 
     def refusing(self) -> set[str]:
         """The limits, doors and hooks that have held a request back, or had a say."""
--- a/plovertrail/rehearsal/play.py
+++ b/plovertrail/rehearsal/play.py
@@ -154,7 +154,7 @@
         if event.move in ("drain", "undrain"):
             self.daemon.drain(event.pool, event.server, event.move == "drain")
         elif event.move == "gone":
-            entries = self.daemon.pools[event.pool].roster.state.members
+            entries = self.daemon.pools[event.pool].registry.state.members
             if event.server in entries:
                 self.gone[event.pool, event.server] = entries[event.server].entry
             self.daemon.change_servers(
@@ -170,14 +170,14 @@
 
     def lists(self, event: Event, wanted: frozenset[str], now_us: int) -> None:
         """A pool's source has another list."""
-        roster = self.daemon.pools[event.pool].roster
-        before = set(roster.state.members)
+        registry = self.daemon.pools[event.pool].registry
+        before = set(registry.state.members)
         refused = self.daemon.list_servers(
             event.pool, wanted, self.played.setup.pools[event.pool].servers, event.version
         )
         text = f"{event.pool} lists {', '.join(sorted(wanted)) or 'no server'}"
         self.played.told.append((now_us, f"{text}: refused, {'; '.join(refused)}" if refused else text))
-        after = set(roster.state.members)
+        after = set(registry.state.members)
         for ident in sorted(before ^ after):
             self.played.moved.append(Moved(now_us, event.pool, ident, "join" if ident in after else "gone"))
 
--- a/plovertrail/running_pool.py
+++ b/plovertrail/running_pool.py
@@ -11,8 +11,8 @@
 from plovertrail.decisions.admission import Admission
 from plovertrail.decisions.membership import Address
 from plovertrail.decisions.turns import Place
+from plovertrail.endpoint_registry import EndpointRegistry
 from plovertrail.host import Host
-from plovertrail.roster import Roster
 from plovertrail.upstreams.connections import AnswerRules, ConnectionPool
 
 FAULTS = frozenset((429, 500, 502, 503, 504))  # answers that tell of the server, not of what was asked
@@ -34,7 +34,7 @@
         host: Host,
         config: operator.Pool,
         max_answer: int,
-        roster: Roster,
+        registry: EndpointRegistry,
         seed: int,
         chosen_by: tuple[int, str],
         connect: Connect,
@@ -42,7 +42,7 @@
         self.config = config
         self.chosen_by = chosen_by  # this instance's number, and which servers are chosen together
         self.max_answer = max_answer
-        self.roster = roster
+        self.registry = registry
         self.connections = connect(config, AnswerRules(max_answer, FAULTS))
         self.connections.stale = host.stale
         self.pool = host.add_pool(config.name, config.settings, seed, self.connections)
@@ -80,7 +80,7 @@
             self.begin_slowly(fleet, slow_start)
         elif self.pool.admission is not None:
             self.pool.admission.size = fleet.size
-        bounds, servers = self.config.bounds, len(self.roster.state.members)
+        bounds, servers = self.config.bounds, len(self.registry.state.members)
         self.overdrawn = share.overdrawn(fleet, bounds, servers)
         budget = share.budget(fleet, bounds, servers)
         if budget != self.budget:
@@ -128,7 +128,7 @@
     def __getitem__(self, server: tuple[str, Address]) -> int:
         ident, address = server
         for other, pool in reversed(list(self.pools().items())):
-            member = pool.roster.state.members.get(ident) if other != self.name else None
+            member = pool.registry.state.members.get(ident) if other != self.name else None
             if member is not None and member.entry.address == address:
                 return member.came_us
         raise KeyError(server)
@@ -136,7 +136,9 @@
     def __iter__(self) -> Iterator[tuple[str, Address]]:
         for other, pool in list(self.pools().items()):
             if other != self.name:
-                yield from ((name, each.entry.address) for name, each in pool.roster.state.members.items())
+                yield from ((name, each.entry.address) for name, each in pool.registry.state.members.items())
 
     def __len__(self) -> int:
-        return sum(len(pool.roster.state.members) for name, pool in self.pools().items() if name != self.name)
+        return sum(
+            len(pool.registry.state.members) for name, pool in self.pools().items() if name != self.name
+        )
--- a/plovertrail/status.py
+++ b/plovertrail/status.py
@@ -12,13 +12,13 @@
 
 def pool_status(running: RunningPool) -> dict[str, Any]:
     """One pool: its lists, its part of the servers, its tenants and its servers."""
-    state = running.roster.state
+    state = running.registry.state
     used = {number: server.used for number, server in running.pool.balancer.servers.items()}
     return {
         "generation": state.generation,
         "drained_by_hand": sorted(state.by_hand),
         "held_back": sorted(state.held),
-        "problems": [*running.roster.loud(), *filter(None, [running.overdrawn])],
+        "problems": [*running.registry.loud(), *filter(None, [running.overdrawn])],
         "share": {
             "connections": running.budget.connections,
             "connections_each": running.budget.connections_each,
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -304,7 +304,7 @@
             text = text.replace('["main"]', '["other"]')
             row = f'{{ id = "main0", address = "{known.address}" }}'
             assert await it.change(text.replace(row, f'{row}, {{ id = "new", address = "{new.address}" }}'))
-            members = it.daemon.pools["other"].roster.state.members
+            members = it.daemon.pools["other"].registry.state.members
             assert members["main0"].came_us == 0 < members["new"].came_us
         new.stop()
 
--- a/tests/test_many_lists.py
+++ b/tests/test_many_lists.py
@@ -85,7 +85,7 @@
 def ports(daemon: Daemon) -> dict[str, list[int]]:
     """Those of the servers in force."""
     return {
-        name: [member.entry.address[1] for member in pool.roster.state.members.values()]
+        name: [member.entry.address[1] for member in pool.registry.state.members.values()]
         for name, pool in daemon.pools.items()
     }
 
@@ -161,7 +161,7 @@
             put(site.list_of("dropped"), 2)
             scan(daemon)
             await asyncio.to_thread(files.arrived[str(site.list_of("dropped"))].wait)
-            old = daemon.pools["dropped"].roster
+            old = daemon.pools["dropped"].registry
             site.write(["stays", "added"])
             reload = asyncio.ensure_future(daemon.reload())
             await asyncio.to_thread(files.arrived[str(site.list_of("added"))].wait)
@@ -328,7 +328,7 @@
             put(site.list_of("a"), 2)
             scan(daemon)
             await until(lambda: ports(daemon)["a"] == [2])
-            came_us = daemon.pools["a"].roster.state.members["s"].came_us
+            came_us = daemon.pools["a"].registry.state.members["s"].came_us
             known: Mapping[tuple[str, tuple[str, int]], int] = ElsewhereKnown("b", lambda: daemon.pools)
             assert dict(known) == {("s", ("127.0.0.1", 2)): came_us} and came_us > 0
             assert known.get(("s", ("127.0.0.1", 1)), 7) == 7
