--- a/benchmarks/capacity/reducer_role.py
+++ b/benchmarks/capacity/reducer_role.py
@@ -11,7 +11,7 @@
 from benchmarks.capacity.roles import Figure, RoleResult, TargetCost
 from benchmarks.capacity.slopes import Axis, Sample, Situation, Slope, Unit
 from benchmarks.capacity.target import TARGET
-from plovertrail.decisions.membership import UNGUARDED, Candidate, Entry, State, reduce
+from plovertrail.decisions.endpoint_list import UNGUARDED, Candidate, Entry, State, reduce
 
 SERVICES, SHORT_SERVICES = (1, 10, 50, 200), (1, 4, 10, 20)
 SERVERS, SHORT_SERVERS = (3, 9, 30, 100), (3, 6, 9, 12)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -28,7 +28,7 @@
 from plovertrail.clock import clock_us
 from plovertrail.config.operator import load
 from plovertrail.daemon import Daemon, settle_heap
-from plovertrail.decisions.membership import Candidate, Entry, Guards, State, reduce
+from plovertrail.decisions.endpoint_list import Candidate, Entry, Guards, State, reduce
 from plovertrail.sources.list_reader import ListReader
 from plovertrail.sources.lists import parse, sealed
 from plovertrail.store.files import Clocks, encode, replace_file
--- a/plovertrail/config/operator.py
+++ b/plovertrail/config/operator.py
@@ -51,10 +51,10 @@
 )
 from plovertrail.decisions import sockets
 from plovertrail.decisions.affinity import Affinity, AffinitySource
+from plovertrail.decisions.endpoint_list import Entry, Guards
 from plovertrail.decisions.fairness import DoorSettings
 from plovertrail.decisions.interface import RequestClass, Settings, Tenant
 from plovertrail.decisions.limits import LimiterSettings
-from plovertrail.decisions.membership import Entry, Guards
 from plovertrail.decisions.paths import BadTarget, normalise_host, normalise_path
 from plovertrail.decisions.routes import (
     SAFE_METHODS,
--- a/plovertrail/daemon.py
+++ b/plovertrail/daemon.py
@@ -23,9 +23,9 @@
 from plovertrail.control import ControlSocket
 from plovertrail.decisions import share
 from plovertrail.decisions.background import Priority, Work
+from plovertrail.decisions.endpoint_list import State
 from plovertrail.decisions.limits import Limiter
 from plovertrail.decisions.list_versions import SourceKey
-from plovertrail.decisions.membership import State
 from plovertrail.endpoint_registry import EndpointRegistry
 from plovertrail.fleet_keeper import FleetKeeper
 from plovertrail.fronts.ordinary import OrdinaryFront
--- a/plovertrail/endpoint_registry.py
+++ b/plovertrail/endpoint_registry.py
@@ -11,10 +11,10 @@
 from functools import lru_cache, partial
 
 from plovertrail.clock import clock_us
-from plovertrail.decisions import membership
+from plovertrail.decisions import endpoint_list
+from plovertrail.decisions.endpoint_list import Address, Candidate, Guards, Kind, Member, State, Step
 from plovertrail.decisions.interface import ListKind, Upstream, UpstreamState, UpstreamsUpdated
 from plovertrail.decisions.list_versions import SourceKey
-from plovertrail.decisions.membership import Address, Candidate, Guards, Kind, Member, State, Step
 from plovertrail.host import Host, ServerPool
 from plovertrail.sources.first_read import FirstRead
 from plovertrail.sources.list_reader import ListReader
@@ -71,7 +71,7 @@
 
     def configure(
         self,
-        inline: tuple[membership.Entry, ...],
+        inline: tuple[endpoint_list.Entry, ...],
         sources: list[SourceKey],
         guards: Guards,
         home_zone: str,
@@ -96,7 +96,7 @@
                 layers = {layer.source for layer in self.state.layers}
                 everything = (*self.order, *(name for name in layers if name not in self.order))
                 self.carry_out(
-                    membership.reduce(self.state, found, clock_us(), guards, everything, self.elsewhere())
+                    endpoint_list.reduce(self.state, found, clock_us(), guards, everything, self.elsewhere())
                 )
         self.step(Candidate(INLINE, inline, by_operator=True))
         self.state = replace(self.state, started=True)
@@ -136,7 +136,7 @@
             self.speak()
 
     def _reduced(self, state: State, candidate: Candidate | None) -> Step:
-        return membership.reduce(state, candidate, clock_us(), self.guards, self.order, self.elsewhere())
+        return endpoint_list.reduce(state, candidate, clock_us(), self.guards, self.order, self.elsewhere())
 
     def step(self, candidate: Candidate | None) -> None:
         """One step on the loop."""
@@ -144,7 +144,7 @@
 
     def drain(self, ident: str, drain: bool) -> None:
         """By the operator's hand; takes effect at once."""
-        self.carry_out(membership.drained_by_hand(self.state, ident, drain, clock_us(), self.guards))
+        self.carry_out(endpoint_list.drained_by_hand(self.state, ident, drain, clock_us(), self.guards))
 
     # Effects
 
@@ -162,7 +162,7 @@
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        due_us = membership.next_due_us(self.state)
+        due_us = endpoint_list.next_due_us(self.state)
         if due_us is not None:
             self.timer = self.host.loop.call_later(max(0, due_us - clock_us() + 1000) / 1e6, self.step, None)
         if changes or self.state.by_hand != before.by_hand or self.state.layers is not before.layers:
@@ -199,7 +199,7 @@
             f"{source} gives no list, the last good one stays: {why}"
             for source, why in self.unreadable.items()
         )
-        return unreadable + membership.report(self.state, clock_us()).loud
+        return unreadable + endpoint_list.report(self.state, clock_us()).loud
 
     def speak(self) -> None:
         """Log what is new, and what has lasted for long enough to be repeated. Hazard: a report for each poll
--- a/plovertrail/fleet_keeper.py
+++ b/plovertrail/fleet_keeper.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from plovertrail.config.operator import FleetSetup
+from plovertrail.decisions.endpoint_list import Candidate, Entry
 from plovertrail.decisions.list_versions import SourceKey
-from plovertrail.decisions.membership import Candidate, Entry
 from plovertrail.decisions.share import Fleet
 from plovertrail.decisions.turns import Place, place
 from plovertrail.sources.first_read import FirstRead
--- a/plovertrail/peers/talk.py
+++ b/plovertrail/peers/talk.py
@@ -13,7 +13,7 @@
 from plovertrail.clock import clock_us
 from plovertrail.config.peers import MOST_PEERS, PeersSetup
 from plovertrail.decisions.counts import Counts
-from plovertrail.decisions.membership import Entry
+from plovertrail.decisions.endpoint_list import Entry
 from plovertrail.peers.envelope import LARGEST, Dropped
 from plovertrail.peers.gossip import Address, Gossip, told
 from plovertrail.peers.wire import Codec
--- a/plovertrail/rehearsal/daemon.py
+++ b/plovertrail/rehearsal/daemon.py
@@ -14,8 +14,8 @@
 from plovertrail.config.problems import ConfigError, Problem
 from plovertrail.daemon import Daemon
 from plovertrail.decisions.counts import Counts
+from plovertrail.decisions.endpoint_list import Candidate, Entry, State
 from plovertrail.decisions.judgements import CAP, Evidence, Judgements
-from plovertrail.decisions.membership import Candidate, Entry, State
 from plovertrail.endpoint_registry import INLINE
 from plovertrail.exchange import Call
 from plovertrail.fronts import connections
--- a/plovertrail/rehearsal/play.py
+++ b/plovertrail/rehearsal/play.py
@@ -10,7 +10,7 @@
 
 from plovertrail.clock import another_clock, clock_us
 from plovertrail.config import operator
-from plovertrail.decisions.membership import Entry
+from plovertrail.decisions.endpoint_list import Entry
 from plovertrail.rehearsal.daemon import Asked, PlayedClient, PlayedDaemon
 from plovertrail.rehearsal.loop import VirtualLoop
 from plovertrail.rehearsal.peers import begin
--- a/plovertrail/running_pool.py
+++ b/plovertrail/running_pool.py
@@ -9,7 +9,7 @@
 from plovertrail.config import operator
 from plovertrail.decisions import share
 from plovertrail.decisions.admission import Admission
-from plovertrail.decisions.membership import Address
+from plovertrail.decisions.endpoint_list import Address
 from plovertrail.decisions.turns import Place
 from plovertrail.endpoint_registry import EndpointRegistry
 from plovertrail.host import Host
--- a/plovertrail/setup_file.py
+++ b/plovertrail/setup_file.py
@@ -7,8 +7,8 @@
 from collections.abc import Awaitable, Callable
 
 from plovertrail.config.operator import Setup
+from plovertrail.decisions.endpoint_list import Candidate
 from plovertrail.decisions.list_versions import SourceKey, SourceKind
-from plovertrail.decisions.membership import Candidate
 from plovertrail.sources.list_reader import ListReader
 from plovertrail.sources.subscriptions import Subscription
 
--- a/plovertrail/sources/file_reading.py
+++ b/plovertrail/sources/file_reading.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
+from plovertrail.decisions.endpoint_list import Candidate, Entry
 from plovertrail.decisions.list_versions import SourceKey, SourceKind
-from plovertrail.decisions.membership import Candidate, Entry
 from plovertrail.sources.lists import LARGEST, MOST_SERVERS, BadList, parse
 
 COARSE_S = 3.0  # a file whose times are so young may change again under the same times (NFS, FAT: 2 s)
--- a/plovertrail/sources/first_read.py
+++ b/plovertrail/sources/first_read.py
@@ -5,8 +5,8 @@
 import queue
 import time
 
+from plovertrail.decisions.endpoint_list import Candidate
 from plovertrail.decisions.list_versions import SourceKey
-from plovertrail.decisions.membership import Candidate
 from plovertrail.sources.file_reading import SETTLE_S
 from plovertrail.sources.read_workers import Reading, ReadJob, ReadWorkers
 from plovertrail.sources.subscriptions import Followed
--- a/plovertrail/sources/instances.py
+++ b/plovertrail/sources/instances.py
@@ -5,8 +5,8 @@
 import logging
 from collections.abc import Callable
 
+from plovertrail.decisions.endpoint_list import Candidate, Entry
 from plovertrail.decisions.list_versions import SourceKey
-from plovertrail.decisions.membership import Candidate, Entry
 from plovertrail.sources.list_reader import ListReader
 from plovertrail.sources.subscriptions import Subscription
 
--- a/plovertrail/sources/lists.py
+++ b/plovertrail/sources/lists.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from plovertrail.decisions.membership import Address, Candidate, Entry
+from plovertrail.decisions.endpoint_list import Address, Candidate, Entry
 
 LARGEST = 8 << 20  # bytes of one file
 MOST_SERVERS = 50_000
--- a/plovertrail/sources/read_workers.py
+++ b/plovertrail/sources/read_workers.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from plovertrail.decisions.membership import Candidate
+from plovertrail.decisions.endpoint_list import Candidate
 from plovertrail.sources.file_reading import FileSource, complaint
 from plovertrail.sources.lists import BadList
 
--- a/plovertrail/sources/subscriptions.py
+++ b/plovertrail/sources/subscriptions.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
+from plovertrail.decisions.endpoint_list import Candidate
 from plovertrail.decisions.list_versions import InForce, SourceKey, SourceVersion
-from plovertrail.decisions.membership import Candidate
 from plovertrail.sources.read_workers import ReadJob
 
 Taken = Callable[[Candidate], Awaitable[str]]  # returns why the list is not in force; empty: it is
--- a/plovertrail/store/files.py
+++ b/plovertrail/store/files.py
@@ -17,7 +17,7 @@
 import msgspec
 import zstandard
 
-from plovertrail.decisions.membership import State
+from plovertrail.decisions.endpoint_list import State
 from plovertrail.store import format_1
 from plovertrail.store.frames import HEAD, LARGEST, NONCE_BYTES, digest, frame, frames
 from plovertrail.store.records import LISTS, InvalidRecordsError, Kept, Key, Record, others_of, state_of
--- a/plovertrail/store/format_1.py
+++ b/plovertrail/store/format_1.py
@@ -11,7 +11,7 @@
 import re
 from typing import Any
 
-from plovertrail.decisions.membership import Candidate, Entry, State
+from plovertrail.decisions.endpoint_list import Candidate, Entry, State
 from plovertrail.store.records import restored
 
 HEAD = re.compile(rb"plovertrail-state 1 (\d{1,9}) ([0-9a-f]{64})\n")
--- a/plovertrail/store/keeper.py
+++ b/plovertrail/store/keeper.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Any
 
 from plovertrail.clock import clock_us
-from plovertrail.decisions.membership import State
+from plovertrail.decisions.endpoint_list import State
 from plovertrail.store.records import Kept, Key, Record, list_changes, list_gone, other_records
 
 if TYPE_CHECKING:
--- a/plovertrail/store/memory.py
+++ b/plovertrail/store/memory.py
@@ -12,8 +12,8 @@
 from plovertrail.decisions.background import Priority, Work
 from plovertrail.decisions.balance import Server
 from plovertrail.decisions.counts import Counts, Former
+from plovertrail.decisions.endpoint_list import State
 from plovertrail.decisions.limits import Limiter, Remembered
-from plovertrail.decisions.membership import State
 from plovertrail.decisions.remembered import Judgement, Memory, means, recall_means, recall_server, sweep
 from plovertrail.host import ServerPool
 from plovertrail.store.keeper import StoreKeeper
--- a/plovertrail/store/records.py
+++ b/plovertrail/store/records.py
@@ -11,8 +11,16 @@
 from typing import Any
 
 from plovertrail.decisions.counts import Former
+from plovertrail.decisions.endpoint_list import (
+    LONGEST_HOLD_US,
+    Candidate,
+    Entry,
+    Guards,
+    Member,
+    State,
+    reduce,
+)
 from plovertrail.decisions.limits import Remembered
-from plovertrail.decisions.membership import LONGEST_HOLD_US, Candidate, Entry, Guards, Member, State, reduce
 from plovertrail.decisions.remembered import Judgement, Memory
 
 Key = tuple[str, ...]
--- a/tests/decisions/test_membership.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from plovertrail.decisions.membership import (
+from plovertrail.decisions.endpoint_list import (
     LONGEST_HOLD_US,
     MOST_FLAPS,
     Candidate,
--- a/tests/sources/test_list_reader.py
+++ b/tests/sources/test_list_reader.py
@@ -13,8 +13,8 @@
 
 import pytest
 
+from plovertrail.decisions.endpoint_list import Candidate
 from plovertrail.decisions.list_versions import SCAN_PERIOD_US, ReadState, SourceKey
-from plovertrail.decisions.membership import Candidate
 from plovertrail.sources.file_notifications import FolderNotifications
 from plovertrail.sources.file_reading import FileSource, LocalFileSystem, Signature
 from plovertrail.sources.list_reader import ListReader
--- a/tests/sources/test_lists.py
+++ b/tests/sources/test_lists.py
@@ -15,7 +15,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from plovertrail.decisions.membership import Candidate, Entry
+from plovertrail.decisions.endpoint_list import Candidate, Entry
 from plovertrail.sources.file_reading import COARSE_S, FileSource
 from plovertrail.sources.lists import LARGEST, BadList, parse, sealed
 
--- a/tests/store/test_files.py
+++ b/tests/store/test_files.py
@@ -17,8 +17,8 @@
 import pytest
 
 from plovertrail.decisions.counts import Former
+from plovertrail.decisions.endpoint_list import Candidate, Entry, Guards, State, drained_by_hand, reduce
 from plovertrail.decisions.limits import Remembered
-from plovertrail.decisions.membership import Candidate, Entry, Guards, State, drained_by_hand, reduce
 from plovertrail.decisions.remembered import Judgement, Memory
 from plovertrail.store.files import OTHERS, Clocks, Disk, Files, Found, replace_file
 from plovertrail.store.records import Kept, Record, list_changes, other_records
--- a/tests/store/test_restart.py
+++ b/tests/store/test_restart.py
@@ -12,7 +12,7 @@
 
 from plovertrail.config.operator import load
 from plovertrail.daemon import Daemon
-from plovertrail.decisions.membership import Candidate, Entry, Guards, State, reduce
+from plovertrail.decisions.endpoint_list import Candidate, Entry, Guards, State, reduce
 from plovertrail.store import keeper
 from standins.ports import free_port
 from standins.web import ERROR, OK, WebServer, always
