--- a/plovertrail/daemon.py
+++ b/plovertrail/daemon.py
@@ -27,7 +27,7 @@
 from plovertrail.decisions.limits import Limiter
 from plovertrail.decisions.list_versions import SourceKey
 from plovertrail.endpoint_registry import EndpointRegistry
-from plovertrail.fleet_keeper import FleetKeeper
+from plovertrail.fleet_manager import FleetManager
 from plovertrail.fronts.ordinary import OrdinaryFront
 from plovertrail.fronts.sockets import SocketKeeper
 from plovertrail.generation import Current, Generation, make_generation
@@ -36,7 +36,7 @@
 from plovertrail.host import Host, ServerPool
 from plovertrail.line_log import LineLog
 from plovertrail.peers.keeper import PeerKeeper
-from plovertrail.recovery_keeper import RecoveryKeeper
+from plovertrail.recovery_manager import RecoveryManager
 from plovertrail.running_pool import Connect, ElsewhereKnown, RunningPool, connect
 from plovertrail.setup_file import SetupFile
 from plovertrail.sources.first_read import FirstRead
@@ -126,13 +126,13 @@
         self.fronts: dict[str, OrdinaryFront] = {}
         self.control = ControlSocket(self, setup.control_socket)
         self.closing: list[OrdinaryFront] = []  # their addresses are configured no more
-        self.instances = FleetKeeper(self._fleet_changed, self.lists)
+        self.instances = FleetManager(self._fleet_changed, self.lists)
         self.hooks = HookLoader(clock_us)
         self.limiters: dict[str, Limiter] = {}
         self.reloading = asyncio.Lock()
         self.reload_problem = ""  # why the last reload was refused; empty: it was not
         self.setup_file = SetupFile(self.lists, self._reload_changed)
-        self.recovery = RecoveryKeeper(self.host, self._registries, self._reloaded, self._stood_still)
+        self.recovery = RecoveryManager(self.host, self._registries, self._reloaded, self._stood_still)
         self.current = Current(Generation(0, setup, {}, {}, {}))
         compiled = self.hooks.prepare(setup)
         if fresh is None:
--- a/plovertrail/recovery_keeper.py
+++ b/plovertrail/recovery_manager.py
@@ -25,7 +25,7 @@
     return f"{pool}: {source}"
 
 
-class RecoveryKeeper:
+class RecoveryManager:
     """The phase of one daemon. `settled` waits until no reload is under way."""
 
     def __init__(
