--- a/benchmarks/capacity/list_changes.py
+++ b/benchmarks/capacity/list_changes.py
@@ -210,6 +210,7 @@
     with settled(services, pace) as editor:
         found: dict[float, list[float]] = {rate: [] for rate in RATES_PER_S}
         for _ in range(repeats):
+            time.sleep(pace.old_s)
             idle = editor.daemon.core_share(pace.changing_s)
             for rate in RATES_PER_S:
                 found[rate].append(editor.share_at(rate, pace.changing_s) - idle)
