--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -59,16 +59,20 @@
 
 
 def listing(rows: list[tuple[str, str, float]]) -> bytes:
+    """A sealed JSON list of servers from rows of id, address (`host:port`) and weight."""
     servers = [{"id": ident, "address": address, "weight": weight} for ident, address, weight in rows]
     return sealed("x.json", json.dumps({"servers": servers}).encode())
 
 
 def many(count: int, weight: float = 1.0) -> bytes:
+    """A sealed list of `count` servers on loopback addresses; only the first one's weight is `weight`, the
+    others' is 1."""
     rows = [(f"s{n}", f"127.{n >> 16}.{(n >> 8) & 255}.{n & 255}:9", 1.0) for n in range(1, count)]
     return listing([("first", "127.200.0.1:9", weight), *rows])
 
 
 def put(path: Path, data: bytes) -> float:
+    """Replace a file atomically; returns the `time.perf_counter()` in seconds just before the rename."""
     beside = path.with_suffix(".tmp")
     beside.write_bytes(data)
     began = time.perf_counter()
@@ -77,6 +81,8 @@
 
 
 def daemon_in(folder: Path, damping: bool = True, notifications: bool = True) -> tuple[Daemon, int]:
+    """Start a daemon whose only list is `servers.json` in the folder; returns it with the port of its
+    listener."""
     port = free_port()
     path = folder / "site.toml"
     path.write_text(FILE.format(port=port, folder=folder, damping=str(damping).lower()))
@@ -86,10 +92,12 @@
 
 
 def members(daemon: Daemon) -> dict[str, Entry]:
+    """The servers in force in the daemon's pool, by id."""
     return {ident: member.entry for ident, member in daemon.pools["main"].registry.state.members.items()}
 
 
 async def until(condition: Callable[[], bool]) -> None:
+    """Poll a condition every millisecond; raises TimeoutError after 60 s."""
     async with asyncio.timeout(60):
         while not condition():
             await asyncio.sleep(0.001)
@@ -103,6 +111,8 @@
         self.task = asyncio.create_task(self.tick())
 
     async def tick(self) -> None:
+        """Measure for ever by how much a sleep of 1 ms overruns, and keep the worst in `worst_ms`; runs until
+        cancelled."""
         before = time.perf_counter()
         while True:
             await asyncio.sleep(0.001)
@@ -282,6 +292,8 @@
 
 
 def main() -> int:
+    """Run all five parts, or the writing child with `--writer`, and print the figures; returns the process's
+    exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=60.0, help="of churn; the torn file has half of it")
     parser.add_argument("--kills", type=int, default=300)
--- a/plovertrail/background.py
+++ b/plovertrail/background.py
@@ -38,6 +38,7 @@
         self._arm()
 
     def remove(self, name: str) -> None:
+        """Drop a work by its name, with the run that is under way; nothing happens if there is none."""
         self.background.remove(name)
         self.begins.pop(name, None)
         self.under_way.pop(name, None)
@@ -97,6 +98,7 @@
         return found
 
     def stop(self) -> None:
+        """Start no further slice from now on, and cancel the timer; can't be undone."""
         self.stopped = True
         if self.timer is not None:
             self.timer.cancel()
--- a/plovertrail/config/operator.py
+++ b/plovertrail/config/operator.py
@@ -112,6 +112,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Listener:
+    """A checked `[listeners.NAME]` table: the address that clients connect to, and what is read from them."""
+
     name: str
     address: tuple[str, int]
     max_connections: int
@@ -125,6 +127,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Pool:
+    """A checked `[pools.NAME]` table: its servers, the lists with more of them, and the bounds on their
+    use."""
+
     name: str
     settings: Settings
     idle_us: int
@@ -216,6 +221,8 @@
         return self.hooked[route].classes if route in self.hooked else ()
 
     def class_index(self, name: str) -> int:
+        """The position of a class in `classes`, by its name; raises StopIteration if no class has that
+        name."""
         return next(i for i, kind in enumerate(self.classes) if kind.name == name)
 
 
--- a/plovertrail/config/written.py
+++ b/plovertrail/config/written.py
@@ -13,6 +13,8 @@
 
 
 class LimitsTable(msgspec.Struct, kw_only=True):
+    """`[limits]`: the largest messages as sizes with a unit, and where this instance stands among others."""
+
     max_head: str = "16KiB"
     max_body: str = "1MiB"
     max_answer: str = "1MiB"
@@ -21,6 +23,8 @@
 
 
 class ListenerTable(msgspec.Struct, kw_only=True):
+    """`[listeners.NAME]`: an IPv4 address and port to accept clients on, with its bounds and headers."""
+
     address: str
     max_connections: Whole = 1000
     read_timeout: str = "30s"
@@ -32,12 +36,16 @@
 
 
 class TenantTable(msgspec.Struct, kw_only=True):
+    """`[tenants.NAME]`: the requests a second within the tenant's share, and its weight in a shortage."""
+
     allowance_per_s: Annotated[float, msgspec.Meta(ge=0)]
     weight: Annotated[float, msgspec.Meta(ge=0, le=1000)] = 1.0
     scope: Literal["instance", "fleet"] = "instance"
 
 
 class ClassTable(msgspec.Struct, kw_only=True):
+    """`[classes.NAME]`: whether requests may be repeated, and what an answer is worth by when it comes."""
+
     effect: Literal["safe", "keyed", "unsafe"]
     aim: str
     deadline: str
@@ -49,12 +57,18 @@
 
 
 class OverrideTable(msgspec.Struct, kw_only=True):
+    """`[pools.NAME.classes.CLASS]`: values that replace those of the class in this pool; None keeps the
+    class's."""
+
     aim: str | None = None
     worth: Worth | None = None
     late_worth: Annotated[float, msgspec.Meta(ge=0, le=1)] | None = None
 
 
 class ServerTable(msgspec.Struct, kw_only=True):
+    """One row of a pool's `servers`; `id` is unique within the pool, `address` is an IPv4 address and
+    port."""
+
     id: str
     address: str
     zone: str = ""
@@ -64,6 +78,8 @@
 
 
 class GuardsTable(msgspec.Struct, kw_only=True):
+    """`[pools.NAME.guards]`: the checks that a list has to pass before it replaces the last good one."""
+
     allow_empty: bool = False
     most_dropped: Share = 0.5
     judged_from: Whole = 4
@@ -74,24 +90,34 @@
 
 
 class ShareTable(msgspec.Struct, kw_only=True):
+    """`[pools.NAME.share]`: what one server bears from all instances together; 0 means no limit."""
+
     servers: Annotated[int, msgspec.Meta(ge=0, le=1_000_000)] = 0
     connections: Annotated[int, msgspec.Meta(ge=0, le=1_000_000)] = 0
     dials_per_s: Annotated[float, msgspec.Meta(ge=0, le=1_000_000)] = 0.0
 
 
 class FairTable(msgspec.Struct, kw_only=True):
+    """`[pools.NAME.fair]`: how tenants share the pool's slots by weight, and the bounds of the queue for
+    them."""
+
     default_weight: Annotated[float, msgspec.Meta(ge=0, le=1000)] = 1.0
     max_waiting: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 256
     max_wait: str = "200ms"
 
 
 class FleetTable(msgspec.Struct, kw_only=True):
+    """`[fleet]`: the name of this instance, and the list of all instances that share the servers."""
+
     name: str = ""
     instances_from: str = ""
     slow_start: bool = True
 
 
 class PoolTable(msgspec.Struct, kw_only=True):
+    """`[pools.NAME]`: the servers and how requests are sent to them. Nested tables are left raw, and are
+    checked one by one, so that all problems are reported together."""
+
     servers: list[Any] = []
     servers_from: list[str] = []
     whole: Literal["checksum", "settled"] = "checksum"
@@ -116,6 +142,8 @@
 
 
 class WebSocketTable(msgspec.Struct, kw_only=True):
+    """`[websockets.NAME]`: who may open WebSockets on a route, and the bounds on their messages and times."""
+
     origins: list[str] = []
     max_message: str = "64KiB"
     messages_per_s: Annotated[float, msgspec.Meta(ge=0, le=1_000_000)] = 100.0
@@ -132,6 +160,8 @@
 
 
 class RespondTable(msgspec.Struct, kw_only=True):
+    """`respond` of a route: the fixed answer that it gives in place of a server's."""
+
     status: Annotated[int, msgspec.Meta(ge=200, le=599)]
     location: str | None = None
     body: str | None = None
@@ -139,6 +169,8 @@
 
 
 class RouteTableRow(msgspec.Struct, kw_only=True, rename={"class_name": "class"}):
+    """One of `[[routes]]`: the conditions on a request, and what happens to the requests that meet them."""
+
     name: str
     pools: Annotated[list[str], msgspec.Meta(max_length=8)] = []
     class_name: str = ""
@@ -170,6 +202,9 @@
 
 
 class DaemonTable(msgspec.Struct, kw_only=True):
+    """`[daemon]`: paths of the state file, the control socket and the socket log, and when the file is read
+    again."""
+
     state_file: str = ""
     control_socket: str = ""
     socket_log: str = ""
@@ -177,6 +212,9 @@
 
 
 class FileTable(msgspec.Struct, kw_only=True):
+    """The whole file by its top-level keys. Nested tables are left raw, and are checked one by one, so that
+    all problems are reported together."""
+
     listeners: dict[str, Any]
     pools: dict[str, Any]
     classes: dict[str, Any]
--- a/plovertrail/control.py
+++ b/plovertrail/control.py
@@ -21,9 +21,11 @@
 class Controlled(Protocol):
     """What can be asked of a daemon."""
 
-    def status(self) -> dict[str, Any]: ...
+    def status(self) -> dict[str, Any]:
+        """What is in force; values that JSON can hold."""
 
-    def drain(self, pool: str, server: str, drain: bool) -> str: ...
+    def drain(self, pool: str, server: str, drain: bool) -> str:
+        """Drain a server by hand, or end that with `drain` False; returns what is wrong, empty if nothing."""
 
 
 class ControlSocket:
@@ -101,6 +103,7 @@
         return {"ok": False, "error": f"unknown: {what!r}"}
 
     def stop(self) -> None:
+        """Stop listening and remove the socket's file; calls under way end by themselves."""
         if self.server is not None:
             self.server.close()
             self.server = None
--- a/plovertrail/daemon.py
+++ b/plovertrail/daemon.py
@@ -146,6 +146,7 @@
 
     @property
     def generation(self) -> Generation:
+        """The setup in force with all that was built from it; each applied setup makes a new one."""
         return self.current.generation
 
     def addresses(self) -> dict[str, tuple[str, int]]:
--- a/plovertrail/decisions/endpoint_list.py
+++ b/plovertrail/decisions/endpoint_list.py
@@ -82,6 +82,7 @@
     at_us: int
 
     def now(self, now_us: int) -> float:
+        """The number of leaves as it counts at `now_us`: halved for each FLAP_HALF_LIFE_US since `at_us`."""
         return self.leaves * math.exp2((self.at_us - now_us) / FLAP_HALF_LIFE_US)
 
 
@@ -113,6 +114,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
+    """One server's change in a step, with the member as it is after the change; on a leave, as it was
+    before."""
+
     kind: Kind
     member: Member
 
--- a/plovertrail/endpoint_registry.py
+++ b/plovertrail/endpoint_registry.py
@@ -215,6 +215,8 @@
                 log.error("%s: %s", self.name, text)
 
     def stop(self) -> None:
+        """Stop watching the sources, and cancel the timer for joins that are held back; the state stays as it
+        is."""
         for watch in self.watches.values():
             watch.stop()
         if self.timer is not None:
--- a/plovertrail/fleet_manager.py
+++ b/plovertrail/fleet_manager.py
@@ -58,4 +58,5 @@
         return {"instances": self.fleet.size, "problem": self.list.problem}
 
     def stop(self) -> None:
+        """Stop watching the list of instances; the last count stays."""
         self.list.stop()
--- a/plovertrail/host.py
+++ b/plovertrail/host.py
@@ -137,6 +137,8 @@
         return replace(event, upstreams=mine, part=True)
 
     def next_slice(self) -> list[api.Upstream]:
+        """Take out the next entries of a long list to tell the module, SLICE at most: as long as there are
+        servers that drain or have gone only these, then the ready ones."""
         if self.untold_ends:
             ends = {ident: self.untold_ends.pop(ident) for ident in list(islice(self.untold_ends, SLICE))}
             return [entry or api.Upstream(ident, api.UpstreamState.GONE) for ident, entry in ends.items()]
@@ -184,6 +186,9 @@
 
 @dataclass(slots=True)
 class Attempt:
+    """One try of a request at one server, from the decision to send it until its result. Times are by the
+    monotonic clock, in microseconds."""
+
     pool: ServerPool
     upstream: int
     sent_us: int
@@ -195,6 +200,9 @@
 
 @dataclass(slots=True)
 class Request:
+    """A client's request while it is open or any of its attempts is. `due_us` is the deadline by the
+    monotonic clock, in microseconds; `reply` is called with the final answer, once at most."""
+
     ident: int
     call: Call
     due_us: int
@@ -245,6 +253,7 @@
         return pool
 
     def start(self, pool: ServerPool) -> None:
+        """Let a pool's module act for the first time, by a timer event."""
         self._tell(pool, api.TimerFired(0))
 
     def retire(self, pool: ServerPool) -> None:
--- a/plovertrail/peers/envelope.py
+++ b/plovertrail/peers/envelope.py
@@ -38,6 +38,8 @@
 
 
 class BadDatagramError(Exception):
+    """A datagram that must not be used; `why` is the reason under which it is counted."""
+
     def __init__(self, why: Dropped) -> None:
         super().__init__(why.value)
         self.why = why
--- a/plovertrail/peers/fellow_talk.py
+++ b/plovertrail/peers/fellow_talk.py
@@ -62,6 +62,7 @@
 
     @property
     def judgements(self) -> Judgements | None:
+        """The evidence on servers that instances exchange; None where the setup has that turned off."""
         return self.fellowship.judgements
 
     def fits(self, peers: PeersSetup, setup: FellowsSetup) -> bool:
@@ -138,6 +139,7 @@
         self.twins = set(fellows.twins)
 
     def stood_still(self, gap_us: int) -> None:
+        """The process did nothing for `gap_us`: nobody is suspected for that time."""
         self.fellowship.stood_still(gap_us, clock_us())
 
     def stop(self) -> None:
--- a/plovertrail/peers/fellows_wire.py
+++ b/plovertrail/peers/fellows_wire.py
@@ -48,17 +48,21 @@
 
 
 def text_bytes(text: str, longest: int) -> bytes:
+    """A text as one byte of length and its UTF-8, cut to `longest` bytes; `longest` is 255 at most."""
     data = text.encode("utf-8", "replace")[:longest]
     return bytes([len(data)]) + data
 
 
 def word_bytes(word: Word) -> bytes:
+    """A word in the form that the module's docstring gives; raises OSError if its address is not IPv4."""
     place = PLACE.pack(socket.inet_aton(word.address[0]), word.address[1])
     rank = RANK.pack(word.incarnation, word.state)
     return b"".join([text_bytes(word.name, LONGEST_NAME), place, rank, text_bytes(word.zone, LONGEST_ZONE)])
 
 
 def row_bytes(row: Evidence) -> bytes:
+    """A row of evidence in the form that the module's docstring gives; figures and ages beyond the range of
+    their fields are cut to its end."""
     parts = (
         int(min(part, MOST_IN_ROW) * SIXTEENTHS + 0.5)
         for part in (row.attempts, row.faults, row.silent, row.full)
@@ -75,6 +79,7 @@
         self.at = at
 
     def take(self, count: int) -> bytes:
+        """The next `count` bytes; raises BadDatagramError if fewer are left."""
         found = self.data[self.at : self.at + count]
         if len(found) < count:
             raise BadDatagramError(Dropped.GARBAGE)
@@ -82,6 +87,8 @@
         return found
 
     def text(self, longest: int) -> str:
+        """A text with its length ahead of it; raises BadDatagramError if it has more than `longest` bytes or
+        is not UTF-8."""
         length = self.take(1)[0]
         if length > longest:
             raise BadDatagramError(Dropped.GARBAGE)
@@ -91,10 +98,12 @@
             raise BadDatagramError(Dropped.GARBAGE) from None
 
     def address(self) -> Address:
+        """An IPv4 address and a port; raises BadDatagramError if the bytes end before."""
         host, port = PLACE.unpack(self.take(PLACE.size))
         return socket.inet_ntoa(host), port
 
     def word(self) -> Word:
+        """A word; raises BadDatagramError if it is cut off, its state is unknown or its name is empty."""
         name, address = self.text(LONGEST_NAME), self.address()
         incarnation, state = RANK.unpack(self.take(RANK.size))
         zone = self.text(LONGEST_ZONE)
@@ -103,6 +112,8 @@
         return Word(name, address, incarnation, State(state), zone)
 
     def row(self) -> Evidence:
+        """A row of evidence, with its ages in microseconds again; raises BadDatagramError if it is cut
+        off."""
         teller, sequence, server, kind, *parts, age, good_age = ROW.unpack(self.take(ROW.size))
         attempts, faults, silent, full = (part / SIXTEENTHS for part in parts)
         return Evidence(
--- a/plovertrail/peers/fellowship.py
+++ b/plovertrail/peers/fellowship.py
@@ -89,6 +89,8 @@
         return self._write(self.fellows.leave(), now_us)
 
     def stood_still(self, gap_us: int, now_us: int) -> None:
+        """The process did nothing for `gap_us`, until `now_us`: neither instances nor servers are blamed for
+        that time."""
         self.fellows.stood_still(gap_us, now_us)
         if self.judgements is not None:
             self.judgements.stood_still(now_us)
--- a/plovertrail/peers/gossip.py
+++ b/plovertrail/peers/gossip.py
@@ -18,6 +18,7 @@
 
 
 def told(address: Address) -> str:
+    """An address as `host:port`, for logs and as the text that digests of addresses are made of."""
     return "{}:{}".format(*address)
 
 
--- a/plovertrail/peers/keeper.py
+++ b/plovertrail/peers/keeper.py
@@ -88,6 +88,8 @@
             self.talk.fellows.hurry()
 
     def stood_still(self, gap_us: int) -> None:
+        """Pass on that the process did nothing for `gap_us`; nothing happens where no fellows are
+        configured."""
         if self.talk is not None and self.talk.fellows is not None:
             self.talk.fellows.stood_still(gap_us)
 
@@ -97,6 +99,7 @@
         return fellows.status() if fellows is not None else {}
 
     def stop(self) -> None:
+        """End the talk, if there is any, and close its socket; its counts are given up."""
         talk, self.talk = self.talk, None
         if talk is not None:
             talk.stop()
--- a/plovertrail/peers/talk.py
+++ b/plovertrail/peers/talk.py
@@ -128,6 +128,7 @@
         return (*self.setup.addresses, *self.listed)
 
     def stop(self) -> None:
+        """Leave the fellows, stop the timer and the watch on the list of peers, and close the socket."""
         self.follow_fellows(None)
         self.loop.remove_reader(self.sock)
         self.timer.cancel()
--- a/plovertrail/peers/wire.py
+++ b/plovertrail/peers/wire.py
@@ -24,6 +24,7 @@
 
 
 def varint(value: int) -> bytes:
+    """A non-negative integer as LEB128: seven bits a byte, the lowest first."""
     found = bytearray()
     while value > 127:
         found.append(value & 127 | 128)
@@ -46,6 +47,8 @@
 
 
 def row_bytes(row: tuple[int, int, tuple[int, ...]]) -> bytes:
+    """One row as the module's docstring has it, from the key, the newest bucket's number and the counts, the
+    newest first."""
     key, newest, counts = row
     return b"".join([KEY.pack(key), varint(newest), varint(len(counts)), *map(varint, counts)])
 
--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -71,6 +71,7 @@
 
     @property
     def servers(self) -> int:
+        """The number of servers in force, those that drain included."""
         return len(self.state.members)
 
     def read_line(self, line: bytes, known: int = 0) -> tuple[UpstreamsUpdated, dict[int, Address]]:
@@ -153,6 +154,7 @@
         self.silent = False  # it has ended for want of that
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Ask for all changes since the known version; a watch that was replaced meanwhile closes instead."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         if self is not self.discovery.watch:  # it was replaced while its connection came up
@@ -165,6 +167,7 @@
         )
 
     def data_received(self, data: bytes) -> None:
+        """Feed the HTTP parser; bytes that can't be read are logged and end the watch."""
         try:
             self.parser.feed_data(data)
         except Exception as error:
@@ -172,6 +175,8 @@
             self.fail()
 
     def on_body(self, data: bytes) -> None:
+        """Pass on each line that is complete. Raises ValueError, which ends the watch, if an unfinished line
+        or list holds more than LONGEST_LINE bytes; the body of an answer other than 200 is ignored."""
         if self.parser.get_status_code() != 200:
             return
         self.answered = True
@@ -200,12 +205,16 @@
             self.discovery.line(self, whole)
 
     def on_message_complete(self) -> None:
+        """The answer has ended, and with it the watch: it counts as failed, as no answer should end."""
         self.fail()
 
     def connection_lost(self, error: Exception | None) -> None:
+        """The connection has ended, with an error or without one: the watch has failed."""
         self.fail()
 
     def fail(self) -> None:
+        """Close the connection and report the end to the owner, after a last line that lacks only its line
+        end."""
         rest, self.pending = self.pending, b""
         if self is self.discovery.watch and rest.endswith(b"}"):
             # hazard: where only the end of its line was cut a change has been told, and counts
@@ -265,6 +274,7 @@
         self.subscribe(True)
 
     def reopen(self) -> None:
+        """Start a watch if none is open and changes are still wanted."""
         if self.watch is None and self.active:
             self.subscribe(True)
 
@@ -279,6 +289,7 @@
             self.subscribe(True)
 
     def stop(self) -> None:
+        """End the watch under way with its dial and its timer, without a report of failure."""
         watch, self.watch = self.watch, None
         if self.timer is not None:
             self.timer.cancel()
@@ -288,12 +299,14 @@
             watch.transport.abort()
 
     async def connect(self, watch: Watch) -> None:
+        """Open the watch's connection; one that can't be opened ends the watch as failed."""
         try:
             await self.loop.create_connection(lambda: watch, *self.address)
         except OSError:
             self.ended(watch)
 
     def heard(self) -> None:
+        """Note that discovery has just been heard, from which its silence is measured."""
         self.heard_at = time.monotonic()
 
     def check(self) -> None:
@@ -368,11 +381,15 @@
         self.unread_bytes = sum(len(line) for _, line in self.unread)
 
     def changed(self, watch: Watch, event: UpstreamsUpdated, addresses: dict[int, Address]) -> None:
+        """Pass an event on to the listener, and remember its version if the watch is of the current
+        address."""
         if watch.address == self.address:  # hazard: the versions of another one mean nothing here
             self.version = event.version
         self.listener(event, addresses)
 
     def ended(self, watch: Watch) -> None:
+        """Report that a watch has failed, once and only if it is the current one; with `pushed` set, it is
+        opened anew after REOPEN_S seconds."""
         if watch is self.watch:
             self.stop()
             self.listener(UpstreamsUpdated(ListKind.FAILED, silent=watch.silent), {})
--- a/plovertrail/sources/instances.py
+++ b/plovertrail/sources/instances.py
@@ -44,6 +44,7 @@
         return True
 
     def stop(self) -> None:
+        """Stop watching the file, and stop the reader if it is this list's own; may be called again."""
         if self.watch is not None:
             self.watch.stop()
             self.watch = None
--- a/plovertrail/sources/lists.py
+++ b/plovertrail/sources/lists.py
@@ -43,6 +43,9 @@
 
 
 class ListFile(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
+    """A whole list as JSON and TOML write it; `version` 0 means none, and `sha256` is the digest
+    of a JSON list in hex, empty if it has none."""
+
     servers: list[Row]
     version: int = 0
     sha256: str = ""
--- a/plovertrail/stall_detector.py
+++ b/plovertrail/stall_detector.py
@@ -20,6 +20,8 @@
         self.on_gap: Callable[[int], None] = lambda gap_us: None  # for how long it stood still
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
+        """Wait for ready files as the base class does, for LONGEST_IDLE_WAIT_US at most whatever `timeout`
+        (in seconds) says. Calls `on_gap` before it returns if the process stood still."""
         longest_us = (
             LONGEST_IDLE_WAIT_US if timeout is None else max(0, min(LONGEST_IDLE_WAIT_US, int(timeout * 1e6)))
         )
--- a/plovertrail/upstreams/connections.py
+++ b/plovertrail/upstreams/connections.py
@@ -97,6 +97,7 @@
                 connection.close()
 
     def end(self, result: Result) -> None:
+        """Report the result to the one who started the attempt, and let go of the connection."""
         self.connection = None
         self.ended(result)
 
@@ -129,6 +130,8 @@
         pool.count += 1
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Send the attempt that waits for the connection if it may still begin; else end it unsent. With no
+        attempt the connection becomes idle."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         transport.set_write_buffer_limits(high=0)  # so that we are told whether all has been written
@@ -149,9 +152,11 @@
             attempt.end(Result(Outcome.NOT_SENT))
 
     def pause_writing(self) -> None:
+        """Part of what was written is still in our buffer: the server can't have the whole request."""
         self.unsent = True
 
     def resume_writing(self) -> None:
+        """All that was written has gone to the system: the server may have the whole request."""
         self.unsent = False
 
     def usable(self) -> bool:
@@ -167,6 +172,8 @@
         return False
 
     def send(self, attempt: Attempt) -> None:
+        """Write an attempt's request and prepare for its answer; the connection has to be up and carry no
+        other attempt."""
         assert self.transport is not None
         self.attempt = attempt
         attempt.connection = self
@@ -188,10 +195,13 @@
     # The answer, as the parser reads it
 
     def on_message_begin(self) -> None:
+        """An answer begins; a second one on a request marks the connection as of no further use."""
         if self.complete:
             self.closed = True  # more than one answer: the connection is of no further use
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Keep a header of the answer's head; raises ValueError if it tells of a longer body than is
+        allowed."""
         if self.complete or self.head_done:
             return  # of a second answer, or behind a chunked body
         plain = name.lower()
@@ -206,14 +216,18 @@
         self.headers.append((name, value))
 
     def to_head(self) -> bool:
+        """Whether the attempt is a HEAD request, whose answer has no body whatever its headers say."""
         return self.attempt is not None and self.attempt.to_head
 
     def on_headers_complete(self) -> None:
+        """The answer's head is whole; the final answer to a HEAD request is complete with it."""
         self.head_done = True
         if self.to_head() and self.parser is not None and self.parser.get_status_code() >= 200:
             self.on_message_complete()  # the parser doesn't know what was asked, and waits for a body
 
     def on_body(self, data: bytes) -> None:
+        """Collect a part of the body; raises ValueError if it becomes longer than is allowed. Bytes behind a
+        complete answer mark the connection as of no further use."""
         if not self.complete:
             self.body += data
             if len(self.body) > self.pool.rules.longest_body:
@@ -222,6 +236,8 @@
             self.closed = True  # hazard: a body where none belongs would be read as the next answer
 
     def on_message_complete(self) -> None:
+        """The answer is whole, or an interim one is (status below 200), after which the final one is awaited.
+        A 101 to a handshake is only noted here, and handled once the parser has raised."""
         assert self.parser is not None
         if self.complete:
             return
@@ -238,6 +254,8 @@
             self.closed = True
 
     def data_received(self, data: bytes) -> None:
+        """Read a part of the answer; closes the connection and ends the attempt as SPOILT on bytes that make
+        no answer, and closes it on bytes that no request asked for."""
         if self.attempt is None or self.parser is None:
             self.close()  # bytes that nobody asked for
             return
@@ -263,6 +281,8 @@
         return FRAMING * self.pool.rules.longest_body if self.head_done else LONGEST_HEAD
 
     def finish_complete(self) -> None:
+        """End the attempt by its complete answer; closes the connection unless it can carry another
+        request."""
         if self.closed or self.unsent:  # hazard: the rest of this request would be read as the next one
             self.close()
         outcome = self.pool.rules.outcome(self.status, self.not_run)
@@ -290,6 +310,7 @@
         attempt.end(Result(Outcome.OK, 101, self.headers, tunnel=Tunnel(transport, rest, chosen)))
 
     def finish(self, outcome: Outcome) -> None:
+        """End the attempt with an outcome and give the connection back to the pool, if it is still open."""
         attempt, self.attempt = self.attempt, None
         if self.idle_us > 0:
             self.pool.learn(self.idle_us, broke=outcome is Outcome.RESET and self.received == 0)
@@ -322,6 +343,8 @@
             self.finish_complete()
 
     def connection_lost(self, error: Exception | None) -> None:
+        """The connection has ended: CONNECT_FAILED for an attempt that was not written in full, RESET for one
+        that was and so may have run."""
         self.closed = True
         self.parser = None  # hazard: they hold each other, and would wait for a rare full collection
         self.pool.remove(self)
@@ -330,6 +353,8 @@
             self.finish(Outcome.CONNECT_FAILED if self.unsent else Outcome.RESET)
 
     def close(self) -> None:
+        """Abort the connection and take it out of the pool; the attempt that it carries is not ended by
+        this."""
         self.closed = True
         self.pool.remove(self)
         if self.transport is not None:
@@ -383,6 +408,10 @@
         ended: Callable[[Result], None],
         within_us: int = 0,
     ) -> Attempt:
+        """Begin an attempt at an upstream, on an idle connection or a new one. `timeout_us` is told to the
+        server in X-Deadline-Ms; `within_us`: it may begin no later than this from now, 0 for at any time
+        (a handshake always may). `ended` is called once with the result unless the attempt is given up; where
+        there can be no connection it is called only after this has returned."""
         handshake = call.handshake
         if handshake is None:
             attempt = Attempt(
@@ -425,6 +454,7 @@
 
     @staticmethod
     def not_sent(attempt: Attempt, outcome: Outcome) -> None:
+        """End an attempt for which there was no connection, unless it was given up meanwhile."""
         if not attempt.given_up:
             attempt.end(Result(outcome))
 
@@ -471,10 +501,14 @@
         return self.dial_turns is None or self.dial_turns.may(clock_us())
 
     def shut(self, new: bool) -> Container[int]:
+        """A live view of the upstreams that can't be reached now; `new`: without use of idle connections, as
+        for a handshake."""
         limited = self.budget.connections or self.dial_turns is not None
         return Shut(self, new) if limited else frozenset()
 
     def next_dial_us(self) -> int:
+        """The time on the monotonic clock, in microseconds, from which a connection may be dialled; 0 without
+        a limit on the rate of dials."""
         return self.dial_turns.next_us if self.dial_turns is not None else 0
 
     def promised_dial_us(self, longest_us: int) -> int:
@@ -486,6 +520,8 @@
         return self.dial_turns.promise_us(now_us, longest_us)
 
     async def dial(self, made: Connection, address: Address, attempt: Attempt) -> None:
+        """Bring a connection up within `dial_timeout_us`. If that fails, it is removed and its attempt ends
+        with CONNECT_FAILED; nothing is raised."""
         if attempt.given_up:  # before this task's first step
             made.sock.close()
             self.remove(made)
@@ -528,6 +564,7 @@
         self.breaks[age] += (float(broke) - self.breaks[age]) / BREAKS_MEMORY
 
     def put_idle(self, connection: Connection) -> None:
+        """Keep a connection for later requests; closes it if there are too many or none is to be kept."""
         if self.count > self.most or not self.budget.keep_idle:
             connection.close()
             return
@@ -545,6 +582,7 @@
                 del self.idle[connection.upstream]
 
     def remove(self, connection: Connection) -> None:
+        """Take a connection out of the pool's books; nothing happens if it isn't there any more."""
         self.take(connection)
         group = self.connections.get(connection.upstream, set())
         if connection in group:
@@ -554,10 +592,13 @@
             self.connections.pop(connection.upstream, None)
 
     def close_idle(self, upstream: int) -> None:
+        """Close all idle connections to an upstream."""
         for connection in self.idle.get(upstream, [])[:]:
             connection.close()
 
     def forget(self, upstream: int) -> None:
+        """An upstream has gone or moved: its idle connections close now, those in use once their attempt has
+        ended."""
         self.close_idle(upstream)
         for connection in self.connections.get(upstream, set()):
             connection.forgotten = True
