--- a/benchmarks/nginx_requests.py
+++ b/benchmarks/nginx_requests.py
@@ -9,7 +9,7 @@
 from urllib.parse import quote, unquote
 
 from plovertrail.config.operator import Setup
-from plovertrail.decisions.paths import BadTarget, normalise_path
+from plovertrail.decisions.paths import InvalidTargetError, normalise_path
 from plovertrail.decisions.requests import outline
 from plovertrail.nginx.report import Report, Treatment
 from standins.nginx_reference import Asked, Block, Outcome, Reference
@@ -172,7 +172,7 @@
     path, question, query = uri.partition("?")
     try:
         return normalise_path(path.encode("latin-1"))[0] + question + query
-    except BadTarget:
+    except InvalidTargetError:
         return uri
 
 
@@ -206,7 +206,7 @@
     if got.status == 400:
         try:
             normalise_path(asked.path.encode())
-        except BadTarget as bad:
+        except InvalidTargetError as bad:
             return f"400: {bad}", True  # told of every proxy_pass
     if wanted.unknown:
         # what the reference doesn't follow must be shut here, or be nothing (files)
--- a/plovertrail/cli/check.py
+++ b/plovertrail/cli/check.py
@@ -16,7 +16,7 @@
 from plovertrail.decisions.recovery import pieces
 from plovertrail.hooks.loader import HookLoader
 from plovertrail.sources.file_reading import FileSource
-from plovertrail.sources.lists import BadList
+from plovertrail.sources.lists import InvalidListError
 
 
 def told_of(path: str, checksum: bool) -> str:
@@ -24,7 +24,7 @@
     source = FileSource(path, checksum)
     try:
         _, found = source.read(0.0, settle=False)
-    except (BadList, OSError) as error:
+    except (InvalidListError, OSError) as error:
         return f"{path}: no list now: {error}"
     return f"{path}: {len(found.entries) if found is not None else 0} servers"
 
--- a/plovertrail/cli/control.py
+++ b/plovertrail/cli/control.py
@@ -24,12 +24,12 @@
 LOOK_S = 0.05  # between two looks while waiting
 
 
-class NoAnswer(Exception):
+class NoAnswerError(Exception):
     """A call that was not answered as asked; the text says why."""
 
 
 def asked(path: str, **what: str) -> dict[str, Any]:
-    """One call; raises NoAnswer."""
+    """One call; raises NoAnswerError."""
     try:
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
             sock.settimeout(PATIENCE_S)
@@ -38,9 +38,9 @@
             with sock.makefile("rb") as file:
                 answer: dict[str, Any] = json.loads(file.readline(LONGEST_ANSWER))
     except (OSError, ValueError) as error:
-        raise NoAnswer(f"no daemon answers on {path}: {error}") from None
+        raise NoAnswerError(f"no daemon answers on {path}: {error}") from None
     if not answer.get("ok"):
-        raise NoAnswer(answer.get("error", "it failed"))
+        raise NoAnswerError(answer.get("error", "it failed"))
     return answer
 
 
@@ -48,7 +48,7 @@
     """One call; prints what went wrong and exits with 1."""
     try:
         return asked(path, **what)
-    except NoAnswer as error:
+    except NoAnswerError as error:
         click.echo(str(error), err=True)
         sys.exit(1)
 
@@ -105,7 +105,7 @@
     while True:
         try:
             recovery = asked(path, do="status")["status"]["recovery"]
-        except NoAnswer as error:
+        except NoAnswerError as error:
             told = str(error)
         else:
             told = tell_phase(recovery)
--- a/plovertrail/cli/seal.py
+++ b/plovertrail/cli/seal.py
@@ -8,7 +8,7 @@
 import click
 
 from plovertrail.sources.file_reading import read_bounded
-from plovertrail.sources.lists import BadList, sealed
+from plovertrail.sources.lists import InvalidListError, sealed
 from plovertrail.store.files import replace_file
 
 
@@ -21,7 +21,7 @@
         data, _ = read_bounded(file)
         whole = sealed(os.path.basename(file), data)
         replace_file(os.path.realpath(file), whole)
-    except (BadList, OSError) as error:
+    except (InvalidListError, OSError) as error:
         click.echo(f"{file}: {error}", err=True)
         sys.exit(2)
     click.echo(f"{file}: sealed")
--- a/plovertrail/config/operator.py
+++ b/plovertrail/config/operator.py
@@ -55,7 +55,7 @@
 from plovertrail.decisions.fairness import DoorSettings
 from plovertrail.decisions.interface import RequestClass, Settings, Tenant
 from plovertrail.decisions.limits import LimiterSettings
-from plovertrail.decisions.paths import BadTarget, normalise_host, normalise_path
+from plovertrail.decisions.paths import InvalidTargetError, normalise_host, normalise_path
 from plovertrail.decisions.routes import (
     SAFE_METHODS,
     ClientSource,
@@ -1035,7 +1035,7 @@
     def normal(self, value: str, place: str) -> str:
         try:
             path = normalise_path(value.encode())[1]
-        except BadTarget as error:
+        except InvalidTargetError as error:
             self.wrong(place, f"{value!r} is no path: {error}", 'write a path that begins with "/"')
             return "/"
         if "?" in value or "#" in value:
@@ -1073,8 +1073,8 @@
             try:
                 host = normalise_host(plain.encode("idna") if not plain.isascii() else plain.encode())
                 if ":" in plain and not plain.startswith("["):
-                    raise BadTarget("a port")
-            except (BadTarget, UnicodeError):
+                    raise InvalidTargetError("a port")
+            except (InvalidTargetError, UnicodeError):
                 self.wrong(
                     place,
                     f"{text!r} is no host",
--- a/plovertrail/decisions/paths.py
+++ b/plovertrail/decisions/paths.py
@@ -20,7 +20,7 @@
 PORT = re.compile(r"(.*?)(?::([0-9]{0,5}))?", re.S)
 
 
-class BadTarget(ValueError):
+class InvalidTargetError(ValueError):
     """A target or host that can't be routed; the text says why."""
 
 
@@ -33,19 +33,19 @@
         if byte == 0x25:
             found = ESCAPE.match(raw, at)
             if found is None:
-                raise BadTarget("a % that begins no escape")
+                raise InvalidTargetError("a % that begins no escape")
             byte, at = int(found[1], 16), at + 3
             if byte in b"/\\":
-                raise BadTarget("an encoded slash or backslash")
+                raise InvalidTargetError("an encoded slash or backslash")
             parts.append(chr(byte) if byte in decoded else f"%{byte:02X}")
         else:
             at += 1
             if byte == 0x5C:
-                raise BadTarget("a backslash")
+                raise InvalidTargetError("a backslash")
             # what stands plain though it may not is escaped; what may stand plain is kept
             parts.append(chr(byte) if byte in IN_SEGMENTS or byte == 0x2F else f"%{byte:02X}")
         if byte < 0x20 or byte == 0x7F:
-            raise BadTarget("a control character")
+            raise InvalidTargetError("a control character")
     return "".join(parts)
 
 
@@ -55,7 +55,7 @@
     segments = [segment for segment in path.split("/") if segment]
     for segment in segments:
         if segment.startswith((".;", "..;", ".%3B", "..%3B")):
-            raise BadTarget("a dot segment with parameters")
+            raise InvalidTargetError("a dot segment with parameters")
         if segment == "..":
             if kept:
                 kept.pop()
@@ -66,9 +66,9 @@
 
 
 def normalise_path(raw: bytes) -> tuple[str, str]:
-    """The path as it goes to the server, and as rules see it; raises BadTarget."""
+    """The path as it goes to the server, and as rules see it; raises InvalidTargetError."""
     if not raw.startswith(b"/"):
-        raise BadTarget("a path that does not begin with /")
+        raise InvalidTargetError("a path that does not begin with /")
     text = raw.decode("latin-1")
     if PLAIN.fullmatch(text):
         return text, text
@@ -78,16 +78,16 @@
 def split_target(target: bytes) -> tuple[bytes, bytes, bytes]:
     """Host (empty but in the absolute form, RFC 9112 section 3.2.2), path and query of a request's target."""
     if b"#" in target:
-        raise BadTarget("a fragment")
+        raise InvalidTargetError("a fragment")
     host = b""
     if not target.startswith(b"/"):
         scheme, separator, rest = target.partition(b"://")
         if not separator or scheme.lower() not in (b"http", b"https"):
-            raise BadTarget("neither a path nor an http URL")
+            raise InvalidTargetError("neither a path nor an http URL")
         cut = min((at for at in (rest.find(b"/"), rest.find(b"?")) if at >= 0), default=len(rest))
         host, target = rest[:cut], rest[cut:]
         if not host or b"@" in host:
-            raise BadTarget("a URL with no host, or with a user")
+            raise InvalidTargetError("a URL with no host, or with a user")
         if not target.startswith(b"/"):
             target = b"/" + target
     path, _, query = target.partition(b"?")
@@ -96,11 +96,11 @@
 
 @functools.lru_cache(maxsize=1024)
 def normalise_host(raw: bytes) -> str:
-    """Lower case, with no port and no dot at its end; raises BadTarget on what is no host."""
+    """Lower case, with no port and no dot at its end; raises InvalidTargetError on what is no host."""
     text = raw.decode("latin-1").strip(" \t").lower()
     found = PORT.fullmatch(text)
     host = found[1] if found is not None else text
     host = host.removesuffix(".")
     if len(host) > LONGEST_HOST or not HOST.fullmatch(host) or ".." in host:
-        raise BadTarget("a Host that is no host")
+        raise InvalidTargetError("a Host that is no host")
     return host
--- a/plovertrail/decisions/requests.py
+++ b/plovertrail/decisions/requests.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from plovertrail.decisions.paths import BadTarget, normalise_host, normalise_path, split_target
+from plovertrail.decisions.paths import InvalidTargetError, normalise_host, normalise_path, split_target
 from plovertrail.decisions.routes import (
     ClientSource,
     Head,
@@ -54,13 +54,13 @@
     try:
         named, raw_path, query = split_target(target)
         if len(hosts) > 1:
-            raise BadTarget("more than one Host")
+            raise InvalidTargetError("more than one Host")
         if not hosts and version != "1.0":
-            raise BadTarget("no Host")
+            raise InvalidTargetError("no Host")
         authority = named or (hosts[0] if hosts else b"")
         host = normalise_host(authority) if authority else ""
         path, seen = normalise_path(raw_path)
-    except BadTarget as error:
+    except InvalidTargetError as error:
         raise RequestRejectedError(400, str(error)) from None
     return Head(method.decode("ascii"), host, seen, query, headers, listener), path, authority
 
@@ -76,7 +76,7 @@
         raise RequestRejectedError(413, "the body is longer than this route takes")
     try:
         target = rewritten_path(match.route, path).encode("latin-1")
-    except BadTarget as error:
+    except InvalidTargetError as error:
         raise RequestRejectedError(400, str(error)) from None
     if head.query and match.route.keep_query:
         target += b"?" + head.query
--- a/plovertrail/decisions/routes.py
+++ b/plovertrail/decisions/routes.py
@@ -16,7 +16,7 @@
 
 import re2
 
-from plovertrail.decisions.paths import BadTarget, normalise_path
+from plovertrail.decisions.paths import InvalidTargetError, normalise_path
 from plovertrail.decisions.templates import Template
 
 SAFE_METHODS = frozenset(("GET", "HEAD", "OPTIONS"))
@@ -421,9 +421,9 @@
 
 
 def rewritten_path(route: Route, path: str) -> str:
-    """The path that goes to the server, from the normalised one of the request; raises BadTarget if the
-    route's replacement makes none. Prefixes are counted in segments, as the two forms of a path may differ in
-    length."""
+    """The path that goes to the server, from the normalised one of the request; raises InvalidTargetError if
+    the route's replacement makes none. Prefixes are counted in segments, as the two forms of a path may
+    differ in length."""
     if route.rewrite is None:
         return path
     if route.kind is PathKind.EXACT:
@@ -436,5 +436,5 @@
         as_seen = normalise_path(path.encode("latin-1"))[1]
         changed = re2.sub(f"^(?:{route.path})$", route.rewrite, as_seen)
     if not changed.startswith("/"):
-        raise BadTarget("rewritten to no path")
+        raise InvalidTargetError("rewritten to no path")
     return normalise_path(changed.encode("latin-1"))[0]
--- a/plovertrail/nginx/location_blocks.py
+++ b/plovertrail/nginx/location_blocks.py
@@ -4,7 +4,7 @@
 
 import re
 
-from plovertrail.decisions.paths import BadTarget, normalise_path
+from plovertrail.decisions.paths import InvalidTargetError, normalise_path
 from plovertrail.nginx.context import UnmappableServerError
 from plovertrail.nginx.locations import Kind, Location, runs, whole
 from plovertrail.nginx.report import Report
@@ -103,7 +103,7 @@
     try:
         # nginx compares with decoded paths, so a location is written decoded
         seen = normalise_path(text.replace("%", "%25").encode())[1]
-    except BadTarget:
+    except InvalidTargetError:
         return None
     if text.endswith("/") and not seen.endswith("/"):
         seen += "/"
--- a/plovertrail/sources/file_reading.py
+++ b/plovertrail/sources/file_reading.py
@@ -11,7 +11,7 @@
 
 from plovertrail.decisions.endpoint_list import Candidate, Entry
 from plovertrail.decisions.list_versions import SourceKey, SourceKind
-from plovertrail.sources.lists import LARGEST, MOST_SERVERS, BadList, parse
+from plovertrail.sources.lists import LARGEST, MOST_SERVERS, InvalidListError, parse
 
 COARSE_S = 3.0  # a file whose times are so young may change again under the same times (NFS, FAT: 2 s)
 SETTLE_S = 0.2  # a file with no checksum must stay as it is for so long
@@ -32,7 +32,7 @@
         """Whether the path itself is a link."""
 
     def read(self, path: str) -> tuple[bytes, Signature]:
-        """A plain file's bytes and its signature; raises BadList or OSError."""
+        """A plain file's bytes and its signature; raises InvalidListError or OSError."""
 
 
 class LocalFileSystem:
@@ -59,15 +59,15 @@
 
 
 def read_bounded(path: str) -> tuple[bytes, Signature]:
-    """A plain file's bytes and its signature; raises BadList or OSError."""
+    """A plain file's bytes and its signature; raises InvalidListError or OSError."""
     # hazard: opening a FIFO waits for a writer, and reading a device may never end
     fd = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
     try:
         found = os.fstat(fd)
         if not stat.S_ISREG(found.st_mode):
-            raise BadList("not a plain file")
+            raise InvalidListError("not a plain file")
         if found.st_size > LARGEST:
-            raise BadList(f"longer than {LARGEST >> 20} MiB")
+            raise InvalidListError(f"longer than {LARGEST >> 20} MiB")
         parts: list[bytes] = []
         left = LARGEST + 1
         while left > 0 and (part := os.read(fd, min(left, 1 << 20))):
@@ -75,7 +75,7 @@
             left -= len(part)
         after = os.fstat(fd)
         if (after.st_mtime_ns, after.st_size) != (found.st_mtime_ns, found.st_size):
-            raise BadList("it changed while it was read")
+            raise InvalidListError("it changed while it was read")
     finally:
         os.close(fd)
     return b"".join(parts), signature(found)
@@ -104,7 +104,7 @@
     files: FileSystem = LOCAL
     kind: SourceKind = SourceKind.LIST
     seen: dict[str, Seen] = field(default_factory=dict)
-    made: Candidate | BadList | None = None  # of what was seen, as far as it has settled
+    made: Candidate | InvalidListError | None = None  # of what was seen, as far as it has settled
     digest: str = ""  # of the bytes that `made` was made of
     young: bool = False  # its times are so young that a change may hide under them: look again soon
     opened: bool = False  # the last call read bytes
@@ -132,9 +132,9 @@
             if not name.startswith(".") and not name.endswith(("~", ".tmp", ".swp"))
         )
         if not found:
-            raise BadList("the folder holds no list")
+            raise InvalidListError("the folder holds no list")
         if len(found) > MOST_FRAGMENTS:
-            raise BadList(f"more than {MOST_FRAGMENTS} files")
+            raise InvalidListError(f"more than {MOST_FRAGMENTS} files")
         return [os.path.join(self.path, name) for name in found]
 
     def _is_folder(self) -> bool:
@@ -145,7 +145,7 @@
 
     def read(self, now: float, settle: bool = True) -> tuple[bool, Candidate | None]:
         """Whether the list is new since the last call, and the list; None: it has not settled yet. Blocking;
-        raises BadList or OSError. What has not changed is not parsed again."""
+        raises InvalidListError or OSError. What has not changed is not parsed again."""
         changed = False
         settled = True
         made, self.made = self.made, None
@@ -169,7 +169,7 @@
             settled &= self.checksum or not settle or now - old.since >= SETTLE_S
         if made is not None and not changed:
             self.made = made
-            if isinstance(made, BadList):
+            if isinstance(made, InvalidListError):
                 raise made
             return False, made
         if not settled:
@@ -179,7 +179,7 @@
         try:
             self.digest = self._digest(names)
             self.made = self._parsed(names)
-        except BadList as error:
+        except InvalidListError as error:
             self.made = error
             raise
         return True, self.made
@@ -202,13 +202,13 @@
         for name in names:
             try:
                 part = parse(name, self.seen[name].data, self.name, self.checksum)
-            except BadList as error:
+            except InvalidListError as error:
                 where = os.path.basename(name) + ": " if len(names) > 1 else ""
-                raise BadList(where + str(error)) from None
+                raise InvalidListError(where + str(error)) from None
             entries.extend(part.entries)
             version += part.version
         if len(entries) > MOST_SERVERS:
-            raise BadList(f"more than {MOST_SERVERS} servers")
+            raise InvalidListError(f"more than {MOST_SERVERS} servers")
         return Candidate(self.name, tuple(entries), version if len(names) == 1 else 0)
 
     def _surely_same(self, path: str, old: Seen) -> bool:
@@ -225,10 +225,10 @@
             time.sleep(SETTLE_S + 0.05)
             _, found = source.read(time.monotonic())
         return found if found is not None else "it has not settled yet"
-    except (BadList, OSError) as error:
+    except (InvalidListError, OSError) as error:
         return complaint(error)
 
 
-def complaint(error: BadList | OSError) -> str:
+def complaint(error: InvalidListError | OSError) -> str:
     """What the operator is told."""
     return error.strerror or repr(error) if isinstance(error, OSError) else str(error)
--- a/plovertrail/sources/lists.py
+++ b/plovertrail/sources/lists.py
@@ -27,7 +27,7 @@
 PAIR = re.compile(r"(zone|cell|weight|id|drain)=(\S+)")
 
 
-class BadList(Exception):
+class InvalidListError(Exception):
     """A file that is not whole, or no list; the text says why."""
 
 
@@ -65,18 +65,18 @@
     """An IPv4 address and a port. Hazard: a name would be looked up."""
     found = ENDPOINT.fullmatch(text)
     if found is None:
-        raise BadList(f"{text!r} is no address and port")
+        raise InvalidListError(f"{text!r} is no address and port")
     port = int(found[2])
     if not 0 < port <= 65_535:
-        raise BadList(f"{text!r} has no port")
+        raise InvalidListError(f"{text!r} has no port")
     return found[1], port
 
 
 def parse(name: str, data: bytes, source: str, checksum: bool) -> Candidate:
-    """The list in a file's bytes; raises BadList. `checksum`: a file without one, or with a wrong one, is not
-    whole; without it, a file is taken for whole when it ends with a line's end."""
+    """The list in a file's bytes; raises InvalidListError. `checksum`: a file without one, or with a wrong
+    one, is not whole; without it, a file is taken for whole when it ends with a line's end."""
     if len(data) > LARGEST:
-        raise BadList(f"longer than {LARGEST >> 20} MiB")
+        raise InvalidListError(f"longer than {LARGEST >> 20} MiB")
     try:
         if name.endswith(".json"):
             table = _json(data, checksum)
@@ -85,11 +85,13 @@
             found = tomllib.loads(text) if name.endswith(".toml") else _lines(text)
             table = msgspec.convert(found, ListFile, strict=True)
     except UnicodeDecodeError as error:
-        raise BadList(f"byte {error.start} is not UTF-8") from None
+        raise InvalidListError(f"byte {error.start} is not UTF-8") from None
     except (tomllib.TOMLDecodeError, RecursionError) as error:
-        raise BadList(f"not {name.rpartition('.')[2].upper()}: {error or 'nested too deeply'}") from None
+        raise InvalidListError(
+            f"not {name.rpartition('.')[2].upper()}: {error or 'nested too deeply'}"
+        ) from None
     except msgspec.MsgspecError as error:
-        raise BadList(str(error)) from None
+        raise InvalidListError(str(error)) from None
     return Candidate(source, _entries(table), table.version)
 
 
@@ -98,12 +100,12 @@
     if seal is not None:
         content = data[: seal.start()]
         if hashlib.sha256(content).hexdigest().encode() != seal[1]:
-            raise BadList(f"its checksum is not that of its lines: {NOT_WHOLE}")
+            raise InvalidListError(f"its checksum is not that of its lines: {NOT_WHOLE}")
         return content
     if checksum:
-        raise BadList(f"it doesn't end with its checksum: {NOT_WHOLE}")
+        raise InvalidListError(f"it doesn't end with its checksum: {NOT_WHOLE}")
     if data and not data.endswith(b"\n"):
-        raise BadList("it doesn't end with the end of a line")
+        raise InvalidListError("it doesn't end with the end of a line")
     return data
 
 
@@ -113,7 +115,7 @@
     if checksum or found.sha256:
         digest = json_digest(data)
         if digest is None or found.sha256 != digest.decode():
-            raise BadList(f"its sha256 is not that of its bytes: {NOT_WHOLE}")
+            raise InvalidListError(f"its sha256 is not that of its bytes: {NOT_WHOLE}")
     return found
 
 
@@ -128,14 +130,14 @@
         for word in words[1:]:
             pair = PAIR.fullmatch(word)
             if pair is None:
-                raise BadList(f"line {number}: {word!r} is no id=, zone=, cell=, weight= or drain=")
+                raise InvalidListError(f"line {number}: {word!r} is no id=, zone=, cell=, weight= or drain=")
             row[pair[1]] = pair[2]
         try:
             row["weight"] = float(row.get("weight", 1.0))
         except ValueError:
-            raise BadList(f"line {number}: the weight is no number") from None
+            raise InvalidListError(f"line {number}: the weight is no number") from None
         if row.setdefault("drain", "false") not in ("true", "false"):
-            raise BadList(f"line {number}: write drain=true or drain=false")
+            raise InvalidListError(f"line {number}: write drain=true or drain=false")
         row["drain"] = row["drain"] == "true"
         rows.append(row)
     return {"servers": rows}
@@ -143,7 +145,7 @@
 
 def _entries(table: ListFile) -> tuple[Entry, ...]:
     if len(table.servers) > MOST_SERVERS:
-        raise BadList(f"more than {MOST_SERVERS} servers")
+        raise InvalidListError(f"more than {MOST_SERVERS} servers")
     return tuple(
         [
             Entry(row.id, endpoint(row.address), row.zone, row.cell, row.weight, row.drain)
@@ -153,18 +155,18 @@
 
 
 def sealed(name: str, data: bytes) -> bytes:
-    """The file's bytes with its checksum; raises BadList if it is no list."""
+    """The file's bytes with its checksum; raises InvalidListError if it is no list."""
     if name.endswith(".json"):
         try:
             found = json.loads(data.decode("utf-8"))
         except ValueError as error:
-            raise BadList(f"not JSON: {error}") from None
+            raise InvalidListError(f"not JSON: {error}") from None
         if not isinstance(found, dict):
-            raise BadList('expected {"servers": [...]}')
+            raise InvalidListError('expected {"servers": [...]}')
         data = json.dumps({**found, "sha256": "0" * 64}, indent=1).encode() + b"\n"
         digest = json_digest(data)
         if digest is None:
-            raise BadList("it has two places for a sha256")
+            raise InvalidListError("it has two places for a sha256")
         data = JSON_SEAL.sub(lambda match: match[1] + digest + match[3], data)
     else:
         content = SEAL.sub(b"", data)
--- a/plovertrail/sources/read_workers.py
+++ b/plovertrail/sources/read_workers.py
@@ -15,7 +15,7 @@
 
 from plovertrail.decisions.endpoint_list import Candidate
 from plovertrail.sources.file_reading import FileSource, complaint
-from plovertrail.sources.lists import BadList
+from plovertrail.sources.lists import InvalidListError
 
 log = logging.getLogger(__name__)
 
@@ -68,7 +68,7 @@
     candidate, refusal, new = None, "", False
     try:
         new, candidate = source.read(clock())
-    except (BadList, OSError) as error:
+    except (InvalidListError, OSError) as error:
         refusal = complaint(error)
     except Exception as error:
         # hazard: a fault with one source would end the thread, and with it all drains told by files
--- a/standins/cluster/instances.py
+++ b/standins/cluster/instances.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from plovertrail.cli.control import NoAnswer, asked
+from plovertrail.cli.control import NoAnswerError, asked
 
 PATIENCE_S = 30.0
 DISK = ("state", "state.journal")
@@ -189,7 +189,7 @@
         try:
             found: dict[str, Any] = (await asyncio.to_thread(asked, self.control, do="status"))["status"]
             return found
-        except NoAnswer:
+        except NoAnswerError:
             return {}
 
     def stop(self) -> None:
--- a/tests/decisions/test_paths.py
+++ b/tests/decisions/test_paths.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from plovertrail.decisions.paths import BadTarget, normalise_host, normalise_path, split_target
+from plovertrail.decisions.paths import InvalidTargetError, normalise_host, normalise_path, split_target
 from plovertrail.decisions.routes import Head, Match, PathKind, Route, RouteTable
 
 PLAIN = "abcXYZ019-._~!$&'()*+,;=:@"
@@ -43,7 +43,7 @@
 def test_normalising_twice_changes_nothing(raw: bytes) -> None:
     try:
         goes_on, seen = normalise_path(raw)
-    except BadTarget:
+    except InvalidTargetError:
         return
     assert normalise_path(goes_on.encode()) == (goes_on, seen)
     assert normalise_path(seen.encode())[1] == seen
@@ -111,7 +111,7 @@
     ],
 )
 def test_what_servers_may_read_in_two_ways_is_refused(raw: bytes) -> None:
-    with pytest.raises(BadTarget):
+    with pytest.raises(InvalidTargetError):
         normalise_path(raw)
 
 
@@ -139,7 +139,7 @@
     "raw", [b"", b".", b"a b", b"a..b", b"a/b", b"u@a", b"a,b", b"[::1", b"a:b:c", b"x" * 300, b"-a", b"\xff"]
 )
 def test_what_is_no_host_is_refused(raw: bytes) -> None:
-    with pytest.raises(BadTarget):
+    with pytest.raises(InvalidTargetError):
         normalise_host(raw)
 
 
@@ -147,5 +147,5 @@
     assert split_target(b"http://A:1/p?q=1") == (b"A:1", b"/p", b"q=1")
     assert split_target(b"https://a?x") == (b"a", b"/", b"x")
     for raw in (b"*", b"a:80", b"ftp://a/", b"http:///p", b"http://u@a/", b"/p#f"):
-        with pytest.raises(BadTarget):
+        with pytest.raises(InvalidTargetError):
             split_target(raw)
--- a/tests/decisions/test_routes.py
+++ b/tests/decisions/test_routes.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from plovertrail.decisions.paths import BadTarget
+from plovertrail.decisions.paths import InvalidTargetError
 from plovertrail.decisions.requests import (
     RequestRejectedError,
     checked_key,
@@ -232,7 +232,7 @@
     climbing = route("r", r"/(.*)", PathKind.REGEX, rewrite=r"/private/.\1")
     assert rewritten_path(climbing, "/./x") == "/private/.x"
     assert rewritten_path(climbing, "/.a") == "/private/..a"
-    with pytest.raises(BadTarget):
+    with pytest.raises(InvalidTargetError):
         rewritten_path(route("r", r"/(.*)", PathKind.REGEX, rewrite=r"/private/.\1"), "/.;x")
 
 
--- a/tests/sources/test_lists.py
+++ b/tests/sources/test_lists.py
@@ -17,7 +17,7 @@
 
 from plovertrail.decisions.endpoint_list import Candidate, Entry
 from plovertrail.sources.file_reading import COARSE_S, FileSource
-from plovertrail.sources.lists import LARGEST, BadList, parse, sealed
+from plovertrail.sources.lists import LARGEST, InvalidListError, parse, sealed
 
 
 def rows(count: int, port: int = 9000) -> list[dict[str, object]]:
@@ -59,7 +59,7 @@
     for cut in range(len(whole)):
         if whole[:cut].rstrip() == whole.rstrip():
             continue  # the last line's end makes no other list
-        with pytest.raises(BadList):
+        with pytest.raises(InvalidListError):
             parse(name, whole[:cut], "src", checksum=True)
 
 
@@ -71,7 +71,7 @@
     wanted = {parse(name, data, "", checksum=True) for data in (old, new)}
     for cut in range(0, len(old), 7):
         for mixture in (new[:cut] + old[cut:], old[:cut] + new[cut:]):
-            with contextlib.suppress(BadList):
+            with contextlib.suppress(InvalidListError):
                 assert parse(name, mixture, "", checksum=True) in wanted
 
 
@@ -94,7 +94,7 @@
 def test_what_is_no_list_is_refused_with_a_reason(
     name: str, what: str, made: Callable[[bytes], bytes]
 ) -> None:
-    with pytest.raises(BadList) as caught:
+    with pytest.raises(InvalidListError) as caught:
         parse(name, made(FORMATS[name]()), "src", checksum=True)
     assert str(caught.value)
 
@@ -115,7 +115,7 @@
     ],
 )
 def test_a_line_that_is_no_endpoint_is_told(text: str, told: str) -> None:
-    with pytest.raises(BadList) as caught:
+    with pytest.raises(InvalidListError) as caught:
         parse("x.list", text.encode() + b"\n", "", checksum=False)
     assert told in str(caught.value)
 
@@ -133,14 +133,14 @@
     ],
 )
 def test_a_json_file_of_another_shape_is_refused(found: object) -> None:
-    with pytest.raises(BadList):
+    with pytest.raises(InvalidListError):
         parse("x.json", json.dumps(found).encode(), "", checksum=False)
 
 
 @given(st.binary(max_size=200))
 def test_noise_is_a_list_or_refused(noise: bytes) -> None:
     for name in FORMATS:
-        with contextlib.suppress(BadList):
+        with contextlib.suppress(InvalidListError):
             parse(name, noise, "", checksum=False)
 
 
@@ -152,7 +152,7 @@
 
 
 def refused(source: FileSource) -> str:
-    with pytest.raises((BadList, OSError)) as caught:
+    with pytest.raises((InvalidListError, OSError)) as caught:
         source.read(0.0)
     return str(caught.value)
 
@@ -231,7 +231,7 @@
     assert found is not None and found.entries[0].id == "127.0.0.1:9000"
     path.write_bytes(b"127.0.0.1:9000\n127.0.0.1:90")
     assert source.read(0.4)[1] is None
-    with pytest.raises(BadList):
+    with pytest.raises(InvalidListError):
         source.read(0.9)  # it never got its line's end
 
 
@@ -270,7 +270,7 @@
         while not ended.is_set():
             try:
                 found = source.read(time.monotonic())[1]
-            except (BadList, OSError):
+            except (InvalidListError, OSError):
                 refusals += 1
             else:
                 assert found in good
