--- a/tests/sources/test_list_reader.py
+++ b/tests/sources/test_list_reader.py
@@ -136,6 +136,23 @@
     await until(lambda: all(each.ports and each.ports[-1] == port for each in followers))
 
 
+@asynccontextmanager
+async def blocked_read(
+    path: Path,
+) -> AsyncIterator[tuple[ListReader, BlockedFiles, Follower, Subscription]]:
+    """A file that was told once and has changed since, while the read of the change is held up."""
+    files, follower = BlockedFiles(), Follower()
+    put(path, 1)
+    async with reading(files) as reader:
+        subscription = follower.follow(reader, path)
+        await told([follower], 1)
+        files.block(path)
+        put(path, 2)
+        scan(reader)
+        await asyncio.to_thread(files.arrived[str(path)].wait)
+        yield reader, files, follower, subscription
+
+
 def test_a_file_that_several_follow_is_read_once_and_only_they_are_told(tmp_path: Path) -> None:
     async def test() -> None:
         files = BlockedFiles()
@@ -437,16 +454,8 @@
     """After it the watchdog's time has come once, however long it was; the read goes on."""
 
     async def test() -> None:
-        files = BlockedFiles()
-        path, follower = tmp_path / "x.list", Follower()
-        put(path, 1)
-        async with reading(files) as reader:
-            follower.follow(reader, path)
-            await told([follower], 1)
-            files.block(path)
-            put(path, 2)
-            scan(reader)
-            await asyncio.to_thread(files.arrived[str(path)].wait)
+        path = tmp_path / "x.list"
+        async with blocked_read(path) as (reader, files, follower, _):
             assert reader.watchdog_timer is not None
             reader.watchdog_timer.cancel()
             reader._watchdog()  # the first sight of it; then 5 s in which nothing ran
@@ -466,16 +475,8 @@
     """The first is read, and hangs with what it has; meanwhile the file changes and is asked for again."""
 
     async def test() -> None:
-        files = BlockedFiles()
-        path, follower = tmp_path / "x.list", Follower()
-        put(path, 1)
-        async with reading(files) as reader:
-            subscription = follower.follow(reader, path)
-            await told([follower], 1)
-            files.block(path)
-            put(path, 2)
-            scan(reader)
-            await asyncio.to_thread(files.arrived[str(path)].wait)
+        path = tmp_path / "x.list"
+        async with blocked_read(path) as (reader, files, follower, subscription):
             put(path, 3)
             await until(lambda: bool(follower.wrong))  # another thread has taken over
             scan(reader)
@@ -513,16 +514,8 @@
     """As after a gap: one that was under way already may have read what held before it."""
 
     async def test() -> None:
-        files = BlockedFiles()
-        path, follower = tmp_path / "x.list", Follower()
-        put(path, 1)
-        async with reading(files) as reader:
-            subscription = follower.follow(reader, path)
-            await told([follower], 1)
-            files.block(path)
-            put(path, 2)
-            scan(reader)
-            await asyncio.to_thread(files.arrived[str(path)].wait)
+        path = tmp_path / "x.list"
+        async with blocked_read(path) as (reader, files, follower, subscription):
             put(path, 3)
             look = asyncio.ensure_future(subscription.look())
             await asyncio.sleep(0)
