--- a/plovertrail/peers/fellows_wire.py
+++ b/plovertrail/peers/fellows_wire.py
@@ -48,8 +48,12 @@
 
 
 def text_bytes(text: str, longest: int) -> bytes:
-    """A text as one byte of length and its UTF-8, cut to `longest` bytes; `longest` is 255 at most."""
-    data = text.encode("utf-8", "replace")[:longest]
+    """A text as one byte of length and its UTF-8, cut to `longest` bytes; `longest` is 255 at most.
+
+    Hazard: cut within a character it could not be read, and its reader would drop every datagram.
+    """
+    cut = text.encode("utf-8", "replace")[:longest]
+    data = cut.decode("utf-8", "ignore").encode("utf-8")
     return bytes([len(data)]) + data
 
 
--- a/tests/peers/test_fellows_wire.py
+++ b/tests/peers/test_fellows_wire.py
@@ -52,6 +52,12 @@
     assert codec.read(codec.write(ME, datagram), MINE) == datagram
 
 
+def test_a_long_zone_is_cut_between_characters() -> None:
+    codec = FellowsCodec("fleet", [KEY])
+    me = Word("n", ("10.0.0.1", 1), 1, State.ALIVE, "a" + "é" * 31)
+    assert codec.read(codec.write(ME, Datagram(Kind.PROBE, 1, me)), MINE).sender.zone == "a" + "é" * 15
+
+
 def test_what_does_not_fit_is_left_out_words_before_evidence() -> None:
     codec = FellowsCodec("fleet", [KEY])
     many = tuple(Word("n" * 60, ("10.0.0.1", number), 1, State.ALIVE, "z" * 32) for number in range(40))
