--- a/benchmarks/capacity/process_roles.py
+++ b/benchmarks/capacity/process_roles.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from benchmarks.capacity.configuration_changes import ConfigurationChanges
+from benchmarks.capacity.hollow_readers import HollowReaders
 from benchmarks.capacity.list_changes import ListChanges
 from benchmarks.capacity.request_path import RequestPath
 from benchmarks.capacity.restarts import Restarts
@@ -14,5 +15,6 @@
     RequestPath(),
     ListChanges(),
     ConfigurationChanges(),
+    HollowReaders(),
     Restarts(),
 )
