--- a/benchmarks/capacity/presentation.py
+++ b/benchmarks/capacity/presentation.py
@@ -9,6 +9,8 @@
 from benchmarks.capacity.slopes import Situation, Slope, Unit
 from benchmarks.report import Bar, table
 
+LONGEST_NOTE = 60  # characters of a note that stands in each row; longer ones stand below the tables
+
 
 def print_result(name: str, result: RoleResult, took_s: float) -> None:
     """All samples, fits, costs at the planned size and further figures of one role."""
@@ -30,15 +32,23 @@
     if result.figures:
         print()
         table(["further", "figure", "", ""], [_figure_row(figure) for figure in result.figures])
-    for note in sorted({slope.note for slope in result.slopes if slope.note}):
+    for note in sorted({slope.note for slope in result.slopes if len(slope.note) > LONGEST_NOTE}):
         print(f"note: {note}")
     print(end="", flush=True)
 
 
+def _label(slope: Slope) -> str:
+    """What tells a slope from others of its role: its situation, and a note that is short."""
+    parts = [slope.role, slope.situation.value]
+    if slope.note and len(slope.note) <= LONGEST_NOTE:
+        parts.append(slope.note)
+    return ", ".join(parts)
+
+
 def _sample_rows(slope: Slope) -> list[list[object]]:
     return [
         [
-            f"{slope.role}, {slope.situation.value}",
+            _label(slope),
             slope.axis.value,
             slope.unit.value,
             f"{sample.size:g}",
@@ -52,7 +62,7 @@
 def _fit_row(slope: Slope) -> list[object]:
     fit, size = slope.fit, planned_size(slope.axis)
     return [
-        f"{slope.role}, {slope.situation.value}",
+        _label(slope),
         slope.axis.value,
         slope.unit.value,
         _shown(fit.base),
