--- a/benchmarks/capacity/costs.py
+++ b/benchmarks/capacity/costs.py
@@ -57,6 +57,7 @@
         Axis.SERVICES: float(TARGET.services),
         Axis.SERVERS: float(TARGET.servers_per_service),
         Axis.CHANGES: changes_per_s,
+        Axis.DEPTH: float(TARGET.call_depth),
     }[axis]
 
 
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -9,7 +9,7 @@
 import pytest
 
 from benchmarks.capacity.__main__ import chosen_roles
-from benchmarks.capacity.costs import Measurement, Run, slopes_of, target_cost
+from benchmarks.capacity.costs import Measurement, Run, planned_size, slopes_of, target_cost
 from benchmarks.capacity.counts_crowd import CountsCrowd, CountsPlan
 from benchmarks.capacity.cpu_meter import CpuMeter
 from benchmarks.capacity.evidence_load import EvidenceLoad, FailingServers, ServiceSizes
@@ -323,3 +323,8 @@
     found = play_leases(LeasesCase(8, Situation.RESTARTS, 1, settle_s=2.0, stretch_s=2.0))
     assert found.overspent == 0
     assert 0.0 < found.messages_per_s < found.acceptor_messages_per_s
+
+
+@pytest.mark.parametrize("axis", list(Axis), ids=lambda axis: axis.name)
+def test_the_planned_installation_has_a_size_on_each_axis(axis: Axis) -> None:
+    assert planned_size(axis) > 0
