--- a/tests/benchmarks/test_capacity_processes.py
+++ b/tests/benchmarks/test_capacity_processes.py
@@ -144,7 +144,7 @@
 
 def test_roles_have_names_of_their_own() -> None:
     names = [role.name for role in PROCESS_ROLES]
-    assert len(set(names)) == len(names) == 5
+    assert len(set(names)) == len(names) == 6
 
 
 def test_shares_of_the_machine_come_of_its_ticks() -> None:
