--- a/tests/test_share.py
+++ b/tests/test_share.py
@@ -3,10 +3,12 @@
 from __future__ import annotations
 
 import asyncio
+import time
 from pathlib import Path
 
 import pytest
 
+from plovertrail.clock import another_clock, clock_us
 from plovertrail.config.operator import load
 from plovertrail.config.problems import ConfigError
 from plovertrail.decisions import interface as api
@@ -55,8 +57,14 @@
     run(test)
 
 
-def test_without_a_turn_to_dial_a_request_is_refused_and_told_when_to_come_back(tmp_path: Path) -> None:
+@pytest.mark.parametrize("machine_up_s", [60, 10_000, 1_000_000])
+def test_without_a_turn_to_dial_a_request_is_refused_and_told_when_to_come_back(
+    tmp_path: Path, machine_up_s: int
+) -> None:
+    """The clock counts from the start of the machine, which may be less than a turn ago or many turns."""
+
     async def test() -> None:
+        began_us = clock_us()
         servers = [WebServer() for _ in range(2)]
         extra = 'retry_after = "1h"\nshare = { dials_per_s = 20.0 }'
         async with running(
@@ -64,16 +72,20 @@
         ) as it:
             turns = it.daemon.pools["main"].connections.dial_turns
             assert turns is not None and turns.gap_us > 1_000_000_000
+            assert began_us < turns.next_us <= clock_us() + turns.gap_us
+            turns.spent_us = clock_us() + turns.gap_us * DIAL_BURST  # the drawn one may come at any moment
             reply = await it.ask(message("GET /"))  # it waits for half its aim in the buffer
             assert reply.status == 503 and float(reply.all("Retry-After")[0]) > 1
             assert sum(server.connections for server in servers) == 0
-            turns.spent_us = turns.gap_us * (DIAL_BURST - 1)  # its turn has come
+            turns.spent_us = clock_us() + turns.gap_us * (DIAL_BURST - 1)  # one turn has come, and no more
             assert (await it.ask(message("GET /"))).status == 200
             # the one connection carries on, and there is no other
             assert [(await it.ask(message("GET /"))).status for _ in range(20)] == [200] * 20
             assert sum(server.connections for server in servers) == 1
 
-    run(test)
+    began_ns = time.monotonic_ns()
+    with another_clock(lambda: time.monotonic_ns() - began_ns + machine_up_s * 1_000_000_000):
+        run(test)
 
 
 def test_a_request_that_waits_for_a_turn_is_sent_when_it_comes(tmp_path: Path) -> None:
