--- /dev/null
+++ b/tests/test_stopped_process.py
@@ -0,0 +1,146 @@
+"""A daemon with 200 services whose process is stopped for 5 s: what its lists told meanwhile holds."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import signal
+from collections.abc import Sequence
+from pathlib import Path
+from typing import Any
+
+from benchmarks.capacity.daemon_process import DaemonProcess, daemon_process, list_version, server_state
+from benchmarks.capacity.service_site import ServiceSite
+from plovertrail.decisions.recovery import LONGEST_IDLE_WAIT_US
+from standins.web import OK, Arrival, Line, WebServer
+from tests.daemons import Client, message, run
+from tests.net import PATIENCE_S, until
+
+SERVICES, SERVERS = 200, 9
+STOPPED_S = 5.0
+CLIENTS = 40
+CORE = 1
+HELD = "/service-7?held"
+
+
+class Servers:
+    """Nine servers that all services share, one of which keeps the held request until it is let go."""
+
+    def __init__(self) -> None:
+        self.let_go = asyncio.Event()
+        self.all = [WebServer(self.script) for _ in range(SERVERS)]
+
+    async def script(self, server: WebServer, arrival: Arrival, line: Line) -> bytes:
+        if arrival.target == HELD.encode():
+            await self.let_go.wait()
+        return OK
+
+    @property
+    def to_first(self) -> int:
+        """Requests at the server that the lists drain."""
+        return self.all[0].count
+
+    def holds(self) -> bool:
+        """Whether the held request has come."""
+        return any(arrival.target == HELD.encode() for server in self.all for arrival in server.arrivals)
+
+
+async def until_stopped(pid: int) -> None:
+    """Until all threads of a process stand still: only then nothing of it runs beside what comes next."""
+
+    def stopped() -> bool:
+        threads = list(Path(f"/proc/{pid}/task").iterdir())
+        return all((thread / "stat").read_text().rpartition(")")[2].split()[0] == "T" for thread in threads)
+
+    await until(stopped)
+
+
+def write_patiently(site: ServiceSite) -> None:
+    """Its files, with times that a busy machine keeps to."""
+    site.write()
+    text = site.path.read_text()
+    assert 'aim = "400ms"\ndeadline = "1200ms"' in text
+    site.path.write_text(text.replace('"400ms"', '"5s"').replace('"1200ms"', '"20s"'))
+
+
+async def connected(port: int, count: int) -> list[Client]:
+    return [Client(*await asyncio.open_connection("127.0.0.1", port)) for _ in range(count)]
+
+
+async def ask_all(clients: Sequence[Client], services: Sequence[str]) -> list[int]:
+    """One request for each service, spread over the connections."""
+
+    async def ask_some(first: int) -> list[int]:
+        mine = services[first :: len(clients)]
+        return [(await clients[first].ask(message(f"GET /{service}"))).status for service in mine]
+
+    found = await asyncio.gather(*map(ask_some, range(len(clients))))
+    return [status for statuses in found for status in statuses]
+
+
+async def status_that(daemon: DaemonProcess, version: int) -> dict[str, Any]:
+    """Its status once each list has this version and nothing is left to recover."""
+    services = daemon.site.service_names()
+    async with asyncio.timeout(PATIENCE_S):
+        while True:
+            status = await asyncio.to_thread(daemon.status)
+            versions = {list_version(status, service) for service in services}
+            if versions == {version} and status["recovery"]["phase"] == "full":
+                return status
+            await asyncio.sleep(0.1)
+
+
+async def pause_beside_changes(daemon: DaemonProcess, site: ServiceSite, servers: Servers) -> None:
+    """All lists drain their first server, and a held answer comes, while the process is stopped."""
+    replacements = [site.prepare(service, 2, first_drains=True) for service in site.service_names()]
+    os.kill(daemon.process.pid, signal.SIGSTOP)
+    await until_stopped(daemon.process.pid)
+    for replacement in replacements:
+        replacement.apply()
+    servers.let_go.set()
+
+
+def test_a_process_that_was_stopped_sends_nothing_by_its_old_lists(tmp_path: Path) -> None:
+    async def test() -> None:
+        servers = Servers()
+        for server in servers.all:
+            await server.start()
+        site = ServiceSite(tmp_path, SERVICES, SERVERS, [server.address for server in servers.all])
+        write_patiently(site)
+        services = site.service_names()
+        with daemon_process(site, CORE) as daemon:
+            await asyncio.to_thread(daemon.wait_until_up)
+            clients = await connected(site.port, CLIENTS)
+            (holding,) = await connected(site.port, 1)
+            while not servers.to_first:
+                assert set(await ask_all(clients, services)) <= {200, 503}
+            holding.writer.write(message(f"GET {HELD}"))
+            await until(servers.holds)
+
+            await pause_beside_changes(daemon, site, servers)
+            before = servers.to_first
+            await asyncio.sleep(STOPPED_S)
+            # written last: what had lain unread for longer than its deadline would be sent nowhere
+            newcomers = await connected(site.port, CLIENTS)
+            for number, client in enumerate([*clients, *newcomers]):
+                client.writer.write(message(f"GET /{services[number]}"))
+            assert servers.to_first == before
+            os.kill(daemon.process.pid, signal.SIGCONT)
+
+            answers = await asyncio.gather(*(client.reply() for client in [*clients, *newcomers]))
+            assert {reply.status for reply in answers} == {200}
+            assert (await holding.reply()).status == 200
+            status = await status_that(daemon, version=2)
+            assert status["recovery"]["gaps"] == 1
+            assert status["recovery"]["longest_gap_s"] >= STOPPED_S - LONGEST_IDLE_WAIT_US / 1e6
+            assert {server_state(status, service, "s0") for service in services} == {"draining"}
+            assert set(await ask_all([*clients, holding], services)) <= {200, 503}
+            assert servers.to_first == before
+            for client in [*clients, *newcomers, holding]:
+                client.close()
+            daemon.process.send_signal(signal.SIGTERM)
+            assert await asyncio.to_thread(daemon.process.wait, PATIENCE_S) == 0
+        for server in servers.all:
+            server.stop()
+
+    run(test)
