--- a/benchmarks/nginx_requests.py
+++ b/benchmarks/nginx_requests.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from urllib.parse import quote, unquote
 
-from plovertrail.config.operator import Setup
+from plovertrail.config.setup import Setup
 from plovertrail.decisions.paths import InvalidTargetError, normalise_path
 from plovertrail.decisions.requests import outline
 from plovertrail.nginx.report import Report, Treatment
--- a/plovertrail/bounds.py
+++ b/plovertrail/bounds.py
@@ -4,22 +4,22 @@
 
 import resource
 
-from plovertrail.config import operator
 from plovertrail.config.descriptors import LEAST_BY_DEFAULT, OTHER_DESCRIPTORS, descriptors_allowed
 from plovertrail.config.problems import ConfigError, Problem
+from plovertrail.config.setup import Setup
 from plovertrail.fronts.relay import SOCKET_BYTES
 
 PIPELINED = 64 * 1024 + 256 * 1024  # where reading stops, and the loop's last read
 
 
-def needed_descriptors(setup: operator.Setup) -> int:
+def needed_descriptors(setup: Setup) -> int:
     """The most that a setup may hold."""
     listeners = sum(1 + listener.max_connections for listener in setup.listeners)
     servers = sum(pool.max_connections + pool.max_sockets for pool in setup.pools.values())
     return listeners + servers + OTHER_DESCRIPTORS
 
 
-def needed_memory(setup: operator.Setup) -> int:
+def needed_memory(setup: Setup) -> int:
     """The most bytes that messages may hold at once: each client's request as it comes, once more as it goes
     on, what is pipelined behind it and an answer that it doesn't read; each server's answer as it comes; what
     a socket's peers don't take."""
@@ -32,13 +32,13 @@
     return clients * client + servers + sockets + hooks
 
 
-def even_part(setup: operator.Setup) -> tuple[int, int]:
+def even_part(setup: Setup) -> tuple[int, int]:
     """How many pools write no max_connections, and how many connections each of them has."""
     parts = [pool.max_connections for pool in setup.pools.values() if pool.even_part]
     return len(parts), min(parts, default=0)
 
 
-def too_few(setup: operator.Setup) -> Problem | None:
+def too_few(setup: Setup) -> Problem | None:
     """What is wrong where the descriptors leave too little to the pools that write no max_connections."""
     pools, part = even_part(setup)
     if not pools or part >= LEAST_BY_DEFAULT:
@@ -53,7 +53,7 @@
     )
 
 
-def check_descriptors(setup: operator.Setup) -> None:
+def check_descriptors(setup: Setup) -> None:
     """Raise the process's own limit as far as needed; raises ConfigError if it can't be."""
     few = too_few(setup)
     if few is not None:
--- a/plovertrail/cli/check.py
+++ b/plovertrail/cli/check.py
@@ -10,9 +10,9 @@
 from plovertrail.bounds import even_part, needed_descriptors, needed_memory, too_few
 from plovertrail.cli.files import load_or_exit
 from plovertrail.clock import clock_us
-from plovertrail.config import operator
 from plovertrail.config.descriptors import descriptors_allowed
 from plovertrail.config.problems import ConfigError, Problem
+from plovertrail.config.setup import Setup
 from plovertrail.decisions.recovery import pieces
 from plovertrail.hooks.loader import HookLoader
 from plovertrail.sources.file_reading import FileSource
@@ -29,7 +29,7 @@
     return f"{path}: {len(found.entries) if found is not None else 0} servers"
 
 
-def descriptors_of(setup: operator.Setup) -> list[str]:
+def descriptors_of(setup: Setup) -> list[str]:
     """What max_connections comes to where pools don't write it, on this machine."""
     pools, part = even_part(setup)
     if not pools:
@@ -41,7 +41,7 @@
     return found if few is None else [*found, f"note: it would not start here: {few}"]
 
 
-def hooks_of(setup: operator.Setup) -> list[str]:
+def hooks_of(setup: Setup) -> list[str]:
     """What the setup's hooks are, each compiled and tried out as at a start; exits with 2 if one can't be
     used."""
     if not setup.hooks:
@@ -67,7 +67,7 @@
     return f"{path} is a folder" if os.path.isdir(path) else ""
 
 
-def state_of(setup: operator.Setup) -> list[str]:
+def state_of(setup: Setup) -> list[str]:
     """What becomes of each piece of the setup's state over a restart."""
     used = {"limiters": setup.limiters, "tenants": setup.tenants, "peers": setup.peers, "hooks": setup.hooks}
     return [
--- a/plovertrail/cli/files.py
+++ b/plovertrail/cli/files.py
@@ -8,9 +8,10 @@
 
 from plovertrail.config import operator
 from plovertrail.config.problems import ConfigError
+from plovertrail.config.setup import Setup
 
 
-def load_or_exit(path: str) -> operator.Setup:
+def load_or_exit(path: str) -> Setup:
     """The file's setup; prints all that is wrong with it and exits with 2."""
     try:
         return operator.load(path)
--- a/plovertrail/cli/route.py
+++ b/plovertrail/cli/route.py
@@ -7,7 +7,7 @@
 import click
 
 from plovertrail.cli.files import load_or_exit
-from plovertrail.config import operator
+from plovertrail.config.classes import EFFECTS
 from plovertrail.decisions.requests import (
     RequestRejectedError,
     client_of,
@@ -60,7 +60,7 @@
             where = won.answers.location.filled(told) if won.answers.location is not None else ""
             click.echo(f"route     {won.name}\nanswers   {won.answers.status} {where}".rstrip())
             return
-        effects = {ours: word for word, ours in operator.EFFECTS.items()}
+        effects = {ours: word for word, ours in EFFECTS.items()}
         kind = setup.classes[setup.class_index(won.class_name)]
         deadline_ms = (won.deadline_us or kind.deadline_us) / 1000
         click.echo(f"route     {won.name}")
--- a/plovertrail/cli/test.py
+++ b/plovertrail/cli/test.py
@@ -14,6 +14,7 @@
 from plovertrail.cli.files import load_or_exit
 from plovertrail.config import operator
 from plovertrail.config.problems import ConfigError
+from plovertrail.config.setup import Setup
 
 if TYPE_CHECKING:
     from plovertrail.rehearsal.run import Report
@@ -83,7 +84,7 @@
     return 1 if report.failed else 0
 
 
-def tell(setup: operator.Setup, report: Report, seconds: float) -> None:
+def tell(setup: Setup, report: Report, seconds: float) -> None:
     """For people."""
     for result in report.failed:
         click.echo(f"BROKEN {result.place} {result.name}")
--- a/plovertrail/daemon.py
+++ b/plovertrail/daemon.py
@@ -20,6 +20,7 @@
 from plovertrail.clock import clock_us
 from plovertrail.config import operator
 from plovertrail.config.problems import ConfigError, Problem
+from plovertrail.config.setup import Setup
 from plovertrail.control import ControlSocket
 from plovertrail.decisions import share
 from plovertrail.decisions.background import Priority, Work
@@ -65,7 +66,7 @@
     return int.from_bytes(os.urandom(8))
 
 
-def instance_name(setup: operator.Setup) -> str:
+def instance_name(setup: Setup) -> str:
     """What this instance is called among those that could come by its disk; empty where nothing names it."""
     if setup.peers is not None:
         return setup.peers.name
@@ -87,7 +88,7 @@
     gc.freeze()
 
 
-def lists_of(setup: operator.Setup) -> list[SourceKey]:
+def lists_of(setup: Setup) -> list[SourceKey]:
     """The lists that have to be read before a setup comes into force."""
     found = [SourceKey(*key) for pool in setup.pools.values() for key in pool.lists]
     if setup.fleet.list_path:
@@ -100,7 +101,7 @@
 
     def __init__(
         self,
-        setup: operator.Setup,
+        setup: Setup,
         seeds: Callable[[], int] = random_seed,
         connect: Connect = connect,
         lists: ListReader | None = None,
@@ -155,7 +156,7 @@
 
     def apply(
         self,
-        setup: operator.Setup,
+        setup: Setup,
         fresh: Mapping[SourceKey, FirstRead],
         compiled: Mapping[str, Compiled],
     ) -> None:
@@ -259,10 +260,10 @@
     def _pools(self) -> Mapping[str, tuple[ServerPool, State]]:
         return {name: (pool.pool, pool.registry.state) for name, pool in self.pools.items()}
 
-    def _bind_peers(self, setup: operator.Setup) -> socket.socket | None:
+    def _bind_peers(self, setup: Setup) -> socket.socket | None:
         return self.peers.bind(setup)
 
-    def _follow_peers(self, setup: operator.Setup, sock: socket.socket | None) -> Counts | None:
+    def _follow_peers(self, setup: Setup, sock: socket.socket | None) -> Counts | None:
         """Count together with other instances, where the setup says so."""
         counts = self._counts(setup, sock)
         if counts is not None:
@@ -275,10 +276,10 @@
             self.host.tenant_use = TenantUse(counts, names, setup.fleet_tenants)
         return counts
 
-    def _counts(self, setup: operator.Setup, sock: socket.socket | None) -> Counts | None:
+    def _counts(self, setup: Setup, sock: socket.socket | None) -> Counts | None:
         return self.peers.follow(setup.peers, sock, setup.fellows)
 
-    def _follow_limits(self, setup: operator.Setup, counts: Counts | None) -> None:
+    def _follow_limits(self, setup: Setup, counts: Counts | None) -> None:
         """What keys have had counts on under other figures. Hazard: begun anew by every reload, a limit would
         let each key have its burst again."""
         before, self.limiters = self.limiters, {}
@@ -325,7 +326,7 @@
     def _keep_lists(self) -> None:
         self.keeper.keep(lambda: {name: pool.registry.state for name, pool in self.pools.items()})
 
-    def _bind(self, setup: operator.Setup) -> dict[str, socket.socket]:
+    def _bind(self, setup: Setup) -> dict[str, socket.socket]:
         """The sockets of the listeners that are new or have moved."""
         sockets: dict[str, socket.socket] = {}
         problems = []
@@ -352,7 +353,7 @@
     def _open(self, front: OrdinaryFront, sock: socket.socket) -> None:
         front.listen_on(sock)
 
-    def _move_listeners(self, setup: operator.Setup, sockets: dict[str, socket.socket]) -> None:
+    def _move_listeners(self, setup: Setup, sockets: dict[str, socket.socket]) -> None:
         self.closing = [front for front in self.closing if front.count()]
         before, self.fronts = self.fronts, {}
         for listener in setup.listeners:
@@ -412,7 +413,7 @@
         return True
 
     @staticmethod
-    async def _approved(path: str, approve: Approve) -> operator.Setup:
+    async def _approved(path: str, approve: Approve) -> Setup:
         """A file that nothing is wrong with; raises ConfigError."""
         before = await asyncio.to_thread(digest, path)
         wrong = await approve(path)
@@ -497,7 +498,7 @@
 
 
 async def serve(
-    setup: operator.Setup, started: Callable[[Daemon], None] | None = None, approve: Approve | None = None
+    setup: Setup, started: Callable[[Daemon], None] | None = None, approve: Approve | None = None
 ) -> None:
     """Serve until SIGTERM or SIGINT, then answer what is open; SIGHUP reads the file again, and takes it if
     `approve` finds nothing wrong. Raises ConfigError if it can't start."""
--- a/plovertrail/fleet_manager.py
+++ b/plovertrail/fleet_manager.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 from typing import Any
 
-from plovertrail.config.operator import FleetSetup
+from plovertrail.config.setup import FleetSetup
 from plovertrail.decisions.endpoint_list import Candidate, Entry
 from plovertrail.decisions.list_versions import SourceKey
 from plovertrail.decisions.share import Fleet
--- a/plovertrail/fronts/ordinary.py
+++ b/plovertrail/fronts/ordinary.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from plovertrail.clock import clock_us
-from plovertrail.config import operator
+from plovertrail.config.setup import ListenerSetup
 from plovertrail.decisions.interface import Outcome
 from plovertrail.decisions.limits import OverLimit, limit_header, policy_header
 from plovertrail.decisions.requests import (
@@ -469,9 +469,7 @@
 class OrdinaryFront(Listener):
     """One listener of the operator's."""
 
-    def __init__(
-        self, host: Host, current: Current, listener: operator.Listener, keeper: SocketKeeper
-    ) -> None:
+    def __init__(self, host: Host, current: Current, listener: ListenerSetup, keeper: SocketKeeper) -> None:
         super().__init__(
             host, listener.max_connections, Patience.of(listener.read_us / 1e6, listener.idle_us / 1e6)
         )
@@ -479,7 +477,7 @@
         self.keeper = keeper
         self.configure(listener)
 
-    def configure(self, listener: operator.Listener) -> None:
+    def configure(self, listener: ListenerSetup) -> None:
         """Follow a new setup; the address stays."""
         self.listener = listener
         self.most_clients = listener.max_connections
--- a/plovertrail/generation.py
+++ b/plovertrail/generation.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field, replace
 from typing import TYPE_CHECKING
 
-from plovertrail.config.operator import Listener, Setup, WebSocket
+from plovertrail.config.setup import ListenerSetup, Setup, WebSocketSetup
 from plovertrail.decisions.interface import RequestClass
 from plovertrail.decisions.limits import Limiter
 from plovertrail.decisions.routes import Route
@@ -33,7 +33,7 @@
     set_headers: tuple[tuple[bytes, bytes], ...]
     filled_headers: tuple[tuple[bytes, Template], ...]
     filled_host: Template | None  # in place of set_host
-    websocket: WebSocket | None = None
+    websocket: WebSocketSetup | None = None
     limiters: tuple[Limiter, ...] = ()
     chain: Chain | None = None  # its hooks
     chosen: Mapping[str, Plan] = field(default_factory=dict)  # as its hooks may have it, by class
@@ -137,7 +137,7 @@
     return replace(plan, chain=chain, chosen=plans)
 
 
-def dropped_by_listener(listener: Listener) -> frozenset[bytes]:
+def dropped_by_listener(listener: ListenerSetup) -> frozenset[bytes]:
     """Headers of clients that a listener replaces. Hazard: kept, a client's own word on its address would
     pass for ours."""
     dropped = {listener.deadline_header, listener.request_id_header.lower()}
--- a/plovertrail/hooks/keeper.py
+++ b/plovertrail/hooks/keeper.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from plovertrail.config.hooks import HookSetup
-from plovertrail.config.operator import Setup
 from plovertrail.config.problems import ConfigError, Problem
+from plovertrail.config.setup import Setup
 from plovertrail.config.tables import key_path
 from plovertrail.hooks.bounds import LARGEST_MODULE
 from plovertrail.hooks.engine import Compiled, InvalidModuleError, Runtime
--- a/plovertrail/hooks/loader.py
+++ b/plovertrail/hooks/loader.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING, Any
 
-from plovertrail.config import operator
 from plovertrail.config.problems import ConfigError, Problem
+from plovertrail.config.setup import Setup
 
 if TYPE_CHECKING:
     from plovertrail.hooks.engine import Compiled
@@ -21,7 +21,7 @@
         self.clock = clock
         self.keeper: HookKeeper | None = None
 
-    def prepare(self, setup: operator.Setup) -> Mapping[str, Compiled]:
+    def prepare(self, setup: Setup) -> Mapping[str, Compiled]:
         """The modules of a setup's hooks, compiled and tried out; raises ConfigError. Blocking."""
         if not setup.hooks:
             return {}
@@ -36,7 +36,7 @@
             self.keeper = HookKeeper(self.clock)
         return self.keeper.prepare(setup)
 
-    def follow(self, setup: operator.Setup, compiled: Mapping[str, Compiled]) -> Mapping[str, Hook]:
+    def follow(self, setup: Setup, compiled: Mapping[str, Compiled]) -> Mapping[str, Hook]:
         """The hooks of a setup that comes into force, by name."""
         return self.keeper.follow(setup.hooks, compiled) if self.keeper is not None else {}
 
--- a/plovertrail/peers/keeper.py
+++ b/plovertrail/peers/keeper.py
@@ -11,8 +11,8 @@
 
 if TYPE_CHECKING:
     from plovertrail.config.fellows import FellowsSetup
-    from plovertrail.config.operator import Setup
     from plovertrail.config.peers import PeersSetup
+    from plovertrail.config.setup import Setup
     from plovertrail.decisions.counts import Counts
     from plovertrail.decisions.judgements import Judgements
     from plovertrail.peers.talk import PeerTalk
--- a/plovertrail/rehearsal/daemon.py
+++ b/plovertrail/rehearsal/daemon.py
@@ -10,8 +10,8 @@
 from typing import Any, cast
 
 from plovertrail.clock import clock_us
-from plovertrail.config import operator
 from plovertrail.config.problems import ConfigError, Problem
+from plovertrail.config.setup import PoolSetup, Setup
 from plovertrail.daemon import Daemon
 from plovertrail.decisions.counts import Counts
 from plovertrail.decisions.endpoint_list import Candidate, Entry, State
@@ -165,7 +165,7 @@
 class PlayedDaemon(Daemon):
     """Everything but sockets, threads and files is the daemon's."""
 
-    def __init__(self, setup: operator.Setup, seed: int, behaviour: Callable[[str, str], Behaviour]) -> None:
+    def __init__(self, setup: Setup, seed: int, behaviour: Callable[[str, str], Behaviour]) -> None:
         self.behaviour = behaviour  # of a pool's server, by their names
         self.by_ident: dict[bytes, Asked] = {}
         self.asked: list[Asked] = []
@@ -178,14 +178,14 @@
 
     # What would touch the system
 
-    def _bind(self, setup: operator.Setup) -> dict[str, socket.socket]:
+    def _bind(self, setup: Setup) -> dict[str, socket.socket]:
         new = [listener for listener in setup.listeners if listener.name not in self.fronts]
         return dict.fromkeys((listener.name for listener in new), cast(socket.socket, None))
 
-    def _bind_peers(self, setup: operator.Setup) -> None:
+    def _bind_peers(self, setup: Setup) -> None:
         return None
 
-    def _counts(self, setup: operator.Setup, sock: socket.socket | None) -> Counts | None:
+    def _counts(self, setup: Setup, sock: socket.socket | None) -> Counts | None:
         """What the daemon would count with its peers; they are played."""
         counts, self.counts, peers = self.counts, None, setup.peers
         if peers is not None:
@@ -218,7 +218,7 @@
     def _open(self, front: OrdinaryFront, sock: socket.socket) -> None:
         pass
 
-    def connections(self, config: operator.Pool, rules: object) -> ConnectionPool:
+    def connections(self, config: PoolSetup, rules: object) -> ConnectionPool:
         """Played ones: the daemon asks no more of them than `exchange.Upstreams` and `limit`."""
         return cast(
             ConnectionPool,
@@ -292,13 +292,13 @@
                 found.add(f"door of pool {name}")
         return found | {f"hook {name}" for name, each in self.hooks.status().items() if each.get("calls")}
 
-    def follow(self, setup: operator.Setup) -> None:
+    def follow(self, setup: Setup) -> None:
         """A reload; raises ConfigError."""
         setup = alone(setup)
         self.apply(setup, {}, self.hooks.prepare(setup))
 
 
-def alone(setup: operator.Setup) -> operator.Setup:
+def alone(setup: Setup) -> Setup:
     """A setup that needs no files, no state and no other instances: lists in files are read now."""
     pools = {}
     for name, pool in setup.pools.items():
--- a/plovertrail/rehearsal/first.py
+++ b/plovertrail/rehearsal/first.py
@@ -4,7 +4,7 @@
 
 import json
 
-from plovertrail.config.operator import Setup
+from plovertrail.config.setup import Setup
 from plovertrail.decisions.routes import PathKind, Route
 from plovertrail.rehearsal.judge import Coverage
 from plovertrail.rehearsal.run import decided
--- a/plovertrail/rehearsal/judge.py
+++ b/plovertrail/rehearsal/judge.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
 
-from plovertrail.config.operator import Setup
+from plovertrail.config.setup import Setup
 from plovertrail.decisions.interface import RequestClass
 from plovertrail.decisions.routes import Head, Miss, predicate_miss, takes_path
 from plovertrail.rehearsal.daemon import Asked, Sending
--- a/plovertrail/rehearsal/play.py
+++ b/plovertrail/rehearsal/play.py
@@ -10,6 +10,7 @@
 
 from plovertrail.clock import another_clock, clock_us
 from plovertrail.config import operator
+from plovertrail.config.setup import Setup
 from plovertrail.decisions.endpoint_list import Entry
 from plovertrail.rehearsal.daemon import Asked, PlayedClient, PlayedDaemon
 from plovertrail.rehearsal.loop import VirtualLoop
@@ -36,7 +37,7 @@
     """All that happened."""
 
     seed: int
-    setup: operator.Setup
+    setup: Setup
     zero_us: int  # the scenario's time 0
     asked: list[Asked] = field(default_factory=list)
     moved: list[Moved] = field(default_factory=list)
@@ -75,9 +76,7 @@
 class Player:
     """Plays a scenario with a seed through the daemon's code; of its requests those in `only`, or all."""
 
-    def __init__(
-        self, setup: operator.Setup, scenario: Scenario, seed: int, only: Collection[int] | None
-    ) -> None:
+    def __init__(self, setup: Setup, scenario: Scenario, seed: int, only: Collection[int] | None) -> None:
         self.scenario = scenario
         self.seed = seed
         self.only = only
@@ -182,7 +181,7 @@
             self.played.moved.append(Moved(now_us, event.pool, ident, "join" if ident in after else "gone"))
 
 
-def play(setup: operator.Setup, scenario: Scenario, seed: int, only: Collection[int] | None = None) -> Played:
+def play(setup: Setup, scenario: Scenario, seed: int, only: Collection[int] | None = None) -> Played:
     """Play a scenario; `only` names the requests that come, all if None."""
     loop = VirtualLoop(seed)
     before = logging.root.manager.disable
--- a/plovertrail/rehearsal/run.py
+++ b/plovertrail/rehearsal/run.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from plovertrail.config.operator import Setup
+from plovertrail.config.setup import Setup
 from plovertrail.decisions.requests import outline
 from plovertrail.rehearsal.judge import Broken, Coverage, expected, rules, trace
 from plovertrail.rehearsal.play import Played, arrivals, play
--- a/plovertrail/rehearsal/written.py
+++ b/plovertrail/rehearsal/written.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from plovertrail.config.operator import Setup
 from plovertrail.config.problems import ConfigError, Problem, did_you_mean
+from plovertrail.config.setup import Setup
 from plovertrail.config.tables import duration_us, key_path, read_table
 from plovertrail.rehearsal.servers import USUAL_US, Behaviour, Does
 
--- a/plovertrail/running_pool.py
+++ b/plovertrail/running_pool.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterator, Mapping
 
 from plovertrail.clock import clock_us
-from plovertrail.config import operator
+from plovertrail.config.setup import PoolSetup
 from plovertrail.decisions import share
 from plovertrail.decisions.admission import Admission
 from plovertrail.decisions.endpoint_list import Address
@@ -16,10 +16,10 @@
 from plovertrail.upstreams.connections import AnswerRules, ConnectionPool
 
 FAULTS = frozenset((429, 500, 502, 503, 504))  # answers that tell of the server, not of what was asked
-Connect = Callable[[operator.Pool, AnswerRules], ConnectionPool]
+Connect = Callable[[PoolSetup, AnswerRules], ConnectionPool]
 
 
-def connect(config: operator.Pool, rules: AnswerRules) -> ConnectionPool:
+def connect(config: PoolSetup, rules: AnswerRules) -> ConnectionPool:
     """The connections of a pool."""
     return ConnectionPool(
         config.idle_us, config.settings.connect_timeout_us, most=config.max_connections, rules=rules
@@ -32,7 +32,7 @@
     def __init__(
         self,
         host: Host,
-        config: operator.Pool,
+        config: PoolSetup,
         max_answer: int,
         registry: EndpointRegistry,
         seed: int,
@@ -62,7 +62,7 @@
                 ),
             )
 
-    def adopt(self, config: operator.Pool) -> None:
+    def adopt(self, config: PoolSetup) -> None:
         """Go on under a setup that it fits. Hazard: a pool that comes or goes changes the even part of all
         others, and must not have them learn anew."""
         self.config = config
@@ -97,7 +97,7 @@
         self.connections.stood_still(place.part(self.draw()))
         self.begin_slowly(fleet, slow_start)
 
-    def fits(self, config: operator.Pool, max_answer: int, chosen_by: tuple[int, str]) -> bool:
+    def fits(self, config: PoolSetup, max_answer: int, chosen_by: tuple[int, str]) -> bool:
         """Whether it can go on under a new setup, with other lists at most. Hazard: classes are known by
         their number, and requests that are open would be taken for those of another class."""
         mine = self.config
--- a/plovertrail/setup_file.py
+++ b/plovertrail/setup_file.py
@@ -6,7 +6,7 @@
 import logging
 from collections.abc import Awaitable, Callable
 
-from plovertrail.config.operator import Setup
+from plovertrail.config.setup import Setup
 from plovertrail.decisions.endpoint_list import Candidate
 from plovertrail.decisions.list_versions import SourceKey, SourceKind
 from plovertrail.sources.list_reader import ListReader
--- a/tests/nginx/test_import.py
+++ b/tests/nginx/test_import.py
@@ -9,7 +9,8 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from plovertrail.config.operator import Setup, parse
+from plovertrail.config.operator import parse
+from plovertrail.config.setup import Setup
 from plovertrail.nginx.importer import Imported, Importer, NothingToServeError
 from plovertrail.nginx.report import Treatment
 from plovertrail.nginx.tree import NginxConfigError, read_tree
--- a/tests/test_many_lists.py
+++ b/tests/test_many_lists.py
@@ -19,7 +19,8 @@
 from plovertrail.bounds import check_descriptors, even_part
 from plovertrail.cli import main
 from plovertrail.clock import another_clock
-from plovertrail.config import descriptors, operator
+from plovertrail.config import descriptors
+from plovertrail.config import pools as pools_module
 from plovertrail.config.descriptors import PoolNeed, default_connections
 from plovertrail.config.operator import load
 from plovertrail.config.problems import ConfigError
@@ -388,7 +389,7 @@
 def test_a_pool_that_comes_changes_the_parts_of_others_and_not_what_they_have_learnt(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("plovertrail.config.operator.descriptors_allowed", lambda: 1001 + 64 + 120)
+    monkeypatch.setattr("plovertrail.config.pools.descriptors_allowed", lambda: 1001 + 64 + 120)
 
     async def test() -> None:
         site = Site(tmp_path)
@@ -418,7 +419,7 @@
     pools, part = even_part(load(str(site.path)))
     assert pools == 20 and f"max_connections of 20 pools that write none: {part} each" in done.output
     check_module = importlib.import_module("plovertrail.cli.check")
-    for module in (operator, bounds, check_module):
+    for module in (pools_module, bounds, check_module):
         monkeypatch.setattr(module, "descriptors_allowed", lambda: 1001 + 64 + 140)
     setup = load(str(site.path))
     with pytest.raises(ConfigError) as caught:
