--- a/benchmarks/capacity/service_site.py
+++ b/benchmarks/capacity/service_site.py
@@ -43,7 +43,7 @@
 servers_from = ["{path}"]
 whole = "{whole}"
 max_connections = {connections}
-[pools.{service}.guards]
+{idle_timeout}[pools.{service}.guards]
 most_dropped = 1.0
 damping = false
 [[routes]]
@@ -81,7 +81,7 @@
     """The files of one daemon. `addresses` are shared by all services; with fewer than `servers` of them the
     rest are addresses where nothing listens. With `linked` each list is a link to a file in another folder:
     no notification on the list's own folder tells of a change. Without `checksums` a list is taken once it
-    has stayed as it is for a while."""
+    has stayed as it is for a while. `idle_timeout`, if any, is that of all pools."""
 
     folder: Path
     services: int
@@ -92,6 +92,7 @@
     state: bool = False
     checksums: bool = True
     reload: str = ""
+    idle_timeout: str = ""
     port: int = field(default_factory=free_port)
     configuration: int = 1
 
@@ -153,6 +154,7 @@
                 path=self.list_path(service),
                 whole="checksum" if self.checksums else "settled",
                 connections=POOL_CONNECTIONS,
+                idle_timeout=f'idle_timeout = "{self.idle_timeout}"\n' if self.idle_timeout else "",
             )
             for service in self.service_names()
         ]
--- a/tests/benchmarks/test_short_forms.py
+++ b/tests/benchmarks/test_short_forms.py
@@ -48,6 +48,7 @@
             ("--short", "--repeats", "1"),
             "silent, no rate stated: worst second at 160",
         ),
+        ("capacity.kept_connections", ("--short",), "many services, kept"),
         ("capacity.retry_chain", ("--short", "--repeats", "1"), "safe, reset, told on as 5xx; 100 a second"),
         ("fellows", ("--short", "--seeds", "1", "--seconds", "5"), "load"),
         (
