--- a/plovertrail/nginx/location_routes.py
+++ b/plovertrail/nginx/location_routes.py
@@ -123,10 +123,8 @@
         try:
             status, text = _status_and_text(args)
             if status == NO_ANSWER:
-                raise UnmappableError(
-                    "444 closes the connection unanswered, and every request has an answer here: "
-                    "404 is answered"
-                )
+                self._answer_in_place_of_none(directive, rule)
+                return
             if not 200 <= status <= 599:
                 raise UnmappableError(f"{status} is no status of an answer")
             if status in REDIRECTS:
@@ -134,17 +132,19 @@
             else:
                 self._answer(directive, rule, status, "", template(text) if text else "")
         except UnmappableError as why:
-            if str(NO_ANSWER) in str(why):
-                self.report.differs(directive, str(why))
-                self.routes.add(directive, rule, respond=(404, "", ""))
-            else:
-                self.report.not_mapped(directive, f"{why}; 501 is answered")
-                self.routes.add(
-                    directive, rule, respond=(501, "", f"not imported from nginx: {directive.place}")
-                )
+            self.report.not_mapped(directive, f"{why}; 501 is answered")
+            self.routes.add(directive, rule, respond=(501, "", f"not imported from nginx: {directive.place}"))
         else:
             self.report.mapped(directive, "respond")
 
+    def _answer_in_place_of_none(self, directive: Directive, rule: Rule) -> None:
+        self.report.differs(
+            directive,
+            f"{NO_ANSWER} closes the connection unanswered, and every request has an answer here: "
+            "404 is answered",
+        )
+        self.routes.add(directive, rule, respond=(404, "", ""))
+
     def _redirect_target(self, text: str) -> str:
         """A Location as nginx writes it: a path is made a URL."""
         if not text:
--- a/plovertrail/nginx/proxy_headers.py
+++ b/plovertrail/nginx/proxy_headers.py
@@ -4,6 +4,7 @@
 
 import re
 
+from plovertrail.config.route_actions import RESERVED
 from plovertrail.decisions.templates import escaped, parse_template
 from plovertrail.nginx.context import ImportContext
 from plovertrail.nginx.routes import RouteSettings
@@ -13,8 +14,8 @@
 
 HEADER_NAME = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
 PLAIN_ASCII = re.compile(r"[\t -~]*")
-KEPT_BY_ITSELF = ("content-length", "transfer-encoding", "te", "keep-alive", "expect", "upgrade")
-OF_THE_DAEMON = ("x-request-id", "x-deadline-ms", "idempotency-key")
+OF_THE_DAEMON = frozenset(("x-request-id", "x-deadline-ms", "idempotency-key"))
+KEPT_BY_ITSELF = RESERVED - OF_THE_DAEMON  # no route may change these
 
 
 def read_headers(context: ImportContext, scope: Scope, host: str, settings: RouteSettings) -> None:
@@ -32,6 +33,9 @@
             context.report.not_mapped(directive, "neither a name nor a value")
             continue
         name, value = directive.args
+        if not HEADER_NAME.fullmatch(name):  # nor could a client send such a header
+            context.report.not_mapped(directive, "no name of a header: none is sent")
+            continue
         try:
             _read_header(context, directive, context.fill_constants(value, scope), host, settings)
         except UnmappableError as why:
@@ -46,8 +50,6 @@
     """One header, with a value whose constants are filled in; raises UnmappableError."""
     report, name = context.report, directive.args[0]
     low = name.lower()
-    if not HEADER_NAME.fullmatch(name):
-        raise UnmappableError("no name of a header")
     if low == "upgrade" and value == "$http_upgrade":
         settings.websocket = True
         report.mapped(directive, "websocket")
--- a/tests/nginx/test_import.py
+++ b/tests/nginx/test_import.py
@@ -98,6 +98,19 @@
         X,
         "looked up again",
     ),
+    "no status of an answer": ("location / { return 4444; }", "return", X, "4444 is no status"),
+    "no name of a header": (
+        'location / { proxy_set_header "X Bad:" 1; proxy_pass http://shop; }',
+        "proxy_set_header",
+        X,
+        "no name of a header",
+    ),
+    "a header that no route may change": (
+        "location / { proxy_set_header Trailer x; proxy_pass http://shop; }",
+        "proxy_set_header",
+        N,
+        "kept right by itself",
+    ),
     "an answer of nothing": ("location / { return 444; }", "return", D, "404 is answered"),
     "a cache": (
         "proxy_cache z; location / { proxy_pass http://shop; }",
