--- a/benchmarks/capacity/leases_role.py
+++ b/benchmarks/capacity/leases_role.py
@@ -13,14 +13,14 @@
 from benchmarks.capacity.roles import Figure, RoleResult
 from benchmarks.capacity.slopes import Axis, Situation, Slope, Unit
 from benchmarks.capacity.target import TARGET
-from plovertrail.decisions.escrow import Rules
+from plovertrail.decisions.leases import LeaseRules
 from plovertrail.lab.clock import SECOND_US
-from standins.escrow_model import ELECTORS, Model, Plan
+from standins.lease_model import ACCEPTORS, Model, Plan
 
 SIZES, SHORT_SIZES = (25, 50, 100, 200), (8, 12, 16, 24)
 SETTLE_S, STRETCH_S = 9.0, 10.0
 SHORT_SETTLE_S, SHORT_STRETCH_S = 3.0, 3.0
-RIGHTS_EACH, SLOTS_EACH = 20, 4  # of the budget, by the number of instances
+PERMITS_EACH, SLOTS_EACH = 20, 4  # of the budget, by the number of instances
 REQUESTS_EACH_PER_S = 30.0
 LEASE_US = 6 * SECOND_US
 NOTE = (
@@ -48,16 +48,16 @@
     core_share: float
     acceptor_messages_per_s: float
     acceptor_core_share: float
-    overspent: int  # rights in use at one moment beyond the budget
+    overspent: int  # permits in use at one moment beyond the budget
 
 
 def play(case: LeasesCase) -> LeasesMeasure:
     """Settle, let the event happen, and measure."""
-    rules = Rules(RIGHTS_EACH * case.size, SLOTS_EACH * case.size, LEASE_US, SECOND_US)
+    rules = LeaseRules(PERMITS_EACH * case.size, SLOTS_EACH * case.size, LEASE_US, SECOND_US)
     model = Model(Plan(case.size, rules, REQUESTS_EACH_PER_S * case.size), case.seed)
     model.play(case.settle_s)
     if case.situation is Situation.RESTARTS:
-        restarted = range(case.size - 1, ELECTORS, -10)
+        restarted = range(case.size - 1, ACCEPTORS, -10)
         model.kill(restarted)
         model.start(restarted)
     meters = [CpuMeter() for _ in model.members]
@@ -66,7 +66,7 @@
             (member.planner, "tick"),
             (member.planner, "came"),
             (member.planner, "spend"),
-            (member.elector, "claimed"),
+            (member.acceptor, "claimed"),
         ):
             meter.wrap(target, name)
     sent = [member.sent for member in model.members]
@@ -75,12 +75,12 @@
         (member.sent - before) / case.stretch_s for member, before in zip(model.members, sent, strict=True)
     ]
     shares = [meter.share(case.stretch_s) for meter in meters]
-    others = case.size - ELECTORS
+    others = case.size - ACCEPTORS
     return LeasesMeasure(
-        sum(messages[ELECTORS:]) / others,
-        sum(shares[ELECTORS:]) / others,
-        sum(messages[:ELECTORS]) / ELECTORS,
-        sum(shares[:ELECTORS]) / ELECTORS,
+        sum(messages[ACCEPTORS:]) / others,
+        sum(shares[ACCEPTORS:]) / others,
+        sum(messages[:ACCEPTORS]) / ACCEPTORS,
+        sum(shares[:ACCEPTORS]) / ACCEPTORS,
         max(0, model.worst - rules.total),
     )
 
@@ -123,7 +123,7 @@
                     for slope in found
                 ]
         overspent = max(measure.overspent for measure in measures.values())
-        figures.append(Figure("rights in use beyond the budget", float(overspent), "rights"))
+        figures.append(Figure("permits in use beyond the budget", float(overspent), "permits"))
         return RoleResult(tuple(slopes), figures=tuple(figures))
 
 
--- a/benchmarks/fleet_budgets.py
+++ b/benchmarks/fleet_budgets.py
@@ -1,6 +1,6 @@
 """A budget for a whole fleet that is never overspent: `python -m benchmarks.fleet_budgets`.
 
-Real holders, electors and planners on a virtual clock (standins/escrow_model.py), each with one of its own
+Real holders, acceptors and planners on a virtual clock (standins/lease_model.py), each with one of its own
 speed. Told for each case: the most that was in use at one moment beside the budget; what was let in, of what
 one who knows all would have let in of the same requests, and the same for fixed parts by number; messages a
 second of one instance. Bars: never over budget, in any case; the share let in under moving demand and in a
@@ -16,17 +16,17 @@
 from dataclasses import dataclass, replace
 
 from benchmarks.report import Bar, chosen, close, table
-from plovertrail.decisions.escrow import Rules
+from plovertrail.decisions.leases import LeaseRules
 from plovertrail.lab.clock import SECOND_US
-from standins.escrow_checker import LIMITS, Checker, Found
-from standins.escrow_model import Model, Plan
+from standins.lease_checker import LIMITS, Checker, Found
+from standins.lease_model import Model, Plan
 
 SETTLE_S = 9.0
 LEASE_US, HOLD_US = 6 * SECOND_US, SECOND_US
-BASE = Plan(rules=Rules(480, 96, LEASE_US, HOLD_US), per_s=3_000.0)
+BASE = Plan(rules=LeaseRules(480, 96, LEASE_US, HOLD_US), per_s=3_000.0)
 MOVING = replace(BASE, even=False, moves_s=5.0)
-SMALL = replace(BASE, rules=Rules(96, 48, LEASE_US, HOLD_US), per_s=600.0)
-FEWER = replace(BASE, rules=Rules(12, 12, LEASE_US, HOLD_US), per_s=75.0)
+SMALL = replace(BASE, rules=LeaseRules(96, 48, LEASE_US, HOLD_US), per_s=600.0)
+FEWER = replace(BASE, rules=LeaseRules(12, 12, LEASE_US, HOLD_US), per_s=75.0)
 MOVING_SHARE, SPLIT_SHARE = 0.9, 0.7
 
 
@@ -35,12 +35,12 @@
 
 
 def halves(model: Model) -> None:
-    """Three of the five electors in one half, two in the other."""
+    """Three of the five acceptors in one half, two in the other."""
     model.split([[0, 2, 4, *range(5, 24, 2)], [1, 3, *range(6, 24, 2)]])
 
 
 def killed(model: Model) -> None:
-    """Seven in ten, with two electors among them."""
+    """Seven in ten, with two acceptors among them."""
     down = range(3, 20)
     model.kill(down)
     model.play(0.5)
@@ -55,7 +55,7 @@
 
 
 def stood_still(model: Model) -> None:
-    """Six instances, an elector among them, for longer than a lease."""
+    """Six instances, an acceptor among them, for longer than a lease."""
     model.stop(range(4, 10))
     model.play(8.0)
     model.wake(range(4, 10))
@@ -78,13 +78,13 @@
     Case("demand moves, 30 % lost", replace(MOVING, loss=0.3)),
     Case("twice what there is is asked for", replace(BASE, per_s=9_600.0)),
     Case("a fifth of it: 96 for 24", SMALL),
-    Case("more instances than rights", FEWER),
+    Case("more instances than permits", FEWER),
     Case("split in halves", BASE, halves, SPLIT_SHARE),
     Case("split in halves, 30 % lost", replace(BASE, loss=0.3), halves),
     Case("7 of 10 killed", BASE, killed),
     Case("all killed", BASE, all_killed),
     Case("six stood still for 8 s", BASE, stood_still),
-    Case("100 instances", replace(BASE, instances=100, rules=Rules(480, 240, LEASE_US, HOLD_US))),
+    Case("100 instances", replace(BASE, instances=100, rules=LeaseRules(480, 240, LEASE_US, HOLD_US))),
 )
 
 
--- a/standins/escrow_checker.py
+++ b/standins/lease_checker.py
@@ -1,13 +1,13 @@
-"""All histories of a few instances and a few rights, breadth first: `python -m standins.escrow_checker`.
+"""All histories of a few instances and a few permits, breadth first: `python -m standins.lease_checker`.
 
-Instances run the real `Elector` and `Holder`, each on a clock of its own speed. A step is a claim, a message
-that arrives late or twice, a right spent, lent or given back, a restart, or time that goes by; what never
+Instances run the real `Acceptor` and `Holder`, each on a clock of its own speed. A step is a claim, a message
+that arrives late or twice, a permit spent, lent or given back, a restart, or time that goes by; what never
 arrives is a history that ends before. Held all along: what is in use at one moment, and what all could spend
 at that moment, are together no more than there is. States that are the same are gone on from once. The first
 history that breaks it is the shortest.
 
-Two of the three instances hold rights; all promise. A claim is heard at once by two of them, or, as a repeat,
-later as well; more hearers only promise more.
+Two of the three instances hold permits; all grant. A claim is heard at once by two of them, or, as a repeat,
+later as well; more hearers only grant more.
 """
 
 from __future__ import annotations
@@ -20,28 +20,28 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from plovertrail.decisions.escrow import (
-    Ask,
-    Claim,
-    Elector,
-    Grant,
-    Holder,
+from plovertrail.decisions.leases import (
+    Acceptor,
+    InstanceLife,
+    LeaseAnswer,
+    LeaseClaim,
+    LeaseHolder,
+    LeaseRelease,
+    LeaseRules,
+    LoanAnswer,
+    LoanRequest,
+    LoanReturn,
     Message,
-    Promise,
-    Release,
-    Return,
-    Rules,
     Ticket,
-    Who,
 )
 
 NAMES = ("a", "b", "c")
 SPEEDS = (0.9, 1.1, 1.0)  # of their clocks, beside the true time
-RULES = Rules(total=1, slots=1, lease_us=1_000, hold_us=100, drift=0.1, slack_us=1)
+RULES = LeaseRules(total=1, slots=1, lease_us=1_000, hold_us=100, drift=0.1, slack_us=1)
 WAIT = 560  # of the true time, a step: two outlast a lease
 MOST_STATES = 400_000
 HOLDERS = (0, 1)
-REACHED = ((0, 1), (1, 2), (0, 2))  # the electors that hear a claim at once
+REACHED = ((0, 1), (1, 2), (0, 2))  # the acceptors that hear a claim at once
 
 
 @dataclass
@@ -59,13 +59,13 @@
 class World:
     """All that there is at one moment."""
 
-    rules: Rules
+    rules: LeaseRules
     now: int = 10_000
-    electors: list[Elector] = field(default_factory=list)
-    holders: list[Holder] = field(default_factory=list)
+    acceptors: list[Acceptor] = field(default_factory=list)
+    holders: list[LeaseHolder] = field(default_factory=list)
     lives: list[int] = field(default_factory=list)
     under_way: list[Bundle] = field(default_factory=list)
-    effects: list[tuple[int, int]] = field(default_factory=list)  # rights in use, from and till when truly
+    effects: list[tuple[int, int]] = field(default_factory=list)  # permits in use, from and till when truly
     tickets: list[tuple[int, Ticket, tuple[int, int]]] = field(default_factory=list)
     claims = repeats = restarts = asks = spent = 0
 
@@ -111,30 +111,30 @@
 
 
 class Checker:
-    """`holder` and `elector`: what the instances run; a planted fault in one of them must be found."""
+    """`holder` and `acceptor`: what the instances run; a planted fault in one of them must be found."""
 
     def __init__(
         self,
         limits: Limits,
-        rules: Rules = RULES,
-        holder: type[Holder] = Holder,
-        elector: type[Elector] = Elector,
+        rules: LeaseRules = RULES,
+        holder: type[LeaseHolder] = LeaseHolder,
+        acceptor: type[Acceptor] = Acceptor,
     ) -> None:
         self.limits = limits
         self.rules = rules
         self.holder = holder
-        self.elector = elector
+        self.acceptor = acceptor
 
-    def new_holder(self, one: int, life: int) -> Holder:
+    def new_holder(self, one: int, life: int) -> LeaseHolder:
         """A holder for a new process of an instance; `life` counts its processes."""
-        return self.holder(self.rules, Who(NAMES[one], life), [NAMES])
+        return self.holder(self.rules, InstanceLife(NAMES[one], life), [NAMES])
 
     def begin(self) -> World:
         """The state that the search begins from."""
         world = World(self.rules)
         for one in range(len(NAMES)):
-            # they have been there for long: no elector is in doubt any more
-            world.electors.append(self.elector(self.rules, world.clock(one) - 10 * self.rules.lease_us))
+            # they have been there for long: no acceptor is in doubt any more
+            world.acceptors.append(self.acceptor(self.rules, world.clock(one) - 10 * self.rules.lease_us))
             world.holders.append(self.new_holder(one, 1))
             world.lives.append(1)
         return world
@@ -178,7 +178,7 @@
         def step(world: World) -> None:
             world.restarts += 1
             world.lives[one] += 1
-            world.electors[one] = self.elector(self.rules, world.clock(one))
+            world.acceptors[one] = self.acceptor(self.rules, world.clock(one))
             world.holders[one] = self.new_holder(one, world.lives[one])
             world.tickets = [each for each in world.tickets if each[0] != one]
 
@@ -288,26 +288,26 @@
             world.repeats += 1
         else:
             del world.under_way[place]
-        who = Who(NAMES[bundle.one], bundle.life)
+        who = InstanceLife(NAMES[bundle.one], bundle.life)
         alive = world.lives[bundle.one] == bundle.life
         back: list[Message] = []
         for other, message in zip(bundle.others, itertools.cycle(bundle.messages), strict=False):
             now = world.clock(other)
-            if isinstance(message, Claim):
-                back.append(world.electors[other].claimed(message, who, now))
-            elif isinstance(message, Release):
-                world.electors[other].released(message, who)
-            elif isinstance(message, Ask):
-                grant = world.holders[other].asked(message, who, message.want, now)
-                back += [grant] if grant is not None else []
-            elif isinstance(message, Return):
+            if isinstance(message, LeaseClaim):
+                back.append(world.acceptors[other].claimed(message, who, now))
+            elif isinstance(message, LeaseRelease):
+                world.acceptors[other].released(message, who)
+            elif isinstance(message, LoanRequest):
+                loan_answer = world.holders[other].asked(message, who, message.want, now)
+                back += [loan_answer] if loan_answer is not None else []
+            elif isinstance(message, LoanReturn):
                 world.holders[other].returned(message, who)
-            elif isinstance(message, Promise) and alive:
-                world.holders[bundle.one].promised(message, NAMES[other], world.clock(bundle.one))
-            elif isinstance(message, Grant) and alive:
-                world.holders[bundle.one].granted(message, NAMES[other], world.clock(bundle.one))
+            elif isinstance(message, LeaseAnswer) and alive:
+                world.holders[bundle.one].answered(message, NAMES[other], world.clock(bundle.one))
+            elif isinstance(message, LoanAnswer) and alive:
+                world.holders[bundle.one].loan_answered(message, NAMES[other], world.clock(bundle.one))
         if back:
-            kind = "promises" if isinstance(back[0], Promise) else "loans"
+            kind = "grants" if isinstance(back[0], LeaseAnswer) else "loans"
             world.under_way.append(Bundle(kind, bundle.one, bundle.others, tuple(back), bundle.life))
 
     return step
@@ -315,7 +315,7 @@
 
 def main() -> int:
     """Search all limits for a broken rule; returns the exit code."""
-    parser = argparse.ArgumentParser(prog="python -m standins.escrow_checker")
+    parser = argparse.ArgumentParser(prog="python -m standins.lease_checker")
     parser.add_argument("--depth", type=int, default=8)
     parser.add_argument("--states", type=int, default=MOST_STATES)
     asked = parser.parse_args()
--- a/standins/escrow_model.py
+++ b/standins/lease_model.py
@@ -1,6 +1,6 @@
 """Budgets of a whole fleet on a virtual clock.
 
-Real holders, electors and planners, a network that loses and splits, clocks of different speeds, and demand
+Real holders, acceptors and planners, a network that loses and splits, clocks of different speeds, and demand
 that moves. What is in use is counted as servers would see it.
 """
 
@@ -10,22 +10,30 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from plovertrail.decisions.escrow import Claim, Elector, Message, Release, Rules, Ticket, Who
-from plovertrail.decisions.escrow_plan import Out, Planner
+from plovertrail.decisions.lease_planner import LeasePlanner, Out
+from plovertrail.decisions.leases import (
+    Acceptor,
+    InstanceLife,
+    LeaseClaim,
+    LeaseRelease,
+    LeaseRules,
+    Message,
+    Ticket,
+)
 from plovertrail.lab.clock import SECOND_US, Clock
 
-ELECTORS = 5
+ACCEPTORS = 5
 DELAY_US = (500, 20_000)
 BUDGET = "b"
 
 
 @dataclass(frozen=True)
 class Plan:
-    """`work_us`: of a request, on average; it never takes longer than a right is held."""
+    """`work_us`: of a request, on average; it never takes longer than a permit is held."""
 
     instances: int = 24
-    rules: Rules = field(
-        default_factory=lambda: Rules(total=96, slots=48, lease_us=6 * SECOND_US, hold_us=SECOND_US)
+    rules: LeaseRules = field(
+        default_factory=lambda: LeaseRules(total=96, slots=48, lease_us=6 * SECOND_US, hold_us=SECOND_US)
     )
     per_s: float = 600.0  # of all instances
     work_us: int = 100_000
@@ -59,12 +67,12 @@
         self.life += 1
         self.up = True
         rules, model = self.model.plan.rules, self.model
-        self.elector = Elector(rules, self.now())
-        self.planner = Planner(
+        self.acceptor = Acceptor(rules, self.now())
+        self.planner = LeasePlanner(
             BUDGET,
             rules,
-            Who(self.name, self.life),
-            [model.electors],
+            InstanceLife(self.name, self.life),
+            [model.acceptors],
             model.names,
             random.Random(model.rng.random()),
             self.now(),
@@ -84,12 +92,12 @@
 
     def send(self, out: Iterable[Out]) -> None:
         """Send messages over the model's network."""
-        who = Who(self.name, self.life)
+        who = InstanceLife(self.name, self.life)
         for each in out:
             self.sent += 1
             self.model.deliver(self, self.model.by_name[each.to], each.message, who)
 
-    def came(self, message: Message, who: Who, sender: Member) -> None:
+    def came(self, message: Message, who: InstanceLife, sender: Member) -> None:
         """A message has come; a stopped process finds it when it wakes, one that was killed never does."""
         if not self.up:
             return
@@ -97,12 +105,12 @@
             self.waiting.append(lambda: self.came(message, who, sender))
             return
         now = self.now()
-        if isinstance(message, Claim):
+        if isinstance(message, LeaseClaim):
             self.sent += 1
-            promise = self.elector.claimed(message, who, now)
-            self.model.deliver(self, sender, promise, Who(self.name, self.life))
-        elif isinstance(message, Release):
-            self.elector.released(message, who)
+            answer = self.acceptor.claimed(message, who, now)
+            self.model.deliver(self, sender, answer, InstanceLife(self.name, self.life))
+        elif isinstance(message, LeaseRelease):
+            self.acceptor.released(message, who)
         else:
             self.send(self.planner.came(message, who, now))
 
@@ -121,7 +129,7 @@
         self.plan = plan
         self.rng = random.Random(seed)
         self.clock = Clock()
-        self.electors = tuple(f"i{number}" for number in range(min(ELECTORS, plan.instances)))
+        self.acceptors = tuple(f"i{number}" for number in range(min(ACCEPTORS, plan.instances)))
         self.all_names = [f"i{number}" for number in range(plan.instances)]
         self.members = [Member(self, number) for number in range(plan.instances)]
         self.by_name = {member.name: member for member in self.members}
@@ -137,7 +145,7 @@
         """The names of all members, in their order."""
         return self.all_names
 
-    def deliver(self, sender: Member, receiver: Member, message: Message, who: Who) -> None:
+    def deliver(self, sender: Member, receiver: Member, message: Message, who: InstanceLife) -> None:
         """Bring a message to its receiver after a delay; it may be lost, and crosses no split."""
         apart = self.parts.get(sender.number, 0) != self.parts.get(receiver.number, 0)
         if apart or (sender is not receiver and self.rng.random() < self.plan.loss):
--- a/tests/benchmarks/test_short_forms.py
+++ b/tests/benchmarks/test_short_forms.py
@@ -39,7 +39,7 @@
         (
             "fleet_budgets",
             ("--seconds", "2", "--case", "6", "--states", "500", "--jobs", "1"),
-            "more instances than rights",
+            "more instances than permits",
         ),
         ("shared_counts", ("--virtual", "--seconds", "8"), "let_through"),
         ("store_cost", ("--servers", "200", "--seconds", "1"), "worst_turn_ms"),
--- a/tests/decisions/test_escrow_plan.py
+++ b/tests/decisions/test_lease_planner.py
@@ -1,4 +1,4 @@
-"""Who asks whom for rights: whatever happens the sum holds, and rights follow demand."""
+"""Who asks whom for permits: whatever happens the sum holds, and permits follow demand."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from plovertrail.decisions.escrow import Ask, Grant, Promise, Rules, Who
-from plovertrail.decisions.escrow_plan import Planner
+from plovertrail.decisions.lease_planner import LeasePlanner
+from plovertrail.decisions.leases import InstanceLife, LeaseAnswer, LeaseRules, LoanAnswer, LoanRequest
 from plovertrail.lab.clock import SECOND_US
-from standins.escrow_model import Model, Plan
+from standins.lease_model import Model, Plan
 
 S = SECOND_US
-RULES = Rules(total=60, slots=20, lease_us=3 * S, hold_us=S // 2)
+RULES = LeaseRules(total=60, slots=20, lease_us=3 * S, hold_us=S // 2)
 PLAN = Plan(instances=10, rules=RULES, per_s=300.0, work_us=80_000)
 
 
@@ -31,7 +31,7 @@
 def test_nothing_is_spent_till_it_is_sure_and_then_the_whole_budget_is_held() -> None:
     model = Model(PLAN)
     model.play(RULES.lease_us / S)
-    assert model.let_in == 0 < model.asked, "electors that have just started promise nothing"
+    assert model.let_in == 0 < model.asked, "acceptors that have just started grant nothing"
     model.play(2.0)
     assert sum(len(each.planner.holder.held(each.now())) for each in model.members) == RULES.slots
 
@@ -57,7 +57,7 @@
     model.forget()
     model.play(6.0)
     assert model.worst <= RULES.total
-    # the half with two of the five electors keeps nothing past its leases
+    # the half with two of the five acceptors keeps nothing past its leases
     minority = [model.members[number] for number in (1, 3, 5, 7, 9)]
     assert all(not each.planner.holder.held(each.now()) for each in minority)
     assert sum(each.planner.holder.in_use(each.now()) for each in model.members) > 0
@@ -67,7 +67,7 @@
     assert all(each.planner.had(each.now()) > 0 for each in model.members)
 
 
-def test_the_rights_of_the_dead_come_back_after_their_leases_and_not_before() -> None:
+def test_the_permits_of_the_dead_come_back_after_their_leases_and_not_before() -> None:
     model = settled()
     model.kill(range(5, 10))
     held = sum(
@@ -135,17 +135,19 @@
 # One planner alone
 
 
-def planner(members: int = 4) -> Planner:
+def planner(members: int = 4) -> LeasePlanner:
     names = [f"i{number}" for number in range(members)]
-    return Planner("b", RULES, Who("i0", 1), [("i1", "i2", "i3")], lambda: names, random.Random(1), 0)
+    return LeasePlanner(
+        "b", RULES, InstanceLife("i0", 1), [("i1", "i2", "i3")], lambda: names, random.Random(1), 0
+    )
 
 
-def give(it: Planner, now_us: int) -> None:
-    """Whatever it claims is promised."""
+def give(it: LeasePlanner, now_us: int) -> None:
+    """Whatever it claims is granted."""
     for out in it.tick(now_us):
         message = out.message
         if hasattr(message, "slot"):
-            it.came(Promise(message.slot, message.number, True), Who(out.to, 1), now_us)
+            it.came(LeaseAnswer(message.slot, message.number, True), InstanceLife(out.to, 1), now_us)
 
 
 def test_it_claims_its_even_part_and_no_more_while_it_has_no_use_for_it() -> None:
@@ -165,8 +167,8 @@
     keeps = it.wanted(now_us)
     lent = 0
     for number in range(1, 9):
-        for out in it.came(Ask(number, 5), Who("i9", 1), now_us):
-            assert isinstance(out.message, Grant) and out.to == "i9"
+        for out in it.came(LoanRequest(number, 5), InstanceLife("i9", 1), now_us):
+            assert isinstance(out.message, LoanAnswer) and out.to == "i9"
             lent += out.message.count
     assert lent == 15 - keeps and it.had(now_us) == keeps
 
@@ -177,7 +179,7 @@
     for step in range(60):
         it.peak = 50.0
         for out in it.tick(step * S // 100):
-            if isinstance(out.message, Ask) and out.to == "i1":
+            if isinstance(out.message, LoanRequest) and out.to == "i1":
                 sent[out.message.number] += 1
     assert len(sent) >= 2, "and another one after it"
     assert all(count == 3 for count in list(sent.values())[:-1])
--- /dev/null
+++ b/tests/decisions/test_leases.py
@@ -0,0 +1,376 @@
+"""Permits that are lent: all histories of three instances, planted faults that are found, each law alone."""
+
+from __future__ import annotations
+
+import pytest
+
+from plovertrail.decisions.leases import (
+    MOST_LEASES,
+    Acceptor,
+    InstanceLife,
+    LeaseAnswer,
+    LeaseClaim,
+    LeaseGrant,
+    LeaseHolder,
+    LeaseRelease,
+    LeaseRules,
+    LoanAnswer,
+    LoanRequest,
+    LoanReturn,
+    rank,
+)
+from standins.lease_checker import LIMITS, Checker, Limits
+
+S = 1_000_000
+RULES = LeaseRules(total=10, slots=4, lease_us=6 * S, hold_us=S)
+ME, OTHER = InstanceLife("a", 1), InstanceLife("b", 1)
+ACCEPTORS = ("x", "y", "z")
+
+
+def holder(me: InstanceLife = ME, rules: LeaseRules = RULES) -> LeaseHolder:
+    return LeaseHolder(rules, me, [ACCEPTORS])
+
+
+def take(
+    it: LeaseHolder, slot: int, now_us: int, acceptors: tuple[str, ...] = ACCEPTORS, late_us: int = 0
+) -> LeaseClaim:
+    """It claims a slot, and these grant it."""
+    claimed = it.claim(slot, now_us)
+    for acceptor in acceptors:
+        it.answered(LeaseAnswer(slot, claimed.number, True), acceptor, now_us + late_us)
+    return claimed
+
+
+def claim(slot: int, number: int, rules: LeaseRules = RULES) -> LeaseClaim:
+    return LeaseClaim(slot, number, rules.slots, rules.lease_us)
+
+
+# All histories
+
+
+@pytest.mark.parametrize("name", LIMITS)
+def test_no_history_of_three_instances_overspends(name: str) -> None:
+    found = Checker(LIMITS[name]).explore(8, 6_000)
+    assert found.history == () and found.states >= 6_000
+
+
+class CountsTwice(LeaseHolder):
+    """A loan that comes again is another loan."""
+
+    def loan_answered(self, loan_answer: LoanAnswer, lender: str, now_us: int) -> bool:
+        asked = self.pending.get(loan_answer.number)
+        taken = super().loan_answered(loan_answer, lender, now_us)
+        if asked is not None and taken:
+            self.pending[loan_answer.number] = asked
+            self.loans[1_000 + len(self.loans)] = self.loans.pop(loan_answer.number)
+        return taken
+
+
+class BeginsAtReceipt(LeaseHolder):
+    """A grant lasts from when it came."""
+
+    def answered(self, answer: LeaseAnswer, acceptor: str, now_us: int) -> None:
+        it = self.slots.get(answer.slot)
+        if it is not None and answer.number in it.asked:
+            it.asked[answer.number] = now_us
+        super().answered(answer, acceptor, now_us)
+
+
+class UsesWhatIsVoid(LeaseHolder):
+    """What it held once it holds."""
+
+    def _lapse(self, now_us: int) -> None:
+        for it in self.slots.values():
+            if it.held:
+                it.kept_us = now_us + 10 * self.rules.lease_us
+
+
+class LendsAndSpends(LeaseHolder):
+    """What is lent is not counted."""
+
+    def asked(self, ask: LoanRequest, who: InstanceLife, most: int, now_us: int) -> LoanAnswer | None:
+        loan_answer = super().asked(ask, who, most, now_us)
+        for it in self.slots.values():
+            it.batch.lent.clear()
+        return loan_answer
+
+
+class PromisesTooSoon(Acceptor):
+    """One that has restarted knows of no grant, and takes none into account."""
+
+    def __init__(self, rules: LeaseRules, now_us: int) -> None:
+        super().__init__(rules, now_us)
+        self.quiet_until_us = now_us
+
+
+class EndsTooSoon(Acceptor):
+    """A grant ends here when a holder's would, by clocks that are all permit."""
+
+    def claimed(self, claim: LeaseClaim, who: InstanceLife, now_us: int) -> LeaseAnswer:
+        told = super().claimed(claim, who, now_us)
+        if told.granted:
+            held = self.grants[claim.slot]
+            self.grants[claim.slot] = LeaseGrant(who, held.number, now_us + self.rules.held_us // 2)
+        return told
+
+
+class PromisesToTwo(Acceptor):
+    """Whoever asks last has it."""
+
+    def claimed(self, claim: LeaseClaim, who: InstanceLife, now_us: int) -> LeaseAnswer:
+        self.grants.clear()
+        return super().claimed(claim, who, now_us)
+
+
+@pytest.mark.parametrize(
+    ("fault", "limits"),
+    [
+        (CountsTwice, Limits(claims=1, repeats=1, asks=1)),
+        (LendsAndSpends, Limits(claims=1, asks=1)),
+        (BeginsAtReceipt, Limits(claims=2)),
+        (UsesWhatIsVoid, Limits(claims=2)),
+        (PromisesTooSoon, Limits(claims=2, restarts=1)),
+        (EndsTooSoon, Limits(claims=2)),
+        (PromisesToTwo, Limits(claims=2)),
+    ],
+)
+def test_a_planted_fault_is_found(fault: type[LeaseHolder] | type[Acceptor], limits: Limits) -> None:
+    if issubclass(fault, LeaseHolder):
+        broken, sound = Checker(limits, holder=fault), Checker(limits)
+    else:
+        broken, sound = Checker(limits, acceptor=fault), Checker(limits)
+    found = broken.explore(8)
+    assert found.history, f"not found in {found.states} states"
+    assert sound.explore(found.depth).history == (), "the same histories without the fault"
+
+
+# Each law alone
+
+
+def test_a_slot_is_held_with_more_than_half_and_kept_with_as_many_as_no_majority_can_do_without() -> None:
+    it = LeaseHolder(RULES, ME, [("w", "x", "y", "z")])
+    take(it, 0, 0, ("w", "x"))
+    assert it.spare(0) == 0
+    take(it, 0, 0, ("y",))
+    assert it.spare(0) == RULES.permits(0) == 3
+    take(it, 0, 3 * S, ("w", "x"))  # half of four: the others can give it to nobody else
+    assert it.spare(6 * S) == 3
+
+
+def test_what_has_lapsed_is_not_kept_by_grants_that_come_later() -> None:
+    it = LeaseHolder(RULES, ME, [("w", "x", "y", "z")])
+    take(it, 0, 0, ("w", "x", "y"))
+    late = it.claim(0, 5 * S)
+    it.answered(LeaseAnswer(0, late.number, True), "w", 7 * S)
+    it.answered(LeaseAnswer(0, late.number, True), "x", 7 * S)
+    assert it.spare(7 * S) == 0, "in between it may have been another's"
+
+
+def test_a_permit_is_spent_only_if_it_lasts_as_long_as_the_spending_may() -> None:
+    it = holder()
+    take(it, 0, 0)
+    end_us = RULES.held_us - RULES.hold_us
+    assert it.spare(end_us) == 3 and it.spend(end_us) is not None
+    assert it.spare(end_us + 1) == 0 and it.spend(end_us + 1) is None
+    assert it.in_use(end_us + 1) == 1
+
+
+def test_a_process_that_stood_still_past_its_lease_has_nothing_to_spend() -> None:
+    it = holder()
+    take(it, 0, 0)
+    assert it.spend(20 * S) is None and it.held(20 * S) == [] and it.void == 1
+
+
+def test_a_permit_is_free_again_when_its_use_is_over_or_known_to_be() -> None:
+    it = holder()
+    take(it, 3, 0)
+    assert RULES.permits(3) == 2
+    first, second = it.spend(0), it.spend(0)
+    assert first is not None and second is not None and it.spend(0) is None
+    it.done(first)
+    it.done(first)  # once is enough
+    assert it.spare(0) == 1
+    assert it.spare(S) == 2, "a period has gone by"
+
+
+def test_answers_to_claims_that_were_not_made_or_were_given_up_count_nothing() -> None:
+    it = holder()
+    made = it.claim(0, 0)
+    it.answered(LeaseAnswer(0, made.number + 1, True), "x", 0)
+    it.answered(LeaseAnswer(1, made.number, True), "x", 0)
+    it.answered(LeaseAnswer(0, made.number, True), "stranger", 0)
+    it.answered(LeaseAnswer(0, made.number, False, "b", S), "y", 0)
+    it.answered(LeaseAnswer(0, made.number, True), "z", 0)
+    assert it.spare(0) == 0
+    it.release(0, 0)
+    for acceptor in ACCEPTORS:
+        it.answered(LeaseAnswer(0, made.number, True), acceptor, 0)
+    assert it.spare(0) == 0
+
+
+def test_a_release_that_a_later_claim_overtook_voids_nothing() -> None:
+    acceptor = Acceptor(RULES, -100 * S)
+    assert acceptor.claimed(claim(0, 1), ME, 0).granted
+    assert acceptor.claimed(claim(0, 2), ME, S).granted
+    acceptor.released(LeaseRelease(0, 1), ME)
+    told = acceptor.claimed(claim(0, 1), OTHER, S)
+    assert not told.granted and told.holder == "a" and told.wait_us == RULES.longest_us
+    acceptor.released(LeaseRelease(0, 2), InstanceLife("a", 2))
+    assert not acceptor.claimed(claim(0, 1), OTHER, S).granted, "another life of it has no say"
+    acceptor.released(LeaseRelease(0, 2), ME)
+    assert acceptor.claimed(claim(0, 1), OTHER, S).granted
+
+
+def test_an_acceptor_grants_again_when_its_grant_is_over_and_nothing_of_unknown_slots() -> None:
+    acceptor = Acceptor(RULES, -100 * S)
+    assert acceptor.claimed(claim(0, 7), ME, 0).granted
+    assert not acceptor.claimed(claim(0, 1), OTHER, RULES.longest_us - 1).granted
+    assert acceptor.claimed(claim(0, 1), OTHER, RULES.longest_us).granted
+    assert (
+        not acceptor.claimed(claim(4, 1), OTHER, 0).granted
+        and not acceptor.claimed(claim(-1, 1), ME, 0).granted
+    )
+    assert len(acceptor.grants) == 1
+
+
+def test_two_lives_of_one_instance_are_two_holders() -> None:
+    acceptor = Acceptor(RULES, -100 * S)
+    assert acceptor.claimed(claim(0, 9), InstanceLife("a", 1), 0).granted
+    assert not acceptor.claimed(claim(0, 1), InstanceLife("a", 2), S).granted
+
+
+def test_a_slot_with_permits_out_is_not_released() -> None:
+    it = holder()
+    take(it, 0, 0)
+    ticket = it.spend(0)
+    assert ticket is not None and it.release(0, 0) is None
+    it.done(ticket)
+    assert it.asked(LoanRequest(1, 1), OTHER, 1, 0) is not None and it.release(0, 0) is None
+    it.returned(LoanReturn(1, 0), OTHER)
+    assert it.release(0, 0) == LeaseRelease(0, 1)
+
+
+def test_a_loan_is_counted_once_and_given_again_as_it_was() -> None:
+    lender, borrower = holder(), holder(OTHER)
+    take(lender, 0, 0)
+    ask = borrower.ask("a", 2, 0)
+    loan_answer = lender.asked(ask, OTHER, 9, S)
+    assert loan_answer is not None and loan_answer.count == 2 and lender.spare(S) == 1
+    assert lender.asked(ask, OTHER, 9, 2 * S) == loan_answer and lender.spare(2 * S) == 1
+    assert borrower.loan_answered(loan_answer, "a", 2 * S) and not borrower.loan_answered(
+        loan_answer, "a", 2 * S
+    )
+    assert borrower.spare(2 * S) == 2
+    ends_us = borrower.loans[loan_answer.number].until_us
+    assert ends_us < S + loan_answer.for_us, "from when it was asked for, and less what clocks may differ by"
+    assert lender.asked(LoanRequest(ask.number - 1, 1), OTHER, 9, 2 * S) is None, (
+        "an older one comes too late"
+    )
+
+
+def test_what_is_borrowed_is_spent_first_and_goes_back() -> None:
+    lender, borrower = holder(), holder(OTHER)
+    take(lender, 0, 0)
+    take(borrower, 3, 0)
+    loan_answer = lender.asked(borrower.ask("a", 2, 0), OTHER, 9, 0)
+    assert loan_answer is not None and borrower.loan_answered(loan_answer, "a", 0)
+    ticket = borrower.spend(0)
+    assert ticket is not None and ticket.loan
+    assert borrower.give_back(loan_answer.number, 0) == ("a", LoanReturn(loan_answer.number, 1))
+    lender.returned(LoanReturn(loan_answer.number, 1), OTHER)
+    lender.returned(LoanReturn(loan_answer.number, 2), OTHER)  # an older one, late
+    assert lender.spare(0) == 2
+    borrower.done(ticket)
+    assert borrower.give_back(loan_answer.number, 0) == ("a", LoanReturn(loan_answer.number, 0))
+    assert borrower.give_back(loan_answer.number, 0) is None
+    lender.returned(LoanReturn(loan_answer.number, 0), OTHER)
+    assert lender.spare(0) == 3
+
+
+def test_what_is_borrowed_is_not_lent_on_and_a_loan_from_a_stranger_is_none() -> None:
+    lender, borrower = holder(), holder(OTHER)
+    take(lender, 0, 0)
+    loan_answer = lender.asked(borrower.ask("a", 2, 0), OTHER, 9, 0)
+    assert loan_answer is not None
+    assert not borrower.loan_answered(loan_answer, "c", 0)
+    ask = borrower.ask("a", 2, 0)
+    again = lender.asked(ask, OTHER, 9, 0)
+    assert again is not None and borrower.loan_answered(again, "a", 0)
+    told = borrower.asked(LoanRequest(1, 1), InstanceLife("c", 1), 9, 0)
+    assert told is not None and told.count == 0
+
+
+def test_a_smaller_budget_holds_at_once_for_what_is_spent_from_then_on() -> None:
+    it = holder()
+    take(it, 0, 0)
+    assert it.spend(0) and it.spend(0) and it.spare(0) == 1
+    it.reconfigure(LeaseRules(total=4, slots=4, lease_us=6 * S, hold_us=S), [ACCEPTORS])
+    assert it.spare(0) == 0 and it.spend(0) is None and it.in_use(0) == 2
+    assert it.spare(S) == 1
+
+
+def test_other_slots_are_other_permits_and_none_is_given_before_the_old_ones_are_over() -> None:
+    it, acceptor = holder(), Acceptor(RULES, -100 * S)
+    take(it, 0, 0)
+    assert acceptor.claimed(claim(0, 1), ME, 0).granted
+    other = LeaseRules(total=10, slots=2, lease_us=3 * S, hold_us=S)
+    it.reconfigure(other, [ACCEPTORS])
+    acceptor.reconfigure(other, S)
+    assert it.spare(0) == 0
+    assert not acceptor.claimed(claim(0, 1, other), OTHER, RULES.longest_us).granted
+    assert acceptor.claimed(claim(0, 1, other), OTHER, S + RULES.longest_us).granted
+
+
+def test_one_who_reckons_with_other_slots_or_a_longer_lease_is_granted_nothing() -> None:
+    """Instances read a changed file at different moments."""
+    acceptor = Acceptor(RULES, -100 * S)
+    longer = LeaseRules(total=10, slots=4, lease_us=9 * S, hold_us=S)
+    assert not acceptor.claimed(claim(0, 1, longer), ME, 0).granted
+    assert not acceptor.claimed(claim(0, 1, LeaseRules(10, 2, 6 * S, S)), ME, 0).granted
+    acceptor.reconfigure(longer, 0)
+    assert acceptor.claimed(claim(0, 1, longer), ME, 0).granted
+    assert not acceptor.claimed(claim(0, 1), OTHER, RULES.longest_us).granted, (
+        "for as long as it reckons with"
+    )
+
+
+def test_a_lease_that_is_made_shorter_is_reckoned_with_as_long_as_anybody_may_have_it() -> None:
+    shorter = LeaseRules(total=10, slots=4, lease_us=2 * S, hold_us=S, former_lease_us=6 * S)
+    begun = Acceptor(shorter, 0)  # a new process: what it granted before is not known
+    assert not begun.claimed(claim(0, 1, shorter), ME, RULES.longest_us - 1).granted
+    assert begun.claimed(claim(0, 1), ME, RULES.longest_us).granted, "one that has not read it yet"
+    begun.claimed(claim(0, 2, shorter), ME, RULES.longest_us + 1)
+    assert not begun.claimed(claim(0, 1), OTHER, 2 * RULES.longest_us - 1).granted, "the longer grant holds"
+
+
+def test_with_other_acceptors_what_is_spent_and_lent_stays_counted() -> None:
+    it = holder()
+    take(it, 0, 0)
+    assert it.spend(0) is not None and it.asked(LoanRequest(1, 1), OTHER, 1, 0) is not None
+    it.reconfigure(RULES, [("x", "y", "q")])
+    assert it.spare(0) == 0
+    take(it, 0, 0, ("x", "y"))
+    assert it.spare(0) == 1, "the other two are out"
+
+
+def test_borrowers_that_are_over_make_room_and_no_answer_is_forgotten_too_soon() -> None:
+    it = holder()
+    take(it, 0, 0)
+    for number in range(MOST_LEASES):
+        assert it.asked(LoanRequest(1, 1), InstanceLife(f"b{number}", 1), 0, 0) is not None
+    assert it.asked(LoanRequest(1, 1), InstanceLife("late", 1), 1, RULES.longest_us - 1) is None
+    assert it.asked(LoanRequest(1, 1), InstanceLife("late", 1), 1, RULES.longest_us) is not None
+
+
+def test_while_acceptors_are_changed_both_groups_have_to_grant() -> None:
+    it = LeaseHolder(RULES, ME, [("x", "y", "z"), ("p", "q", "r")])
+    take(it, 0, 0, ("x", "y", "z", "p"))
+    assert it.spare(0) == 0
+    take(it, 0, 0, ("x", "y", "z", "p", "q"))
+    assert it.spare(0) == 3
+
+
+def test_each_instance_has_an_order_of_its_own_and_the_same_each_time() -> None:
+    orders = [sorted(range(50), key=lambda slot: rank("b", slot, f"i{number}")) for number in range(20)]
+    assert orders[3] == sorted(range(50), key=lambda slot: rank("b", slot, "i3"))
+    assert len({order[0] for order in orders}) >= 12
