--- a/benchmarks/capacity/member_crowd.py
+++ b/benchmarks/capacity/member_crowd.py
@@ -17,12 +17,12 @@
 
 from benchmarks.capacity.cpu_meter import CpuMeter
 from benchmarks.capacity.event_queue import SECOND_US, EventQueue
-from plovertrail.decisions.fellows import Address, Fellows, Kind, State, Word
+from plovertrail.decisions.cluster_members import Address, ClusterMembers, Kind, MemberRecord, State
 from plovertrail.decisions.judgements import Evidence, Judgements
 from plovertrail.peers.envelope import short
-from plovertrail.peers.fellows_wire import Datagram, FellowsCodec
-from plovertrail.peers.fellowship import Fellowship, teller
 from plovertrail.peers.gossip import told
+from plovertrail.peers.membership_codec import Datagram, MembershipCodec
+from plovertrail.peers.membership_protocol import MembershipProtocol, teller
 
 KEY = b"a key that all members share"
 PERIOD_US = SECOND_US
@@ -79,7 +79,7 @@
         self.meters = [CpuMeter() for _ in range(plan.whole)]
         self.evidence_meters = [CpuMeter() for _ in range(plan.whole)]  # of evidence outside of the protocol
         self.traffic = Traffic()
-        self.codec = FellowsCodec("capacity", [KEY])
+        self.codec = MembershipCodec("capacity", [KEY])
         self.addresses: list[Address] = [
             (f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}", 7400) for n in range(plan.size)
         ]
@@ -92,7 +92,7 @@
             [n for n in range(plan.whole) if n % REGIONS == region] for region in range(REGIONS)
         ]
         self.sequence = 0  # of evidence that hollow members tell of themselves
-        self.members: list[Fellowship] = []
+        self.members: list[MembershipProtocol] = []
         for number in range(plan.whole):
             self.members.append(self._started(number))
             self._introduce(number)
@@ -107,15 +107,17 @@
     def _name(self, number: int) -> str:
         return f"{self.plan.name_prefix}{number}"
 
-    def _record(self, number: int, incarnation: int) -> Word:
+    def _record(self, number: int, incarnation: int) -> MemberRecord:
         address = self.addresses[number]
-        return Word(self._name(number), address, WALL_US + incarnation, State.ALIVE, f"z{number % ZONES}")
+        return MemberRecord(
+            self._name(number), address, WALL_US + incarnation, State.ALIVE, f"z{number % ZONES}"
+        )
 
-    def _started(self, number: int) -> Fellowship:
+    def _started(self, number: int) -> MembershipProtocol:
         """A whole member that knows nobody."""
         now_us = self.local_us
         seeds = self.addresses[:SEEDS]
-        fellows = Fellows(
+        cluster = ClusterMembers(
             self.records[number],
             PERIOD_US,
             random.Random(self.rng.random()),
@@ -125,7 +127,7 @@
         )
         judgements = Judgements(teller(self._name(number)), now_us, WALL_US) if self.plan.judge else None
         mine = frozenset({self.addresses[number]})
-        return Fellowship(fellows, judgements, self.codec, mine, GOSSIP_US, FAN_OUT, now_us)
+        return MembershipProtocol(cluster, judgements, self.codec, mine, GOSSIP_US, FAN_OUT, now_us)
 
     def _introduce(self, number: int) -> None:
         """Let a whole member know all of its side, with nothing left to tell."""
@@ -134,13 +136,13 @@
             for other, record in enumerate(self.records)
             if other != number and (not self.cut or self.region(other) == self.region(number))
         ]
-        self._take_quietly(self.members[number].fellows, known)
+        self._take_quietly(self.members[number].cluster, known)
 
-    def _take_quietly(self, fellows: Fellows, records: list[Word]) -> None:
+    def _take_quietly(self, cluster: ClusterMembers, records: list[MemberRecord]) -> None:
         """Records are known from here on, and there is no need to tell them on."""
         for begin in range(0, len(records), TAKEN_AT_ONCE):
-            fellows.take(records[begin : begin + TAKEN_AT_ONCE], "", self.local_us)
-            fellows.words.clear()
+            cluster.take(records[begin : begin + TAKEN_AT_ONCE], "", self.local_us)
+            cluster.records.clear()
 
     @property
     def local_us(self) -> int:
@@ -157,7 +159,7 @@
     def known_share(self) -> float:
         """Of the members that are up, how many the whole member that knows fewest takes to be alive."""
         up = self.plan.size - len(self.down)
-        sizes = [m.fellows.size for number, m in enumerate(self.members) if number not in self.down]
+        sizes = [m.cluster.size for number, m in enumerate(self.members) if number not in self.down]
         return min(sizes) / up
 
     # What befalls them
@@ -166,10 +168,10 @@
         """Members are down, and all others have known it for a while."""
         gone = set(numbers)
         self.down |= gone
-        words = [replace(self.records[number], state=State.SILENT) for number in sorted(gone)]
+        records = [replace(self.records[number], state=State.SILENT) for number in sorted(gone)]
         for number, member in enumerate(self.members):
             if number not in gone:
-                self._take_quietly(member.fellows, words)
+                self._take_quietly(member.cluster, records)
 
     def start(self, numbers: Iterable[int], over_us: int = PERIOD_US) -> None:
         """Members start with nothing known; each asks a seed, at random within the protocol's span."""
@@ -179,7 +181,7 @@
             if number < self.plan.whole:
                 self.members[number] = self._started(number)
                 self._arm(number)
-                over_us = max(PERIOD_US, self.members[number].fellows.join_span_us())
+                over_us = max(PERIOD_US, self.members[number].cluster.join_span_us())
         for number in numbers:
             if number >= self.plan.whole:
                 self.queue.after(int(self.rng.random() * over_us), partial(self._join, number))
@@ -199,11 +201,11 @@
         seed = self.rng.randrange(SEEDS)
         self._deliver(seed, number, Datagram(Kind.JOIN, 0, self.records[number]))
 
-    def _tell_one(self, word: Word) -> None:
+    def _tell_one(self, record: MemberRecord) -> None:
         sender = self._hollow(0)
         receiver = self.rng.randrange(self.plan.whole)
         if sender is not None:
-            self._deliver(receiver, sender, Datagram(Kind.TELL, 0, self.records[sender], words=(word,)))
+            self._deliver(receiver, sender, Datagram(Kind.TELL, 0, self.records[sender], records=(record,)))
 
     # Time and messages
 
@@ -212,7 +214,7 @@
         wait_us = max(1_000, member.due_us() - self.local_us)
         self.queue.after(wait_us, partial(self._tick, number, member))
 
-    def _tick(self, number: int, member: Fellowship) -> None:
+    def _tick(self, number: int, member: MembershipProtocol) -> None:
         if self.members[number] is member and number not in self.down:
             self._send(number, self.meters[number].call(member.tick, self.local_us))
             self._arm(number)
@@ -301,8 +303,8 @@
 
     def _answer(self, hollow: int, whole: int, kind: Kind, number: int, after_us: int) -> None:
         recent = self.recent[self.region(hollow)]
-        words = self.rng.choice(recent).words if recent else ()
-        answer = Datagram(kind, number, self.records[hollow], words=words)
+        records = self.rng.choice(recent).records if recent else ()
+        answer = Datagram(kind, number, self.records[hollow], records=records)
         self.queue.after(after_us, partial(self._deliver, whole, hollow, answer))
 
     def _deliver(self, whole: int, hollow: int, datagram: Datagram) -> None:
@@ -326,6 +328,6 @@
             wait_us = max(1_000, due_us - self.local_us)
             self.queue.after(wait_us, partial(self._tick_once, number, member))
 
-    def _tick_once(self, number: int, member: Fellowship) -> None:
+    def _tick_once(self, number: int, member: MembershipProtocol) -> None:
         if self.members[number] is member and number not in self.down:
             self._send(number, self.meters[number].call(member.tick, self.local_us))
--- a/benchmarks/capacity/membership_role.py
+++ b/benchmarks/capacity/membership_role.py
@@ -14,10 +14,10 @@
 from benchmarks.capacity.slopes import Axis, Situation, Slope, Unit
 from benchmarks.capacity.target import BUDGET, TARGET
 from benchmarks.report import Bar
-from plovertrail.decisions.fellows import Fellows, Kind, State, Word
+from plovertrail.decisions.cluster_members import ClusterMembers, Kind, MemberRecord, State
 from plovertrail.peers.envelope import short
-from plovertrail.peers.fellows_wire import Datagram, FellowsCodec
-from standins.fellows_model import FellowsModel
+from plovertrail.peers.membership_codec import Datagram, MembershipCodec
+from standins.membership_model import MembershipModel
 
 SIZES = (50, 200, 600, 1_800, 3_600)
 SHORT_SIZES = (50, 100, 200, 400)
@@ -191,29 +191,31 @@
 
 def table_bytes(size: int) -> float:
     """What one member's table of the others takes (tracemalloc), each entry read from a datagram."""
-    codec = FellowsCodec("capacity", [KEY])
+    codec = MembershipCodec("capacity", [KEY])
     address = ("10.200.0.1", 7400)
-    me = Word("observer", address, 1, State.ALIVE, "z0")
+    me = MemberRecord("observer", address, 1, State.ALIVE, "z0")
     to = short("observer")
     datagrams = [codec.write(to, Datagram(Kind.TELL, 0, _record(number, size))) for number in range(size - 1)]
     tracemalloc.start()
-    fellows = Fellows(me, 1_000_000, random.Random(1), 0)
+    cluster = ClusterMembers(me, 1_000_000, random.Random(1), 0)
     for number, data in enumerate(datagrams):
-        fellows.heard(codec.read(data, frozenset({to})).sender, number)
-    fellows.order = list(fellows.roll)
+        cluster.heard(codec.read(data, frozenset({to})).sender, number)
+    cluster.order = list(cluster.roll)
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return float(used)
 
 
-def _record(number: int, size: int) -> Word:
+def _record(number: int, size: int) -> MemberRecord:
     address = (f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}", 7400)
-    return Word(f"sidecar-{number}-of-{size}", address, 10**15 + number, State.ALIVE, f"z{number % ZONES}")
+    return MemberRecord(
+        f"sidecar-{number}-of-{size}", address, 10**15 + number, State.ALIVE, f"z{number % ZONES}"
+    )
 
 
 def whole_cluster_bytes(restarts: bool) -> float:
     """Bytes a second of one member where all of a cluster are whole: what the crowd is held against."""
-    model = FellowsModel(MODEL_SIZE, seed=1, judge=False, zones=ZONES)
+    model = MembershipModel(MODEL_SIZE, seed=1, judge=False, zones=ZONES)
     model.run(SETTLE_S)
     model.octets.clear()
     if restarts:
--- a/benchmarks/fellows.py
+++ b/benchmarks/fellows.py
@@ -1,4 +1,4 @@
-"""What knowing one another costs and how soon it tells: `python -m benchmarks.fellows`.
+"""What knowing one another costs and how soon it tells: `python -m benchmarks.members`.
 
 Instances on a virtual clock (standins/fellows_model), with no kernel in between. For each loss: by when a
 dead one is silent at all others, beside the stated time, and how many probes of live ones raised a
@@ -16,11 +16,17 @@
 import time
 
 from benchmarks.report import Bar, close, table
-from plovertrail.decisions.fellows import Kind, State, Word, false_suspicion, longest_detection_us
+from plovertrail.decisions.cluster_members import (
+    Kind,
+    MemberRecord,
+    State,
+    false_suspicion,
+    longest_detection_us,
+)
 from plovertrail.peers.envelope import short
-from plovertrail.peers.fellows_wire import Datagram
 from plovertrail.peers.gossip import told
-from standins.fellows_model import FellowsModel
+from plovertrail.peers.membership_codec import Datagram
+from standins.membership_model import MembershipModel
 
 S = 1_000_000
 LOSSES = (0.0, 0.1, 0.3)
@@ -34,10 +40,10 @@
     took, given_up, suspected, probes = [], 0, 0, 0
     stated_s = longest_detection_us(size, S, loss) / S
     for seed in range(seeds):
-        fleet = FellowsModel(size, seed=seed, loss=loss, judge=False)
+        fleet = MembershipModel(size, seed=seed, loss=loss, judge=False)
         fleet.run(30)
-        suspected += sum(ship.fellows.suspected for ship in fleet.ships)
-        probes += sum(ship.fellows.numbers for ship in fleet.ships)
+        suspected += sum(ship.cluster.suspected for ship in fleet.ships)
+        probes += sum(ship.cluster.numbers for ship in fleet.ships)
         fleet.kill(0)
         begun_us = fleet.now_us
         while fleet.states(0)[State.SILENT] < size - 1 and fleet.now_us < begun_us + 2 * stated_s * S:
@@ -47,37 +53,39 @@
     return took, given_up, suspected / max(1, probes), stated_s
 
 
-class Crowd(FellowsModel):
+class Crowd(MembershipModel):
     """A large fleet of which a few are whole; the others answer probes, and probe these as often as a fleet
     of that size would."""
 
     def __init__(self, size: int, real: int, seed: int) -> None:
         super().__init__(real, seed=seed, known=False, judge=False)
         self.rest = [
-            Word(f"x{n}", (f"11.{n >> 16}.{n >> 8 & 255}.{n & 255}", 7400), 1, State.ALIVE)
+            MemberRecord(f"x{n}", (f"11.{n >> 16}.{n >> 8 & 255}.{n & 255}", 7400), 1, State.ALIVE)
             for n in range(size - real)
         ]
-        self.by_address = {word.address: word for word in self.rest}
+        self.by_address = {record.address: record for record in self.rest}
         for number, ship in enumerate(self.ships):
-            ship.fellows.take(
-                [other.fellows.me for other in self.ships if other is not ship], "", self.local_us(number)
+            ship.cluster.take(
+                [other.cluster.me for other in self.ships if other is not ship],
+                "",
+                self.local_us(number),
             )
-            ship.fellows.take(self.rest, "", self.local_us(number))
-            ship.fellows.words.clear()
+            ship.cluster.take(self.rest, "", self.local_us(number))
+            ship.cluster.records.clear()
             self.at(int(self.rng.random() * S), self.probed, number)
 
     def probed(self, number: int) -> None:
         """One of the crowd probes it, once a period on average."""
-        word = self.rng.choice(self.rest)
-        data = self.codec.write(short(told(self.addresses[number])), Datagram(Kind.PROBE, 1, word))
-        self.deliver(number, data, word.address)
+        record = self.rng.choice(self.rest)
+        data = self.codec.write(short(told(self.addresses[number])), Datagram(Kind.PROBE, 1, record))
+        self.deliver(number, data, record.address)
         self.at(self.now_us + int(self.rng.expovariate(1.0) * S), self.probed, number)
 
     def send(self, number: int, out: list[tuple[tuple[str, int], bytes]]) -> None:
         """Send datagrams; those to members that are not modelled whole are answered here."""
         for address, data in out:
-            word = self.by_address.get(address)
-            if word is None:
+            record = self.by_address.get(address)
+            if record is None:
                 super().send(number, [(address, data)])
                 continue
             self.datagrams[number] += 1
@@ -85,12 +93,12 @@
             asked = self.codec.read(data, frozenset({short(told(address))}))
             if asked.kind is Kind.PROBE:
                 answer = self.codec.write(
-                    short(told(self.addresses[number])), Datagram(Kind.ACK, asked.number, word)
+                    short(told(self.addresses[number])), Datagram(Kind.ACK, asked.number, record)
                 )
                 self.at(self.now_us + 5_000, self.deliver, number, answer, address)
 
 
-def load(fleet: FellowsModel, seconds: float, restarted: int = 0) -> tuple[float, float, float]:
+def load(fleet: MembershipModel, seconds: float, restarted: int = 0) -> tuple[float, float, float]:
     """Datagrams, bytes and ms of CPU a second of one instance; the model's own CPU is in it."""
     fleet.run(3)
     fleet.datagrams.clear()
@@ -143,8 +151,9 @@
         ]
     table(["", "dead to silent s", "worst", "stated", "suspected", "SWIM", "given up"], rows)
     rows, loads = [], {}
-    fleets: list[tuple[str, FellowsModel]] = [
-        (f"{size}", FellowsModel(size, seed=1, judge=False)) for size in (SIZES[:2] if asked.short else SIZES)
+    fleets: list[tuple[str, MembershipModel]] = [
+        (f"{size}", MembershipModel(size, seed=1, judge=False))
+        for size in (SIZES[:2] if asked.short else SIZES)
     ]
     if not asked.short:
         fleets.append((f"{CROWD}", Crowd(CROWD, REAL, 1)))
--- a/standins/fellows_model.py
+++ b/standins/membership_model.py
@@ -8,17 +8,17 @@
 from collections import Counter
 from collections.abc import Callable
 
-from plovertrail.decisions.fellows import Address, Fellows, State, Word
+from plovertrail.decisions.cluster_members import Address, ClusterMembers, MemberRecord, State
 from plovertrail.decisions.judgements import Judgements
-from plovertrail.peers.fellows_wire import FellowsCodec
-from plovertrail.peers.fellowship import Fellowship, teller
+from plovertrail.peers.membership_codec import MembershipCodec
+from plovertrail.peers.membership_protocol import MembershipProtocol, teller
 
 SECOND_US = 1_000_000
 KEY = b"a key that all instances share"
 DAY_US = 86_400 * SECOND_US
 
 
-class FellowsModel:
+class MembershipModel:
     """`size` instances, numbered from 0, whose clocks began at times of their own; if `known`, all know one
     another at first, else one seed, number 0."""
 
@@ -60,13 +60,13 @@
         self.inbox: dict[int, list[tuple[bytes, Address]]] = {}  # of those asleep
         self.datagrams: Counter[int] = Counter()
         self.octets: Counter[int] = Counter()
-        self.codec = FellowsCodec("model", [KEY])
+        self.codec = MembershipCodec("model", [KEY])
         self.ships = [self.start(number) for number in range(size)]
         if known:
-            words = [ship.fellows.me for ship in self.ships]
+            records = [ship.cluster.me for ship in self.ships]
             for ship in self.ships:
-                ship.fellows.take(words, "", self.local_us(self.numbers[ship.fellows.me.address]))
-                ship.fellows.words.clear()
+                ship.cluster.take(records, "", self.local_us(self.numbers[ship.cluster.me.address]))
+                ship.cluster.records.clear()
         for number in range(size):
             self.tick(number, self.ships[number])
 
@@ -74,16 +74,18 @@
         """An instance's own clock: monotonic, and far from all others."""
         return self.now_us + self.skews_us[number]
 
-    def start(self, number: int, wall_off_us: int = 0) -> Fellowship:
+    def start(self, number: int, wall_off_us: int = 0) -> MembershipProtocol:
         """An instance that knows nobody; its wall clock may be off."""
         wall_us = self.wall_us + self.now_us + wall_off_us
-        me = Word(f"i{number}", self.addresses[number], wall_us, State.ALIVE, f"z{number % self.zones}")
+        me = MemberRecord(
+            f"i{number}", self.addresses[number], wall_us, State.ALIVE, f"z{number % self.zones}"
+        )
         now_us = self.local_us(number)
         seeds = self.addresses if self.all_seeds else self.addresses[:1]
-        fellows = Fellows(me, self.period_us, random.Random(self.rng.random()), now_us, seeds)
+        cluster = ClusterMembers(me, self.period_us, random.Random(self.rng.random()), now_us, seeds)
         judgements = Judgements(teller(me.name), now_us, wall_us) if self.judge else None
-        return Fellowship(
-            fellows, judgements, self.codec, frozenset({me.address}), self.period_us // 5, 3, now_us
+        return MembershipProtocol(
+            cluster, judgements, self.codec, frozenset({me.address}), self.period_us // 5, 3, now_us
         )
 
     def restart(self, number: int, wall_off_us: int = 0) -> None:
@@ -120,7 +122,7 @@
         self.order += 1
         heapq.heappush(self.due, (at_us, self.order, what, arguments))
 
-    def tick(self, number: int, ship: Fellowship) -> None:
+    def tick(self, number: int, ship: MembershipProtocol) -> None:
         """Let an instance do what is due, and again when it says so; void for an earlier process of it."""
         if self.ships[number] is not ship or not self.alive[number] or number in self.asleep:
             return
@@ -162,8 +164,8 @@
 
     def state(self, at: int, of: int) -> State | None:
         """What one thinks of another; None: it isn't known there."""
-        fellow = self.ships[at].fellows.table.get(f"i{of}")
-        return fellow.word.state if fellow is not None else None
+        member = self.ships[at].cluster.table.get(f"i{of}")
+        return member.record.state if member is not None else None
 
     def states(self, of: int) -> Counter[State | None]:
         """What all others that live and are awake think of one."""
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -25,8 +25,8 @@
 from benchmarks.capacity.roles import RoleResult, TargetCost
 from benchmarks.capacity.slopes import Axis, Sample, Situation, Slope, Unit, best_fit
 from benchmarks.capacity.target import BUDGET
-from plovertrail.decisions.fellows import FORGET_US, State
-from standins.fellows_model import FellowsModel
+from plovertrail.decisions.cluster_members import FORGET_US, State
+from standins.membership_model import MembershipModel
 
 SIZES = (50.0, 200.0, 600.0, 1_800.0, 3_600.0)
 
@@ -137,7 +137,7 @@
 def test_no_member_of_a_quiet_crowd_is_suspected_or_forgotten() -> None:
     crowd = quiet_crowd()
     crowd.queue.run(30)
-    assert all(member.fellows.size == 60 and not member.fellows.suspects for member in crowd.members)
+    assert all(member.cluster.size == 60 and not member.cluster.suspects for member in crowd.members)
     assert crowd.known_share == 1.0
 
 
@@ -152,7 +152,7 @@
 
 def test_a_crowd_sends_what_a_cluster_of_whole_members_sends() -> None:
     """Bytes of one member, quiet; both with names and zones of the same length."""
-    model = FellowsModel(60, seed=1, judge=False, zones=8)
+    model = MembershipModel(60, seed=1, judge=False, zones=8)
     model.run(3)
     model.octets.clear()
     model.run(30)
@@ -171,7 +171,7 @@
     for number, member in enumerate(crowd.members):
         for other in restarted:
             if other != number:
-                known = member.fellows.table[f"sidecar-{other}"].word
+                known = member.cluster.table[f"sidecar-{other}"].record
                 assert known.state is State.ALIVE
                 assert known.incarnation >= crowd.records[other].incarnation
 
@@ -180,28 +180,28 @@
     crowd = quiet_crowd()
     crowd.lose(40)
     crowd.queue.run(60)
-    assert {member.fellows.table["sidecar-40"].word.state for member in crowd.members} == {State.SILENT}
-    assert all(member.fellows.size == 59 for member in crowd.members)
+    assert {member.cluster.table["sidecar-40"].record.state for member in crowd.members} == {State.SILENT}
+    assert all(member.cluster.size == 59 for member in crowd.members)
 
 
 def test_regions_that_were_cut_for_five_minutes_have_forgotten_each_other() -> None:
     """Why the crowd begins with two halves that know their own side only."""
     assert FORGET_US < 300_000_000
-    model = FellowsModel(8, seed=1, judge=False)
+    model = MembershipModel(8, seed=1, judge=False)
     model.run(3)
     model.delivers = lambda sender, receiver: sender % 2 == receiver % 2
     model.run(300)
     assert all(
         name in (f"i{number}" for number in range(at % 2, 8, 2))
         for at, ship in enumerate(model.ships)
-        for name in ship.fellows.table
+        for name in ship.cluster.table
     )
 
 
 def test_regions_that_meet_again_know_all() -> None:
     crowd = MemberCrowd(CrowdPlan(60, 16, regions_cut=True))
     crowd.queue.run(10)
-    assert {member.fellows.size for member in crowd.members} == {30}
+    assert {member.cluster.size for member in crowd.members} == {30}
     crowd.heal()
     crowd.queue.run(120)
     assert crowd.known_share == 1.0
@@ -212,7 +212,7 @@
     zone = [number for number in range(64) if number % 8 == 7]
     crowd.stop(zone)
     crowd.queue.run(3)
-    assert all(member.fellows.size == 56 for number, member in enumerate(crowd.members) if number not in zone)
+    assert all(member.cluster.size == 56 for number, member in enumerate(crowd.members) if number not in zone)
     crowd.start(zone)
     crowd.queue.run(120)
     assert crowd.known_share == 1.0
@@ -220,7 +220,7 @@
 
 def test_the_first_members_are_the_seeds() -> None:
     crowd = quiet_crowd()
-    assert crowd.members[20 % 16].fellows.seeds == tuple(crowd.addresses[:SEEDS])
+    assert crowd.members[20 % 16].cluster.seeds == tuple(crowd.addresses[:SEEDS])
 
 
 # Evidence
--- a/tests/decisions/test_judgements.py
+++ b/tests/decisions/test_judgements.py
@@ -23,7 +23,7 @@
     held_back,
     worst_share,
 )
-from standins.fellows_model import FellowsModel
+from standins.membership_model import MembershipModel
 from tests.decisions.world import START_US, upstreams
 from tests.decisions.world import settings as module_settings
 
@@ -296,7 +296,7 @@
 # A fleet on a virtual clock
 
 
-def until_heard(fleet: FellowsModel, bad: int, seconds: float, part: float) -> float:
+def until_heard(fleet: MembershipModel, bad: int, seconds: float, part: float) -> float:
     """How long until so large a part of the instances holds a server back."""
     begun_us = fleet.now_us
     while fleet.now_us < begun_us + seconds * S:
@@ -312,7 +312,7 @@
 
 @pytest.mark.parametrize(("size", "loss"), [(24, 0.0), (24, 0.3), (100, 0.1)])
 def test_what_three_have_seen_nine_in_ten_know_within_seconds(size: int, loss: float) -> None:
-    fleet = FellowsModel(size, seed=3, loss=loss)
+    fleet = MembershipModel(size, seed=3, loss=loss)
     fleet.run(2)
     for number in range(3):
         for _ in range(2):
@@ -321,7 +321,7 @@
 
 
 def test_in_a_split_each_part_judges_by_its_own_and_old_news_judges_nothing_after_it() -> None:
-    fleet = FellowsModel(12, seed=4)
+    fleet = MembershipModel(12, seed=4)
     fleet.run(2)
     fleet.delivers = lambda sender, receiver: (sender < 6) == (receiver < 6)
     for number in range(3):
--- a/tests/peers/test_fellows_wire.py
+++ b/tests/peers/test_membership_codec.py
@@ -1,4 +1,4 @@
-"""Datagrams between fellows: what is written is read, what does not fit is left out, nonsense is garbage."""
+"""Datagrams between members: what is written is read, what does not fit is left out, nonsense is garbage."""
 
 from __future__ import annotations
 
@@ -8,17 +8,24 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from plovertrail.decisions.fellows import Kind, State, Word
+from plovertrail.decisions.cluster_members import Kind, MemberRecord, State
 from plovertrail.decisions.judgements import Evidence
 from plovertrail.peers.envelope import LARGEST, BadDatagramError, Dropped, short
-from plovertrail.peers.fellows_wire import HEAD, MOST_WORDS, VERSION, Datagram, FellowsCodec, word_bytes
+from plovertrail.peers.membership_codec import (
+    HEAD,
+    MOST_RECORDS,
+    VERSION,
+    Datagram,
+    MembershipCodec,
+    word_bytes,
+)
 
 KEY = b"0123456789abcdef"
 ME = short("127.0.0.1:7400")
 MINE = frozenset({ME})
 ports = st.integers(0, 65_535)
-words = st.builds(
-    Word,
+records = st.builds(
+    MemberRecord,
     st.text(min_size=1, max_size=12),
     st.tuples(st.just("10.1.2.3"), ports),
     st.integers(0, 2**62),
@@ -39,33 +46,35 @@
         Datagram,
         st.sampled_from(list(Kind)),
         st.integers(0, 2**64 - 1),
-        words,
+        records,
         st.booleans(),
         st.text(max_size=12),
         st.tuples(st.just("10.9.8.7"), ports),
-        st.lists(words, max_size=6).map(tuple),
+        st.lists(records, max_size=6).map(tuple),
         st.lists(rows, max_size=8).map(tuple),
     )
 )
 def test_what_is_written_is_read(datagram: Datagram) -> None:
-    codec = FellowsCodec("fleet", [KEY])
+    codec = MembershipCodec("fleet", [KEY])
     assert codec.read(codec.write(ME, datagram), MINE) == datagram
 
 
 def test_a_long_zone_is_cut_between_characters() -> None:
-    codec = FellowsCodec("fleet", [KEY])
-    me = Word("n", ("10.0.0.1", 1), 1, State.ALIVE, "a" + "é" * 31)
+    codec = MembershipCodec("fleet", [KEY])
+    me = MemberRecord("n", ("10.0.0.1", 1), 1, State.ALIVE, "a" + "é" * 31)
     assert codec.read(codec.write(ME, Datagram(Kind.PROBE, 1, me)), MINE).sender.zone == "a" + "é" * 15
 
 
-def test_what_does_not_fit_is_left_out_words_before_evidence() -> None:
-    codec = FellowsCodec("fleet", [KEY])
-    many = tuple(Word("n" * 60, ("10.0.0.1", number), 1, State.ALIVE, "z" * 32) for number in range(40))
+def test_what_does_not_fit_is_left_out_records_before_evidence() -> None:
+    codec = MembershipCodec("fleet", [KEY])
+    many = tuple(
+        MemberRecord("n" * 60, ("10.0.0.1", number), 1, State.ALIVE, "z" * 32) for number in range(40)
+    )
     evidence = tuple(Evidence(number, 1, (1, 1), 2.0, 1.0, 0.0, 0.0, 0) for number in range(90))
-    data = codec.write(ME, Datagram(Kind.TELL, 0, many[0], words=many, rows=evidence))
+    data = codec.write(ME, Datagram(Kind.TELL, 0, many[0], records=many, rows=evidence))
     found = codec.read(data, MINE)
-    assert len(data) <= LARGEST and 5 < len(found.words) < MOST_WORDS
-    assert found.words == many[: len(found.words)]
+    assert len(data) <= LARGEST and 5 < len(found.records) < MOST_RECORDS
+    assert found.records == many[: len(found.records)]
     plain = Datagram(Kind.TELL, 0, many[0], rows=evidence)
     found = codec.read(codec.write(ME, plain), MINE)
     assert codec.room(plain) <= len(found.rows) <= codec.room(plain) + 1 and len(found.rows) > 20
@@ -73,8 +82,8 @@
 
 def test_signed_nonsense_is_garbage_and_raises_nothing_else() -> None:
     """Whoever has the key may still be broken."""
-    rng, codec = random.Random(2), FellowsCodec("fleet", [KEY])
-    sender = Word("a", ("10.0.0.1", 1), 1, State.ALIVE)
+    rng, codec = random.Random(2), MembershipCodec("fleet", [KEY])
+    sender = MemberRecord("a", ("10.0.0.1", 1), 1, State.ALIVE)
     me = word_bytes(sender)
     bodies = [
         b"",
--- a/tests/peers/test_fellow_talk.py
+++ b/tests/peers/test_membership_transport.py
@@ -13,7 +13,7 @@
 from plovertrail.cli import main
 from plovertrail.config.operator import parse
 from plovertrail.config.problems import ConfigError
-from plovertrail.decisions.fellows import State
+from plovertrail.decisions.cluster_members import State
 from plovertrail.hearsay import class_key, server_key
 from standins.web import ERROR, WebServer, always
 from tests.daemons import Running, message, run, running, site
@@ -100,10 +100,10 @@
             text = one.path.read_text()
             assert await one.change(text.replace('period = "200ms"', 'period = "300ms"'))
             assert living(one) == 3 and one.daemon.peers.talk is not None
-            talk = one.daemon.peers.talk.fellows
-            assert talk is not None and talk.fellowship.fellows.period_us == 300_000
+            talk = one.daemon.peers.talk.membership
+            assert talk is not None and talk.protocol.cluster.period_us == 300_000
             third.daemon.peers.stop()
-            await until(lambda: talk.fellowship.fellows.table["i2"].word.state is State.GONE)
+            await until(lambda: talk.protocol.cluster.table["i2"].record.state is State.GONE)
             assert await one.change(text.replace(FAST, ""))
             assert one.daemon.status()["fellows"] == {} and one.daemon.host.attempt_over is None
             assert "opinions" not in one.daemon.status()["background"]
@@ -120,8 +120,8 @@
         async with fleet(tmp_path, 2, [WebServer()]) as (one, two):
             await until(lambda: living(one) == 2)
             talk = one.daemon.peers.talk
-            assert talk is not None and talk.fellows is not None
-            good = talk.fellows.fellowship.tick(talk.fellows.fellowship.due_us() + 10**9)
+            assert talk is not None and talk.membership is not None
+            good = talk.membership.protocol.tick(talk.membership.protocol.due_us() + 10**9)
             assert good
             for data in (
                 b"pt\x02",
@@ -130,8 +130,8 @@
                 good[0][1][:40],
                 good[0][1],
             ):  # the last one is whole, and for another
-                assert talk.fellows.received(data, ("127.0.0.1", 9)) is not None
-            assert set(talk.fellows.fellowship.fellows.table) == {"i1"}
+                assert talk.membership.received(data, ("127.0.0.1", 9)) is not None
+            assert set(talk.membership.protocol.cluster.table) == {"i1"}
 
     run(test)
 
@@ -152,7 +152,7 @@
 ) -> None:
     peers = peers_text(tmp_path, [1], 0, 'window = "30s"')
     text = site(8080, {"main": []}, head=peers + "[fellows]\n")
-    assert parse(text, "site.toml").fellows is not None
+    assert parse(text, "site.toml").membership is not None
     with pytest.raises(ConfigError) as found:
         parse(text.replace(*change), "site.toml")
     assert told in str(found.value)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -114,7 +114,7 @@
         "plovertrail/background",
         "plovertrail/hearsay",
         "plovertrail/decisions/background",
-        "plovertrail/decisions/fellows",
+        "plovertrail/decisions/cluster_members",
         "plovertrail/decisions/judgements",
         "plovertrail/decisions/remembered",
         "plovertrail/decisions/recovery",
