--- a/benchmarks/capacity/kept_connections.py
+++ b/benchmarks/capacity/kept_connections.py
@@ -102,7 +102,7 @@
 
 
 def rows_of(found: Mapping[Case, Sequence[ConnectionCost]]) -> list[list[object]]:
-    """Medians of each case, with the range of the 99th percentile."""
+    """Medians of each case, with the range of the 99th percentile, and all requests that failed."""
     rows: list[list[object]] = []
     for case, costs in found.items():
         added = [cost.path.added_p99_ms for cost in costs]
@@ -116,6 +116,7 @@
                 statistics.median(cost.accepted_per_request for cost in costs),
                 statistics.median(cost.path.machine_busy for cost in costs),
                 statistics.median(cost.path.machine_stolen for cost in costs),
+                sum(cost.path.failed for cost in costs),
             ]
         )
     return rows
@@ -129,7 +130,7 @@
     arguments = parser.parse_args()
     found = run_cases(arguments.short, arguments.repeats or (1 if arguments.short else 5))
     print(f"added to a request at {TARGET.calls_per_s_of_one:.0f} requests/s, ms; medians\n")
-    head = ["", "p99", "range", "median", "core", "connections a request", "machine busy", "stolen"]
+    head = ["", "p99", "range", "median", "core", "connections a request", "machine busy", "stolen", "failed"]
     rows = rows_of(found)
     table(head, rows)
     figures: dict[str, object] = {str(row[0]): row[1] for row in rows}
