--- a/benchmarks/capacity/leases_role.py
+++ b/benchmarks/capacity/leases_role.py
@@ -13,9 +13,9 @@
 from benchmarks.capacity.roles import Figure, RoleResult
 from benchmarks.capacity.slopes import Axis, Situation, Slope, Unit
 from benchmarks.capacity.target import TARGET
+from fakes.lease_model import ACCEPTORS, Model, Plan
 from plovertrail.decisions.leases import LeaseRules
 from plovertrail.lab.clock import SECOND_US
-from standins.lease_model import ACCEPTORS, Model, Plan
 
 SIZES, SHORT_SIZES = (25, 50, 100, 200), (8, 12, 16, 24)
 SETTLE_S, STRETCH_S = 9.0, 10.0
--- a/benchmarks/capacity/membership_role.py
+++ b/benchmarks/capacity/membership_role.py
@@ -14,10 +14,10 @@
 from benchmarks.capacity.slopes import Axis, Situation, Slope, Unit
 from benchmarks.capacity.target import BUDGET, TARGET
 from benchmarks.report import Bar
+from fakes.membership_model import MembershipModel
 from plovertrail.decisions.cluster_members import ClusterMembers, Kind, MemberRecord, State
 from plovertrail.peers.envelope import short
 from plovertrail.peers.membership_codec import Datagram, MembershipCodec
-from standins.membership_model import MembershipModel
 
 SIZES = (50, 200, 600, 1_800, 3_600)
 SHORT_SIZES = (50, 100, 200, 400)
--- a/benchmarks/capacity/service_site.py
+++ b/benchmarks/capacity/service_site.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
+from fakes.ports import free_port
 from plovertrail.sources.lists import sealed
-from standins.ports import free_port
 
 PROBE_PATH = "/probe"
 CONFIGURATION_PATH = "/configuration"
--- a/benchmarks/coming_back.py
+++ b/benchmarks/coming_back.py
@@ -1,6 +1,6 @@
 """Instances that die, lose their state or stand still, all at once: `python -m benchmarks.coming_back`.
 
-Processes of the daemon with relays between them and their servers (standins/cluster), clients with an open
+Processes of the daemon with relays between them and their servers (fakes/cluster), clients with an open
 loop, one play a case. Told for each: how long until 95 % of what was served before is served again, the
 worst second at one server beside its worst one before, what was refused. Bars: nothing lost, doubled, made up
 or sent to a drained server; the time to 95 % where one is aimed at; no server's worst second over 1.3 of the
@@ -20,10 +20,10 @@
 from typing import Any
 
 from benchmarks.report import Bar, chosen, close, outage_parser, table
-from standins.cluster.judge import Verdict
-from standins.cluster.load import Sent
-from standins.cluster.play import Cluster, cluster
-from standins.cluster.schedule import Schedule, checked
+from fakes.cluster.judge import Verdict
+from fakes.cluster.load import Sent
+from fakes.cluster.play import Cluster, cluster
+from fakes.cluster.schedule import Schedule, checked
 
 FAULT_S = 4.0
 BACK_S = 0.5  # from a kill to the processes' start
--- a/benchmarks/fair_door.py
+++ b/benchmarks/fair_door.py
@@ -23,9 +23,9 @@
 
 from benchmarks.processes import child, pin, wait_for
 from benchmarks.report import Bar, close, table
+from fakes.ports import free_port
+from fakes.web import OK, Arrival, Line, WebServer
 from plovertrail.decisions.fairness import Door, DoorSettings
-from standins.ports import free_port
-from standins.web import OK, Arrival, Line, WebServer
 
 SERVERS, LANES, WORK_S = 4, 2, 0.04  # 200 requests a second
 SMALL, SMALL_A_SECOND = 20, 5.0
--- a/benchmarks/fellows.py
+++ b/benchmarks/fellows.py
@@ -1,6 +1,6 @@
 """What knowing one another costs and how soon it tells: `python -m benchmarks.members`.
 
-Instances on a virtual clock (standins/fellows_model), with no kernel in between. For each loss: by when a
+Instances on a virtual clock (fakes/fellows_model), with no kernel in between. For each loss: by when a
 dead one is silent at all others, beside the stated time, and how many probes of live ones raised a
 suspicion, beside SWIM's formula. For each size: datagrams, bytes and CPU a second of one instance, without
 news and while a tenth of the fleet restarts; at 5,000 twenty instances know all, and the rest only answers
@@ -16,6 +16,7 @@
 import time
 
 from benchmarks.report import Bar, close, table
+from fakes.membership_model import MembershipModel
 from plovertrail.decisions.cluster_members import (
     Kind,
     MemberRecord,
@@ -26,7 +27,6 @@
 from plovertrail.peers.envelope import short
 from plovertrail.peers.gossip import told
 from plovertrail.peers.membership_codec import Datagram
-from standins.membership_model import MembershipModel
 
 S = 1_000_000
 LOSSES = (0.0, 0.1, 0.3)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from benchmarks.report import Bar, close, table
-from standins.fleet.plan import Plan
+from fakes.fleet.plan import Plan
 
 BASE = 500
 START_S = 3.0  # for processes to start, and
@@ -33,7 +33,7 @@
     """One play: what each side counted."""
     plan = replace(plan, starts_at=time.monotonic() + START_S + START_EACH_S * plan.instances)
     servers = subprocess.Popen(
-        [sys.executable, "-m", "standins.fleet.servers", plan.dump()], stdout=subprocess.PIPE, text=True
+        [sys.executable, "-m", "fakes.fleet.servers", plan.dump()], stdout=subprocess.PIPE, text=True
     )
     started = [servers]
     try:
@@ -48,7 +48,7 @@
                 "discovery_port": met["discovery"],
                 "known": met["known"],
             }
-            command = [sys.executable, "-m", "standins.fleet.instances", plan.dump(), json.dumps(arguments)]
+            command = [sys.executable, "-m", "fakes.fleet.instances", plan.dump(), json.dumps(arguments)]
             workers.append(subprocess.Popen(command, stdout=subprocess.PIPE, text=True))
         started += workers
         patience = plan.starts_at - time.monotonic() + plan.seconds + PATIENCE_S
--- a/benchmarks/fleet_budgets.py
+++ b/benchmarks/fleet_budgets.py
@@ -1,6 +1,6 @@
 """A budget for a whole fleet that is never overspent: `python -m benchmarks.fleet_budgets`.
 
-Real holders, acceptors and planners on a virtual clock (standins/lease_model.py), each with one of its own
+Real holders, acceptors and planners on a virtual clock (fakes/lease_model.py), each with one of its own
 speed. Told for each case: the most that was in use at one moment beside the budget; what was let in, of what
 one who knows all would have let in of the same requests, and the same for fixed parts by number; messages a
 second of one instance. Bars: never over budget, in any case; the share let in under moving demand and in a
@@ -16,10 +16,10 @@
 from dataclasses import dataclass, replace
 
 from benchmarks.report import Bar, chosen, close, table
+from fakes.lease_checker import LIMITS, Checker, Found
+from fakes.lease_model import Model, Plan
 from plovertrail.decisions.leases import LeaseRules
 from plovertrail.lab.clock import SECOND_US
-from standins.lease_checker import LIMITS, Checker, Found
-from standins.lease_model import Model, Plan
 
 SETTLE_S = 9.0
 LEASE_US, HOLD_US = 6 * SECOND_US, SECOND_US
--- a/benchmarks/hostile_hooks.py
+++ b/benchmarks/hostile_hooks.py
@@ -29,9 +29,9 @@
 
 from benchmarks.processes import child, memory_bytes, pin, wait_for
 from benchmarks.report import Bar, close, table
-from standins.hostile_hooks import BAD_PATH, HOSTILE, module
-from standins.ports import free_port
-from standins.web import ERROR, NOT_RUN, Arrival, Line, WebServer
+from fakes.hostile_hooks import BAD_PATH, HOSTILE, module
+from fakes.ports import free_port
+from fakes.web import ERROR, NOT_RUN, Arrival, Line, WebServer
 
 DEADLINE_S = 1.0
 SLACK_S = 0.15  # for this client's own loop, and a machine with other work
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -25,6 +25,8 @@
 from pathlib import Path
 
 from benchmarks.report import Bar, close, table
+from fakes.ports import free_port
+from fakes.web import OK, WebServer, slowly
 from plovertrail.clock import clock_us
 from plovertrail.config.operator import load
 from plovertrail.daemon import Daemon, settle_heap
@@ -33,8 +35,6 @@
 from plovertrail.sources.lists import parse, sealed
 from plovertrail.store.files import Clocks, encode, replace_file
 from plovertrail.store.records import list_changes
-from standins.ports import free_port
-from standins.web import OK, WebServer, slowly
 
 SIZES = (100, 1_000, 10_000)
 FILE = """\
--- a/benchmarks/nginx_equivalence.py
+++ b/benchmarks/nginx_equivalence.py
@@ -24,13 +24,13 @@
 from benchmarks.nginx_requests import Got, decided, difference, requests
 from benchmarks.processes import child, wait_for
 from benchmarks.report import Bar, close, table
+from fakes.nginx_reference import Asked, Reference
+from fakes.ports import free_port
+from fakes.web import OK, Arrival, Line, WebServer
 from plovertrail.config.operator import parse
 from plovertrail.nginx.importer import Importer
 from plovertrail.nginx.report import Treatment
 from plovertrail.nginx.tree import read_tree
-from standins.nginx_reference import Asked, Reference
-from standins.ports import free_port
-from standins.web import OK, Arrival, Line, WebServer
 
 SERVERS = 6
 CLIENTS = 8
--- a/benchmarks/nginx_requests.py
+++ b/benchmarks/nginx_requests.py
@@ -8,11 +8,11 @@
 from dataclasses import dataclass, field
 from urllib.parse import quote, unquote
 
+from fakes.nginx_reference import Asked, Block, Outcome, Reference
 from plovertrail.config.setup import Setup
 from plovertrail.decisions.paths import InvalidTargetError, normalise_path
 from plovertrail.decisions.requests import outline
 from plovertrail.nginx.report import Report, Treatment
-from standins.nginx_reference import Asked, Block, Outcome, Reference
 
 ADDRESS = "127.0.0.1"
 REGEX_TEXTS = {
--- a/benchmarks/path_cost.py
+++ b/benchmarks/path_cost.py
@@ -24,7 +24,7 @@
 
 from benchmarks.processes import child, cpu_s, memory_bytes, pin, wait_for
 from benchmarks.report import Bar, close, table
-from standins.ports import free_port
+from fakes.ports import free_port
 
 SERVERS = 15
 CONNECTIONS = (4, 16)
@@ -81,7 +81,7 @@
 
 async def stand_ins() -> None:
     """Serve, and tell the ports on standard output."""
-    from standins.web import OK, WebServer, always
+    from fakes.web import OK, WebServer, always
 
     servers = [WebServer(always(OK), keep=False) for _ in range(SERVERS)]
     for server in servers:
--- a/benchmarks/path_memory.py
+++ b/benchmarks/path_memory.py
@@ -17,7 +17,7 @@
 
 from benchmarks.processes import child, memory_bytes, wait_for
 from benchmarks.report import Bar, close, table
-from standins.ports import free_port
+from fakes.ports import free_port
 
 FILE = """\
 [listeners.web]
--- a/benchmarks/shared_counts.py
+++ b/benchmarks/shared_counts.py
@@ -24,13 +24,13 @@
 from typing import Any, cast
 
 from benchmarks.report import Bar, close, table
+from fakes.peers_model import KEY, SECOND_US, PeersModel
 from plovertrail.clock import clock_us
 from plovertrail.config.peers import PeersSetup
 from plovertrail.decisions.counts import Window, key_of
 from plovertrail.decisions.counts_bound import Talk, bound
 from plovertrail.decisions.limits import Allowance, KeyedBy, Limiter, LimiterSettings, Permit, admit
 from plovertrail.peers.talk import PeerTalk, bind
-from standins.peers_model import KEY, SECOND_US, PeersModel
 
 TALK = Talk(size=20, period_s=0.1, fan_out=8, window_s=10.0, bucket_s=0.5, loss=0.3, delay_s=0.2)
 TENANTS = [key_of("tenant", name) for name in ("steady", "bursty", "small")]
--- a/benchmarks/shared_judgements.py
+++ b/benchmarks/shared_judgements.py
@@ -1,6 +1,6 @@
 """What a fleet saves by telling of servers: `python -m benchmarks.shared_judgements`.
 
-Processes of the daemon with a switch of lossy links between them (standins/cluster), the same outages with
+Processes of the daemon with a switch of lossy links between them (fakes/cluster), the same outages with
 judgements shared, with none, and by an oracle that drains the bad servers at the moment they go bad.
 Counted from that moment: attempts that reach bad servers, by when nine in ten of what would reach them goes
 elsewhere, by when they are used again once they are well, and what is served. Bars: shared at most 0.35 of
@@ -17,8 +17,8 @@
 from typing import Any
 
 from benchmarks.report import Bar, chosen, close, outage_parser, table
-from standins.cluster.play import Cluster, cluster
-from standins.cluster.schedule import Schedule, checked
+from fakes.cluster.play import Cluster, cluster
+from fakes.cluster.schedule import Schedule, checked
 
 SERVERS = 8
 BAD_S, WELL_S = 3.0, 13.0  # a server goes bad, and is well again
--- a/benchmarks/websocket_cost.py
+++ b/benchmarks/websocket_cost.py
@@ -24,8 +24,8 @@
 
 from benchmarks.processes import child, cpu_s, memory_bytes, pin, wait_for
 from benchmarks.report import Bar, close, table
-from standins.frames import BINARY, acceptance, frame, opening
-from standins.ports import free_port
+from fakes.frames import BINARY, acceptance, frame, opening
+from fakes.ports import free_port
 
 CONNECTIONS = 20
 ROUNDS = 3
--- a/benchmarks/websocket_drain.py
+++ b/benchmarks/websocket_drain.py
@@ -27,9 +27,9 @@
 
 from benchmarks.processes import child, pin, wait_for
 from benchmarks.report import Bar, close, table
-from standins.frames import CLOSE, CONTINUATION, PING, PONG, TEXT, close_frame, frame, opening, read_frame
-from standins.live import Line, LiveServer, echo
-from standins.ports import free_port
+from fakes.frames import CLOSE, CONTINUATION, PING, PONG, TEXT, close_frame, frame, opening, read_frame
+from fakes.live import Line, LiveServer, echo
+from fakes.ports import free_port
 
 FILE = """\
 [listeners.web]
--- a/standins/balances.py
+++ b/fakes/balances.py
@@ -6,8 +6,8 @@
 import itertools
 import json
 
-from standins.frames import CLOSE, PING, PONG, TEXT, frame
-from standins.live import Line, Script
+from fakes.frames import CLOSE, PING, PONG, TEXT, frame
+from fakes.live import Line, Script
 
 EVERY_S = 0.5
 READERS = ("amihan", "bituin", "luningning")
--- a/standins/cluster/__main__.py
+++ b/fakes/cluster/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m standins.cluster SCHEDULE [--seed N]`: plays a schedule, exits with 1 if a rule broke."""
+"""`python -m fakes.cluster SCHEDULE [--seed N]`: plays a schedule, exits with 1 if a rule broke."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from dataclasses import replace
 from pathlib import Path
 
-from standins.cluster.play import cluster
-from standins.cluster.schedule import Schedule, ScheduleError, load
+from fakes.cluster.play import cluster
+from fakes.cluster.schedule import Schedule, ScheduleError, load
 
 
 async def played(schedule: Schedule, folder: Path) -> int:
@@ -37,7 +37,7 @@
 
 def main() -> int:
     """Read the schedule and play it; returns the exit code."""
-    parser = argparse.ArgumentParser(prog="python -m standins.cluster")
+    parser = argparse.ArgumentParser(prog="python -m fakes.cluster")
     parser.add_argument("schedule", type=Path)
     parser.add_argument("--seed", type=int)
     told = parser.parse_args()
--- a/standins/cluster/judge.py
+++ b/fakes/cluster/judge.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from standins.cluster.load import Sent
-from standins.cluster.servers import Shop
+from fakes.cluster.load import Sent
+from fakes.cluster.servers import Shop
 
 DRAIN_S = 2.0  # after word nothing new
 SLACK_S = 0.5  # of this machine: how late an answer may be seen
--- a/standins/cluster/play.py
+++ b/fakes/cluster/play.py
@@ -10,12 +10,12 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from standins.cluster.instances import Instance, talk_text
-from standins.cluster.judge import Verdict, judge
-from standins.cluster.load import Load
-from standins.cluster.relay import Switch, TcpRelay, Way
-from standins.cluster.schedule import OF_PROCESS, OF_SERVER, OF_TALK, Event, Schedule
-from standins.cluster.servers import ServerList, Shop
+from fakes.cluster.instances import Instance, talk_text
+from fakes.cluster.judge import Verdict, judge
+from fakes.cluster.load import Load
+from fakes.cluster.relay import Switch, TcpRelay, Way
+from fakes.cluster.schedule import OF_PROCESS, OF_SERVER, OF_TALK, Event, Schedule
+from fakes.cluster.servers import ServerList, Shop
 
 
 @dataclass(eq=False)
--- a/standins/cluster/relay.py
+++ b/fakes/cluster/relay.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from standins.listening import StreamListener
+from fakes.listening import StreamListener
 
 Address = tuple[str, int]
 CHUNK = 64 * 1024
--- a/standins/cluster/servers.py
+++ b/fakes/cluster/servers.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
+from fakes.web import ERROR, NOT_RUN, OK, Arrival, Line, WebServer
 from plovertrail.sources.lists import sealed
-from standins.web import ERROR, NOT_RUN, OK, Arrival, Line, WebServer
 
 QUEUE = 16
 
--- a/standins/fleet/instances.py
+++ b/fakes/fleet/instances.py
@@ -12,6 +12,7 @@
 from functools import partial
 from typing import Any
 
+from fakes.fleet.plan import Plan
 from plovertrail.clock import clock_us
 from plovertrail.decisions import interface as api
 from plovertrail.decisions import share
@@ -19,7 +20,6 @@
 from plovertrail.host import Host
 from plovertrail.sources.discovery import Directory, Discovery
 from plovertrail.upstreams.connections import ConnectionPool
-from standins.fleet.plan import Plan
 
 AIM_US, DEADLINE_US = 400_000, 1_200_000
 MOST_CONNECTIONS = 64
--- a/standins/fleet/servers.py
+++ b/fakes/fleet/servers.py
@@ -12,7 +12,7 @@
 
 import httptools
 
-from standins.fleet.plan import Plan
+from fakes.fleet.plan import Plan
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 NOT_RUN = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
--- a/standins/lease_checker.py
+++ b/fakes/lease_checker.py
@@ -1,4 +1,4 @@
-"""All histories of a few instances and a few permits, breadth first: `python -m standins.lease_checker`.
+"""All histories of a few instances and a few permits, breadth first: `python -m fakes.lease_checker`.
 
 Instances run the real `Acceptor` and `Holder`, each on a clock of its own speed. A step is a claim, a message
 that arrives late or twice, a permit spent, lent or given back, a restart, or time that goes by; what never
@@ -315,7 +315,7 @@
 
 def main() -> int:
     """Search all limits for a broken rule; returns the exit code."""
-    parser = argparse.ArgumentParser(prog="python -m standins.lease_checker")
+    parser = argparse.ArgumentParser(prog="python -m fakes.lease_checker")
     parser.add_argument("--depth", type=int, default=8)
     parser.add_argument("--states", type=int, default=MOST_STATES)
     asked = parser.parse_args()
--- a/standins/live.py
+++ b/fakes/live.py
@@ -7,8 +7,8 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 
-from standins.frames import BINARY, CLOSE, CONTINUATION, PING, PONG, TEXT, Got, acceptance, frame, read_frame
-from standins.listening import StreamListener
+from fakes.frames import BINARY, CLOSE, CONTINUATION, PING, PONG, TEXT, Got, acceptance, frame, read_frame
+from fakes.listening import StreamListener
 
 
 @dataclass(eq=False)
--- a/plovertrail/cli/demo.py
+++ b/plovertrail/cli/demo.py
@@ -11,13 +11,13 @@
 
 import click
 
+from fakes.balances import PAGE_ANSWER, publisher
+from fakes.live import LiveServer
+from fakes.ports import free_port
+from fakes.web import OK, WebServer, always
 from plovertrail.config import operator
 from plovertrail.daemon import Daemon
 from plovertrail.logs import log_to_stderr
-from standins.balances import PAGE_ANSWER, publisher
-from standins.live import LiveServer
-from standins.ports import free_port
-from standins.web import OK, WebServer, always
 
 FILE = """\
 [listeners.demo]
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -25,8 +25,8 @@
 from benchmarks.capacity.roles import RoleResult, TargetCost
 from benchmarks.capacity.slopes import Axis, Sample, Situation, Slope, Unit, best_fit
 from benchmarks.capacity.target import BUDGET
+from fakes.membership_model import MembershipModel
 from plovertrail.decisions.cluster_members import FORGET_US, State
-from standins.membership_model import MembershipModel
 
 SIZES = (50.0, 200.0, 600.0, 1_800.0, 3_600.0)
 
--- a/tests/benchmarks/test_capacity_processes.py
+++ b/tests/benchmarks/test_capacity_processes.py
@@ -18,10 +18,10 @@
 from benchmarks.capacity.service_site import ServiceSite
 from benchmarks.capacity.slopes import Axis, Unit
 from benchmarks.capacity.target import TARGET
+from fakes.web import OK, WebServer, always
 from plovertrail.bounds import needed_descriptors
 from plovertrail.config.operator import load
 from plovertrail.sources.lists import parse
-from standins.web import OK, WebServer, always
 
 DESCRIPTORS = 20_000  # of a process on the machines that the benchmark is for
 
--- a/tests/cli/test_balances.py
+++ b/tests/cli/test_balances.py
@@ -17,13 +17,13 @@
 from websockets.asyncio.client import connect
 from websockets.exceptions import ConnectionClosed
 
+from fakes.balances import PAGE, PAGE_ANSWER, READERS, publisher
+from fakes.live import LiveServer
+from fakes.ports import free_port
+from fakes.web import WebServer, always
 from plovertrail.cli.demo import FILE, rows
 from plovertrail.config.operator import load
 from plovertrail.daemon import Daemon
-from standins.balances import PAGE, PAGE_ANSWER, READERS, publisher
-from standins.live import LiveServer
-from standins.ports import free_port
-from standins.web import WebServer, always
 from tests.daemons import run
 from tests.net import PATIENCE_S
 
--- a/tests/cli/test_tests.py
+++ b/tests/cli/test_tests.py
@@ -13,9 +13,9 @@
 
 import pytest
 
+from fakes.ports import free_port
+from fakes.web import WebServer
 from plovertrail.cli.serve import held_to
-from standins.ports import free_port
-from standins.web import WebServer
 from tests.daemons import message, run, running
 
 EXPECT = '[[requests]]\nask = "POST http://shop.example/buy"\nroute = "buy"\nclass = "buy"\n'
--- a/tests/cli/test_wait.py
+++ b/tests/cli/test_wait.py
@@ -7,8 +7,8 @@
 
 from click.testing import CliRunner, Result
 
+from fakes.web import WebServer
 from plovertrail.cli import main
-from standins.web import WebServer
 from tests.daemons import run, running, site
 
 
--- a/tests/cluster/test_processes.py
+++ b/tests/cluster/test_processes.py
@@ -5,8 +5,8 @@
 import asyncio
 from pathlib import Path
 
-from standins.cluster.play import cluster
-from standins.cluster.schedule import checked
+from fakes.cluster.play import cluster
+from fakes.cluster.schedule import checked
 
 STOPPED = {
     "seed": 7,
--- a/tests/cluster/test_rig.py
+++ b/tests/cluster/test_rig.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from standins.cluster.judge import judge
-from standins.cluster.load import Sent
-from standins.cluster.relay import Switch, TcpRelay, Way
-from standins.cluster.schedule import ScheduleError, checked
-from standins.cluster.servers import Run, Shop
-from standins.web import WebServer
+from fakes.cluster.judge import judge
+from fakes.cluster.load import Sent
+from fakes.cluster.relay import Switch, TcpRelay, Way
+from fakes.cluster.schedule import ScheduleError, checked
+from fakes.cluster.servers import Run, Shop
+from fakes.web import WebServer
 from tests.daemons import Client, message
 from tests.net import PATIENCE_S
 
--- a/tests/cluster/test_talking.py
+++ b/tests/cluster/test_talking.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 from typing import Any
 
-from standins.cluster.play import Cluster, cluster
-from standins.cluster.schedule import checked
+from fakes.cluster.play import Cluster, cluster
+from fakes.cluster.schedule import checked
 from tests.net import PATIENCE_S
 
 PLAY = {
--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from fakes.ports import free_port
+from fakes.web import OK, Arrival, Line, WebServer
 from plovertrail.config.operator import load
 from plovertrail.daemon import Daemon
-from standins.ports import free_port
-from standins.web import OK, Arrival, Line, WebServer
 from tests.net import PATIENCE_S
 
 CLASSES = """
--- a/tests/decisions/test_cluster_members.py
+++ b/tests/decisions/test_cluster_members.py
@@ -9,6 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from fakes.membership_model import DAY_US, MembershipModel
 from plovertrail.decisions.cluster_members import (
     FORGET_US,
     JOINS_A_PERIOD,
@@ -25,7 +26,6 @@
     longest_detection_us,
     suspicion_us,
 )
-from standins.membership_model import DAY_US, MembershipModel
 
 S = 1_000_000
 ALIVE, SUSPECT, SILENT, GONE = State.ALIVE, State.SUSPECT, State.SILENT, State.GONE
--- a/tests/decisions/test_counts_bound.py
+++ b/tests/decisions/test_counts_bound.py
@@ -6,8 +6,8 @@
 
 import pytest
 
+from fakes.peers_model import SECOND_US, PeersModel
 from plovertrail.decisions.counts_bound import Bound, Talk, bound, losses_in_a_row, partition_under
-from standins.peers_model import SECOND_US, PeersModel
 
 TALK = Talk(size=20, period_s=0.1, fan_out=8, window_s=10.0, bucket_s=0.5, loss=0.3, delay_s=0.2)
 
--- a/tests/decisions/test_fairness.py
+++ b/tests/decisions/test_fairness.py
@@ -8,6 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from fakes.door_model import DoorModel, Load
 from plovertrail.decisions import interface as api
 from plovertrail.decisions.balance import Balancer
 from plovertrail.decisions.fairness import (
@@ -17,7 +18,6 @@
     DoorSettings,
     TurnedAway,
 )
-from standins.door_model import DoorModel, Load
 
 SMALL = [Load(f"small{number}", 25.0) for number in range(10)]  # 5 slots of work together
 SECOND = 1_000_000
--- a/tests/decisions/test_judgements.py
+++ b/tests/decisions/test_judgements.py
@@ -9,6 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from fakes.membership_model import MembershipModel
 from plovertrail.decisions.balance import Balancer
 from plovertrail.decisions.interface import Hearsay, ListKind, RequestArrived, Send, UpstreamsUpdated
 from plovertrail.decisions.judgements import (
@@ -23,7 +24,6 @@
     held_back,
     worst_share,
 )
-from standins.membership_model import MembershipModel
 from tests.decisions.world import START_US, upstreams
 from tests.decisions.world import settings as module_settings
 
--- a/tests/decisions/test_lease_planner.py
+++ b/tests/decisions/test_lease_planner.py
@@ -10,10 +10,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from fakes.lease_model import Model, Plan
 from plovertrail.decisions.lease_planner import LeasePlanner
 from plovertrail.decisions.leases import InstanceLife, LeaseAnswer, LeaseRules, LoanAnswer, LoanRequest
 from plovertrail.lab.clock import SECOND_US
-from standins.lease_model import Model, Plan
 
 S = SECOND_US
 RULES = LeaseRules(total=60, slots=20, lease_us=3 * S, hold_us=S // 2)
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -4,6 +4,7 @@
 
 import pytest
 
+from fakes.lease_checker import LIMITS, Checker, Limits
 from plovertrail.decisions.leases import (
     MOST_LEASES,
     Acceptor,
@@ -19,7 +20,6 @@
     LoanReturn,
     rank,
 )
-from standins.lease_checker import LIMITS, Checker, Limits
 
 S = 1_000_000
 RULES = LeaseRules(total=10, slots=4, lease_us=6 * S, hold_us=S)
--- a/tests/decisions/test_warming.py
+++ b/tests/decisions/test_warming.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from fakes.balancers_model import SECOND_US, Fleet
 from plovertrail.decisions.interface import Upstream
-from standins.balancers_model import SECOND_US, Fleet
 
 OLD, NEW = range(1, 17), range(101, 125)
 PER_S = 8.0
--- a/tests/decisions/test_whole_fleet.py
+++ b/tests/decisions/test_whole_fleet.py
@@ -7,8 +7,8 @@
 
 import pytest
 
+from fakes.balancers_model import SECOND_US, Fleet
 from plovertrail.decisions.interface import Outcome, Upstream, UpstreamState
-from standins.balancers_model import SECOND_US, Fleet
 
 SIDECARS = 200
 UPSTREAMS = 60
--- a/tests/decisions/world.py
+++ b/tests/decisions/world.py
@@ -9,6 +9,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from fakes.balancers_model import START_US as START_US
+from fakes.balancers_model import classes as classes
 from plovertrail.decisions.balance import Balancer
 from plovertrail.decisions.interface import (
     Action,
@@ -33,8 +35,6 @@
     UpstreamState,
     UpstreamsUpdated,
 )
-from standins.balancers_model import START_US as START_US
-from standins.balancers_model import classes as classes
 
 NEVER_RAN = {Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
 
--- a/tests/standins/test_fleet_counts.py
+++ b/tests/fakes/test_fleet_counts.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from standins.fleet.plan import Plan
-from standins.fleet.servers import Counts
+from fakes.fleet.plan import Plan
+from fakes.fleet.servers import Counts
 
 
 def test_what_comes_before_the_play_is_not_counted_with_its_first_second(
--- a/tests/fronts/test_connections.py
+++ b/tests/fronts/test_connections.py
@@ -11,12 +11,12 @@
 
 import pytest
 
+from fakes import web
 from plovertrail import __main__ as program
 from plovertrail.decisions.interface import RequestClass
 from plovertrail.fronts import application, connections
 from plovertrail.fronts.connections import ClientConnection, State
 from plovertrail.upstreams.connections import ConnectionPool
-from standins import web
 from tests.daemons import Held, message, run, running
 from tests.net import (
     NOT_RUN,
--- a/tests/fronts/test_ordinary.py
+++ b/tests/fronts/test_ordinary.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from standins.web import ERROR, NOT_RUN, OK, Arrival, Line, WebServer, always, slowly
+from fakes.web import ERROR, NOT_RUN, OK, Arrival, Line, WebServer, always, slowly
 from tests.daemons import message, run, running
 from tests.net import until
 
--- a/tests/fronts/test_routes_of_their_own.py
+++ b/tests/fronts/test_routes_of_their_own.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from standins.ports import free_port
-from standins.web import WebServer
+from fakes.ports import free_port
+from fakes.web import WebServer
 from tests.daemons import message, run, running
 
 PROXIED = 'class = "read"\npools = ["main"]\nmethods = ["GET", "POST"]\n'
--- a/tests/fronts/test_sockets.py
+++ b/tests/fronts/test_sockets.py
@@ -13,10 +13,7 @@
 from websockets.asyncio.client import connect
 from websockets.asyncio.server import ServerConnection, serve
 
-from plovertrail import line_log
-from plovertrail.decisions.sockets import CLIENT, Cause, Phase
-from plovertrail.fronts.relay import HIGH_WATER, READ_BYTES, SOCKET_BYTES
-from standins.frames import (
+from fakes.frames import (
     BINARY,
     CLOSE,
     CONTINUATION,
@@ -28,8 +25,11 @@
     frame,
     opening,
 )
-from standins.live import Line, LiveServer, listen
-from standins.web import OK
+from fakes.live import Line, LiveServer, listen
+from fakes.web import OK
+from plovertrail import line_log
+from plovertrail.decisions.sockets import CLIENT, Cause, Phase
+from plovertrail.fronts.relay import HIGH_WATER, READ_BYTES, SOCKET_BYTES
 from tests.daemons import message, run
 from tests.net import PATIENCE_S, until
 from tests.websocket_site import LiveSite, live_site
--- a/tests/hooks/test_daemon_hooks.py
+++ b/tests/hooks/test_daemon_hooks.py
@@ -11,15 +11,15 @@
 
 import pytest
 
+from fakes.live import LiveServer
+from fakes.ports import free_port
+from fakes.web import ERROR, WebServer, always, breaking
 from plovertrail.config.operator import load
 from plovertrail.config.problems import ConfigError
 from plovertrail.daemon import Daemon
 from plovertrail.decisions.verdicts import Verdict
 from plovertrail.hooks import abi
 from plovertrail.hooks.engine import Compiled, Runtime
-from standins.live import LiveServer
-from standins.ports import free_port
-from standins.web import ERROR, WebServer, always, breaking
 from tests.daemons import Client, message, run, running, site
 from tests.hooks import wat
 
--- a/tests/nginx/test_equivalence.py
+++ b/tests/nginx/test_equivalence.py
@@ -11,10 +11,10 @@
 
 from benchmarks.nginx_corpus import corpus, filled
 from benchmarks.nginx_requests import decided, difference, requests
+from fakes.nginx_reference import Reference
 from plovertrail.config.operator import parse
 from plovertrail.nginx.importer import Importer, NothingToServeError
 from plovertrail.nginx.tree import read_tree
-from standins.nginx_reference import Reference
 from tests.nginx.generated import configurations
 
 CORPUS = corpus()
--- a/tests/nginx/test_reference.py
+++ b/tests/nginx/test_reference.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from standins.nginx_reference import Asked, Outcome, Reference, normalised
+from fakes.nginx_reference import Asked, Outcome, Reference, normalised
 
 UPS = "upstream u { server 127.0.0.1:1; } upstream v { server 127.0.0.1:2; }"
 
--- a/tests/peers/test_gossip.py
+++ b/tests/peers/test_gossip.py
@@ -5,12 +5,12 @@
 import random
 from collections import Counter
 
+from fakes.peers_model import KEY, SECOND_US, PeersModel
 from plovertrail.decisions.counts import Counts, Window, key_of
 from plovertrail.decisions.counts_bound import Talk, bound
 from plovertrail.peers.envelope import LARGEST, Dropped
 from plovertrail.peers.gossip import MOST_A_PERIOD, Gossip
 from plovertrail.peers.wire import Codec, row_bytes
-from standins.peers_model import KEY, SECOND_US, PeersModel
 
 WINDOW = Window(10 * SECOND_US, 20)
 ADDRESSES = [("10.0.0.1", 1), ("10.0.0.2", 1), ("10.0.0.3", 1)]
--- a/tests/peers/test_membership_transport.py
+++ b/tests/peers/test_membership_transport.py
@@ -10,12 +10,12 @@
 import pytest
 from click.testing import CliRunner
 
+from fakes.web import ERROR, WebServer, always
 from plovertrail.cli import main
 from plovertrail.config.operator import parse
 from plovertrail.config.problems import ConfigError
 from plovertrail.decisions.cluster_members import State
 from plovertrail.hearsay import class_key, server_key
-from standins.web import ERROR, WebServer, always
 from tests.daemons import Running, message, run, running, site
 from tests.net import until
 from tests.peers.test_talk import datagram_ports, peers_text
--- a/tests/peers/test_talk.py
+++ b/tests/peers/test_talk.py
@@ -14,11 +14,11 @@
 import pytest
 from click.testing import CliRunner
 
+from fakes.web import WebServer
 from plovertrail.cli import main
 from plovertrail.cli.control import tell_peers
 from plovertrail.config.operator import load, parse
 from plovertrail.config.problems import ConfigError
-from standins.web import WebServer
 from tests.daemons import LIMITED, Running, message, run, running, site
 from tests.net import until
 
--- a/tests/rehearsal/test_conformance.py
+++ b/tests/rehearsal/test_conformance.py
@@ -7,10 +7,10 @@
 
 import pytest
 
+from fakes.web import ERROR, NOT_RUN, OK, Arrival, Line, Script, WebServer, always, breaking
 from plovertrail.config.operator import load
 from plovertrail.rehearsal.play import play
 from plovertrail.rehearsal.written import load_expectations
-from standins.web import ERROR, NOT_RUN, OK, Arrival, Line, Script, WebServer, always, breaking
 from tests.daemons import message, run, running
 
 SCRIPTS: dict[str, Script] = {
--- a/tests/store/test_gathering.py
+++ b/tests/store/test_gathering.py
@@ -8,14 +8,14 @@
 
 import pytest
 
+from fakes.ports import free_port
+from fakes.web import ERROR, OK, WebServer, always
 from plovertrail.clock import clock_us
 from plovertrail.config.operator import load
 from plovertrail.daemon import Daemon
 from plovertrail.decisions.balance import Balancer
 from plovertrail.decisions.remembered import Judgement, sweep
 from plovertrail.store import memory
-from standins.ports import free_port
-from standins.web import ERROR, OK, WebServer, always
 from tests.daemons import Running, message, run, site
 from tests.net import until
 
--- a/tests/store/test_restart.py
+++ b/tests/store/test_restart.py
@@ -10,12 +10,12 @@
 
 import pytest
 
+from fakes.ports import free_port
+from fakes.web import ERROR, OK, WebServer, always
 from plovertrail.config.operator import load
 from plovertrail.daemon import Daemon
 from plovertrail.decisions.endpoint_list import Candidate, Entry, Guards, State, reduce
 from plovertrail.store import keeper
-from standins.ports import free_port
-from standins.web import ERROR, OK, WebServer, always
 from tests.daemons import LIMITED, Running, message, run, site
 from tests.net import until
 
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from pathlib import Path
 
-from standins.web import WebServer
+from fakes.web import WebServer
 from tests.daemons import Running, message, run, running
 
 ROUTE = """
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -15,8 +15,8 @@
 
 import pytest
 
-from standins.ports import free_port
-from standins.web import ERROR, NOT_RUN, OK, Arrival, Line, Script, WebServer, always, breaking, never, slowly
+from fakes.ports import free_port
+from fakes.web import ERROR, NOT_RUN, OK, Arrival, Line, Script, WebServer, always, breaking, never, slowly
 from tests.config.test_operator import BROKEN, GOOD
 from tests.daemons import Client, Reply, Running, message, run, running, site
 from tests.net import PATIENCE_S, until
--- a/tests/test_doors.py
+++ b/tests/test_doors.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from standins.live import LiveServer
-from standins.web import NOT_RUN, WebServer, always
+from fakes.live import LiveServer
+from fakes.web import NOT_RUN, WebServer, always
 from tests.daemons import Client, Held, Running, message, run, running
 from tests.net import until
 from tests.websocket_site import SOCKETS, live_site
--- a/tests/test_endpoint_registry.py
+++ b/tests/test_endpoint_registry.py
@@ -15,14 +15,14 @@
 import pytest
 from click.testing import CliRunner
 
+from fakes.ports import free_port
+from fakes.web import OK, Arrival, Line, WebServer, slowly
 from plovertrail.cli import main
 from plovertrail.clock import clock_us
 from plovertrail.config.operator import load
 from plovertrail.daemon import Daemon
 from plovertrail.sources.list_reader import ListReader
 from plovertrail.sources.lists import sealed
-from standins.ports import free_port
-from standins.web import OK, Arrival, Line, WebServer, slowly
 from tests.daemons import CLASSES, ROUTES, Client, Running, message, run
 from tests.net import PATIENCE_S, until
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from standins.live import LiveServer
-from standins.web import WebServer
+from fakes.live import LiveServer
+from fakes.web import WebServer
 from tests.daemons import LIMITED, Client, Held, Running, message, run, running
 from tests.net import until
 from tests.websocket_site import ROUTES as LIVE_ROUTES
--- a/tests/test_many_lists.py
+++ b/tests/test_many_lists.py
@@ -15,6 +15,7 @@
 import pytest
 from click.testing import CliRunner
 
+from fakes.ports import free_port
 from plovertrail import bounds
 from plovertrail.bounds import check_descriptors, even_part
 from plovertrail.cli import main
@@ -32,7 +33,6 @@
 from plovertrail.sources.first_read import FIRST_READ_S
 from plovertrail.sources.list_reader import ListReader
 from plovertrail.stall_detector import StallDetectingLoop
-from standins.ports import free_port
 from tests.daemons import CLASSES, run
 from tests.net import PATIENCE_S, until
 from tests.sources.test_list_reader import BlockedFiles, put
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -374,7 +374,7 @@
         "tomllib",
         "wsproto",
         "h11",
-        "standins",
+        "fakes",
         "simulator",
         "http.client",
         "hashlib",
--- a/tests/test_share.py
+++ b/tests/test_share.py
@@ -8,6 +8,8 @@
 
 import pytest
 
+from fakes.ports import free_port
+from fakes.web import OK, WebServer, breaking, slowly
 from plovertrail.clock import another_clock, clock_us
 from plovertrail.config.operator import load
 from plovertrail.config.problems import ConfigError
@@ -16,8 +18,6 @@
 from plovertrail.decisions.turns import Place
 from plovertrail.host import SLICE, Host, ServerPool
 from plovertrail.upstreams.connections import ConnectionPool
-from standins.ports import free_port
-from standins.web import OK, WebServer, breaking, slowly
 from tests.daemons import Client, message, run, running, site
 from tests.net import until
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -7,8 +7,8 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
+from fakes.web import WebServer
 from plovertrail.decisions.turns import Place
-from standins.web import WebServer
 from tests.daemons import Client, Held, Running, message, run, running
 from tests.net import until
 
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -12,11 +12,11 @@
 
 import pytest
 
+from fakes.web import WebServer
 from plovertrail.clock import another_clock
 from plovertrail.sources.file_reading import LocalFileSystem
 from plovertrail.sources.lists import sealed
 from plovertrail.stall_detector import StallDetectingLoop
-from standins.web import WebServer
 from tests.daemons import Running, message, running
 from tests.daemons import run as run_test
 from tests.net import PATIENCE_S
--- a/tests/test_stopped_process.py
+++ b/tests/test_stopped_process.py
@@ -11,8 +11,8 @@
 
 from benchmarks.capacity.daemon_process import DaemonProcess, daemon_process, list_version, server_state
 from benchmarks.capacity.service_site import ServiceSite
+from fakes.web import OK, Arrival, Line, WebServer
 from plovertrail.decisions.recovery import LONGEST_IDLE_WAIT_US
-from standins.web import OK, Arrival, Line, WebServer
 from tests.daemons import Client, message, run
 from tests.net import PATIENCE_S, until
 
--- a/tests/upstreams/test_connections.py
+++ b/tests/upstreams/test_connections.py
@@ -4,12 +4,12 @@
 
 import asyncio
 
+from fakes.web import WebServer, slowly
 from plovertrail.clock import clock_us
 from plovertrail.decisions.interface import Outcome
 from plovertrail.decisions.share import Budget
 from plovertrail.exchange import Call, Result
 from plovertrail.upstreams.connections import IDLE_MARGIN_US, ConnectionPool
-from standins.web import WebServer, slowly
 from tests.daemons import run
 from tests.net import until
 
--- a/tests/websocket/test_frames.py
+++ b/tests/websocket/test_frames.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 from wsproto.frame_protocol import FrameProtocol
 
+from fakes.frames import TEXT, close_frame, frame
 from plovertrail.websocket.frames import SHORT, Broken, Frame, Framing, Opcode, masked
-from standins.frames import TEXT, close_frame, frame
 
 
 def read(framing: Framing, data: bytes, size: int = 1 << 20) -> list[Frame | Broken]:
--- a/tests/websocket_site.py
+++ b/tests/websocket_site.py
@@ -9,13 +9,13 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
+from fakes.frames import CLOSE, Got, close_frame, frame, opening, read_frame
+from fakes.live import LiveServer
+from fakes.ports import free_port
 from plovertrail.config.operator import load
 from plovertrail.daemon import Daemon
 from plovertrail.decisions.sockets import Socket
 from plovertrail.fronts.sockets import Asker, log_line
-from standins.frames import CLOSE, Got, close_frame, frame, opening, read_frame
-from standins.live import LiveServer
-from standins.ports import free_port
 from tests.daemons import Client
 from tests.net import PATIENCE_S
 
