--- a/plovertrail/cli/test.py
+++ b/plovertrail/cli/test.py
@@ -17,7 +17,7 @@
 from plovertrail.config.setup import Setup
 
 if TYPE_CHECKING:
-    from plovertrail.rehearsal.run import Report
+    from plovertrail.scenario_tests.run import Report
 
 
 @click.command("test")
@@ -33,7 +33,7 @@
     """Hold FILE to expectations, with no traffic and no sockets. Exits with 1 if one breaks, with 2 if a file
     can't be used."""
     if init:
-        from plovertrail.rehearsal.first import first_expectations
+        from plovertrail.scenario_tests.first import first_expectations
 
         click.echo(first_expectations(load_or_exit(file)), nl=False)
         return
@@ -52,8 +52,8 @@
 
 def once(file: str, paths: tuple[str, ...], as_json: bool, junit: str | None) -> int:
     """One run; its exit status."""
-    from plovertrail.rehearsal.run import run
-    from plovertrail.rehearsal.written import load_expectations
+    from plovertrail.scenario_tests.run import run
+    from plovertrail.scenario_tests.written import load_expectations
 
     began = time.perf_counter()
     try:
--- a/plovertrail/rehearsal/first.py
+++ b/plovertrail/scenario_tests/first.py
@@ -6,9 +6,9 @@
 
 from plovertrail.config.setup import Setup
 from plovertrail.decisions.routes import PathKind, Route
-from plovertrail.rehearsal.judge import Coverage
-from plovertrail.rehearsal.run import decided
-from plovertrail.rehearsal.written import OneRequest, Target
+from plovertrail.scenario_tests.judge import Coverage
+from plovertrail.scenario_tests.run import decided
+from plovertrail.scenario_tests.written import OneRequest, Target
 
 ANY_HOST = "any.example"
 
--- a/plovertrail/rehearsal/judge.py
+++ b/plovertrail/scenario_tests/judge.py
@@ -9,10 +9,10 @@
 from plovertrail.config.setup import Setup
 from plovertrail.decisions.interface import RequestClass
 from plovertrail.decisions.routes import Head, Miss, predicate_miss, takes_path
-from plovertrail.rehearsal.daemon import Asked, Sending
-from plovertrail.rehearsal.play import Played
-from plovertrail.rehearsal.servers import NEVER_RAN
-from plovertrail.rehearsal.written import Expectation
+from plovertrail.scenario_tests.daemon import Asked, Sending
+from plovertrail.scenario_tests.play import Played
+from plovertrail.scenario_tests.servers import NEVER_RAN
+from plovertrail.scenario_tests.written import Expectation
 
 REFUSALS = (429, 503)
 COLD_SLACK = 3  # requests beyond a cold server's bound: a window's count is a matter of chance
--- a/plovertrail/rehearsal/play.py
+++ b/plovertrail/scenario_tests/play.py
@@ -12,11 +12,11 @@
 from plovertrail.config import operator
 from plovertrail.config.setup import Setup
 from plovertrail.decisions.endpoint_list import Entry
-from plovertrail.rehearsal.daemon import Asked, PlayedClient, PlayedDaemon
-from plovertrail.rehearsal.loop import VirtualLoop
-from plovertrail.rehearsal.peers import begin
-from plovertrail.rehearsal.servers import Behaviour
-from plovertrail.rehearsal.written import Event, Load, Scenario
+from plovertrail.scenario_tests.daemon import Asked, PlayedClient, PlayedDaemon
+from plovertrail.scenario_tests.loop import VirtualLoop
+from plovertrail.scenario_tests.peers import begin
+from plovertrail.scenario_tests.servers import Behaviour
+from plovertrail.scenario_tests.written import Event, Load, Scenario
 
 SETTLE_US = 1_000_000  # before the first request
 SLACK_US = 1_000_000  # after the last deadline
--- a/tests/rehearsal/test_judge.py
+++ b/tests/scenario_tests/test_judge.py
@@ -9,12 +9,12 @@
 
 from plovertrail.config.operator import parse
 from plovertrail.exchange import Call
-from plovertrail.rehearsal.daemon import Asked, Sending
-from plovertrail.rehearsal.judge import rules, trace
-from plovertrail.rehearsal.loop import TIE, VirtualLoop
-from plovertrail.rehearsal.play import Moved, Played
-from plovertrail.rehearsal.servers import Behaviour, Does
-from tests.rehearsal.test_run import SITE
+from plovertrail.scenario_tests.daemon import Asked, Sending
+from plovertrail.scenario_tests.judge import rules, trace
+from plovertrail.scenario_tests.loop import TIE, VirtualLoop
+from plovertrail.scenario_tests.play import Moved, Played
+from plovertrail.scenario_tests.servers import Behaviour, Does
+from tests.scenario_tests.test_run import SITE
 
 SETUP = parse(SITE)
 ZERO = 1_000_000_000
--- a/tests/rehearsal/test_run.py
+++ b/tests/scenario_tests/test_run.py
@@ -12,8 +12,8 @@
 from plovertrail.cli import main
 from plovertrail.config.operator import load
 from plovertrail.config.problems import ConfigError
-from plovertrail.rehearsal.run import Report, run
-from plovertrail.rehearsal.written import load_expectations
+from plovertrail.scenario_tests.run import Report, run
+from plovertrail.scenario_tests.written import load_expectations
 
 ROOT = Path(__file__).resolve().parents[2]
 SITE = """
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -102,7 +102,7 @@
         "plovertrail/hooks/",
         "plovertrail/nginx/",
         "plovertrail/cli/",
-        "plovertrail/rehearsal/",
+        "plovertrail/scenario_tests/",
         "plovertrail/config/operator",
         "plovertrail/config/setup",
         "plovertrail/config/table_reader",
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -22,7 +22,7 @@
 from plovertrail.__main__ import end
 from plovertrail.config.platform import Config, flatten, load
 from plovertrail.fronts.application import Server
-from plovertrail.rehearsal.loop import VirtualLoop
+from plovertrail.scenario_tests.loop import VirtualLoop
 from tests.deployed import DEPLOY, ROOT, build
 from tests.net import OK, PATIENCE_S, SETTINGS, Upstream, configuration, entry, listing, read_message, request
 
