--- a/benchmarks/capacity/leases_role.py
+++ b/benchmarks/capacity/leases_role.py
@@ -15,7 +15,7 @@
 from benchmarks.capacity.target import TARGET
 from fakes.lease_model import ACCEPTORS, Model, Plan
 from plovertrail.decisions.leases import LeaseRules
-from plovertrail.lab.clock import SECOND_US
+from plovertrail.simulation.clock import SECOND_US
 
 SIZES, SHORT_SIZES = (25, 50, 100, 200), (8, 12, 16, 24)
 SETTLE_S, STRETCH_S = 9.0, 10.0
--- a/benchmarks/capacity/retry_model.py
+++ b/benchmarks/capacity/retry_model.py
@@ -10,7 +10,7 @@
 from benchmarks.capacity.retry_bound import Chain, Effect, Failure, Propagation
 from plovertrail.decisions import interface as api
 from plovertrail.decisions.balance import NEVER_US, Balancer
-from plovertrail.lab.clock import SECOND_US, Clock
+from plovertrail.simulation.clock import SECOND_US, Clock
 
 ANSWER_MARGIN_US = 10_000  # as in plovertrail/host.py
 MILLISECOND_US = 1_000
--- a/benchmarks/coming_back_model.py
+++ b/benchmarks/coming_back_model.py
@@ -1,11 +1,11 @@
 """Seven in ten instances of a large fleet come back at one moment: `python -m benchmarks.coming_back_model`.
 
-The decision modules of 1,000 and 5,000 instances on a virtual clock (plovertrail/lab), clients who come again
-when they are refused or find nobody, servers whose answers take longer the more waits. Each case with slow
-start and turns by the list (on) and without (off), on the same seed. Bars, for what is on: 95 % of the tries
-served again within the time aimed at, or that of the dials that servers bear if it is longer (none where
-servers thrash or the load has grown); no more clients that give up than without, by 2 %; dials at a server
-within their bound in each second; nothing late.
+The decision modules of 1,000 and 5,000 instances on a virtual clock (plovertrail/simulation), clients who
+retry when they are refused or find nobody, servers whose answers take longer the more waits. Each case with
+slow start and turns by the list (on) and without (off), on the same seed. Bars, for what is on: 95 % of the
+tries served again within the time aimed at, or that of the dials that servers bear if it is longer (none
+where servers thrash or the load has grown); no more clients that give up than without, by 2 %; dials at a
+server within their bound in each second; nothing late.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 from benchmarks.report import Bar, chosen, close, table
 from plovertrail.decisions import share
-from plovertrail.lab.clients import BIN_US, ClientPlan
-from plovertrail.lab.clock import SECOND_US, START_US
-from plovertrail.lab.fleet import BINS, Fleet, FleetPlan
-from plovertrail.lab.servers import ServerPlan
+from plovertrail.simulation.clients import BIN_US, ClientPlan
+from plovertrail.simulation.clock import SECOND_US, START_US
+from plovertrail.simulation.fleet import BINS, Fleet, FleetPlan
+from plovertrail.simulation.servers import ServerPlan
 
 FAULT_S, WARM_S = 12.0, 7.0
 SERVERS, SLOTS, ANSWER_US = 20, 4, 20_000
--- a/benchmarks/fleet_budgets.py
+++ b/benchmarks/fleet_budgets.py
@@ -19,7 +19,7 @@
 from fakes.lease_checker import LIMITS, Checker, Found
 from fakes.lease_model import Model, Plan
 from plovertrail.decisions.leases import LeaseRules
-from plovertrail.lab.clock import SECOND_US
+from plovertrail.simulation.clock import SECOND_US
 
 SETTLE_S = 9.0
 LEASE_US, HOLD_US = 6 * SECOND_US, SECOND_US
--- a/fakes/lease_model.py
+++ b/fakes/lease_model.py
@@ -20,7 +20,7 @@
     Message,
     Ticket,
 )
-from plovertrail.lab.clock import SECOND_US, Clock
+from plovertrail.simulation.clock import SECOND_US, Clock
 
 ACCEPTORS = 5
 DELAY_US = (500, 20_000)
--- a/plovertrail/lab/clients.py
+++ b/plovertrail/simulation/clients.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from functools import partial
 
-from plovertrail.lab.clock import SECOND_US, Clock
-from plovertrail.lab.instances import Instance
+from plovertrail.simulation.clock import SECOND_US, Clock
+from plovertrail.simulation.instances import Instance
 
 BIN_US = 100_000  # of the play, for what is counted
 
--- a/plovertrail/lab/fleet.py
+++ b/plovertrail/simulation/fleet.py
@@ -10,10 +10,10 @@
 from plovertrail.decisions import interface as api
 from plovertrail.decisions import share
 from plovertrail.decisions.turns import Place
-from plovertrail.lab.clients import BIN_US, ClientPlan, Clients
-from plovertrail.lab.clock import SECOND_US, START_US, Clock
-from plovertrail.lab.instances import Around, Instance
-from plovertrail.lab.servers import Server, ServerPlan
+from plovertrail.simulation.clients import BIN_US, ClientPlan, Clients
+from plovertrail.simulation.clock import SECOND_US, START_US, Clock
+from plovertrail.simulation.instances import Around, Instance
+from plovertrail.simulation.servers import Server, ServerPlan
 
 BINS = SECOND_US // BIN_US
 
--- a/plovertrail/lab/instances.py
+++ b/plovertrail/simulation/instances.py
@@ -12,8 +12,8 @@
 from plovertrail.decisions.admission import Admission
 from plovertrail.decisions.balance import Balancer
 from plovertrail.decisions.turns import Place
-from plovertrail.lab.clock import Clock
-from plovertrail.lab.servers import Server
+from plovertrail.simulation.clock import Clock
+from plovertrail.simulation.servers import Server
 
 REFUSED_DIAL_US = 1_000
 Reply = Callable[[bool, int], None]  # whether it was served, and when to come back otherwise
--- a/plovertrail/lab/servers.py
+++ b/plovertrail/simulation/servers.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from plovertrail.lab.clock import SECOND_US, START_US, Clock
+from plovertrail.simulation.clock import SECOND_US, START_US, Clock
 
 MOST_THRASH = 1.5  # times longer, at most
 SPREAD = 4.0  # the shape of a gamma distribution: most answers take from half to twice the mean
--- a/tests/decisions/test_lease_planner.py
+++ b/tests/decisions/test_lease_planner.py
@@ -13,7 +13,7 @@
 from fakes.lease_model import Model, Plan
 from plovertrail.decisions.lease_planner import LeasePlanner
 from plovertrail.decisions.leases import InstanceLife, LeaseAnswer, LeaseRules, LoanAnswer, LoanRequest
-from plovertrail.lab.clock import SECOND_US
+from plovertrail.simulation.clock import SECOND_US
 
 S = SECOND_US
 RULES = LeaseRules(total=60, slots=20, lease_us=3 * S, hold_us=S // 2)
--- a/tests/lab/test_fleet.py
+++ b/tests/simulation/test_fleet.py
@@ -7,10 +7,10 @@
 import pytest
 
 from plovertrail.decisions import share
-from plovertrail.lab.clients import BIN_US, ClientPlan
-from plovertrail.lab.clock import SECOND_US, START_US, Clock
-from plovertrail.lab.fleet import BINS, Fleet, FleetPlan
-from plovertrail.lab.servers import ServerPlan
+from plovertrail.simulation.clients import BIN_US, ClientPlan
+from plovertrail.simulation.clock import SECOND_US, START_US, Clock
+from plovertrail.simulation.fleet import BINS, Fleet, FleetPlan
+from plovertrail.simulation.servers import ServerPlan
 
 PLAN = FleetPlan(instances=12, servers=4, clients=ClientPlan(per_s=200.0))
 
--- a/tests/lab/test_large_fleets.py
+++ b/tests/simulation/test_large_fleets.py
@@ -8,10 +8,10 @@
 
 from plovertrail.decisions import interface as api
 from plovertrail.decisions import share
-from plovertrail.lab.clients import ClientPlan
-from plovertrail.lab.clock import SECOND_US
-from plovertrail.lab.fleet import Fleet, FleetPlan
-from plovertrail.lab.servers import ServerPlan
+from plovertrail.simulation.clients import ClientPlan
+from plovertrail.simulation.clock import SECOND_US
+from plovertrail.simulation.fleet import Fleet, FleetPlan
+from plovertrail.simulation.servers import ServerPlan
 
 CONNECTIONS, DIALS_PER_S, CAPACITY_PER_S = 60, 60.0, 40.0  # that one server bears
 PLAN = FleetPlan(
