--- a/plovertrail/cli/hook.py
+++ b/plovertrail/cli/hook.py
@@ -12,8 +12,8 @@
 import click
 
 from plovertrail.config.hooks import HookSetup
+from plovertrail.config.schema import LimitsTable
 from plovertrail.config.tables import size_bytes
-from plovertrail.config.written import LimitsTable
 
 if TYPE_CHECKING:  # the engine is an extra, and only these commands need it
     from plovertrail.hooks.engine import Compiled, Runtime
@@ -172,8 +172,8 @@
     from plovertrail.hooks import abi
     from plovertrail.hooks.bounds import HookError
     from plovertrail.hooks.engine import Bounds, Instance
+    from plovertrail.hooks.schema import WrittenRequest, told
     from plovertrail.hooks.trial import CHECKS
-    from plovertrail.hooks.written import WrittenRequest, told
 
     setup = settings(file, pairs, counters, fuel, memory, body)
     try:
--- a/plovertrail/cli/test.py
+++ b/plovertrail/cli/test.py
@@ -53,7 +53,7 @@
 def once(file: str, paths: tuple[str, ...], as_json: bool, junit: str | None) -> int:
     """One run; its exit status."""
     from plovertrail.scenario_tests.run import run
-    from plovertrail.scenario_tests.written import load_expectations
+    from plovertrail.scenario_tests.schema import load_expectations
 
     began = time.perf_counter()
     try:
--- a/plovertrail/config/listeners.py
+++ b/plovertrail/config/listeners.py
@@ -5,10 +5,10 @@
 import re
 from typing import Any
 
+from plovertrail.config.schema import ListenerTable, WebSocketTable
 from plovertrail.config.setup import ListenerSetup, WebSocketSetup
 from plovertrail.config.table_reader import TableReader
 from plovertrail.config.tables import duration_us, key_path, read_table, size_bytes
-from plovertrail.config.written import ListenerTable, WebSocketTable
 from plovertrail.decisions import sockets
 
 ORIGIN = re.compile(r"[A-Za-z][A-Za-z0-9+.-]*://[A-Za-z0-9._-]+(:[0-9]{1,5})?")
--- a/plovertrail/config/pools.py
+++ b/plovertrail/config/pools.py
@@ -14,10 +14,7 @@
     descriptors_allowed,
 )
 from plovertrail.config.problems import Problem, did_you_mean
-from plovertrail.config.setup import ListenerSetup, PoolSetup
-from plovertrail.config.table_reader import TableReader
-from plovertrail.config.tables import duration_us, key_path, read_table
-from plovertrail.config.written import (
+from plovertrail.config.schema import (
     FairTable,
     GuardsTable,
     OverrideTable,
@@ -25,6 +22,9 @@
     ServerTable,
     ShareTable,
 )
+from plovertrail.config.setup import ListenerSetup, PoolSetup
+from plovertrail.config.table_reader import TableReader
+from plovertrail.config.tables import duration_us, key_path, read_table
 from plovertrail.decisions.affinity import Affinity, AffinitySource
 from plovertrail.decisions.endpoint_list import Entry, Guards
 from plovertrail.decisions.fairness import DoorSettings
--- a/plovertrail/config/route_actions.py
+++ b/plovertrail/config/route_actions.py
@@ -8,9 +8,9 @@
 import re2
 
 from plovertrail.config.route_conditions import PathReader
+from plovertrail.config.schema import RespondTable, RouteTableRow
 from plovertrail.config.table_reader import FIELD_VALUE
 from plovertrail.config.tables import key_path, read_table
-from plovertrail.config.written import RespondTable, RouteTableRow
 from plovertrail.decisions.routes import FixedAnswer, PathKind
 from plovertrail.decisions.templates import NAMES, Template, parse_template
 
--- a/plovertrail/config/route_conditions.py
+++ b/plovertrail/config/route_conditions.py
@@ -7,9 +7,9 @@
 
 import re2
 
+from plovertrail.config.schema import RouteTableRow
 from plovertrail.config.table_reader import TableReader
 from plovertrail.config.tables import key_path
-from plovertrail.config.written import RouteTableRow
 from plovertrail.decisions.interface import RequestClass
 from plovertrail.decisions.paths import InvalidTargetError, normalise_host, normalise_path
 from plovertrail.decisions.routes import SAFE_METHODS, PathKind, Predicate
--- a/plovertrail/config/routes.py
+++ b/plovertrail/config/routes.py
@@ -10,10 +10,10 @@
 from plovertrail.config.problems import Problem, did_you_mean
 from plovertrail.config.route_actions import RouteActionsReader
 from plovertrail.config.route_conditions import RouteConditionsReader
+from plovertrail.config.schema import FileTable, RouteTableRow
 from plovertrail.config.setup import HookedRoute
 from plovertrail.config.table_reader import TableReader
 from plovertrail.config.tables import duration_us, key_path, read_table, size_bytes
-from plovertrail.config.written import FileTable, RouteTableRow
 from plovertrail.decisions.interface import RequestClass
 from plovertrail.decisions.routes import ClientSource, Route, TenantSource, unreachable
 from plovertrail.decisions.verdicts import at_least_as_strict
--- a/plovertrail/hooks/trial.py
+++ b/plovertrail/hooks/trial.py
@@ -15,7 +15,7 @@
 from plovertrail.hooks import abi
 from plovertrail.hooks.bounds import PHASES, HookError
 from plovertrail.hooks.engine import Bounds, Compiled, Instance, InvalidModuleError, Runtime
-from plovertrail.hooks.written import WrittenRequest, told
+from plovertrail.hooks.schema import WrittenRequest, told
 from plovertrail.http1.requests import MOST_HEADERS
 
 TRIAL = WrittenRequest(
--- a/plovertrail/scenario_tests/first.py
+++ b/plovertrail/scenario_tests/first.py
@@ -8,7 +8,7 @@
 from plovertrail.decisions.routes import PathKind, Route
 from plovertrail.scenario_tests.judge import Coverage
 from plovertrail.scenario_tests.run import decided
-from plovertrail.scenario_tests.written import OneRequest, Target
+from plovertrail.scenario_tests.schema import OneRequest, Target
 
 ANY_HOST = "any.example"
 
--- a/plovertrail/scenario_tests/judge.py
+++ b/plovertrail/scenario_tests/judge.py
@@ -11,8 +11,8 @@
 from plovertrail.decisions.routes import Head, Miss, predicate_miss, takes_path
 from plovertrail.scenario_tests.daemon import Asked, Sending
 from plovertrail.scenario_tests.play import Played
+from plovertrail.scenario_tests.schema import Expectation
 from plovertrail.scenario_tests.servers import NEVER_RAN
-from plovertrail.scenario_tests.written import Expectation
 
 REFUSALS = (429, 503)
 COLD_SLACK = 3  # requests beyond a cold server's bound: a window's count is a matter of chance
--- a/plovertrail/scenario_tests/peers.py
+++ b/plovertrail/scenario_tests/peers.py
@@ -8,7 +8,7 @@
 from plovertrail.config.peers import PeersSetup
 from plovertrail.decisions.counts import Counts, Message, key_of
 from plovertrail.scenario_tests.daemon import PlayedDaemon
-from plovertrail.scenario_tests.written import Others
+from plovertrail.scenario_tests.schema import Others
 
 
 class PlayedPeer:
--- a/plovertrail/scenario_tests/play.py
+++ b/plovertrail/scenario_tests/play.py
@@ -15,8 +15,8 @@
 from plovertrail.scenario_tests.daemon import Asked, PlayedClient, PlayedDaemon
 from plovertrail.scenario_tests.loop import VirtualLoop
 from plovertrail.scenario_tests.peers import begin
+from plovertrail.scenario_tests.schema import Event, Load, Scenario
 from plovertrail.scenario_tests.servers import Behaviour
-from plovertrail.scenario_tests.written import Event, Load, Scenario
 
 SETTLE_US = 1_000_000  # before the first request
 SLACK_US = 1_000_000  # after the last deadline
--- a/plovertrail/scenario_tests/run.py
+++ b/plovertrail/scenario_tests/run.py
@@ -9,7 +9,7 @@
 from plovertrail.decisions.requests import outline
 from plovertrail.scenario_tests.judge import Broken, Coverage, expected, rules, trace
 from plovertrail.scenario_tests.play import Played, arrivals, play
-from plovertrail.scenario_tests.written import Expectations, OneRequest, Scenario
+from plovertrail.scenario_tests.schema import Expectations, OneRequest, Scenario
 
 SHRINK_PLAYS = 40
 
--- a/tests/config/test_docs.py
+++ b/tests/config/test_docs.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from plovertrail.config import written
+from plovertrail.config import schema
 from plovertrail.config.hooks import HookTable
 from plovertrail.config.limiters import LimiterTable
 from plovertrail.config.peers import PeersTable
@@ -16,15 +16,15 @@
 
 PAGE = (Path(__file__).resolve().parents[2] / "docs" / "operator.md").read_text()
 SECTIONS: dict[str, type[msgspec.Struct]] = {
-    "[limits]": written.LimitsTable,
-    "[listeners.NAME]": written.ListenerTable,
-    "[classes.NAME]": written.ClassTable,
-    "[pools.NAME]": written.PoolTable,
-    "[[routes]]": written.RouteTableRow,
+    "[limits]": schema.LimitsTable,
+    "[listeners.NAME]": schema.ListenerTable,
+    "[classes.NAME]": schema.ClassTable,
+    "[pools.NAME]": schema.PoolTable,
+    "[[routes]]": schema.RouteTableRow,
     "[hooks.NAME]": HookTable,
-    "[daemon]": written.DaemonTable,
-    "[fleet]": written.FleetTable,
-    "[pools.NAME.share]": written.ShareTable,
+    "[daemon]": schema.DaemonTable,
+    "[fleet]": schema.FleetTable,
+    "[pools.NAME.share]": schema.ShareTable,
 }
 
 
@@ -47,7 +47,7 @@
     page = (Path(__file__).resolve().parents[2] / "docs" / "sockets.md").read_text()
     text = page.split("## `[websockets.NAME]`")[1].split("\n## ")[0]
     told = dict(re.findall(r"^\| `([a-z_]+)` \| `?\"?([^`\"|]+?)\"?`? \|", text, re.M))
-    fields = {field.name: field.default for field in msgspec.structs.fields(written.WebSocketTable)}
+    fields = {field.name: field.default for field in msgspec.structs.fields(schema.WebSocketTable)}
     assert set(told) == set(fields)
     for name, default in fields.items():
         if not isinstance(default, msgspec.UnsetType) and name != "origins":
@@ -71,7 +71,7 @@
     page = (Path(__file__).resolve().parents[2] / "docs" / "fair.md").read_text()
     text = page.split("## `fair` of")[1].split("\n## ")[0]
     told = dict(re.findall(r"^\| `([a-z_]+)` \| `\"?([^`\"|]+?)\"?` \|", text, re.M))
-    for field in msgspec.structs.fields(written.FairTable):
+    for field in msgspec.structs.fields(schema.FairTable):
         assert told.pop(field.name) == str(field.default)
     assert not told
 
@@ -97,7 +97,7 @@
     page = (Path(__file__).resolve().parents[2] / "docs" / "lists.md").read_text()
     text = page.split("## Guards")[1].split("\n## ")[0]
     rows = dict(re.findall(r"^\| `([a-z_]+)` \| (\S+) \|", text, re.M))
-    assert set(rows) == {field.name for field in msgspec.structs.fields(written.GuardsTable)}
+    assert set(rows) == {field.name for field in msgspec.structs.fields(schema.GuardsTable)}
     assert rows["most_dropped"] == "`0.5`" and rows["judged_from"] == "`4`" and rows["damping"] == "`true`"
 
 
--- a/tests/scenario_tests/test_conformance.py
+++ b/tests/scenario_tests/test_conformance.py
@@ -10,7 +10,7 @@
 from fakes.web import ERROR, NOT_RUN, OK, Arrival, Line, Script, WebServer, always, breaking
 from plovertrail.config.operator import load
 from plovertrail.scenario_tests.play import play
-from plovertrail.scenario_tests.written import load_expectations
+from plovertrail.scenario_tests.schema import load_expectations
 from tests.daemons import message, run, running
 
 SCRIPTS: dict[str, Script] = {
--- a/tests/scenario_tests/test_run.py
+++ b/tests/scenario_tests/test_run.py
@@ -13,7 +13,7 @@
 from plovertrail.config.operator import load
 from plovertrail.config.problems import ConfigError
 from plovertrail.scenario_tests.run import Report, run
-from plovertrail.scenario_tests.written import load_expectations
+from plovertrail.scenario_tests.schema import load_expectations
 
 ROOT = Path(__file__).resolve().parents[2]
 SITE = """
