--- a/benchmarks/planted_faults.py
+++ b/benchmarks/planted_faults.py
@@ -39,7 +39,7 @@
 BALANCE, HOST = "plovertrail/decisions/balance.py", "plovertrail/host.py"
 ROUTES, REQUESTS = "plovertrail/decisions/routes.py", "plovertrail/decisions/requests.py"
 MEMBERS, FAILOVER = "plovertrail/decisions/endpoint_list.py", "plovertrail/decisions/failover.py"
-FRONT = "plovertrail/fronts/ordinary.py"
+FRONT = "plovertrail/listeners/ordinary.py"
 NEVER_RAN = "NEVER_RAN = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)"
 FAULTS = [
     Fault(
--- a/plovertrail/__main__.py
+++ b/plovertrail/__main__.py
@@ -12,8 +12,8 @@
 from plovertrail.clock import clock_us
 from plovertrail.config import platform as config
 from plovertrail.config.settings import SettingsError
-from plovertrail.fronts.application import Server
 from plovertrail.host import Host
+from plovertrail.listeners.application import Server
 from plovertrail.logs import log_to_stderr
 from plovertrail.sources.discovery import Directory, Discovery
 from plovertrail.upstreams.connections import ConnectionPool
--- a/plovertrail/bounds.py
+++ b/plovertrail/bounds.py
@@ -7,7 +7,7 @@
 from plovertrail.config.descriptors import LEAST_BY_DEFAULT, OTHER_DESCRIPTORS, descriptors_allowed
 from plovertrail.config.problems import ConfigError, Problem
 from plovertrail.config.setup import Setup
-from plovertrail.fronts.relay import SOCKET_BYTES
+from plovertrail.listeners.relay import SOCKET_BYTES
 
 PIPELINED = 64 * 1024 + 256 * 1024  # where reading stops, and the loop's last read
 
--- a/plovertrail/fronts/application.py
+++ b/plovertrail/listeners/application.py
@@ -12,8 +12,8 @@
 from plovertrail.clock import clock_us
 from plovertrail.decisions.interface import Settings
 from plovertrail.exchange import Answer, Call, Verdict
-from plovertrail.fronts.connections import ClientConnection, Listener, State
 from plovertrail.host import Host, ServerPool
+from plovertrail.listeners.connections import ClientConnection, Listener, State
 
 log = logging.getLogger(__name__)
 
--- a/plovertrail/fronts/ordinary.py
+++ b/plovertrail/listeners/ordinary.py
@@ -27,13 +27,13 @@
 from plovertrail.decisions.routes import FixedAnswer
 from plovertrail.decisions.sockets import Cause
 from plovertrail.exchange import Answer, Call, Result, Tunnel, Verdict
-from plovertrail.fronts.connections import ClientConnection, Listener, Patience, State
-from plovertrail.fronts.sockets import Asker, PendingSocket, SocketKeeper, SocketLimitError
 from plovertrail.generation import Current, Plan, dropped_by_listener
 from plovertrail.hooks.chain import AnswerWithheldError, RequestRefusedError, Seen, Trail
 from plovertrail.host import Host
 from plovertrail.http1.heads import Headers, answer_head, end_to_end
 from plovertrail.http1.requests import RequestMessage, RequestReader
+from plovertrail.listeners.connections import ClientConnection, Listener, Patience, State
+from plovertrail.listeners.sockets import Asker, PendingSocket, SocketKeeper, SocketLimitError
 from plovertrail.websocket.handshake import (
     OWN_HEADERS,
     HandshakeError,
--- a/plovertrail/fronts/sockets.py
+++ b/plovertrail/listeners/sockets.py
@@ -13,11 +13,11 @@
 from plovertrail.decisions import sockets as api
 from plovertrail.decisions.interface import ListKind, UpstreamState, UpstreamsUpdated
 from plovertrail.exchange import Tunnel
-from plovertrail.fronts.relay import Relay
 from plovertrail.generation import Plan
 from plovertrail.host import Host, ServerPool
 from plovertrail.http1.heads import Headers
 from plovertrail.line_log import LineLog
+from plovertrail.listeners.relay import Relay
 from plovertrail.websocket.handshake import check_answer, new_key, request_headers
 
 log = logging.getLogger(__name__)
--- a/tests/fronts/test_connections.py
+++ b/tests/listeners/test_connections.py
@@ -14,8 +14,8 @@
 from fakes import web
 from plovertrail import __main__ as program
 from plovertrail.decisions.interface import RequestClass
-from plovertrail.fronts import application, connections
-from plovertrail.fronts.connections import ClientConnection, State
+from plovertrail.listeners import application, connections
+from plovertrail.listeners.connections import ClientConnection, State
 from plovertrail.upstreams.connections import ConnectionPool
 from tests.daemons import Held, message, run, running
 from tests.net import (
--- a/tests/fronts/test_descriptors.py
+++ b/tests/listeners/test_descriptors.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from plovertrail.fronts import connections
-from plovertrail.fronts.connections import ClientConnection, Listener
 from plovertrail.host import Host
+from plovertrail.listeners import connections
+from plovertrail.listeners.connections import ClientConnection, Listener
 from tests.daemons import run
 from tests.net import (
     OK,
--- a/tests/fronts/test_sockets.py
+++ b/tests/listeners/test_sockets.py
@@ -29,7 +29,7 @@
 from fakes.web import OK
 from plovertrail import line_log
 from plovertrail.decisions.sockets import CLIENT, Cause, Phase
-from plovertrail.fronts.relay import HIGH_WATER, READ_BYTES, SOCKET_BYTES
+from plovertrail.listeners.relay import HIGH_WATER, READ_BYTES, SOCKET_BYTES
 from tests.daemons import message, run
 from tests.net import PATIENCE_S, until
 from tests.websocket_site import LiveSite, live_site
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -21,7 +21,7 @@
 
 from plovertrail.__main__ import end
 from plovertrail.config.platform import Config, flatten, load
-from plovertrail.fronts.application import Server
+from plovertrail.listeners.application import Server
 from plovertrail.scenario_tests.loop import VirtualLoop
 from tests.deployed import DEPLOY, ROOT, build
 from tests.net import OK, PATIENCE_S, SETTINGS, Upstream, configuration, entry, listing, read_message, request
@@ -365,7 +365,7 @@
     found = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True, timeout=60
     ).stdout.split()
-    assert "plovertrail.fronts.application" in found
+    assert "plovertrail.listeners.application" in found
     tops = {name.split(".")[0] for name in found}
     assert not tops & {
         "re2",
@@ -391,8 +391,8 @@
         "plovertrail.config.listeners",
         "plovertrail.config.pools",
         "plovertrail.config.route",
-        "plovertrail.fronts.ordinary",
-        "plovertrail.fronts.sockets",
+        "plovertrail.listeners.ordinary",
+        "plovertrail.listeners.sockets",
         "plovertrail.websocket",
         "plovertrail.decisions.routes",
         "plovertrail.decisions.sockets",
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -26,9 +26,9 @@
     UpstreamsUpdated,
 )
 from plovertrail.exchange import Call, Result
-from plovertrail.fronts import application as server
-from plovertrail.fronts import connections
 from plovertrail.host import Host
+from plovertrail.listeners import application as server
+from plovertrail.listeners import connections
 from plovertrail.sources import discovery as discovery_module
 from plovertrail.upstreams.connections import Attempt, Connection, ConnectionPool
 from tests.net import (
--- a/tests/websocket_site.py
+++ b/tests/websocket_site.py
@@ -15,7 +15,7 @@
 from plovertrail.config.operator import load
 from plovertrail.daemon import Daemon
 from plovertrail.decisions.sockets import Socket
-from plovertrail.fronts.sockets import Asker, log_line
+from plovertrail.listeners.sockets import Asker, log_line
 from tests.daemons import Client
 from tests.net import PATIENCE_S
 
