--- a/benchmarks/capacity/list_calls_role.py
+++ b/benchmarks/capacity/list_calls_role.py
@@ -12,8 +12,10 @@
 from benchmarks.capacity.roles import Figure, RoleResult, TargetCost
 from benchmarks.capacity.slopes import Axis, Sample, Situation, Slope, Unit
 from benchmarks.capacity.target import BUDGET, TARGET
-from plovertrail.decisions import interface as api
+from plovertrail.decisions.actions import Subscribe
 from plovertrail.decisions.balance import Balancer
+from plovertrail.decisions.events import TimerFired
+from plovertrail.decisions.settings import RequestClass, Settings
 
 SIDECARS, SHORT_SIDECARS = (50, 200, 600, 1_800, 3_600), (50, 100, 200, 400)
 SERVICES, SHORT_SERVICES = (1, 10, 50, 200), (1, 2, 4, 8)
@@ -55,8 +57,8 @@
     """Each balancer of each starting sidecar asks for its list once."""
     rng = random.Random(case.seed)
     meter = CpuMeter()
-    settings = api.Settings(
-        classes=[api.RequestClass("read", 300_000, 1_500_000)],
+    settings = Settings(
+        classes=[RequestClass("read", 300_000, 1_500_000)],
         instances=case.sidecars,
         list_on_request=True,
         ask_within_us=ASK_WITHIN_US,
@@ -84,8 +86,8 @@
 def _first_call_us(balancer: Balancer, meter: CpuMeter) -> int:
     """When it asks for its list, from its start on."""
     due_us = balancer.ask_list_us
-    actions = meter.call(balancer.handle, due_us, api.TimerFired(0))
-    assert any(isinstance(action, api.Subscribe) for action in actions)
+    actions = meter.call(balancer.handle, due_us, TimerFired(0))
+    assert any(isinstance(action, Subscribe) for action in actions)
     return due_us - START_US
 
 
--- a/benchmarks/capacity/lost_watches.py
+++ b/benchmarks/capacity/lost_watches.py
@@ -16,9 +16,11 @@
 from benchmarks.capacity.slopes import Axis, Sample, Situation, Slope, Unit
 from benchmarks.capacity.target import TARGET
 from benchmarks.report import Bar, close, table
-from plovertrail.decisions import interface as api
+from plovertrail.decisions.actions import Subscribe
 from plovertrail.decisions.balance import Balancer
+from plovertrail.decisions.events import ListKind, TimerFired, Upstream, UpstreamsUpdated
 from plovertrail.decisions.list_calls import BORNE_PER_S
+from plovertrail.decisions.settings import RequestClass, Settings
 
 SIZES = (450, 900, TARGET.sidecars, 2 * TARGET.sidecars, 5 * TARGET.sidecars)
 SHORT_SIZES = (20, 40, 80, 160)
@@ -44,10 +46,10 @@
 )
 
 
-def settings(case: Case, sidecars: int) -> api.Settings:
+def settings(case: Case, sidecars: int) -> Settings:
     """Of every sidecar; the list must be asked for each 10 s, and a drain holds 2 s after word."""
-    kind = api.RequestClass("call", aim_us=SECOND_US, deadline_us=SECOND_US)
-    return api.Settings(
+    kind = RequestClass("call", aim_us=SECOND_US, deadline_us=SECOND_US)
+    return Settings(
         [kind],
         instances=sidecars,
         list_on_request=True,
@@ -60,12 +62,12 @@
 def called_after_us(case: Case, sidecars: int, seed: int) -> int:
     """When one sidecar calls, counted from the end of its watch."""
     balancer = Balancer(settings(case, sidecars), seed, 0)
-    balancer.handle(1_000, api.UpstreamsUpdated(api.ListKind.FULL, [api.Upstream(1)]))
-    balancer.handle(BREAKS_AT_US, api.UpstreamsUpdated(api.ListKind.FAILED, silent=case.silent))
+    balancer.handle(1_000, UpstreamsUpdated(ListKind.FULL, [Upstream(1)]))
+    balancer.handle(BREAKS_AT_US, UpstreamsUpdated(ListKind.FAILED, silent=case.silent))
     while True:
         at_us = max(BREAKS_AT_US + 1, balancer.armed_us)
-        actions = balancer.handle(at_us, api.TimerFired(0))
-        if any(isinstance(action, api.Subscribe) for action in actions):
+        actions = balancer.handle(at_us, TimerFired(0))
+        if any(isinstance(action, Subscribe) for action in actions):
             return at_us - BREAKS_AT_US
 
 
--- a/benchmarks/capacity/retry_bound.py
+++ b/benchmarks/capacity/retry_bound.py
@@ -17,7 +17,7 @@
 from enum import Enum
 
 from plovertrail.decisions.balance import MOST_RETRIES, NEVER_RAN, REISSUED, RETRY_SHARE
-from plovertrail.decisions.interface import Outcome
+from plovertrail.decisions.events import Outcome
 
 DEFAULT_ATTEMPTS = 3  # of a route, docs/operator.md
 
--- a/benchmarks/capacity/retry_model.py
+++ b/benchmarks/capacity/retry_model.py
@@ -8,13 +8,25 @@
 from dataclasses import dataclass, field
 
 from benchmarks.capacity.retry_bound import Chain, Effect, Failure, Propagation
-from plovertrail.decisions import interface as api
+from plovertrail.decisions.actions import Fail, Refuse, Send, SetTimer
 from plovertrail.decisions.balance import NEVER_US, Balancer
+from plovertrail.decisions.events import (
+    AttemptEnded,
+    Event,
+    ListKind,
+    Outcome,
+    RequestArrived,
+    RequestGone,
+    TimerFired,
+    Upstream,
+    UpstreamsUpdated,
+)
+from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.simulation.clock import SECOND_US, Clock
 
 ANSWER_MARGIN_US = 10_000  # as in plovertrail/host.py
 MILLISECOND_US = 1_000
-Reply = Callable[[api.Outcome], None]
+Reply = Callable[[Outcome], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,9 +60,9 @@
         """No attempt ends sooner than its refusal can be back."""
         return 2 * self.network_us
 
-    def settings(self) -> api.Settings:
+    def settings(self) -> Settings:
         """Of every sidecar."""
-        kind = api.RequestClass(
+        kind = RequestClass(
             "call",
             aim_us=self.aim_us,
             deadline_us=self.deadline_us,
@@ -58,7 +70,7 @@
             effect=self.effect.value,
             memory_us=self.memory_us,
         )
-        return api.Settings([kind], max_attempts=self.attempts, max_retry_after_us=2_000_000)
+        return Settings([kind], max_attempts=self.attempts, max_retry_after_us=2_000_000)
 
 
 @dataclass(slots=True)
@@ -80,8 +92,8 @@
         self.balancer = Balancer(model.plan.settings(), seed, model.clock.now_us)
         self.calls: dict[int, Call] = {}
         self.last = 0
-        entries = [api.Upstream(number) for number in range(model.plan.servers)]
-        self.tell(api.UpstreamsUpdated(api.ListKind.FULL, entries))
+        entries = [Upstream(number) for number in range(model.plan.servers)]
+        self.tell(UpstreamsUpdated(ListKind.FULL, entries))
 
     def ask(self, root: int, told_us: int, reply: Reply) -> None:
         """A call of the service, which told how long it waits."""
@@ -91,35 +103,35 @@
         due_us = now_us + max(1, wait_us - self.model.plan.margin_us)
         self.calls[self.last] = Call(root, due_us, reply)
         self.model.clock.at(due_us, self.overdue, self.last)
-        self.tell(api.RequestArrived(self.last, due_us))
+        self.tell(RequestArrived(self.last, due_us))
 
     def overdue(self, ident: int) -> None:
         """The call's time is over."""
         call = self.calls.get(ident)
         if call is not None:
-            self.answer(ident, api.Outcome.ERROR if call.attempts else api.Outcome.FULL)
-            self.tell(api.RequestGone(ident))
+            self.answer(ident, Outcome.ERROR if call.attempts else Outcome.FULL)
+            self.tell(RequestGone(ident))
 
-    def tell(self, event: api.Event) -> None:
+    def tell(self, event: Event) -> None:
         """Hand an event to the Balancer, and carry out the actions that it returns."""
         clock = self.model.clock
         for action in self.balancer.handle(clock.now_us, event):
-            if isinstance(action, api.Send):
+            if isinstance(action, Send):
                 self.send(action)
-            elif isinstance(action, api.Refuse):
-                self.answer(action.request, api.Outcome.FULL)
-            elif isinstance(action, api.Fail):
-                self.answer(action.request, api.Outcome.ERROR)
-            elif isinstance(action, api.SetTimer):
-                clock.at(action.at_us, self.tell, api.TimerFired(action.token))
-
-    def answer(self, ident: int, outcome: api.Outcome) -> None:
+            elif isinstance(action, Refuse):
+                self.answer(action.request, Outcome.FULL)
+            elif isinstance(action, Fail):
+                self.answer(action.request, Outcome.ERROR)
+            elif isinstance(action, SetTimer):
+                clock.at(action.at_us, self.tell, TimerFired(action.token))
+
+    def answer(self, ident: int, outcome: Outcome) -> None:
         """End a call, unless it has ended: the caller hears how."""
         call = self.calls.pop(ident, None)
         if call is not None:
             call.reply(outcome)
 
-    def send(self, action: api.Send) -> None:
+    def send(self, action: Send) -> None:
         """Make an attempt at the server that was chosen."""
         call = self.calls.get(action.request)
         if call is None:
@@ -132,19 +144,19 @@
         call.attempts.append(False)
         model.attempts[self.depth][call.root] += 1
 
-        def ended(outcome: api.Outcome) -> None:
+        def ended(outcome: Outcome) -> None:
             if call.attempts[number]:
                 return
             call.attempts[number] = True
             elapsed_us = model.clock.now_us - began_us
-            if outcome is api.Outcome.OK:
+            if outcome is Outcome.OK:
                 self.answer(action.request, outcome)
             over = action.request not in self.calls
             self.tell(
-                api.AttemptEnded(action.request, number, action.upstream, outcome, elapsed_us, over),
+                AttemptEnded(action.request, number, action.upstream, outcome, elapsed_us, over),
             )
 
-        model.clock.after(timeout_us, ended, api.Outcome.TIMEOUT)
+        model.clock.after(timeout_us, ended, Outcome.TIMEOUT)
         model.serve(self.depth, action.upstream, call.root, timeout_us, ended)
 
 
@@ -189,9 +201,9 @@
             self.calm_sent[second] += 1
             sidecar.ask(root, self.plan.deadline_us, lambda outcome: self.count_calm(second, outcome))
 
-    def count_calm(self, second: int, outcome: api.Outcome) -> None:
+    def count_calm(self, second: int, outcome: Outcome) -> None:
         """A call from before the failure has ended."""
-        self.calm_served[second] += outcome is api.Outcome.OK
+        self.calm_served[second] += outcome is Outcome.OK
 
     def serve(self, depth: int, number: int, root: int, timeout_us: int, ended: Reply) -> None:
         """An attempt sets out for a server; `ended` is called when its answer is back."""
@@ -200,14 +212,14 @@
             self.fail(ended)
             return
         if depth == plan.depth:
-            clock.after(2 * plan.network_us + plan.work_us, ended, api.Outcome.OK)
+            clock.after(2 * plan.network_us + plan.work_us, ended, Outcome.OK)
             return
         # X-Deadline-Ms in whole milliseconds, as the service reads it and tells it on
         told_us = max(1, timeout_us // MILLISECOND_US) * MILLISECOND_US - plan.work_us
 
-        def answered(outcome: api.Outcome) -> None:
-            if outcome is api.Outcome.FULL and plan.propagation is Propagation.ERROR:
-                outcome = api.Outcome.ERROR
+        def answered(outcome: Outcome) -> None:
+            if outcome is Outcome.FULL and plan.propagation is Propagation.ERROR:
+                outcome = Outcome.ERROR
             clock.after(plan.network_us, ended, outcome)
 
         sidecar = self.sidecars[depth, number]
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -23,7 +23,18 @@
 from benchmarks import reference_balance
 from benchmarks.report import Bar, close, table
 from plovertrail.decisions import balance
-from plovertrail.decisions import interface as api
+from plovertrail.decisions.actions import Action, Send, SetTimer
+from plovertrail.decisions.events import (
+    AttemptEnded,
+    Event,
+    ListKind,
+    Outcome,
+    RequestArrived,
+    TimerFired,
+    Upstream,
+    UpstreamsUpdated,
+)
+from plovertrail.decisions.settings import RequestClass, Settings
 
 SIZES = (15, 150, 1_500, 10_000)
 ROUNDS = 40  # short plays in turn meet the machine in the same state
@@ -37,11 +48,11 @@
 class Module(Protocol):
     """A Balancer, today's or the reference."""
 
-    def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
+    def handle(self, now_us: int, event: Event) -> list[Action]:
         """Take an event at a time in us, and return the actions."""
 
 
-Make = Callable[[api.Settings, int, int], Module]
+Make = Callable[[Settings, int, int], Module]
 MODULES: dict[str, Make] = {"module": balance.Balancer, "reference": reference_balance.Balancer}
 
 
@@ -53,33 +64,33 @@
         a_second, self.answer_us = LOADS[load]
         self.gap_us = 1e6 / (a_second * servers if load == "short" else a_second)
         self.now_us = 1_000_000
-        kind = api.RequestClass("read", 300_000, 1_500_000, late_worth=0.3)
-        settings = api.Settings([kind], max_attempts=3, cancel=True, max_retry_after_us=1_000_000)
+        kind = RequestClass("read", 300_000, 1_500_000, late_worth=0.3)
+        settings = Settings([kind], max_attempts=3, cancel=True, max_retry_after_us=1_000_000)
         self.module = make(settings, seed, self.now_us)
-        self.due: list[tuple[int, int, api.Event]] = []
+        self.due: list[tuple[int, int, Event]] = []
         self.number = 0
         self.spent_ns = 0  # within the module
         self.attempts: dict[int, int] = {}
-        entries = [api.Upstream(ident) for ident in range(1, servers + 1)]
-        self.tell(api.UpstreamsUpdated(api.ListKind.FULL, entries))
+        entries = [Upstream(ident) for ident in range(1, servers + 1)]
+        self.tell(UpstreamsUpdated(ListKind.FULL, entries))
 
-    def tell(self, event: api.Event) -> None:
+    def tell(self, event: Event) -> None:
         """Give the module an event, count the time that it takes, and carry out its actions."""
         began = time.perf_counter_ns()
         actions = self.module.handle(self.now_us, event)
         self.spent_ns += time.perf_counter_ns() - began
         for action in actions:
-            if isinstance(action, api.Send):
+            if isinstance(action, Send):
                 number = self.attempts[action.request] = self.attempts.get(action.request, -1) + 1
                 took_us = int(self.rng.expovariate(1 / self.answer_us))
                 self.later(
                     took_us,
-                    api.AttemptEnded(action.request, number, action.upstream, api.Outcome.OK, took_us, True),
+                    AttemptEnded(action.request, number, action.upstream, Outcome.OK, took_us, True),
                 )
-            elif isinstance(action, api.SetTimer):
-                self.later(action.at_us - self.now_us, api.TimerFired(action.token))
+            elif isinstance(action, SetTimer):
+                self.later(action.at_us - self.now_us, TimerFired(action.token))
 
-    def later(self, after_us: int, event: api.Event) -> None:
+    def later(self, after_us: int, event: Event) -> None:
         """Have an event come after `after_us`."""
         self.number += 1
         heapq.heappush(self.due, (self.now_us + max(0, after_us), self.number, event))
@@ -96,7 +107,7 @@
                 self.tell(event)
             self.now_us = max(self.now_us, int(arrives_us))
             self.number += 1
-            self.tell(api.RequestArrived(self.number, self.now_us + 1_500_000))
+            self.tell(RequestArrived(self.number, self.now_us + 1_500_000))
         return (self.spent_ns - before_ns) / requests / 1e3
 
 
--- a/benchmarks/hook_cost.py
+++ b/benchmarks/hook_cost.py
@@ -20,7 +20,7 @@
 from benchmarks.report import Bar, close, table
 from plovertrail.clock import clock_us
 from plovertrail.config.hooks import HookSetup
-from plovertrail.decisions.interface import RequestClass
+from plovertrail.decisions.settings import RequestClass
 from plovertrail.hooks.chain import Chain, RequestRefusedError, Seen, Trail, make_chain
 from plovertrail.hooks.engine import Bounds, Instance, Runtime
 from plovertrail.hooks.hook import Hook
--- a/benchmarks/long_lists.py
+++ b/benchmarks/long_lists.py
@@ -16,7 +16,8 @@
 
 from benchmarks.processes import child, pin
 from benchmarks.report import Bar, close, table
-from plovertrail.decisions import interface as api
+from plovertrail.decisions.events import UpstreamsUpdated
+from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.host import Host
 from plovertrail.sources.discovery import SETTLE_S, Directory, Discovery
 from plovertrail.upstreams.connections import ConnectionPool
@@ -99,13 +100,13 @@
 async def measure(servers: int, port: int, go: Any) -> dict[str, list[tuple[float, float]]]:
     """Of each kind of step: the longest stall, and the time until it was in force, in ms."""
     host = Host()
-    settings = api.Settings(
-        [api.RequestClass("read", 300_000, 1_500_000)], list_on_request=True, ask_within_us=60_000_000
+    settings = Settings(
+        [RequestClass("read", 300_000, 1_500_000)], list_on_request=True, ask_within_us=60_000_000
     )
     pool = host.add_pool("", settings, 1, ConnectionPool(10_000_000, 1_000_000, 100))
     told: list[int] = []
 
-    def listed(event: api.UpstreamsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
+    def listed(event: UpstreamsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
         host.list_changed(pool, event, addresses)
         told.append(event.version)
 
--- a/benchmarks/planted_faults.py
+++ b/benchmarks/planted_faults.py
@@ -40,7 +40,7 @@
 ROUTES, REQUESTS = "plovertrail/decisions/routes.py", "plovertrail/decisions/requests.py"
 MEMBERS, FAILOVER = "plovertrail/decisions/endpoint_list.py", "plovertrail/decisions/failover.py"
 FRONT = "plovertrail/listeners/ordinary.py"
-NEVER_RAN = "NEVER_RAN = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)"
+NEVER_RAN = "NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)"
 FAULTS = [
     Fault(
         "a drain is ignored",
@@ -51,15 +51,15 @@
     Fault(
         "a server that has gone is kept",
         BALANCE,
-        "if entry.state is not api.UpstreamState.READY:",
-        "if entry.state is api.UpstreamState.DRAINING:",
+        "if entry.state is not UpstreamState.READY:",
+        "if entry.state is UpstreamState.DRAINING:",
     ),
     Fault(
         "a drained server is kept by the module and the host",
         BALANCE,
-        "            if entry.state is not api.UpstreamState.READY:\n                self.forget(entry.id)\n"
+        "            if entry.state is not UpstreamState.READY:\n                self.forget(entry.id)\n"
         "                continue\n",
-        "            if entry.state is api.UpstreamState.GONE:\n"
+        "            if entry.state is UpstreamState.GONE:\n"
         "                self.forget(entry.id)\n                continue\n",
     ),
     Fault(
@@ -103,19 +103,19 @@
         "a reset counts as never run",
         BALANCE,
         NEVER_RAN,
-        f"{NEVER_RAN[:-1]}, api.Outcome.RESET)",
+        f"{NEVER_RAN[:-1]}, Outcome.RESET)",
     ),
     Fault(
         "an error counts as never run",
         BALANCE,
         NEVER_RAN,
-        f"{NEVER_RAN[:-1]}, api.Outcome.ERROR)",
+        f"{NEVER_RAN[:-1]}, Outcome.ERROR)",
     ),
     Fault(
         "a time-out counts as never run",
         BALANCE,
         NEVER_RAN,
-        f"{NEVER_RAN[:-1]}, api.Outcome.TIMEOUT)",
+        f"{NEVER_RAN[:-1]}, Outcome.TIMEOUT)",
     ),
     Fault(
         "what may have run is refused",
--- a/benchmarks/reference_balance.py
+++ b/benchmarks/reference_balance.py
@@ -1,4 +1,4 @@
-"""All decisions on requests. Its settings, events and actions: plovertrail/decisions/interface.py.
+"""All decisions on requests. Its settings, events and actions: settings.py, events.py, actions.py.
 
 Everything is slots (docs/design.md): a request takes a free slot of a random upstream, waits in the ONE
 buffer when none is free, is refused when that is taken, and is reissued through a slot.
@@ -8,14 +8,28 @@
 import math
 import random
 
-from plovertrail.decisions import interface as api
+from plovertrail.decisions.actions import Action, CloseIdle, Fail, Log, Refuse, Send, SetTimer, Subscribe
+from plovertrail.decisions.events import (
+    AttemptEnded,
+    Event,
+    ListKind,
+    Outcome,
+    RequestArrived,
+    RequestGone,
+    StreamStarted,
+    TimerFired,
+    Upstream,
+    UpstreamState,
+    UpstreamsUpdated,
+)
+from plovertrail.decisions.settings import RequestClass, Settings
 
 MOST_SLOTS = 8  # no upstream gets more from one sidecar, however quick its answers
-NEVER_RAN = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
-INSTANT_FAULTS = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.ERROR, api.Outcome.RESET)
-ANSWERED = (api.Outcome.OK, api.Outcome.SPOILT)  # it has done the work, and its time tells of its load
+NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+INSTANT_FAULTS = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET)
+ANSWERED = (Outcome.OK, Outcome.SPOILT)  # it has done the work, and its time tells of its load
 # hazard: an upstream failing a part would lose them all
-REISSUED = (*INSTANT_FAULTS, api.Outcome.SPOILT, api.Outcome.TIMEOUT)
+REISSUED = (*INSTANT_FAULTS, Outcome.SPOILT, Outcome.TIMEOUT)
 FAULT_MEMORY = 4  # attempts that make up an upstream's share of faults
 FAULT_SHARE = 0.35  # two faults in three attempts: more than what strikes all upstreams alike does by chance
 SMALLEST_WINDOW = 1 / 64  # a failing upstream is tried about once in 64 usual answer times
@@ -69,7 +83,7 @@
 class Server:
     """What this sidecar knows of one upstream."""
 
-    def __init__(self, entry: api.Upstream, pool: Pool, classes: int) -> None:
+    def __init__(self, entry: Upstream, pool: Pool, classes: int) -> None:
         self.entry = entry
         self.pool = pool
         self.used = 0  # slots taken by this sidecar's sends
@@ -100,13 +114,13 @@
         self.passed = False  # one of these was to its own class
         self.silent = False  # it has had no answer for longer than one takes
         self.lost = False  # and holds no slot any more
-        self.ended: api.Outcome | None = None  # None while it is out
+        self.ended: Outcome | None = None  # None while it is out
 
 
 class Request:
     """A request with its attempts."""
 
-    def __init__(self, event: api.RequestArrived, now_us: int) -> None:
+    def __init__(self, event: RequestArrived, now_us: int) -> None:
         self.event = event
         self.arrived_us = now_us
         self.attempts: list[Attempt] = []
@@ -128,13 +142,11 @@
 class Balancer:
     """The decision module as it was when this reference was taken; what costs are measured against."""
 
-    def __init__(
-        self, settings: api.Settings, seed: int, now_us: int, reissues: Reissues | None = None
-    ) -> None:
+    def __init__(self, settings: Settings, seed: int, now_us: int, reissues: Reissues | None = None) -> None:
         self.settings = settings
         self.random = random.Random(seed)
         self.now_us = now_us
-        self.actions: list[api.Action] = []
+        self.actions: list[Action] = []
         self.servers: dict[int, Server] = {}  # the ready ones, in the order listed
         self.requests: dict[int, Request] = {}
         self.buffer: Request | None = None
@@ -152,29 +164,29 @@
         self.ask_list_us = 0  # when the list is asked for next; 0 = not, as it is subscribed to
         self.ask_list_at(now_us)
 
-    def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
+    def handle(self, now_us: int, event: Event) -> list[Action]:
         """Take an event at a time in us, and return the actions."""
         self.now_us = now_us
-        if isinstance(event, api.AttemptEnded):
+        if isinstance(event, AttemptEnded):
             self.on_attempt_ended(event)
-        elif isinstance(event, api.RequestArrived):
+        elif isinstance(event, RequestArrived):
             self.on_arrival(event)
-        elif isinstance(event, api.TimerFired):
+        elif isinstance(event, TimerFired):
             if self.armed_us <= now_us:  # hazard: a stale timer that armed another would never die out
                 self.armed_us = 0
             self.run_due()
-        elif isinstance(event, api.RequestGone) and event.request in self.requests:
+        elif isinstance(event, RequestGone) and event.request in self.requests:
             self.close(self.requests[event.request])
-        elif isinstance(event, api.StreamStarted) and event.request in self.requests:
+        elif isinstance(event, StreamStarted) and event.request in self.requests:
             self.requests[event.request].streaming = True
-        elif isinstance(event, api.UpstreamsUpdated):
+        elif isinstance(event, UpstreamsUpdated):
             self.on_list(event)
         self.fill_from_buffer()
         self.arm()
         actions, self.actions = self.actions, []
         return actions
 
-    def on_arrival(self, event: api.RequestArrived) -> None:
+    def on_arrival(self, event: RequestArrived) -> None:
         """A request has come: send it, keep it in the buffer, or refuse it."""
         if event.request in self.requests:
             return
@@ -193,7 +205,7 @@
         if self.now_us < self.next_log_us:
             return False  # the change is told later, if it lasts
         self.next_log_us = self.now_us + LOG_GAP_US
-        self.actions.append(api.Log(text))
+        self.actions.append(Log(text))
         return True
 
     def place(self, request: Request) -> None:
@@ -231,7 +243,7 @@
             worth *= s.over_share_worth + (1.0 - s.over_share_worth) * min(1.0, allowed / seen)
         return worth
 
-    def class_of(self, request: Request) -> api.RequestClass:
+    def class_of(self, request: Request) -> RequestClass:
         """The settings of a request's class."""
         return self.settings.classes[request.event.class_index]
 
@@ -272,7 +284,7 @@
         # about one answer's time, spread lest refused clients return together
         after_us = min(after_us * (0.5 + self.random.random()), self.settings.max_retry_after_us)
         advice_us = int(after_us) if self.settings.retry_after else 0
-        self.actions.append(api.Refuse(ident, advice_us) if harmless else api.Fail(ident))
+        self.actions.append(Refuse(ident, advice_us) if harmless else Fail(ident))
 
     def close(self, request: Request) -> None:
         """The request has its final answer; it is forgotten once no attempt is out."""
@@ -295,15 +307,15 @@
         slow_us = self.half_aim_us(class_index)
         # hazard: what spoils answers and breaks connections may do so on all upstreams alike, and one such
         # fault would shut each of them; only turning work away tells at once of the upstream itself
-        fault = outcome in INSTANT_FAULTS or outcome is api.Outcome.SPOILT
+        fault = outcome in INSTANT_FAULTS or outcome is Outcome.SPOILT
         server.faults += (float(fault) - server.faults) / FAULT_MEMORY
-        faulty = outcome is api.Outcome.FULL or (fault and server.faults > FAULT_SHARE)
-        if fault and not faulty and outcome is not api.Outcome.SPOILT:
+        faulty = outcome is Outcome.FULL or (fault and server.faults > FAULT_SHARE)
+        if fault and not faulty and outcome is not Outcome.SPOILT:
             return  # and its time tells nothing
         load = min(2.0, elapsed_us / slow_us) if outcome in ANSWERED else 2.0
         pace = SLOWEST_PACE if faulty else elapsed_us / self.mean_us[class_index]
         server.pace += (min(max(pace, 0.1), SLOWEST_PACE) - server.pace) / PACE_MEMORY
-        if outcome in (*ANSWERED, api.Outcome.TIMEOUT, api.Outcome.FULL):
+        if outcome in (*ANSWERED, Outcome.TIMEOUT, Outcome.FULL):
             # hazard: a light sidecar never fills its slots; they hold nothing back when all are slow; draws
             # are thinned, at once as queues stay for seconds, but not for one slow answer among quick ones
             pool.load += (load - pool.load) / 8
@@ -333,7 +345,7 @@
             server.rest_until_us = self.now_us + int(rest_us)
         if server.window < 0.5 and server in pool.in_use:
             pool.in_use.remove(server)  # another takes its place; it may come back when its rest is over
-            self.actions.append(api.CloseIdle(server.entry.id))
+            self.actions.append(CloseIdle(server.entry.id))
         rests = server.window < (1.0 if server.rests else 0.25)
         change = "rests" if rests else "is back"
         if rests != server.rests and self.log(f"upstream {server.entry.id} {change}"):
@@ -430,7 +442,7 @@
         server.out.append(attempt)
         silent_us = self.now_us + self.silent_after_us(attempt.class_index)
         self.wake(silent_us, "silence", request.event.request, len(request.attempts) - 1)
-        self.actions.append(api.Send(request.event.request, server.entry.id, self.timeout_us(request)))
+        self.actions.append(Send(request.event.request, server.entry.id, self.timeout_us(request)))
         if self.settings.second_copies and self.class_of(request).effect != "at_most_once":
             index = request.event.class_index  # soon enough to be back in time, late enough to be seldom
             after_us = min(int(2 * self.mean_us[index]), self.half_aim_us(index))
@@ -492,7 +504,7 @@
             if server is not None and server is not request.attempts[-1].server:
                 self.send(request, server)
 
-    def on_attempt_ended(self, event: api.AttemptEnded) -> None:
+    def on_attempt_ended(self, event: AttemptEnded) -> None:
         """An attempt has ended: learn from it, and answer its request or try again."""
         request = self.requests.get(event.request)
         attempts = request.attempts[event.attempt : event.attempt + 1] if request is not None else []
@@ -506,7 +518,7 @@
         server.out.remove(attempt)
         # hazard: what others overtook tells nothing of the load; judged by it, an upstream that leaves some
         # unanswered would be cut to one slot, and its time would be that of no answer
-        lost = (attempt.lost or attempt.overtaken > 0) and event.outcome is api.Outcome.TIMEOUT
+        lost = (attempt.lost or attempt.overtaken > 0) and event.outcome is Outcome.TIMEOUT
         if not lost:
             self.judge(attempt, event.elapsed_us, request.event.class_index)
         if event.outcome in ANSWERED:
@@ -519,7 +531,7 @@
                 other.passed |= other.class_index == index
                 if not other.lost:
                     self.give_up_slot(other)
-        if event.outcome in (*ANSWERED, api.Outcome.TIMEOUT) and not lost:
+        if event.outcome in (*ANSWERED, Outcome.TIMEOUT) and not lost:
             # time-outs count too: else a slow fleet would go on being judged by its few quick answers
             index, mean_us = request.event.class_index, self.mean_us[request.event.class_index]
             elapsed_us = min(event.elapsed_us, 2 * self.half_aim_us(index))
@@ -533,28 +545,28 @@
             else:
                 self.finish(request)
 
-    def on_list(self, event: api.UpstreamsUpdated) -> None:
+    def on_list(self, event: UpstreamsUpdated) -> None:
         """A list of servers has come, or could not be had."""
-        if event.kind is api.ListKind.FAILED:
+        if event.kind is ListKind.FAILED:
             self.list_failures += 1
             # doubles with each failure; jittered, as all sidecars fail together; inside ask-within (rule 3)
             longest_us = max(1, self.settings.ask_within_us // 2)
             backoff_us = min(FIRST_RETRY_US * 2 ** min(self.list_failures - 1, 20), longest_us)
             self.ask_list_at(self.now_us + int(backoff_us * (0.5 + self.random.random() / 2)))
             return
-        if event.kind is not api.ListKind.CACHED:
+        if event.kind is not ListKind.CACHED:
             self.list_failures = self.ask_list_us = 0
-        if event.kind is not api.ListKind.DELTA:
+        if event.kind is not ListKind.DELTA:
             self.servers = {e.id: self.servers[e.id] for e in event.upstreams if e.id in self.servers}
         restarted = []
         for entry in event.upstreams:
-            if entry.state is not api.UpstreamState.READY:
+            if entry.state is not UpstreamState.READY:
                 self.servers.pop(entry.id, None)  # rule 3: forgotten the moment we are told
                 continue
             away = self.settings.cross_zone_fee > 0 and entry.zone != self.settings.zone
             pool = self.pools[int(away)]
             server = self.servers.setdefault(entry.id, Server(entry, pool, len(self.mean_us)))
-            server.slow_start |= event.kind is api.ListKind.CACHED
+            server.slow_start |= event.kind is ListKind.CACHED
             if server.entry.started_us != entry.started_us or server.next_cold == 0:
                 restarted.append(server)
             server.entry = entry
@@ -573,7 +585,7 @@
     def ask_list(self) -> None:
         """Asks again if no answer comes: a call that is lost must not leave us without a list (rule 3)."""
         if self.ask_list_us != 0 and self.now_us >= self.ask_list_us:
-            self.actions.append(api.Subscribe(True))
+            self.actions.append(Subscribe(True))
             self.ask_list_at(self.now_us + max(FIRST_RETRY_US, self.settings.ask_within_us // 2))
 
     def wake(self, at_us: int, what: str, ident: int, attempt: int = 0) -> None:
@@ -589,7 +601,7 @@
             times.extend([until_us for until_us in rests if until_us > self.now_us])
         if times and (self.armed_us == 0 or min(times) < self.armed_us):
             self.armed_us = min(times)
-            self.actions.append(api.SetTimer(self.armed_us, 0))
+            self.actions.append(SetTimer(self.armed_us, 0))
 
     def run_due(self) -> None:
         """Do all that is due by now."""
--- a/fakes/balancers_model.py
+++ b/fakes/balancers_model.py
@@ -12,25 +12,20 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
+from plovertrail.decisions.actions import CloseIdle, Fail, Refuse, Send, SetTimer
 from plovertrail.decisions.balance import Balancer
-from plovertrail.decisions.interface import (
+from plovertrail.decisions.events import (
     AttemptEnded,
-    CloseIdle,
     Event,
-    Fail,
     ListKind,
     Outcome,
-    Refuse,
     RequestArrived,
-    RequestClass,
-    Send,
-    SetTimer,
-    Settings,
     TimerFired,
     Upstream,
     UpstreamState,
     UpstreamsUpdated,
 )
+from plovertrail.decisions.settings import RequestClass, Settings
 
 START_US = 1_000_000_000
 SECOND_US = 1_000_000
--- a/fakes/fleet/instances.py
+++ b/fakes/fleet/instances.py
@@ -14,8 +14,9 @@
 
 from fakes.fleet.plan import Plan
 from plovertrail.clock import clock_us
-from plovertrail.decisions import interface as api
 from plovertrail.decisions import share
+from plovertrail.decisions.events import UpstreamsUpdated
+from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.exchange import Answer, Call, Verdict
 from plovertrail.host import Host
 from plovertrail.sources.discovery import Directory, Discovery
@@ -33,8 +34,8 @@
         self.fleet = share.Fleet(plan.instances, number)
         self.bounds = share.Bounds(plan.servers_each, plan.connections, plan.dials_per_s)
         self.rng = random.Random(number)
-        settings = api.Settings(
-            classes=[api.RequestClass("read", AIM_US, DEADLINE_US, effect="at_most_once", late_worth=0.3)],
+        settings = Settings(
+            classes=[RequestClass("read", AIM_US, DEADLINE_US, effect="at_most_once", late_worth=0.3)],
             instances=self.fleet.size,
             self_index=number,
             max_attempts=4,
@@ -64,7 +65,7 @@
         self.host.loop.call_later(NARROW_S, self._narrow)
         self.host.narrow(self.pool)
 
-    def listed(self, event: api.UpstreamsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
+    def listed(self, event: UpstreamsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
         """A list of servers has come: hand it to the host, and fit the budget to its length."""
         self.host.list_changed(self.pool, event, addresses)
         budget = share.budget(self.fleet, self.bounds, len(self.pool.listed))
--- a/plovertrail/config/classes.py
+++ b/plovertrail/config/classes.py
@@ -7,7 +7,7 @@
 from plovertrail.config.schema import ClassTable, OverrideTable
 from plovertrail.config.table_reader import TableReader
 from plovertrail.config.tables import duration_us, key_path, read_table
-from plovertrail.decisions.interface import RequestClass
+from plovertrail.decisions.settings import RequestClass
 
 EFFECTS = {"safe": "idempotent", "keyed": "deduplicated", "unsafe": "at_most_once"}
 
--- a/plovertrail/config/platform.py
+++ b/plovertrail/config/platform.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from plovertrail.config.settings import settings_from_pairs
-from plovertrail.decisions.interface import Settings
+from plovertrail.decisions.settings import Settings
 
 
 @dataclass(slots=True)
--- a/plovertrail/config/pools.py
+++ b/plovertrail/config/pools.py
@@ -28,7 +28,7 @@
 from plovertrail.decisions.affinity import Affinity, AffinitySource
 from plovertrail.decisions.endpoint_list import Entry, Guards
 from plovertrail.decisions.fairness import DoorSettings
-from plovertrail.decisions.interface import RequestClass, Settings, Tenant
+from plovertrail.decisions.settings import RequestClass, Settings, Tenant
 from plovertrail.decisions.share import Bounds
 
 
--- a/plovertrail/config/route_conditions.py
+++ b/plovertrail/config/route_conditions.py
@@ -10,9 +10,9 @@
 from plovertrail.config.schema import RouteTableRow
 from plovertrail.config.table_reader import TableReader
 from plovertrail.config.tables import key_path
-from plovertrail.decisions.interface import RequestClass
 from plovertrail.decisions.paths import InvalidTargetError, normalise_host, normalise_path
 from plovertrail.decisions.routes import SAFE_METHODS, PathKind, Predicate
+from plovertrail.decisions.settings import RequestClass
 
 LONGEST_REGEX = 1000
 
--- a/plovertrail/config/routes.py
+++ b/plovertrail/config/routes.py
@@ -14,8 +14,8 @@
 from plovertrail.config.setup import HookedRoute
 from plovertrail.config.table_reader import TableReader
 from plovertrail.config.tables import duration_us, key_path, read_table, size_bytes
-from plovertrail.decisions.interface import RequestClass
 from plovertrail.decisions.routes import ClientSource, Route, TenantSource, unreachable
+from plovertrail.decisions.settings import RequestClass
 from plovertrail.decisions.verdicts import at_least_as_strict
 
 LARGEST_BODY = 64 << 20
--- a/plovertrail/config/settings.py
+++ b/plovertrail/config/settings.py
@@ -4,7 +4,7 @@
 
 import math
 
-from plovertrail.decisions import interface as api
+from plovertrail.decisions.settings import EFFECTS, GROUPS, RequestClass, Settings, Tenant
 
 # Load report values: the wire's names and ours; a name not known here is kept as it is.
 _REPORT_NAMES = {
@@ -59,32 +59,32 @@
         return self.choice(path, ("true", "false"), default) == "true"
 
 
-def _class(options: _Options, at: str) -> api.RequestClass:
-    return api.RequestClass(
+def _class(options: _Options, at: str) -> RequestClass:
+    return RequestClass(
         name=options.text(at + "name"),
         aim_us=options.whole(at + "aim"),
         deadline_us=options.whole(at + "deadline"),
         worth=options.number(at + "worth"),
         late_worth=options.number(at + "late-worth", "0"),
         aim_stretch=options.number(at + "aim-stretch", "0"),
-        effect=options.choice(at + "effect", api.EFFECTS),
-        group=options.choice(at + "group", api.GROUPS, "all"),
+        effect=options.choice(at + "effect", EFFECTS),
+        group=options.choice(at + "group", GROUPS, "all"),
         memory_us=options.whole(at + "memory-span", "0"),
         stream=options.flag(at + "stream", "false"),
     )
 
 
-def _tenant(options: _Options, at: str) -> api.Tenant:
-    return api.Tenant(
+def _tenant(options: _Options, at: str) -> Tenant:
+    return Tenant(
         options.text(at + "name"), options.number(at + "allowance-per-s"), options.number(at + "share", "0")
     )
 
 
-def settings_from_pairs(pairs: dict[str, str]) -> api.Settings:
+def settings_from_pairs(pairs: dict[str, str]) -> Settings:
     """The settings from their paths and values; keys that are not known are skipped."""
     o = _Options(pairs)
     try:
-        return api.Settings(
+        return Settings(
             classes=[_class(o, f"request-classes.{i}.") for i in range(o.whole("request-classes.count"))],
             tenants=[_tenant(o, f"accounts.{i}.") for i in range(o.whole("accounts.count", "0"))],
             over_share_worth=o.number("over-share-worth", "1"),
--- a/plovertrail/decisions/admission.py
+++ b/plovertrail/decisions/admission.py
@@ -12,7 +12,7 @@
 
 from collections.abc import Callable
 
-from plovertrail.decisions.interface import Outcome
+from plovertrail.decisions.events import Outcome
 
 CALM_US = 5_000_000  # without one late answer: what is asked is too little to tell, and to do harm
 LEAST = 2.0  # hazard: with one, of requests that come at random many would find the other one in their way
--- a/plovertrail/decisions/balance.py
+++ b/plovertrail/decisions/balance.py
@@ -1,4 +1,4 @@
-"""All decisions on requests. Its settings, events and actions: plovertrail/decisions/interface.py.
+"""All decisions on requests. Its settings, events and actions: settings.py, events.py, actions.py.
 
 Everything is slots (docs/design.md): a request takes a free slot of a random upstream, waits in the ONE
 buffer when none is free, is refused when that is taken, and is reissued through a slot.
@@ -11,7 +11,21 @@
 from collections import deque
 from collections.abc import Callable
 
-from plovertrail.decisions import interface as api
+from plovertrail.decisions.actions import Action, CloseIdle, Fail, Log, Refuse, Send, SetTimer, Subscribe
+from plovertrail.decisions.events import (
+    AttemptEnded,
+    Event,
+    Hearsay,
+    ListKind,
+    Outcome,
+    RequestArrived,
+    RequestGone,
+    StreamStarted,
+    TimerFired,
+    Upstream,
+    UpstreamState,
+    UpstreamsUpdated,
+)
 from plovertrail.decisions.list_calls import (
     BORNE_PER_S,
     RETRY_US,
@@ -20,14 +34,15 @@
     longest_gap_us,
     retry_within_us,
 )
+from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.decisions.share import list_span_us
 from plovertrail.decisions.weighted import WeightedDraw
 
 MOST_SLOTS = 8  # no upstream gets more from one sidecar, however quick its answers
-NEVER_RAN = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
-INSTANT_FAULTS = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.ERROR, api.Outcome.RESET)
-TIMED_OUT, TURNED_AWAY, SPOILT = api.Outcome.TIMEOUT, api.Outcome.FULL, api.Outcome.SPOILT
-ANSWERED = (api.Outcome.OK, SPOILT)  # it has done the work, and its time tells of its load
+NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+INSTANT_FAULTS = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET)
+TIMED_OUT, TURNED_AWAY, SPOILT = Outcome.TIMEOUT, Outcome.FULL, Outcome.SPOILT
+ANSWERED = (Outcome.OK, SPOILT)  # it has done the work, and its time tells of its load
 # time-outs count too: else a slow fleet would go on being judged by its few quick answers
 TIMED = (*ANSWERED, TIMED_OUT)
 TELL_OF_LOAD = (*TIMED, TURNED_AWAY)
@@ -179,7 +194,7 @@
         "hearsay",
     )
 
-    def __init__(self, entry: api.Upstream, pool: Pool, classes: int) -> None:
+    def __init__(self, entry: Upstream, pool: Pool, classes: int) -> None:
         self.entry = entry
         self.pool = pool
         self.used = 0  # slots taken by this sidecar's sends
@@ -224,13 +239,13 @@
         self.passed = False  # one of these was to its own class
         self.silent = False  # it has had no answer for longer than one takes
         self.lost = False  # and holds no slot any more
-        self.ended: api.Outcome | None = None  # None while it is out
+        self.ended: Outcome | None = None  # None while it is out
 
 
 class Request:
     __slots__ = ("event", "useful_until_us", "attempts", "out", "done", "streaming")
 
-    def __init__(self, event: api.RequestArrived, kind: api.RequestClass, now_us: int) -> None:
+    def __init__(self, event: RequestArrived, kind: RequestClass, now_us: int) -> None:
         self.event = event
         # when an answer stops being worth anything
         late_us = now_us + (kind.deadline_us if kind.late_worth > 0 else kind.aim_us)
@@ -250,13 +265,11 @@
 
 
 class Balancer:
-    def __init__(
-        self, settings: api.Settings, seed: int, now_us: int, reissues: Reissues | None = None
-    ) -> None:
+    def __init__(self, settings: Settings, seed: int, now_us: int, reissues: Reissues | None = None) -> None:
         self.settings = settings
         self.random = random.Random(seed)
         self.now_us = now_us
-        self.actions: list[api.Action] = []
+        self.actions: list[Action] = []
         self.servers: dict[int, Server] = {}  # the ready ones, in the order listed
         # what was known of a new one before a restart (remembered.py); here nothing is
         self.recall: Callable[[Server], object] = lambda server: None
@@ -291,23 +304,23 @@
         first_us = min(settings.ask_within_us // 2, longest_gap_us(settings))
         self.ask_list_at(now_us + self.list_backoff_us(first_us))
 
-    def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
+    def handle(self, now_us: int, event: Event) -> list[Action]:
         self.now_us = now_us
-        if isinstance(event, api.AttemptEnded):
+        if isinstance(event, AttemptEnded):
             self.on_attempt_ended(event)
-        elif isinstance(event, api.RequestArrived):
+        elif isinstance(event, RequestArrived):
             self.on_arrival(event)
-        elif isinstance(event, api.TimerFired):
+        elif isinstance(event, TimerFired):
             if self.armed_us <= now_us:  # hazard: a stale timer that armed another would never die out
                 self.armed_us = NEVER_US
             self.run_due()
-        elif isinstance(event, api.RequestGone) and event.request in self.requests:
+        elif isinstance(event, RequestGone) and event.request in self.requests:
             self.close(self.requests[event.request])
-        elif isinstance(event, api.StreamStarted) and event.request in self.requests:
+        elif isinstance(event, StreamStarted) and event.request in self.requests:
             self.requests[event.request].streaming = True
-        elif isinstance(event, api.UpstreamsUpdated):
+        elif isinstance(event, UpstreamsUpdated):
             self.on_list(event)
-        elif isinstance(event, api.Hearsay):
+        elif isinstance(event, Hearsay):
             self.on_hearsay(event)
         if self.buffer is not None:
             self.fill_from_buffer()
@@ -330,7 +343,7 @@
         """When the next slot opens by time and not by an event."""
         return self.rests[0][0] if self.rests else NEVER_US
 
-    def on_arrival(self, event: api.RequestArrived) -> None:
+    def on_arrival(self, event: RequestArrived) -> None:
         if event.request in self.requests:
             return
         request = self.requests[event.request] = Request(
@@ -349,7 +362,7 @@
         if self.now_us < self.next_log_us:
             return False  # the change is told later, if it lasts
         self.next_log_us = self.now_us + LOG_GAP_US
-        self.actions.append(api.Log(text))
+        self.actions.append(Log(text))
         return True
 
     def place(self, request: Request) -> None:
@@ -393,7 +406,7 @@
             worth *= s.over_share_worth + (1.0 - s.over_share_worth) * min(1.0, allowed / seen)
         return worth
 
-    def class_of(self, request: Request) -> api.RequestClass:
+    def class_of(self, request: Request) -> RequestClass:
         return self.settings.classes[request.event.class_index]
 
     def half_aim_us(self, class_index: int) -> int:
@@ -429,7 +442,7 @@
         # about one answer's time, spread lest refused clients return together
         after_us = min(after_us * (0.5 + self.random.random()), self.settings.max_retry_after_us)
         advice_us = int(after_us) if self.settings.retry_after else 0
-        self.actions.append(api.Refuse(ident, advice_us) if harmless else api.Fail(ident))
+        self.actions.append(Refuse(ident, advice_us) if harmless else Fail(ident))
 
     def close(self, request: Request) -> None:
         request.done = True
@@ -500,7 +513,7 @@
             self.rest(server, max(min(self.mean_us[class_index], slow_us), min(elapsed_us, 2 * slow_us)))
         # another takes its place; it may come back when its rest is over
         if server.window < 0.5 and self.use(server, False):
-            self.actions.append(api.CloseIdle(server.entry.id))
+            self.actions.append(CloseIdle(server.entry.id))
         rests = server.window < (1.0 if server.rests else 0.25)
         change = "rests" if rests else "is back"
         if rests != server.rests and self.log(f"upstream {server.entry.id} {change}"):
@@ -656,7 +669,7 @@
         resting = some_rest and self.now_us < server.mute_until_us[request.event.class_index]
         return not resting and server.entry.id not in request.event.barred
 
-    def drops_repeats(self, kind: api.RequestClass, first: Attempt, group: WeightedDraw) -> list[Server]:
+    def drops_repeats(self, kind: RequestClass, first: Attempt, group: WeightedDraw) -> list[Server]:
         """Rule 2: after a keyed attempt that may have run, only upstreams that drop its repeats."""
         place = first.entry.zone if kind.group == "zone" else first.entry.cell
         mates = self.mates.get((kind.group, place), {})
@@ -670,7 +683,7 @@
         size = server.entry.weight if self.settings.draw_by_weight else 1.0
         return slots * size / (server.pace * (1.0 + server.distrust / DISTRUST_BORNE)) ** 2
 
-    def size(self, entry: api.Upstream) -> float:
+    def size(self, entry: Upstream) -> float:
         """What an upstream does beside the others once it is warm, as far as the list tells."""
         return entry.weight if self.settings.weighted else 1.0
 
@@ -780,7 +793,7 @@
             if silent_us < self.wanted_us:
                 self.wanted_us = silent_us
         self.actions.append(
-            api.Send(
+            Send(
                 request.event.request,
                 server.entry.id,
                 self.timeout_us(request),
@@ -856,7 +869,7 @@
             if server is not None and server is not request.attempts[-1].server:
                 self.send(request, server)
 
-    def on_attempt_ended(self, event: api.AttemptEnded) -> None:
+    def on_attempt_ended(self, event: AttemptEnded) -> None:
         request = self.requests.get(event.request)
         attempts = request.attempts[event.attempt : event.attempt + 1] if request is not None else []
         if request is None or not attempts or attempts[0].ended is not None:
@@ -900,8 +913,8 @@
             else:
                 self.finish(request)
 
-    def on_list(self, event: api.UpstreamsUpdated) -> None:
-        if event.kind is api.ListKind.FAILED:
+    def on_list(self, event: UpstreamsUpdated) -> None:
+        if event.kind is ListKind.FAILED:
             self.list_failures += 1
             since_us = self.now_us
             if event.silent:
@@ -911,15 +924,15 @@
             within_us = retry_within_us(self.settings, since_us, self.now_us)
             self.ask_list_at(self.now_us + self.list_backoff_us(within_us))
             return
-        if event.kind is not api.ListKind.CACHED:
+        if event.kind is not ListKind.CACHED:
             self.list_failures = self.ask_list_us = 0
-        if event.kind is not api.ListKind.DELTA and not event.part:
+        if event.kind is not ListKind.DELTA and not event.part:
             for number in self.servers.keys() - {entry.id for entry in event.upstreams}:
                 self.forget(number)
         self.open_rested()  # hazard: without a draw nothing else would take off what is over
         new, restarted = [], []
         for entry in event.upstreams:
-            if entry.state is not api.UpstreamState.READY:
+            if entry.state is not UpstreamState.READY:
                 self.forget(entry.id)
                 continue
             away = self.settings.cross_zone_fee > 0 and entry.zone != self.settings.zone
@@ -931,7 +944,7 @@
             else:
                 server.pool.size -= self.size(server.entry)
             server.pool.size += self.size(entry)
-            server.slow_start |= event.kind is api.ListKind.CACHED
+            server.slow_start |= event.kind is ListKind.CACHED
             if server.entry.started_us != entry.started_us or server.next_cold == 0:
                 restarted.append(server)
             self.leave_mates(server)
@@ -952,7 +965,7 @@
         for server in new:
             self.recall(server)
 
-    def on_hearsay(self, event: api.Hearsay) -> None:
+    def on_hearsay(self, event: Hearsay) -> None:
         """Other instances find upstreams wrong: these are drawn less, and never shut. Hazard: whatever they
         say, it may be wrong; so of each class no more than a third is drawn less, the worst ones."""
         for number in self.hearsay:
@@ -988,7 +1001,7 @@
         """Asks again if no answer comes: a call that is lost must not leave us without a list (rule 3)."""
         if self.ask_list_us != 0 and self.now_us >= self.ask_list_us:
             self.asked_list_us = self.now_us
-            self.actions.append(api.Subscribe(True))
+            self.actions.append(Subscribe(True))
             self.ask_list_at(self.now_us + max(UNANSWERED_US, self.settings.ask_within_us // 2))
 
     def wake(self, at_us: int, what: str, ident: int) -> None:
@@ -1004,7 +1017,7 @@
             at_us = min(at_us, *(heap[0][0] for heap in (self.rests, self.mutes[index]) if heap), NEVER_US)
         if at_us < self.armed_us:
             self.armed_us = at_us
-            self.actions.append(api.SetTimer(at_us, 0))
+            self.actions.append(SetTimer(at_us, 0))
 
     def run_due(self) -> None:
         while self.wakeups and self.wakeups[0][0] <= self.now_us:
--- a/plovertrail/decisions/failover.py
+++ b/plovertrail/decisions/failover.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from plovertrail.decisions.balance import NEVER_RAN, Reissues
-from plovertrail.decisions.interface import Outcome
+from plovertrail.decisions.events import Outcome
 
 
 @dataclass(slots=True)
--- a/plovertrail/decisions/list_calls.py
+++ b/plovertrail/decisions/list_calls.py
@@ -10,7 +10,7 @@
 
 from __future__ import annotations
 
-from plovertrail.decisions.interface import Settings
+from plovertrail.decisions.settings import Settings
 
 TOLD_US = 6_000_000  # the protocol page: what discovery has to tell counts as told 6 s later at the latest
 ANSWER_US = 3_000_000  # a call waits for its turn at discovery for so long; then discovery gives it up itself
--- a/plovertrail/decisions/share.py
+++ b/plovertrail/decisions/share.py
@@ -15,7 +15,8 @@
 from collections.abc import Iterable, Mapping, Set
 from dataclasses import dataclass
 
-from plovertrail.decisions.interface import RequestClass, Upstream, UpstreamState
+from plovertrail.decisions.events import Upstream, UpstreamState
+from plovertrail.decisions.settings import RequestClass
 
 CERTAINTY = 3.0  # standard deviations beyond the highest of so many counts: one chance in a thousand, about
 WIDEN_GAP_US = 250_000  # between two widenings: what the last one brought must show first
--- a/plovertrail/decisions/verdicts.py
+++ b/plovertrail/decisions/verdicts.py
@@ -10,7 +10,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass, field
 
-from plovertrail.decisions.interface import EFFECTS, RequestClass
+from plovertrail.decisions.settings import EFFECTS, RequestClass
 
 TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,128}")  # RFC 9110, section 5.6.2
 FIELD_VALUE = re.compile(rb"[!-~]([\t -~]*[!-~])?|")  # hazard: CR and LF would begin a header, or a message
--- a/plovertrail/endpoint_registry.py
+++ b/plovertrail/endpoint_registry.py
@@ -13,7 +13,7 @@
 from plovertrail.clock import clock_us
 from plovertrail.decisions import endpoint_list
 from plovertrail.decisions.endpoint_list import Address, Candidate, Guards, Kind, Member, State, Step
-from plovertrail.decisions.interface import ListKind, Upstream, UpstreamState, UpstreamsUpdated
+from plovertrail.decisions.events import ListKind, Upstream, UpstreamState, UpstreamsUpdated
 from plovertrail.decisions.list_versions import SourceKey
 from plovertrail.host import Host, ServerPool
 from plovertrail.sources.first_read import FirstRead
--- a/plovertrail/exchange.py
+++ b/plovertrail/exchange.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Protocol
 
-from plovertrail.decisions import interface as api
+from plovertrail.decisions.events import Outcome
 
 if TYPE_CHECKING:
     from plovertrail.decisions.limits import OverLimit
@@ -105,7 +105,7 @@
 class Result:
     """How an attempt ended, as the upstream's side saw it."""
 
-    outcome: api.Outcome
+    outcome: Outcome
     status: int = 0  # 0 = no whole answer came
     headers: list[tuple[bytes, bytes]] = field(default_factory=list)
     body: bytes = b""
--- a/plovertrail/generation.py
+++ b/plovertrail/generation.py
@@ -7,9 +7,9 @@
 from typing import TYPE_CHECKING
 
 from plovertrail.config.setup import ListenerSetup, Setup, WebSocketSetup
-from plovertrail.decisions.interface import RequestClass
 from plovertrail.decisions.limits import Limiter
 from plovertrail.decisions.routes import Route
+from plovertrail.decisions.settings import RequestClass
 from plovertrail.decisions.templates import Template
 from plovertrail.hooks.chain import Chain, make_chain
 from plovertrail.host import ServerPool
--- a/plovertrail/hearsay.py
+++ b/plovertrail/hearsay.py
@@ -12,7 +12,7 @@
 from plovertrail.decisions.balance import Server
 from plovertrail.decisions.counts import key_of
 from plovertrail.decisions.endpoint_list import State
-from plovertrail.decisions.interface import Outcome
+from plovertrail.decisions.events import Outcome
 from plovertrail.decisions.judgements import Judgements, Known, Opinion, Window, hearsay
 from plovertrail.endpoint_registry import EndpointRegistry
 from plovertrail.host import Host, ServerPool
--- a/plovertrail/hooks/chain.py
+++ b/plovertrail/hooks/chain.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from plovertrail.decisions.interface import RequestClass
+from plovertrail.decisions.settings import RequestClass
 from plovertrail.decisions.verdicts import (
     NOTHING,
     Allowed,
--- a/plovertrail/host.py
+++ b/plovertrail/host.py
@@ -18,16 +18,41 @@
 from typing import TYPE_CHECKING
 
 from plovertrail.clock import clock_us
-from plovertrail.decisions import interface as api
+from plovertrail.decisions.actions import (
+    Action,
+    Cancel,
+    CloseIdle,
+    Fail,
+    Log,
+    Refuse,
+    Send,
+    SetTimer,
+    Subscribe,
+)
 from plovertrail.decisions.balance import Balancer, Reissues
+from plovertrail.decisions.events import (
+    AttemptEnded,
+    Event,
+    Hearsay,
+    ListKind,
+    Outcome,
+    RequestArrived,
+    RequestGone,
+    TimerFired,
+    Upstream,
+    UpstreamState,
+    UpstreamsUpdated,
+)
 from plovertrail.decisions.failover import Standing, attempts_left, next_pool
+from plovertrail.decisions.settings import Settings
 from plovertrail.exchange import Answer, Call, Flight, Handshake, Result, Upstreams, Verdict
 
 if TYPE_CHECKING:  # brought in where they are asked for: the platform's start has none of them
     from plovertrail.decisions.admission import Admission
     from plovertrail.decisions.affinity import Affinity, Ring
     from plovertrail.decisions.counts import TenantUse
-    from plovertrail.decisions.fairness import Action, Door, DoorSettings
+    from plovertrail.decisions.fairness import Action as DoorAction
+    from plovertrail.decisions.fairness import Door, DoorSettings
     from plovertrail.decisions.limits import Limiter, Permit
     from plovertrail.decisions.share import Subset
 
@@ -62,7 +87,7 @@
     """Servers under one Balancer: what is listed, and the connections that carry its attempts."""
 
     def __init__(
-        self, name: str, settings: api.Settings, seed: int, upstreams: Upstreams, reissues: Reissues
+        self, name: str, settings: Settings, seed: int, upstreams: Upstreams, reissues: Reissues
     ) -> None:
         self.name = name
         self.settings = settings
@@ -73,8 +98,8 @@
         self.subset: Subset | None = None  # None: this instance uses all servers
         self.listed: dict[int, Address] = {}  # also those that are not in the subset
         # of a long list, what the module has not been told yet: first what drains or has gone
-        self.untold_ends: dict[int, api.Upstream | None] = {}  # None: it isn't listed any more
-        self.untold: dict[int, api.Upstream] = {}
+        self.untold_ends: dict[int, Upstream | None] = {}  # None: it isn't listed any more
+        self.untold: dict[int, Upstream] = {}
         self.telling: asyncio.Handle | None = None
         self.retired = False
         self.dial_timer: asyncio.TimerHandle | None = None
@@ -93,13 +118,13 @@
         if self.addresses.pop(ident, None) is not None:
             self.upstreams.forget(ident)
 
-    def sliced(self, event: api.UpstreamsUpdated, addresses: dict[int, Address]) -> api.UpstreamsUpdated:
+    def sliced(self, event: UpstreamsUpdated, addresses: dict[int, Address]) -> UpstreamsUpdated:
         """What is told at once: all of a short list, a slice of a long one. The rest waits, what drains or
         has gone first, and is overtaken by what a later list says."""
-        whole = event.kind in (api.ListKind.FULL, api.ListKind.CACHED) and not event.part
+        whole = event.kind in (ListKind.FULL, ListKind.CACHED) and not event.part
         gone = self.listed.keys() - addresses.keys() if whole else set()
         self.listed |= addresses
-        for ident in gone | {e.id for e in event.upstreams if e.state is api.UpstreamState.GONE}:
+        for ident in gone | {e.id for e in event.upstreams if e.state is UpstreamState.GONE}:
             self.listed.pop(ident, None)
         if len(event.upstreams) + len(gone) > SLICE:  # in slices no part says who is missing
             for ident in gone:
@@ -114,7 +139,7 @@
         for entry in event.upstreams:
             self.untold_ends.pop(entry.id, None)
             self.untold.pop(entry.id, None)
-            ready = entry.state is api.UpstreamState.READY
+            ready = entry.state is UpstreamState.READY
             if ready:
                 self.untold[entry.id] = entry
             else:
@@ -126,36 +151,36 @@
         """Whether part of a long list has not been told yet."""
         return bool(self.untold or self.untold_ends)
 
-    def narrowed(self, event: api.UpstreamsUpdated) -> api.UpstreamsUpdated:
+    def narrowed(self, event: UpstreamsUpdated) -> UpstreamsUpdated:
         """What a list, or a slice of it, is to this instance."""
         if self.subset is None:
             return event
-        if event.kind in (api.ListKind.FULL, api.ListKind.CACHED) and not event.part:
+        if event.kind in (ListKind.FULL, ListKind.CACHED) and not event.part:
             mine = self.subset.only({entry.id for entry in event.upstreams}, event.upstreams, self.listed)
         else:
             mine = self.subset.listed(event.upstreams, self.listed, fill=not self.telling_rest)
         return replace(event, upstreams=mine, part=True)
 
-    def next_slice(self) -> list[api.Upstream]:
+    def next_slice(self) -> list[Upstream]:
         """Take out the next entries of a long list to tell the module, SLICE at most: as long as there are
         servers that drain or have gone only these, then the ready ones."""
         if self.untold_ends:
             ends = {ident: self.untold_ends.pop(ident) for ident in list(islice(self.untold_ends, SLICE))}
-            return [entry or api.Upstream(ident, api.UpstreamState.GONE) for ident, entry in ends.items()]
+            return [entry or Upstream(ident, UpstreamState.GONE) for ident, entry in ends.items()]
         return [self.untold.pop(ident) for ident in list(islice(self.untold, SLICE))]
 
-    def follow(self, event: api.UpstreamsUpdated) -> None:
+    def follow(self, event: UpstreamsUpdated) -> None:
         """Keep what new requests may go to in step with what the module is told."""
-        if event.kind in (api.ListKind.FULL, api.ListKind.CACHED) and not event.part:
+        if event.kind in (ListKind.FULL, ListKind.CACHED) and not event.part:
             for ident in self.addresses.keys() - {entry.id for entry in event.upstreams}:
                 self.forget(ident)
         for entry in event.upstreams:
             address = self.listed.get(entry.id)
             if address is None or self.addresses.get(entry.id, address) != address:
                 self.forget(entry.id)
-            if address is not None and entry.state is not api.UpstreamState.GONE:
+            if address is not None and entry.state is not UpstreamState.GONE:
                 self.addresses[entry.id] = address
-            if entry.state is api.UpstreamState.READY:
+            if entry.state is UpstreamState.READY:
                 self.serving.add(entry.id)
                 if self.ring is not None and address is not None:
                     self.ring.put(entry.id, address, entry.weight)
@@ -211,7 +236,7 @@
     standing: Standing
     pool: ServerPool | None = None  # the one that has it now
     first: int = 0  # the number of that pool's first attempt
-    asks: api.RequestArrived | None = None  # what that pool's module is told once its door lets it through
+    asks: RequestArrived | None = None  # what that pool's module is told once its door lets it through
     work_us: int = 0  # for how long that pool's slots were held, over its attempts
     last: Result | None = None  # of the attempt that ended last
     attempts: list[Attempt] = field(default_factory=list)
@@ -227,26 +252,26 @@
         self.loop = asyncio.get_running_loop()
         self.subscribe: Callable[[bool], None] = lambda active: None
         self.tenant_use: TenantUse | None = None  # where instances count together
-        self.servers_changed: Callable[[ServerPool, api.UpstreamsUpdated], None] = lambda pool, event: None
+        self.servers_changed: Callable[[ServerPool, UpstreamsUpdated], None] = lambda pool, event: None
         self.reissues = Reissues()  # one budget for all pools
         # called with each attempt that has ended, where instances tell one another of servers
-        self.attempt_over: Callable[[ServerPool, int, int, api.Outcome, int], None] | None = None
+        self.attempt_over: Callable[[ServerPool, int, int, Outcome, int], None] | None = None
         self.pools: list[ServerPool] = []
         self.requests: dict[int, Request] = {}
         self.last_ident = 0
-        self.events: deque[tuple[ServerPool, api.Event]] = deque()
+        self.events: deque[tuple[ServerPool, Event]] = deque()
         self.running = False
         # while it may act on nothing: what lists say, which goes first, and sends that were decided before
         self.held = False
-        self.held_lists: list[tuple[ServerPool, api.Event]] = []
-        self.held_sends: list[tuple[ServerPool, api.Send]] = []
+        self.held_lists: list[tuple[ServerPool, Event]] = []
+        self.held_sends: list[tuple[ServerPool, Send]] = []
         self.stale: Callable[[], bool] = never_stale  # the turn under way began too long ago to act on
         self.gap_us = 0  # for how long the process last stood still,
         self.woke_us = 0  # and when that ended
 
     # What happens
 
-    def add_pool(self, name: str, settings: api.Settings, seed: int, upstreams: Upstreams) -> ServerPool:
+    def add_pool(self, name: str, settings: Settings, seed: int, upstreams: Upstreams) -> ServerPool:
         """A new pool; its module may ask for what it wants from the first moment on."""
         pool = ServerPool(name, settings, seed, upstreams, self.reissues)
         self.pools.append(pool)
@@ -254,7 +279,7 @@
 
     def start(self, pool: ServerPool) -> None:
         """Let a pool's module act for the first time, by a timer event."""
-        self._tell(pool, api.TimerFired(0))
+        self._tell(pool, TimerFired(0))
 
     def retire(self, pool: ServerPool) -> None:
         """A pool that is configured no more: nothing new goes to its servers, what is out finishes."""
@@ -263,11 +288,11 @@
         pool.subset = None
         pool.untold_ends.clear()
         pool.untold.clear()
-        self._tell_list(pool, api.UpstreamsUpdated(api.ListKind.FULL))
+        self._tell_list(pool, UpstreamsUpdated(ListKind.FULL))
         for request in list(self.requests.values()):
             # hazard: one that waits in its buffer would wait for a slot that never comes
             if request.pool is pool and not request.over and all(a.ended for a in request.attempts):
-                self._tell(pool, api.RequestGone(request.ident))
+                self._tell(pool, RequestGone(request.ident))
                 self._given_up(request, Answer(Verdict.REFUSED, self._retry_after_us(pool)))
 
     def arrived(
@@ -308,7 +333,7 @@
         if request is not None and not request.over:
             self._finish(request)
             if request.pool is not None:
-                self._tell(request.pool, api.RequestGone(ident))
+                self._tell(request.pool, RequestGone(ident))
 
     def end(self, ident: int) -> None:
         """No more time is left for it: a request that is still open has its final answer now."""
@@ -326,7 +351,7 @@
         for request in list(self.requests.values()):
             for number, attempt in enumerate(request.attempts):
                 if not attempt.ended and attempt.flight is not None and not attempt.flight.written:
-                    self._give_up(request, number, api.Outcome.CONNECT_FAILED)
+                    self._give_up(request, number, Outcome.CONNECT_FAILED)
 
     def go_on(self) -> None:
         """The sources have been read: what they said goes first, then what was decided, then what came."""
@@ -355,11 +380,9 @@
 
     # Lists
 
-    def list_changed(
-        self, pool: ServerPool, event: api.UpstreamsUpdated, addresses: dict[int, Address]
-    ) -> None:
+    def list_changed(self, pool: ServerPool, event: UpstreamsUpdated, addresses: dict[int, Address]) -> None:
         """What is known of a pool's servers has changed."""
-        if event.kind is api.ListKind.FAILED:
+        if event.kind is ListKind.FAILED:
             self._tell(pool, event)
             return
         self.servers_changed(pool, event)
@@ -368,7 +391,7 @@
 
     def heard_of(self, pool: ServerPool, held_back: Mapping[tuple[int, int], float]) -> None:
         """What other instances make of a pool's servers, by number and class."""
-        self._tell(pool, api.Hearsay(held_back))
+        self._tell(pool, Hearsay(held_back))
 
     def use_subset(self, pool: ServerPool, subset: Subset) -> None:
         """This instance uses a part of a pool's servers from now on. Before the first list."""
@@ -388,26 +411,26 @@
             for ident in waiting:
                 self._let_through(pool, ident)
 
-    def _tell_list(self, pool: ServerPool, event: api.UpstreamsUpdated) -> None:
+    def _tell_list(self, pool: ServerPool, event: UpstreamsUpdated) -> None:
         pool.follow(event)
         self._tell(pool, event)
 
-    def _tell_rest(self, pool: ServerPool, kind: api.ListKind) -> None:
+    def _tell_rest(self, pool: ServerPool, kind: ListKind) -> None:
         """Hazard: to tell of 10,000 servers in one go would hold up all that is open for longer than some of
         it has left."""
         if pool.telling_rest and pool.telling is None:
             pool.telling = self.loop.call_soon(self._tell_slice, pool, kind)
 
-    def _tell_slice(self, pool: ServerPool, kind: api.ListKind) -> None:
+    def _tell_slice(self, pool: ServerPool, kind: ListKind) -> None:
         pool.telling = None
         entries = pool.next_slice()
         if entries:
-            self._tell_list(pool, pool.narrowed(api.UpstreamsUpdated(kind, entries, part=True)))
+            self._tell_list(pool, pool.narrowed(UpstreamsUpdated(kind, entries, part=True)))
             self._tell_rest(pool, kind)
 
-    def _changed_subset(self, pool: ServerPool, entries: list[api.Upstream]) -> None:
+    def _changed_subset(self, pool: ServerPool, entries: list[Upstream]) -> None:
         if entries:
-            self._tell_list(pool, api.UpstreamsUpdated(api.ListKind.DELTA, entries))
+            self._tell_list(pool, UpstreamsUpdated(ListKind.DELTA, entries))
 
     def narrow(self, pool: ServerPool) -> None:
         """Now and then: what the pool's subset can do without goes."""
@@ -428,11 +451,11 @@
 
     # Events in, actions out
 
-    def _tell(self, pool: ServerPool, event: api.Event) -> None:
+    def _tell(self, pool: ServerPool, event: Event) -> None:
         """Hand over an event and carry out the actions; what they bring about at once waits its turn."""
-        if self.held and isinstance(event, api.UpstreamsUpdated):
+        if self.held and isinstance(event, UpstreamsUpdated):
             self.held_lists.append((pool, event))
-        elif not (self.held and isinstance(event, api.TimerFired) and (pool, event) in self.events):
+        elif not (self.held and isinstance(event, TimerFired) and (pool, event) in self.events):
             self.events.append((pool, event))
         self._run()
 
@@ -448,7 +471,7 @@
         finally:
             self.running = False
 
-    def _handle(self, pool: ServerPool, event: api.Event) -> None:
+    def _handle(self, pool: ServerPool, event: Event) -> None:
         try:
             actions = pool.balancer.handle(clock_us(), event)
         except Exception:
@@ -457,7 +480,7 @@
             request = self.requests.get(getattr(event, "request", 0))
             if request is not None and not request.over:
                 self._answer(request.ident, Answer(Verdict.FAILED))
-                self.events.append((pool, api.RequestGone(request.ident)))
+                self.events.append((pool, RequestGone(request.ident)))
             return
         for action in actions:
             try:
@@ -465,29 +488,29 @@
             except Exception:
                 log.exception("could not carry out %s", type(action).__name__)
 
-    def _carry_out(self, pool: ServerPool, action: api.Action) -> None:
-        if isinstance(action, api.Send):
+    def _carry_out(self, pool: ServerPool, action: Action) -> None:
+        if isinstance(action, Send):
             if self.stale() and not self.held:
                 self.hold()  # hazard: stopped between two events of one turn, the second would send
             if self.held:
                 self.held_sends.append((pool, action))
             else:
                 self._send(pool, action)
-        elif isinstance(action, api.Refuse):
+        elif isinstance(action, Refuse):
             self._gave_up(pool, action.request, Answer(Verdict.REFUSED, self._back_after_us(pool, action)))
             if pool.subset is not None:
                 self._changed_subset(pool, pool.subset.short(clock_us()))
-        elif isinstance(action, api.Fail):
+        elif isinstance(action, Fail):
             self._gave_up(pool, action.request, Answer(Verdict.FAILED))
-        elif isinstance(action, api.SetTimer):
-            self._at(action.at_us, self._tell, pool, api.TimerFired(action.token))
-        elif isinstance(action, api.Cancel):
+        elif isinstance(action, SetTimer):
+            self._at(action.at_us, self._tell, pool, TimerFired(action.token))
+        elif isinstance(action, Cancel):
             self._cancel(pool, action)
-        elif isinstance(action, api.CloseIdle):
+        elif isinstance(action, CloseIdle):
             pool.upstreams.close_idle(action.upstream)
-        elif isinstance(action, api.Subscribe):
+        elif isinstance(action, Subscribe):
             self.subscribe(action.active)
-        elif isinstance(action, api.Log):
+        elif isinstance(action, Log):
             log.info("%s", f"{pool.name}: {action.text}" if pool.name else action.text)
         else:
             log.warning("not carried out here: %s", type(action).__name__)
@@ -508,7 +531,7 @@
             answer = Answer(Verdict.REFUSED, self._retry_after_us(request.pools[0]))
         self._answer(request.ident, answer)
         if request.pool is not None:
-            self._tell(request.pool, api.RequestGone(request.ident))
+            self._tell(request.pool, RequestGone(request.ident))
 
     def _gave_up(self, pool: ServerPool, ident: int, answer: Answer) -> None:
         """A pool's module gives a request up."""
@@ -541,7 +564,7 @@
             barred = Either(barred, handshake.barred(pool.name))
         standing.asked = number + 1
         request.pool, request.first = pool, len(request.attempts)
-        request.asks = api.RequestArrived(
+        request.asks = RequestArrived(
             request.ident,
             request.due_us,
             call.class_index,
@@ -582,7 +605,7 @@
             if pool.subset is not None:
                 self._changed_subset(pool, pool.subset.short(now_us))
 
-    def _from_door(self, pool: ServerPool, actions: Sequence[Action]) -> None:
+    def _from_door(self, pool: ServerPool, actions: Sequence[DoorAction]) -> None:
         from plovertrail.decisions.fairness import Admitted
 
         for action in actions:
@@ -626,7 +649,7 @@
         door = pool.door
         if door is not None:
             self._from_door(pool, door.expired(clock_us()))
-            self._tell(pool, api.TimerFired(0))
+            self._tell(pool, TimerFired(0))
             self._mind_door(pool, door)
 
     def _leave_door(self, request: Request) -> None:
@@ -647,9 +670,9 @@
 
     def _may_dial(self, pool: ServerPool) -> None:
         pool.dial_timer = None
-        self._tell(pool, api.TimerFired(0))
+        self._tell(pool, TimerFired(0))
 
-    def _back_after_us(self, pool: ServerPool, action: api.Refuse) -> int:
+    def _back_after_us(self, pool: ServerPool, action: Refuse) -> int:
         """A client that is refused for want of a connection comes back in vain before one may be made."""
         if not action.retry_after_us:
             return 0
@@ -674,7 +697,7 @@
         for number, attempt in enumerate(request.attempts):
             if attempt.flight is not None and not attempt.ended and not attempt.flight.written:
                 attempt.flight.give_up()
-                self._end_attempt(request, number, Result(api.Outcome.NOT_SENT))
+                self._end_attempt(request, number, Result(Outcome.NOT_SENT))
         self._drop_if_done(request)
 
     def _drop_if_done(self, request: Request) -> None:
@@ -686,7 +709,7 @@
 
     # Attempts
 
-    def _send(self, pool: ServerPool, action: api.Send) -> None:
+    def _send(self, pool: ServerPool, action: Send) -> None:
         request = self.requests.get(action.request)
         if request is None or request.pool is not pool:
             return  # over, and the module has been told
@@ -698,7 +721,7 @@
         address = pool.addresses.get(action.upstream)
         left_us = request.due_us - now_us
         if address is None:  # it was forgotten since the module chose it
-            self._end_attempt(request, number, Result(api.Outcome.CONNECT_FAILED))
+            self._end_attempt(request, number, Result(Outcome.CONNECT_FAILED))
             return
         if (
             request.over
@@ -708,7 +731,7 @@
             or self._has_left(request)
             or not self._may_place(attempt, address, request.call)
         ):
-            self._end_attempt(request, number, Result(api.Outcome.NOT_SENT))
+            self._end_attempt(request, number, Result(Outcome.NOT_SENT))
             return
         timeout_us = min(action.timeout_us or left_us, left_us)
         attempt.timer = self._at(now_us + timeout_us, self._timed_out, request, number)
@@ -736,21 +759,21 @@
         return attempt.placed
 
     def _timed_out(self, request: Request, number: int) -> None:
-        self._give_up(request, number, api.Outcome.TIMEOUT)
+        self._give_up(request, number, Outcome.TIMEOUT)
 
-    def _cancel(self, pool: ServerPool, action: api.Cancel) -> None:
+    def _cancel(self, pool: ServerPool, action: Cancel) -> None:
         request = self.requests.get(action.request)
         if request is not None and request.pool is pool:
             number = request.first + action.attempt
             if number < len(request.attempts):
-                self._give_up(request, number, api.Outcome.CANCELLED)
+                self._give_up(request, number, Outcome.CANCELLED)
 
-    def _give_up(self, request: Request, number: int, outcome: api.Outcome) -> None:
+    def _give_up(self, request: Request, number: int, outcome: Outcome) -> None:
         attempt = request.attempts[number]
         if attempt.ended or attempt.flight is None:
             return
         if not attempt.flight.written:
-            outcome = api.Outcome.CONNECT_FAILED  # no connection in time: it never ran
+            outcome = Outcome.CONNECT_FAILED  # no connection in time: it never ran
         attempt.flight.give_up()
         self._end_attempt(request, number, Result(outcome))
 
@@ -776,12 +799,12 @@
             aim_us = attempt.pool.settings.classes[request.call.class_index].aim_us
             attempt.pool.admission.ended(result.outcome, elapsed_us, aim_us, clock_us())
         request.standing.attempt_ended(result.outcome)
-        if result.outcome is api.Outcome.OK:
+        if result.outcome is Outcome.OK:
             self._answer(request.ident, Answer(Verdict.SERVED, result=result))
         self._drop_if_done(request)
         self._tell(
             attempt.pool,
-            api.AttemptEnded(
+            AttemptEnded(
                 request.ident,
                 number - request.first,
                 attempt.upstream,
@@ -797,7 +820,7 @@
         drains) is closed again: it has run."""
         if result.tunnel is not None and (request.over or not handshake.accepted()):
             result.tunnel.close()
-            result = Result(api.Outcome.RESET)
+            result = Result(Outcome.RESET)
         if result.tunnel is None and attempt.placed:
             handshake.missed()
         return result
--- a/plovertrail/listeners/application.py
+++ b/plovertrail/listeners/application.py
@@ -10,7 +10,7 @@
 import httptools
 
 from plovertrail.clock import clock_us
-from plovertrail.decisions.interface import Settings
+from plovertrail.decisions.settings import Settings
 from plovertrail.exchange import Answer, Call, Verdict
 from plovertrail.host import Host, ServerPool
 from plovertrail.listeners.connections import ClientConnection, Listener, State
--- a/plovertrail/listeners/ordinary.py
+++ b/plovertrail/listeners/ordinary.py
@@ -10,7 +10,7 @@
 
 from plovertrail.clock import clock_us
 from plovertrail.config.setup import ListenerSetup
-from plovertrail.decisions.interface import Outcome
+from plovertrail.decisions.events import Outcome
 from plovertrail.decisions.limits import OverLimit, limit_header, policy_header
 from plovertrail.decisions.requests import (
     IDENT,
--- a/plovertrail/listeners/sockets.py
+++ b/plovertrail/listeners/sockets.py
@@ -11,7 +11,7 @@
 
 from plovertrail.clock import clock_us
 from plovertrail.decisions import sockets as api
-from plovertrail.decisions.interface import ListKind, UpstreamState, UpstreamsUpdated
+from plovertrail.decisions.events import ListKind, UpstreamState, UpstreamsUpdated
 from plovertrail.exchange import Tunnel
 from plovertrail.generation import Plan
 from plovertrail.host import Host, ServerPool
--- a/plovertrail/scenario_tests/judge.py
+++ b/plovertrail/scenario_tests/judge.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 
 from plovertrail.config.setup import Setup
-from plovertrail.decisions.interface import RequestClass
 from plovertrail.decisions.routes import Head, Miss, predicate_miss, takes_path
+from plovertrail.decisions.settings import RequestClass
 from plovertrail.scenario_tests.daemon import Asked, Sending
 from plovertrail.scenario_tests.play import Played
 from plovertrail.scenario_tests.schema import Expectation
--- a/plovertrail/scenario_tests/servers.py
+++ b/plovertrail/scenario_tests/servers.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Container
 from dataclasses import dataclass, field
 
-from plovertrail.decisions.interface import Outcome
+from plovertrail.decisions.events import Outcome
 from plovertrail.decisions.share import Budget
 from plovertrail.exchange import Call, Result
 
--- a/plovertrail/simulation/fleet.py
+++ b/plovertrail/simulation/fleet.py
@@ -7,8 +7,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from plovertrail.decisions import interface as api
 from plovertrail.decisions import share
+from plovertrail.decisions.events import Upstream, UpstreamState
+from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.decisions.turns import Place
 from plovertrail.simulation.clients import BIN_US, ClientPlan, Clients
 from plovertrail.simulation.clock import SECOND_US, START_US, Clock
@@ -45,9 +46,9 @@
         self.plan = plan
         self.rng = random.Random(seed)
         self.clock = Clock()
-        kind = api.RequestClass("read", plan.aim_us, plan.clients.deadline_us, late_worth=0.3)
+        kind = RequestClass("read", plan.aim_us, plan.clients.deadline_us, late_worth=0.3)
         size = plan.told_size or plan.instances
-        settings = api.Settings(
+        settings = Settings(
             classes=[kind],
             instances=size,
             max_attempts=plan.max_attempts,
@@ -89,16 +90,16 @@
         for number in instances:
             self.instances[number].start(with_state)
 
-    def tell_all(self, entry: api.Upstream) -> None:
+    def tell_all(self, entry: Upstream) -> None:
         """A change of the list, to every instance at one moment."""
         for instance in self.instances:
             instance.changed(entry)
 
     def restart_server(self, number: int) -> None:
         """A server goes; it is back, cold, at once."""
-        self.tell_all(api.Upstream(number, api.UpstreamState.GONE))
+        self.tell_all(Upstream(number, UpstreamState.GONE))
         self.servers[number].started_us = self.clock.now_us
-        self.tell_all(api.Upstream(number, started_us=self.clock.now_us))
+        self.tell_all(Upstream(number, started_us=self.clock.now_us))
 
     # What it comes to
 
--- a/plovertrail/simulation/instances.py
+++ b/plovertrail/simulation/instances.py
@@ -7,10 +7,22 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from plovertrail.decisions import interface as api
 from plovertrail.decisions import remembered, share
+from plovertrail.decisions.actions import Fail, Refuse, Send, SetTimer
 from plovertrail.decisions.admission import Admission
 from plovertrail.decisions.balance import Balancer
+from plovertrail.decisions.events import (
+    AttemptEnded,
+    Event,
+    ListKind,
+    Outcome,
+    RequestArrived,
+    TimerFired,
+    Upstream,
+    UpstreamState,
+    UpstreamsUpdated,
+)
+from plovertrail.decisions.settings import Settings
 from plovertrail.decisions.turns import Place
 from plovertrail.simulation.clock import Clock
 from plovertrail.simulation.servers import Server
@@ -24,7 +36,7 @@
     """What all instances of a fleet have in common."""
 
     clock: Clock
-    settings: api.Settings
+    settings: Settings
     servers: dict[int, Server]
     bounds: share.Bounds
     network_us: int  # one way
@@ -82,8 +94,8 @@
                 server.entry.id in self.memory
                 and remembered.recall_server(self.balancer, server, self.memory[server.entry.id], age_us)
             )
-        entries = [api.Upstream(one.number, started_us=one.started_us) for one in around.servers.values()]
-        self.listed(api.ListKind.CACHED, entries)
+        entries = [Upstream(one.number, started_us=one.started_us) for one in around.servers.values()]
+        self.listed(ListKind.CACHED, entries)
 
     def kill(self) -> None:
         """Nobody gets an answer of it any more."""
@@ -106,17 +118,17 @@
 
     # Lists
 
-    def listed(self, kind: api.ListKind, entries: list[api.Upstream]) -> None:
+    def listed(self, kind: ListKind, entries: list[Upstream]) -> None:
         """Tell the decision module a list of servers, cut down to those that this instance uses."""
         where = {entry.id: ("10.0.0.1", entry.id) for entry in entries}
         mine = self.subset.listed(entries, where)
         if mine:
-            self.tell(api.UpstreamsUpdated(kind, mine, part=True))
+            self.tell(UpstreamsUpdated(kind, mine, part=True))
 
-    def changed(self, entry: api.Upstream) -> None:
+    def changed(self, entry: Upstream) -> None:
         """One server has come, or gone and its connections with it."""
-        self.listed(api.ListKind.DELTA, [entry])
-        if entry.state is not api.UpstreamState.READY:
+        self.listed(ListKind.DELTA, [entry])
+        if entry.state is not UpstreamState.READY:
             self.met.discard(entry.id)
             for _ in range(self.idle.pop(entry.id, 0)):
                 self.close(entry.id)
@@ -132,7 +144,7 @@
                 reply(False, self.admission.back_after_us())
                 return
         self.owed[ident] = reply
-        self.tell(api.RequestArrived(ident, due_us, barred=self))
+        self.tell(RequestArrived(ident, due_us, barred=self))
 
     def __contains__(self, server: object) -> bool:
         """The servers that it can't reach now (`barred`)."""
@@ -146,28 +158,28 @@
             return True
         return self.dials is not None and not self.dials.may(self.around.clock.now_us)
 
-    def tell(self, event: api.Event) -> None:
+    def tell(self, event: Event) -> None:
         """Give the decision module an event and carry out the actions that it returns."""
         now_us = self.around.clock.now_us
         for action in self.balancer.handle(now_us, event):
-            if isinstance(action, api.Send):
+            if isinstance(action, Send):
                 self.send(action)
-            elif isinstance(action, api.SetTimer):
+            elif isinstance(action, SetTimer):
                 self.around.clock.at(action.at_us, self.fired, self.life, action.token)
-            elif isinstance(action, api.Refuse | api.Fail):
-                after_us = action.retry_after_us if isinstance(action, api.Refuse) else 0
+            elif isinstance(action, Refuse | Fail):
+                after_us = action.retry_after_us if isinstance(action, Refuse) else 0
                 if after_us and self.dials is not None:
                     longest_us = self.around.settings.max_retry_after_us
                     after_us = max(after_us, self.dials.promise_us(now_us, longest_us) - now_us)
                 self.answered(action.request, False, after_us)
                 wider = self.subset.short(now_us)
                 if wider:
-                    self.tell(api.UpstreamsUpdated(api.ListKind.DELTA, wider, part=True))
+                    self.tell(UpstreamsUpdated(ListKind.DELTA, wider, part=True))
 
     def fired(self, life: int, token: int) -> None:
         """A timer of the decision module is due; it is void if the process of that `life` has ended."""
         if life == self.life:
-            self.tell(api.TimerFired(token))
+            self.tell(TimerFired(token))
 
     def answered(self, ident: int, served: bool, after_us: int = 0) -> None:
         """Answer a client, once: served, or refused with the time in us after which it may try again."""
@@ -177,7 +189,7 @@
 
     # Attempts
 
-    def send(self, action: api.Send) -> None:
+    def send(self, action: Send) -> None:
         """Send an attempt to its server, over an idle connection or a new one.
 
         It fails as NOT_SENT where no connection may be opened, and as CONNECT_FAILED where the server takes
@@ -188,7 +200,7 @@
         out = Out(action.request, len(tried), server, clock.now_us)
         tried.append(out)
         if action.upstream in self:  # one more than there is room for was sent in one go
-            clock.after(0, self.ended, self.life, out, api.Outcome.NOT_SENT)
+            clock.after(0, self.ended, self.life, out, Outcome.NOT_SENT)
             return
         way_us = self.around.network_us
         if self.idle.get(action.upstream):
@@ -200,12 +212,12 @@
             if self.dials is not None:
                 self.dials.took(clock.now_us)
             if not server.dialled():
-                clock.after(REFUSED_DIAL_US, self.ended, self.life, out, api.Outcome.CONNECT_FAILED)
+                clock.after(REFUSED_DIAL_US, self.ended, self.life, out, Outcome.CONNECT_FAILED)
                 return
             self.open[action.upstream] += 1
             way_us *= 3
         if action.timeout_us:
-            clock.after(action.timeout_us, self.ended, self.life, out, api.Outcome.TIMEOUT)
+            clock.after(action.timeout_us, self.ended, self.life, out, Outcome.TIMEOUT)
         clock.after(way_us, self.came, self.life, out)
 
     def came(self, life: int, out: Out) -> None:
@@ -214,31 +226,31 @@
             self.met.add(out.server.number)
             out.server.first_contacts[out.server.second] += 1
         took_us = out.server.answers_us()
-        outcome = api.Outcome.OK
+        outcome = Outcome.OK
         if took_us is None:
-            took_us, outcome = 0, api.Outcome.FULL
+            took_us, outcome = 0, Outcome.FULL
         self.around.clock.after(took_us + self.around.network_us, self.ended, life, out, outcome)
 
-    def ended(self, life: int, out: Out, outcome: api.Outcome) -> None:
+    def ended(self, life: int, out: Out, outcome: Outcome) -> None:
         """Free an attempt's connection and tell the decision module its outcome; later ends are ignored."""
         if out.ended or life != self.life:
             return
         out.ended = True
         number, now_us = out.server.number, self.around.clock.now_us
-        if outcome in (api.Outcome.OK, api.Outcome.FULL):
+        if outcome in (Outcome.OK, Outcome.FULL):
             if self.budget.keep_idle:
                 self.idle[number] = self.idle.get(number, 0) + 1
             else:
                 self.close(number)
-        elif outcome is api.Outcome.TIMEOUT:
+        elif outcome is Outcome.TIMEOUT:
             self.close(number)
-        served, elapsed_us = outcome is api.Outcome.OK, now_us - out.sent_us
+        served, elapsed_us = outcome is Outcome.OK, now_us - out.sent_us
         if self.admission is not None:
             self.admission.ended(outcome, elapsed_us, self.around.settings.classes[0].aim_us, now_us)
         if served:
             self.answered(out.request, True)
         final = out.request not in self.owed
-        self.tell(api.AttemptEnded(out.request, out.number, number, outcome, elapsed_us, final))
+        self.tell(AttemptEnded(out.request, out.number, number, outcome, elapsed_us, final))
         if out.request not in self.owed and all(each.ended for each in self.attempts.get(out.request, [])):
             self.attempts.pop(out.request, None)
 
--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -19,7 +19,7 @@
 from plovertrail.clock import clock_us
 from plovertrail.config.platform import parse_address
 from plovertrail.decisions.endpoint_list import UNGUARDED, Candidate, Change, Entry, Kind, State, reduce
-from plovertrail.decisions.interface import ListKind, Upstream, UpstreamState, UpstreamsUpdated
+from plovertrail.decisions.events import ListKind, Upstream, UpstreamState, UpstreamsUpdated
 from plovertrail.decisions.list_calls import SILENT_US, UNANSWERED_US
 
 log = logging.getLogger(__name__)
--- a/plovertrail/upstreams/connections.py
+++ b/plovertrail/upstreams/connections.py
@@ -11,7 +11,7 @@
 import httptools
 
 from plovertrail.clock import clock_us
-from plovertrail.decisions.interface import Outcome
+from plovertrail.decisions.events import Outcome
 from plovertrail.decisions.share import Budget, Dials
 from plovertrail.exchange import Call, Handshake, Result, Tunnel, stays
 
--- a/simulator/adapter.py
+++ b/simulator/adapter.py
@@ -6,7 +6,7 @@
 from typing import BinaryIO
 
 from plovertrail.decisions.balance import Balancer
-from plovertrail.decisions.interface import RequestArrived
+from plovertrail.decisions.events import RequestArrived
 from simulator import wire
 
 
--- a/simulator/wire.py
+++ b/simulator/wire.py
@@ -1,4 +1,4 @@
-"""The bench's wire: frames to interface events, interface actions to frames, settings from text.
+"""The bench's wire: frames to events, actions to frames, settings from text.
 
 No decision is made here. `WireError` says in one line what is malformed and where.
 """
@@ -12,7 +12,36 @@
 from typing import Any, TypeVar
 
 from plovertrail.config.settings import SettingsError, settings_from_pairs
-from plovertrail.decisions import interface as api
+from plovertrail.decisions.actions import (
+    Action,
+    Cancel,
+    CloseIdle,
+    Fail,
+    FetchList,
+    Log,
+    Probe,
+    Refuse,
+    Send,
+    SetTimer,
+    Subscribe,
+    TellPeer,
+)
+from plovertrail.decisions.events import (
+    AttemptEnded,
+    Event,
+    ListKind,
+    Outcome,
+    PeerMessage,
+    ProbeEnded,
+    RequestArrived,
+    RequestGone,
+    StreamStarted,
+    TimerFired,
+    Upstream,
+    UpstreamState,
+    UpstreamsUpdated,
+)
+from plovertrail.decisions.settings import Settings
 
 HEADER = struct.Struct("<IIQ")
 REPLY_HEADER = struct.Struct("<II")
@@ -29,17 +58,17 @@
 _U32 = struct.Struct("<I")
 
 _OUTCOMES = {
-    0: api.Outcome.OK,
-    5: api.Outcome.ERROR,
-    11: api.Outcome.FULL,
-    110: api.Outcome.TIMEOUT,
-    111: api.Outcome.CONNECT_FAILED,
-    104: api.Outcome.RESET,
-    125: api.Outcome.CANCELLED,
-    114: api.Outcome.NOT_SENT,
+    0: Outcome.OK,
+    5: Outcome.ERROR,
+    11: Outcome.FULL,
+    110: Outcome.TIMEOUT,
+    111: Outcome.CONNECT_FAILED,
+    104: Outcome.RESET,
+    125: Outcome.CANCELLED,
+    114: Outcome.NOT_SENT,
 }
-_STATES = {0: api.UpstreamState.GONE, 1: api.UpstreamState.READY, 2: api.UpstreamState.DRAINING}
-_LIST_KINDS = {0: api.ListKind.DELTA, 1: api.ListKind.FULL, 2: api.ListKind.CACHED, 3: api.ListKind.FAILED}
+_STATES = {0: UpstreamState.GONE, 1: UpstreamState.READY, 2: UpstreamState.DRAINING}
+_LIST_KINDS = {0: ListKind.DELTA, 1: ListKind.FULL, 2: ListKind.CACHED, 3: ListKind.FAILED}
 _U32_MAX = 0xFFFFFFFF
 V = TypeVar("V")
 
@@ -68,15 +97,15 @@
     text: str
 
 
-Record = api.Event | InstanceStarted | InstanceStopped
-Reply = api.Action | InternalError
+Record = Event | InstanceStarted | InstanceStopped
+Reply = Action | InternalError
 
 
 class Decoder:
     """Reads batches; remembers the numbered upstream lists, which events refer to."""
 
     def __init__(self) -> None:
-        self.lists: dict[int, list[api.Upstream]] = {}
+        self.lists: dict[int, list[Upstream]] = {}
         self.data = b""
         self.at = 0
 
@@ -131,7 +160,7 @@
             if not math.isfinite(weight):
                 raise WireError(f"upstream {upstream} has a weight that is not a finite number")
             entries.append(
-                api.Upstream(
+                Upstream(
                     upstream, _known(_STATES, state, "upstream condition"), zone, kind, cell, weight, started
                 )
             )
@@ -157,23 +186,23 @@
 def _members(frame: Decoder) -> Record:
     how, version, number = frame.fields(_MEMBERS)
     kind = _known(_LIST_KINDS, how, "list kind")
-    if kind is api.ListKind.FAILED:
-        return api.UpstreamsUpdated(kind, [], version)
+    if kind is ListKind.FAILED:
+        return UpstreamsUpdated(kind, [], version)
     if number not in frame.lists:
         raise WireError(f"upstream list {number} was never sent")
-    return api.UpstreamsUpdated(kind, frame.lists[number], version)
+    return UpstreamsUpdated(kind, frame.lists[number], version)
 
 
 def _accept(frame: Decoder) -> Record:
     request, class_index, tenant, key, cost, marks, due = frame.fields(_ACCEPT)
-    return api.RequestArrived(
+    return RequestArrived(
         request, due, class_index, tenant, key, cost if marks & 1 else 0, bool(marks & 2), bool(marks & 4)
     )
 
 
 def _completed(frame: Decoder) -> Record:
     request, attempt, upstream, verdict, spent, last, count = frame.fields(_COMPLETED)
-    return api.AttemptEnded(
+    return AttemptEnded(
         request,
         attempt,
         upstream,
@@ -186,17 +215,17 @@
 
 def _begun(frame: Decoder) -> Record:
     request, attempt, spent, upstream = frame.fields(_BEGUN)
-    return api.StreamStarted(request, attempt, upstream, spent)
+    return StreamStarted(request, attempt, upstream, spent)
 
 
 def _health(frame: Decoder) -> Record:
     upstream, verdict, spent, count = frame.fields(_HEALTH)
-    return api.ProbeEnded(upstream, _known(_OUTCOMES, verdict, "outcome"), spent, frame.floats(count))
+    return ProbeEnded(upstream, _known(_OUTCOMES, verdict, "outcome"), spent, frame.floats(count))
 
 
 def _datagram(frame: Decoder) -> Record:
     sender, size = frame.fields(_DATAGRAM)
-    return api.PeerMessage(sender, frame.take(size))
+    return PeerMessage(sender, frame.take(size))
 
 
 _READERS: dict[int, Callable[[Decoder], Record]] = {
@@ -204,8 +233,8 @@
     20: _begun,
     30: _datagram,
     40: _stopped,
-    50: lambda frame: api.TimerFired(frame.fields(_U32)[0]),
-    60: lambda frame: api.RequestGone(frame.fields(_U32)[0]),
+    50: lambda frame: TimerFired(frame.fields(_U32)[0]),
+    60: lambda frame: RequestGone(frame.fields(_U32)[0]),
     70: _accept,
     80: _members,
     90: _health,
@@ -230,17 +259,17 @@
 
 
 _WRITERS: dict[type, Callable[[int, Any], bytes]] = {
-    api.Send: lambda i, a: _send(i, a.request, a.upstream, a.timeout_us),
-    api.Refuse: lambda i, a: _refuse(i, a.request, a.retry_after_us),
-    api.Fail: lambda i, a: _fail(i, a.request),
-    api.Cancel: lambda i, a: _cancel(i, a.request, a.attempt),
-    api.Probe: lambda i, a: _probe(i, a.upstream),
-    api.SetTimer: lambda i, a: _timer(i, a.at_us, a.token),
-    api.Subscribe: lambda i, a: _subscribe(i, int(a.active)),
-    api.FetchList: lambda i, a: _fetch(i),
-    api.CloseIdle: lambda i, a: _close(i, a.upstream),
-    api.TellPeer: lambda i, a: _tell(i, _U32_MAX if a.to is None else a.to, len(a.payload)) + a.payload,
-    api.Log: lambda i, a: _text(_text_log, i, a.text),
+    Send: lambda i, a: _send(i, a.request, a.upstream, a.timeout_us),
+    Refuse: lambda i, a: _refuse(i, a.request, a.retry_after_us),
+    Fail: lambda i, a: _fail(i, a.request),
+    Cancel: lambda i, a: _cancel(i, a.request, a.attempt),
+    Probe: lambda i, a: _probe(i, a.upstream),
+    SetTimer: lambda i, a: _timer(i, a.at_us, a.token),
+    Subscribe: lambda i, a: _subscribe(i, int(a.active)),
+    FetchList: lambda i, a: _fetch(i),
+    CloseIdle: lambda i, a: _close(i, a.upstream),
+    TellPeer: lambda i, a: _tell(i, _U32_MAX if a.to is None else a.to, len(a.payload)) + a.payload,
+    Log: lambda i, a: _text(_text_log, i, a.text),
     InternalError: lambda i, a: _text(_text_error, i, a.text),
 }
 
@@ -256,7 +285,7 @@
     return REPLY_HEADER.pack(len(body), len(records)) + body
 
 
-def parse_settings(text: str) -> api.Settings:
+def parse_settings(text: str) -> Settings:
     """The settings of one instance; keys that are not known are skipped."""
     pairs: dict[str, str] = {}
     for number, line in enumerate(text.splitlines(), 1):
--- a/tests/benchmarks/test_capacity_page.py
+++ b/tests/benchmarks/test_capacity_page.py
@@ -9,8 +9,16 @@
 
 import pytest
 
-from plovertrail.decisions import interface
 from plovertrail.decisions.balance import MOST_SLOTS, Balancer
+from plovertrail.decisions.events import (
+    AttemptEnded,
+    ListKind,
+    Outcome,
+    RequestArrived,
+    Upstream,
+    UpstreamsUpdated,
+)
+from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.sources import lists
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -40,17 +48,17 @@
 
 
 def test_no_upstream_has_more_slots_than_the_bound() -> None:
-    kind = interface.RequestClass("x", aim_us=SECOND_US, deadline_us=2 * SECOND_US)
-    balancer = Balancer(interface.Settings([kind]), 1, 0)
-    balancer.handle(0, interface.UpstreamsUpdated(interface.ListKind.FULL, [interface.Upstream(1)]))
+    kind = RequestClass("x", aim_us=SECOND_US, deadline_us=2 * SECOND_US)
+    balancer = Balancer(Settings([kind]), 1, 0)
+    balancer.handle(0, UpstreamsUpdated(ListKind.FULL, [Upstream(1)]))
     for number in range(1, 200):
-        balancer.handle(number * 1_000, interface.RequestArrived(number, SECOND_US))
+        balancer.handle(number * 1_000, RequestArrived(number, SECOND_US))
     for number in range(1, 200):
-        ended = interface.AttemptEnded(number, 0, 1, interface.Outcome.OK, 100, True)
+        ended = AttemptEnded(number, 0, 1, Outcome.OK, 100, True)
         balancer.handle(200_000 + number, ended)
         for more in range(20):  # it is short of slots at each answer
             ident = 1_000 * number + more
-            balancer.handle(200_000 + number, interface.RequestArrived(ident, 2 * SECOND_US))
+            balancer.handle(200_000 + number, RequestArrived(ident, 2 * SECOND_US))
     assert balancer.servers[1].used <= MOST_SLOTS
     assert balancer.open_slots(balancer.servers[1]) <= MOST_SLOTS
 
--- a/tests/benchmarks/test_retry_chain.py
+++ b/tests/benchmarks/test_retry_chain.py
@@ -14,7 +14,7 @@
 from benchmarks.capacity.retry_model import Model, Plan
 from benchmarks.capacity.slopes import Unit
 from plovertrail.decisions.balance import MOST_RETRIES, REISSUED, RETRY_SHARE, Reissues
-from plovertrail.decisions.interface import Outcome
+from plovertrail.decisions.events import Outcome
 
 
 def brute_force(factors: Sequence[int]) -> list[int]:
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -8,7 +8,7 @@
 import pytest
 
 from plovertrail.decisions.admission import ADVICE_US, CALM_US, Admission
-from plovertrail.decisions.interface import Outcome
+from plovertrail.decisions.events import Outcome
 
 AIM_US = 300_000
 
--- a/tests/decisions/test_affinity.py
+++ b/tests/decisions/test_affinity.py
@@ -7,9 +7,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from plovertrail.decisions import interface as api
+from plovertrail.decisions.actions import Send
 from plovertrail.decisions.affinity import Affinity, AffinitySource, Ring
 from plovertrail.decisions.balance import NEVER_RAN, Balancer
+from plovertrail.decisions.events import (
+    AttemptEnded,
+    Event,
+    ListKind,
+    Outcome,
+    RequestArrived,
+    Upstream,
+    UpstreamState,
+    UpstreamsUpdated,
+)
+from plovertrail.decisions.settings import RequestClass, Settings
 
 SECOND = 1_000_000
 KEYS = [f"client{number}".encode() for number in range(4000)]
@@ -74,17 +85,17 @@
 
 def balancer(servers: int = 3, **more: object) -> Balancer:
     kinds = [
-        api.RequestClass("read", SECOND, 4 * SECOND),
-        api.RequestClass("buy", SECOND, 4 * SECOND, effect="at_most_once"),
+        RequestClass("read", SECOND, 4 * SECOND),
+        RequestClass("buy", SECOND, 4 * SECOND, effect="at_most_once"),
     ]
-    made = Balancer(api.Settings(kinds, max_attempts=3, **more), 1, SECOND)  # type: ignore[arg-type]
-    listed = [api.Upstream(number) for number in range(1, servers + 1)]
-    made.handle(SECOND, api.UpstreamsUpdated(api.ListKind.FULL, listed))
+    made = Balancer(Settings(kinds, max_attempts=3, **more), 1, SECOND)  # type: ignore[arg-type]
+    listed = [Upstream(number) for number in range(1, servers + 1)]
+    made.handle(SECOND, UpstreamsUpdated(ListKind.FULL, listed))
     return made
 
 
-def sent(made: Balancer, now_us: int, event: api.Event) -> list[int]:
-    return [action.upstream for action in made.handle(now_us, event) if isinstance(action, api.Send)]
+def sent(made: Balancer, now_us: int, event: Event) -> list[int]:
+    return [action.upstream for action in made.handle(now_us, event) if isinstance(action, Send)]
 
 
 def test_the_preferred_server_gets_each_request_while_it_has_a_free_slot() -> None:
@@ -92,23 +103,23 @@
     now_us = SECOND
     for ident in range(1, 200):
         now_us += 10_000
-        assert sent(made, now_us, api.RequestArrived(ident, now_us + 4 * SECOND, preferred=(2, 3))) == [2]
-        made.handle(now_us + 1000, api.AttemptEnded(ident, 0, 2, api.Outcome.OK, 1000, True))
+        assert sent(made, now_us, RequestArrived(ident, now_us + 4 * SECOND, preferred=(2, 3))) == [2]
+        made.handle(now_us + 1000, AttemptEnded(ident, 0, 2, Outcome.OK, 1000, True))
 
 
 def test_without_a_free_slot_there_the_second_choice_and_then_any() -> None:
     made = balancer()
-    asked = [api.RequestArrived(ident, 5 * SECOND, preferred=(2, 3)) for ident in (1, 2, 3)]
+    asked = [RequestArrived(ident, 5 * SECOND, preferred=(2, 3)) for ident in (1, 2, 3)]
     found = [sent(made, SECOND, event) for event in asked]
     assert found == [[2], [3], [1]]
 
 
 def test_one_that_drains_is_gone_or_barred_is_not_preferred() -> None:
-    for change in ([api.Upstream(2, api.UpstreamState.DRAINING)], [api.Upstream(2, api.UpstreamState.GONE)]):
+    for change in ([Upstream(2, UpstreamState.DRAINING)], [Upstream(2, UpstreamState.GONE)]):
         made = balancer()
-        made.handle(SECOND, api.UpstreamsUpdated(api.ListKind.DELTA, change))
-        assert sent(made, SECOND, api.RequestArrived(1, 5 * SECOND, preferred=(2,)))[0] != 2
-    barred = api.RequestArrived(1, 5 * SECOND, barred=frozenset((2,)), preferred=(2,))
+        made.handle(SECOND, UpstreamsUpdated(ListKind.DELTA, change))
+        assert sent(made, SECOND, RequestArrived(1, 5 * SECOND, preferred=(2,)))[0] != 2
+    barred = RequestArrived(1, 5 * SECOND, barred=frozenset((2,)), preferred=(2,))
     assert sent(balancer(), SECOND, barred)[0] != 2
 
 
@@ -117,14 +128,14 @@
 
     def got(preferred: tuple[int, ...]) -> int:
         made = balancer(5, cold_share=0.2, warm_up_us=10 * SECOND, overload_factor=2.0, fall_us=2 * SECOND)
-        made.handle(SECOND, api.UpstreamsUpdated(api.ListKind.DELTA, [api.Upstream(1, started_us=SECOND)]))
+        made.handle(SECOND, UpstreamsUpdated(ListKind.DELTA, [Upstream(1, started_us=SECOND)]))
         count, now_us = 0, SECOND
         for ident in range(1, 201):
             now_us += 5_000
-            event = api.RequestArrived(ident, now_us + 4 * SECOND, preferred=preferred)
+            event = RequestArrived(ident, now_us + 4 * SECOND, preferred=preferred)
             for server in sent(made, now_us, event):
                 count += server == 1
-                made.handle(now_us, api.AttemptEnded(ident, 0, server, api.Outcome.OK, 1000, True))
+                made.handle(now_us, AttemptEnded(ident, 0, server, Outcome.OK, 1000, True))
         return count
 
     # its part is a fifth of one of 4.2 servers, or 10 of 200; all would be 200
@@ -133,8 +144,8 @@
 
 def test_a_request_that_is_tried_again_goes_elsewhere() -> None:
     made = balancer()
-    assert sent(made, SECOND, api.RequestArrived(1, 5 * SECOND, preferred=(2,))) == [2]
-    again = sent(made, SECOND, api.AttemptEnded(1, 0, 2, api.Outcome.FULL, 100))
+    assert sent(made, SECOND, RequestArrived(1, 5 * SECOND, preferred=(2,))) == [2]
+    again = sent(made, SECOND, AttemptEnded(1, 0, 2, Outcome.FULL, 100))
     assert len(again) == 1 and again != [2]
 
 
@@ -144,29 +155,29 @@
         st.tuples(
             st.integers(1, 6),
             st.sampled_from([1, 1, 1, 2, 3]),
-            st.sampled_from(list(api.Outcome)),
+            st.sampled_from(list(Outcome)),
             st.integers(0, 300_000),
         ),
         max_size=60,
     )
 )
 def test_an_unsafe_request_is_never_repeated_for_a_preference(
-    steps: list[tuple[int, int, api.Outcome, int]],
+    steps: list[tuple[int, int, Outcome, int]],
 ) -> None:
     made = balancer(4)
     now_us = SECOND
     ran: set[int] = set()  # unsafe requests that may have run; a slot that frees may bring another one's send
     for ident, (prefer, kind, outcome, pause_us) in enumerate(steps, 1):
         now_us += pause_us
-        event: api.Event = api.RequestArrived(
+        event: Event = RequestArrived(
             ident, now_us + 4 * SECOND, class_index=int(kind > 1), preferred=(prefer,)
         )
         for attempt in range(4):
-            sends = [action for action in made.handle(now_us, event) if isinstance(action, api.Send)]
+            sends = [action for action in made.handle(now_us, event) if isinstance(action, Send)]
             assert not ran & {send.request for send in sends}
             mine = [send.upstream for send in sends if send.request == ident]
             if not mine:
                 break
             if kind > 1 and outcome not in NEVER_RAN:
                 ran.add(ident)
-            event = api.AttemptEnded(ident, attempt, mine[0], outcome, 1000, outcome is api.Outcome.OK)
+            event = AttemptEnded(ident, attempt, mine[0], outcome, 1000, outcome is Outcome.OK)
--- a/tests/decisions/test_calm.py
+++ b/tests/decisions/test_calm.py
@@ -4,22 +4,21 @@
 
 import pytest
 
+from plovertrail.decisions.actions import Fail
 from plovertrail.decisions.balance import Balancer
-from plovertrail.decisions.interface import (
+from plovertrail.decisions.events import (
     AttemptEnded,
-    Fail,
     Outcome,
     PeerMessage,
     ProbeEnded,
     RequestArrived,
-    RequestClass,
     RequestGone,
     StreamStarted,
-    Tenant,
     TimerFired,
     UpstreamsUpdated,
 )
-from plovertrail.decisions.interface import ListKind as Kind
+from plovertrail.decisions.events import ListKind as Kind
+from plovertrail.decisions.settings import RequestClass, Tenant
 from tests.decisions.world import START_US, World, settings, upstreams
 
 
--- a/tests/decisions/test_cold_fleet.py
+++ b/tests/decisions/test_cold_fleet.py
@@ -8,7 +8,7 @@
 import pytest
 
 from fakes.balancers_model import SECOND_US, Fleet
-from plovertrail.decisions.interface import Upstream, UpstreamState
+from plovertrail.decisions.events import Upstream, UpstreamState
 
 ROOTS = 2.0  # that are put down to chance, beyond N calls and two
 # cold share, warm-up, what pushes over and for how long, in seconds: as several deployments state them
--- a/tests/decisions/test_draw.py
+++ b/tests/decisions/test_draw.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from benchmarks import reference_balance
-from plovertrail.decisions import interface as api
+from plovertrail.decisions.actions import CloseIdle
 from plovertrail.decisions.balance import (
     A_SECOND_EACH,
     DISTRUST_BORNE,
@@ -21,18 +21,26 @@
     Request,
     Server,
 )
+from plovertrail.decisions.events import (
+    ListKind,
+    Outcome,
+    RequestArrived,
+    TimerFired,
+    Upstream,
+    UpstreamState,
+)
 from tests.decisions import world
 from tests.decisions.world import World, upstreams
 
 OUTCOMES = [
-    api.Outcome.OK,
-    api.Outcome.OK,
-    api.Outcome.OK,
-    api.Outcome.ERROR,
-    api.Outcome.FULL,
-    api.Outcome.RESET,
-    api.Outcome.SPOILT,
-    api.Outcome.CONNECT_FAILED,
+    Outcome.OK,
+    Outcome.OK,
+    Outcome.OK,
+    Outcome.ERROR,
+    Outcome.FULL,
+    Outcome.RESET,
+    Outcome.SPOILT,
+    Outcome.CONNECT_FAILED,
 ]
 STEP = st.tuples(st.sampled_from(["arrive", "arrive", "end", "time", "list", "quit"]), st.integers(0, 2**16))
 
@@ -93,7 +101,7 @@
     played = World(
         world.settings(cold_share=0.3, warm_up_us=3_000_000, weighted=True, draw_by_weight=True), seed
     )
-    entries = [api.Upstream(100 + i, zone=i // 2, cell=i // 2, weight=1.0 + i % 3) for i in range(8)]
+    entries = [Upstream(100 + i, zone=i // 2, cell=i // 2, weight=1.0 + i % 3) for i in range(8)]
     played.tell_list(entries)
     for what, number in steps:
         if what == "arrive":
@@ -111,8 +119,8 @@
                 played.quit(open_now[number % len(open_now)])
         else:
             entry = entries[number % len(entries)]
-            state = (api.UpstreamState.READY, api.UpstreamState.DRAINING, api.UpstreamState.GONE)[number % 3]
-            entry = entries[number % len(entries)] = api.Upstream(
+            state = (UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.GONE)[number % 3]
+            entry = entries[number % len(entries)] = Upstream(
                 entry.id,
                 state,
                 entry.zone,
@@ -121,7 +129,7 @@
                 1.0 + number % 4,
                 played.now_us - number % 2_000_000 if number % 2 else 0,
             )
-            played.tell_list([entry], api.ListKind.DELTA)
+            played.tell_list([entry], ListKind.DELTA)
         check_books(played.balancer)
         for request in played.balancer.requests.values():
             if request.out == 0 and not request.done:
@@ -149,7 +157,7 @@
     for pool in balancer.pools:
         pool.credit = 2.0
     for class_index in range(3):
-        event = api.RequestArrived(9_999, balancer.now_us + 1_000_000, class_index)
+        event = RequestArrived(9_999, balancer.now_us + 1_000_000, class_index)
         request = Request(event, balancer.settings.classes[class_index], balancer.now_us)
         expected = choices(balancer, request)
         count = 4_000
@@ -169,7 +177,7 @@
     idents = [played.arrive(0, barred=barred) for _ in range(20)]
     assert {send.upstream for ident in idents for send in played.sends(ident)} == {101}
     balancer = played.balancer
-    event = api.RequestArrived(9_999, balancer.now_us + 1_000_000, barred=frozenset((100, 101, 102)))
+    event = RequestArrived(9_999, balancer.now_us + 1_000_000, barred=frozenset((100, 101, 102)))
     request = Request(event, balancer.settings.classes[0], balancer.now_us)
     assert [balancer.draw(request) for _ in range(50)] == [None] * 50
 
@@ -184,12 +192,12 @@
     balancer.mute(balancer.servers[101], 0, 0)
     check_books(balancer)
     assert balancer.muted[0] == 2
-    played.tell_list([api.Upstream(102, api.UpstreamState.GONE)], api.ListKind.DELTA)
+    played.tell_list([Upstream(102, UpstreamState.GONE)], ListKind.DELTA)
     check_books(balancer)
     assert balancer.muted[0] == 1
     for after_us, count in ((499_999, 1), (2, 0)):
         played.advance(after_us)
-        played.tell(api.TimerFired(0))  # the module learns the time
+        played.tell(TimerFired(0))  # the module learns the time
         check_books(balancer)
         assert balancer.muted[0] == count
 
@@ -200,7 +208,7 @@
     ident = played.arrive(0)
     seen = [played.sends(ident)[-1].upstream]
     for attempt in range(3):
-        played.end(ident, attempt, api.Outcome.CONNECT_FAILED)
+        played.end(ident, attempt, Outcome.CONNECT_FAILED)
         seen.append(played.sends(ident)[-1].upstream)
     assert len(set(seen[:3])) == 3
 
@@ -209,16 +217,16 @@
     played = World()
     played.tell_list(upstreams(1))
     old = played.arrive(0)
-    played.tell_list([api.Upstream(100, api.UpstreamState.GONE)], api.ListKind.DELTA)
-    played.tell_list(upstreams(1), api.ListKind.DELTA)
+    played.tell_list([Upstream(100, UpstreamState.GONE)], ListKind.DELTA)
+    played.tell_list(upstreams(1), ListKind.DELTA)
     played.arrive(0)
     balancer = played.balancer
     assert 100 in balancer.pools[0].in_use and balancer.servers[100].used == 1
     before = len(played.log)
     balancer.requests[old].attempts[0].server.window = 0.01
-    played.end(old, 0, api.Outcome.FULL)
+    played.end(old, 0, Outcome.FULL)
     assert 100 in balancer.pools[0].in_use
-    assert not [action for action in played.log[before:] if isinstance(action, api.CloseIdle)]
+    assert not [action for action in played.log[before:] if isinstance(action, CloseIdle)]
     check_books(balancer)
 
 
@@ -234,5 +242,5 @@
         played.advance(100_000)
         ident = played.arrive(0)
         if played.sends(ident):
-            played.end(ident, 0, api.Outcome.OK)
+            played.end(ident, 0, Outcome.OK)
     assert len(played.sends()) > 10
--- a/tests/decisions/test_failover.py
+++ b/tests/decisions/test_failover.py
@@ -4,19 +4,18 @@
 
 import pytest
 
+from plovertrail.decisions.actions import Send
 from plovertrail.decisions.balance import MOST_RETRIES, NEVER_RAN, Balancer, Reissues
-from plovertrail.decisions.failover import Standing, attempts_left, next_pool
-from plovertrail.decisions.interface import (
+from plovertrail.decisions.events import (
     AttemptEnded,
     ListKind,
     Outcome,
     RequestArrived,
-    RequestClass,
-    Send,
-    Settings,
     Upstream,
     UpstreamsUpdated,
 )
+from plovertrail.decisions.failover import Standing, attempts_left, next_pool
+from plovertrail.decisions.settings import RequestClass, Settings
 
 
 def ask(
--- a/tests/decisions/test_fairness.py
+++ b/tests/decisions/test_fairness.py
@@ -9,8 +9,15 @@
 from hypothesis import strategies as st
 
 from fakes.door_model import DoorModel, Load
-from plovertrail.decisions import interface as api
 from plovertrail.decisions.balance import Balancer
+from plovertrail.decisions.events import (
+    AttemptEnded,
+    ListKind,
+    Outcome,
+    RequestArrived,
+    Upstream,
+    UpstreamsUpdated,
+)
 from plovertrail.decisions.fairness import (
     MOST_PROMISES,
     Admitted,
@@ -18,6 +25,7 @@
     DoorSettings,
     TurnedAway,
 )
+from plovertrail.decisions.settings import RequestClass, Settings
 
 SMALL = [Load(f"small{number}", 25.0) for number in range(10)]  # 5 slots of work together
 SECOND = 1_000_000
@@ -283,20 +291,20 @@
     """The module opens slots only where they were short; a door keeps shortage from it."""
 
     def window(asked: bool) -> float:
-        kinds = [api.RequestClass("read", 300_000, 1_500_000)]
-        balancer = Balancer(api.Settings(kinds, max_attempts=3), 1, SECOND)
-        balancer.handle(SECOND, api.UpstreamsUpdated(api.ListKind.FULL, [api.Upstream(7)]))
+        kinds = [RequestClass("read", 300_000, 1_500_000)]
+        balancer = Balancer(Settings(kinds, max_attempts=3), 1, SECOND)
+        balancer.handle(SECOND, UpstreamsUpdated(ListKind.FULL, [Upstream(7)]))
         now_us = 2 * SECOND
         for ident in range(1, 60):
             assert balancer.has_room(now_us) or asked
-            balancer.handle(now_us, api.RequestArrived(ident, now_us + SECOND))
+            balancer.handle(now_us, RequestArrived(ident, now_us + SECOND))
             if asked:
                 while balancer.has_room(now_us):  # till all slots are taken
                     ident += 1000
-                    balancer.handle(now_us, api.RequestArrived(ident, now_us + SECOND))
+                    balancer.handle(now_us, RequestArrived(ident, now_us + SECOND))
             now_us += 20_000
             for request in list(balancer.requests):
-                balancer.handle(now_us, api.AttemptEnded(request, 0, 7, api.Outcome.OK, 20_000, True))
+                balancer.handle(now_us, AttemptEnded(request, 0, 7, Outcome.OK, 20_000, True))
         return balancer.servers[7].window
 
     assert window(False) == 1.0 < 2.0 < window(True)
--- a/tests/decisions/test_judgements.py
+++ b/tests/decisions/test_judgements.py
@@ -10,8 +10,9 @@
 from hypothesis import strategies as st
 
 from fakes.membership_model import MembershipModel
+from plovertrail.decisions.actions import Send
 from plovertrail.decisions.balance import Balancer
-from plovertrail.decisions.interface import Hearsay, ListKind, RequestArrived, Send, UpstreamsUpdated
+from plovertrail.decisions.events import Hearsay, ListKind, RequestArrived, UpstreamsUpdated
 from plovertrail.decisions.judgements import (
     CAP,
     HALF_LIFE_US,
--- a/tests/decisions/test_large_fleet.py
+++ b/tests/decisions/test_large_fleet.py
@@ -7,7 +7,7 @@
 import pytest
 
 from fakes.balancers_model import SECOND_US, Fleet
-from plovertrail.decisions.interface import Outcome, Upstream, UpstreamState
+from plovertrail.decisions.events import Outcome, Upstream, UpstreamState
 
 PER_S = 1_500.0  # half of what sixty warm upstreams can do
 
--- a/tests/decisions/test_list.py
+++ b/tests/decisions/test_list.py
@@ -7,15 +7,13 @@
 
 import pytest
 
+from plovertrail.decisions.actions import Send, SetTimer, Subscribe
 from plovertrail.decisions.balance import Balancer
-from plovertrail.decisions.interface import (
+from plovertrail.decisions.events import (
     AttemptEnded,
     ListKind,
     Outcome,
     RequestArrived,
-    Send,
-    SetTimer,
-    Subscribe,
     TimerFired,
     Upstream,
     UpstreamState,
--- a/tests/decisions/test_list_calls.py
+++ b/tests/decisions/test_list_calls.py
@@ -8,17 +8,9 @@
 
 import pytest
 
+from plovertrail.decisions.actions import Action, SetTimer, Subscribe
 from plovertrail.decisions.balance import Balancer
-from plovertrail.decisions.interface import (
-    Action,
-    ListKind,
-    SetTimer,
-    Settings,
-    Subscribe,
-    TimerFired,
-    Upstream,
-    UpstreamsUpdated,
-)
+from plovertrail.decisions.events import ListKind, TimerFired, Upstream, UpstreamsUpdated
 from plovertrail.decisions.list_calls import (
     ANSWER_US,
     LEAST_SPAN_US,
@@ -28,6 +20,7 @@
     longest_gap_us,
     told_after_us,
 )
+from plovertrail.decisions.settings import Settings
 from tests.decisions.world import START_US, settings
 
 SLACK_US = 50_000  # the protocol page: each time limit is so much longer on sockets
--- a/tests/decisions/test_remembered.py
+++ b/tests/decisions/test_remembered.py
@@ -6,8 +6,9 @@
 
 import pytest
 
+from plovertrail.decisions.actions import Send
 from plovertrail.decisions.balance import MUTE, Balancer
-from plovertrail.decisions.interface import ListKind, RequestArrived, Send, Upstream, UpstreamsUpdated
+from plovertrail.decisions.events import ListKind, RequestArrived, Upstream, UpstreamsUpdated
 from plovertrail.decisions.remembered import (
     HALF_LIFE_US,
     OLDEST_US,
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -8,19 +8,19 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
+from plovertrail.decisions.actions import Send
 from plovertrail.decisions.balance import Balancer
-from plovertrail.decisions.interface import (
+from plovertrail.decisions.events import (
     AttemptEnded,
     ListKind,
     Outcome,
     RequestArrived,
-    RequestClass,
-    Send,
     TimerFired,
     Upstream,
     UpstreamState,
     UpstreamsUpdated,
 )
+from plovertrail.decisions.settings import RequestClass
 from tests.decisions.world import START_US, World, classes, settings, upstreams
 
 FAULTS = [o for o in Outcome if o is not Outcome.TIMEOUT]
--- a/tests/decisions/test_share.py
+++ b/tests/decisions/test_share.py
@@ -10,7 +10,8 @@
 from hypothesis import strategies as st
 
 from plovertrail.decisions import share
-from plovertrail.decisions.interface import RequestClass, Upstream, UpstreamState
+from plovertrail.decisions.events import Upstream, UpstreamState
+from plovertrail.decisions.settings import RequestClass
 from plovertrail.decisions.share import Bounds, Dials, Fleet, Subset, budget, overdrawn, usable_mean
 
 GONE, READY, DRAINING = UpstreamState.GONE, UpstreamState.READY, UpstreamState.DRAINING
--- a/tests/decisions/test_sites.py
+++ b/tests/decisions/test_sites.py
@@ -9,7 +9,8 @@
 
 import pytest
 
-from plovertrail.decisions.interface import ListKind, RequestClass, Settings, UpstreamState
+from plovertrail.decisions.events import ListKind, UpstreamState
+from plovertrail.decisions.settings import RequestClass, Settings
 from tests.decisions.test_rules import FAULTS, play
 from tests.decisions.world import World, upstreams
 
--- a/tests/decisions/test_slots.py
+++ b/tests/decisions/test_slots.py
@@ -1,4 +1,4 @@
-"""The plain mechanism and each departure from it, seen through the interface."""
+"""The plain mechanism and each departure from it, seen through events and actions."""
 
 from __future__ import annotations
 
@@ -6,16 +6,9 @@
 
 import pytest
 
-from plovertrail.decisions.interface import (
-    Fail,
-    ListKind,
-    Log,
-    Outcome,
-    Refuse,
-    Tenant,
-    Upstream,
-    UpstreamState,
-)
+from plovertrail.decisions.actions import Fail, Log, Refuse
+from plovertrail.decisions.events import ListKind, Outcome, Upstream, UpstreamState
+from plovertrail.decisions.settings import Tenant
 from tests.decisions.world import START_US, World, classes, settings, upstreams
 
 READ, PAY, MARK = 0, 1, 2
--- a/tests/decisions/test_verdicts.py
+++ b/tests/decisions/test_verdicts.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from plovertrail.decisions.interface import RequestClass
+from plovertrail.decisions.settings import RequestClass
 from plovertrail.decisions.verdicts import (
     MOST_HEADERS,
     PROTECTED,
--- a/tests/decisions/test_warming.py
+++ b/tests/decisions/test_warming.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from fakes.balancers_model import SECOND_US, Fleet
-from plovertrail.decisions.interface import Upstream
+from plovertrail.decisions.events import Upstream
 
 OLD, NEW = range(1, 17), range(101, 125)
 PER_S = 8.0
--- a/tests/decisions/test_whole_fleet.py
+++ b/tests/decisions/test_whole_fleet.py
@@ -8,7 +8,7 @@
 import pytest
 
 from fakes.balancers_model import SECOND_US, Fleet
-from plovertrail.decisions.interface import Outcome, Upstream, UpstreamState
+from plovertrail.decisions.events import Outcome, Upstream, UpstreamState
 
 SIDECARS = 200
 UPSTREAMS = 60
--- a/tests/decisions/world.py
+++ b/tests/decisions/world.py
@@ -11,30 +11,32 @@
 
 from fakes.balancers_model import START_US as START_US
 from fakes.balancers_model import classes as classes
-from plovertrail.decisions.balance import Balancer
-from plovertrail.decisions.interface import (
+from plovertrail.decisions.actions import (
     Action,
-    AttemptEnded,
     Cancel,
-    Event,
     Fail,
     FetchList,
-    ListKind,
-    Outcome,
     Probe,
     Refuse,
-    RequestArrived,
-    RequestGone,
     Send,
     SetTimer,
-    Settings,
-    StreamStarted,
     Subscribe,
+)
+from plovertrail.decisions.balance import Balancer
+from plovertrail.decisions.events import (
+    AttemptEnded,
+    Event,
+    ListKind,
+    Outcome,
+    RequestArrived,
+    RequestGone,
+    StreamStarted,
     TimerFired,
     Upstream,
     UpstreamState,
     UpstreamsUpdated,
 )
+from plovertrail.decisions.settings import Settings
 
 NEVER_RAN = {Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
 
--- a/tests/hooks/test_chain.py
+++ b/tests/hooks/test_chain.py
@@ -9,7 +9,7 @@
 
 from plovertrail.config.hooks import HookSetup
 from plovertrail.decisions.breaker import Breaker
-from plovertrail.decisions.interface import RequestClass
+from plovertrail.decisions.settings import RequestClass
 from plovertrail.decisions.verdicts import Allowed, InvalidVerdictError, Verdict
 from plovertrail.hooks import abi
 from plovertrail.hooks.abi import Read
--- a/tests/listeners/test_connections.py
+++ b/tests/listeners/test_connections.py
@@ -13,7 +13,7 @@
 
 from fakes import web
 from plovertrail import __main__ as program
-from plovertrail.decisions.interface import RequestClass
+from plovertrail.decisions.settings import RequestClass
 from plovertrail.listeners import application, connections
 from plovertrail.listeners.connections import ClientConnection, State
 from plovertrail.upstreams.connections import ConnectionPool
--- a/tests/net.py
+++ b/tests/net.py
@@ -14,7 +14,7 @@
 from fakes.ports import free_port
 from plovertrail.__main__ import serve
 from plovertrail.config.platform import Config
-from plovertrail.decisions.interface import RequestClass, Settings
+from plovertrail.decisions.settings import RequestClass, Settings
 
 PATIENCE_S = 20.0  # no test waits for a time-out on purpose; this only ends one that hangs
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -7,8 +7,34 @@
 
 import pytest
 
-from plovertrail.decisions import interface as api
+from plovertrail.decisions.actions import (
+    Action,
+    Cancel,
+    CloseIdle,
+    Fail,
+    FetchList,
+    Log,
+    Probe,
+    Refuse,
+    Send,
+    SetTimer,
+    Subscribe,
+    TellPeer,
+)
 from plovertrail.decisions.balance import Balancer
+from plovertrail.decisions.events import (
+    AttemptEnded,
+    ListKind,
+    Outcome,
+    PeerMessage,
+    ProbeEnded,
+    RequestArrived,
+    RequestGone,
+    StreamStarted,
+    TimerFired,
+    Upstream,
+    UpstreamsUpdated,
+)
 from simulator import adapter, wire
 from tests.simulator.options import OPTIONS
 
@@ -21,41 +47,41 @@
 EVENTS: list[tuple[str, wire.Record]] = [
     (
         LIST + "50 0300 02 29000000 00000000",
-        api.UpstreamsUpdated(
-            api.ListKind.CACHED,
-            [api.Upstream(FIRST), api.Upstream(SECOND, zone=1, weight=1.5, started_us=6100000)],
+        UpstreamsUpdated(
+            ListKind.CACHED,
+            [Upstream(FIRST), Upstream(SECOND, zone=1, weight=1.5, started_us=6100000)],
             41,
         ),
     ),
     (
         "46 0300 c4913a5d 00 00000000 640ad2557c3bf091 e02e0000 01 da05840000000000",
-        api.RequestArrived(TICKET, 8652250, 0, 0, 0x91F03B7C55D20A64, 12000),
+        RequestArrived(TICKET, 8652250, 0, 0, 0x91F03B7C55D20A64, 12000),
     ),
     ("28 0300", wire.InstanceStopped()),
-    ("32 0300 4d000000", api.TimerFired(77)),
-    ("3c 0300 192b6f0e", api.RequestGone(OTHER)),
+    ("32 0300 4d000000", TimerFired(77)),
+    ("3c 0300 192b6f0e", RequestGone(OTHER)),
     (
         "0a 0300 c4913a5d 00 074a1203 0000 44480000 01 00",
-        api.AttemptEnded(TICKET, 0, FIRST, api.Outcome.OK, 18500, True),
+        AttemptEnded(TICKET, 0, FIRST, Outcome.OK, 18500, True),
     ),
-    ("1e 0300 0200 0400 68692037", api.PeerMessage(2, b"hi 7")),
-    ("14 0300 c4913a5d 00 22240000 074a1203", api.StreamStarted(TICKET, 0, FIRST, 9250)),
-    ("5a 0300 f211902c 0000 78050000 00", api.ProbeEnded(SECOND, api.Outcome.OK, 1400)),
+    ("1e 0300 0200 0400 68692037", PeerMessage(2, b"hi 7")),
+    ("14 0300 c4913a5d 00 22240000 074a1203", StreamStarted(TICKET, 0, FIRST, 9250)),
+    ("5a 0300 f211902c 0000 78050000 00", ProbeEnded(SECOND, Outcome.OK, 1400)),
 ]
 
 ACTIONS: list[tuple[str, wire.Reply]] = [
-    ("14 0300 c4913a5d 074a1203 80380100", api.Send(TICKET, FIRST, 80000)),
-    ("5a 0300 192b6f0e", api.Fail(OTHER)),
-    ("32 0300 ffffffff 0400 68692037", api.TellPeer(b"hi 7")),
-    ("46 0300 01", api.Subscribe()),
-    ("6e 0300 f211902c", api.CloseIdle(SECOND)),
-    ("28 0300 192b6f0e 90d00300", api.Refuse(OTHER, 250000)),
-    ("1e 0300 7afd870000000000 4d000000", api.SetTimer(8912250, 77)),
-    ("50 0300 f211902c", api.Probe(SECOND)),
-    ("78 0300 1100 74776f2073657276657273206b6e6f776e", api.Log("two servers known")),
-    ("64 0300 c4913a5d 00", api.Cancel(TICKET, 0)),
+    ("14 0300 c4913a5d 074a1203 80380100", Send(TICKET, FIRST, 80000)),
+    ("5a 0300 192b6f0e", Fail(OTHER)),
+    ("32 0300 ffffffff 0400 68692037", TellPeer(b"hi 7")),
+    ("46 0300 01", Subscribe()),
+    ("6e 0300 f211902c", CloseIdle(SECOND)),
+    ("28 0300 192b6f0e 90d00300", Refuse(OTHER, 250000)),
+    ("1e 0300 7afd870000000000 4d000000", SetTimer(8912250, 77)),
+    ("50 0300 f211902c", Probe(SECOND)),
+    ("78 0300 1100 74776f2073657276657273206b6e6f776e", Log("two servers known")),
+    ("64 0300 c4913a5d 00", Cancel(TICKET, 0)),
     ("3c 0300 1200 696e646578206f7574206f662072616e6765", wire.InternalError("index out of range")),
-    ("0a 0300", api.FetchList()),
+    ("0a 0300", FetchList()),
 ]
 
 EMPTY = "00000000 00000000 5a5c800000000000"
@@ -136,8 +162,8 @@
     members = bytes.fromhex("50 0300 01 29000000 00000000")
     data = bytes.fromhex(LIST) + members + short + members
     first, second = wire.Decoder().batch(data, 4)
-    assert isinstance(first[1], api.UpstreamsUpdated) and len(first[1].upstreams) == 2
-    assert isinstance(second[1], api.UpstreamsUpdated) and second[1].upstreams == []
+    assert isinstance(first[1], UpstreamsUpdated) and len(first[1].upstreams) == 2
+    assert isinstance(second[1], UpstreamsUpdated) and second[1].upstreams == []
 
 
 @pytest.mark.parametrize(
@@ -187,7 +213,7 @@
 
 
 def test_an_exception_in_the_decisions_is_told_as_an_internal_error(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(*_: object) -> list[api.Action]:
+    def broken(*_: object) -> list[Action]:
         raise IndexError("index out of range")
 
     monkeypatch.setattr(Balancer, "handle", broken)
--- a/tests/sources/test_discovery.py
+++ b/tests/sources/test_discovery.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from plovertrail.decisions.interface import ListKind, UpstreamState
+from plovertrail.decisions.events import ListKind, UpstreamState
 from plovertrail.sources.discovery import Directory, OlderChangeError
 from tests.net import entry, listing
 
--- a/tests/sources/test_long_lists.py
+++ b/tests/sources/test_long_lists.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from plovertrail.decisions.interface import ListKind, UpstreamState, UpstreamsUpdated
+from plovertrail.decisions.events import ListKind, UpstreamState, UpstreamsUpdated
 from plovertrail.sources import discovery
 from plovertrail.sources.discovery import Directory, Discovery, Watch
 from tests.daemons import run
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -50,7 +50,7 @@
         lines += (ROOT / name).read_text().splitlines()
     assert sum(1 for line in lines if line.strip()) <= 1200
     assert max(map(len, lines)) <= 110
-    assert "plovertrail/decisions/interface.py" in lines[0]
+    assert "settings.py, events.py, actions.py" in lines[0]
 
 
 def test_figures_stand_in_named_constants_or_are_plain_fractions() -> None:
--- a/tests/test_share.py
+++ b/tests/test_share.py
@@ -13,7 +13,9 @@
 from plovertrail.clock import another_clock, clock_us
 from plovertrail.config.operator import load
 from plovertrail.config.problems import ConfigError
-from plovertrail.decisions import interface as api
+from plovertrail.decisions.actions import Action
+from plovertrail.decisions.events import Event, ListKind, Upstream, UpstreamState, UpstreamsUpdated
+from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.decisions.share import DIAL_BURST, Subset
 from plovertrail.decisions.turns import Place
 from plovertrail.host import SLICE, Host, ServerPool
@@ -251,45 +253,45 @@
 
     def __init__(self) -> None:
         self.host = Host()
-        settings = api.Settings(classes=[api.RequestClass("read", 100_000, 400_000)])
+        settings = Settings(classes=[RequestClass("read", 100_000, 400_000)])
         self.pool: ServerPool = self.host.add_pool("p", settings, 1, ConnectionPool(1_000_000, 1_000_000, 10))
-        self.lists: list[api.UpstreamsUpdated] = []
+        self.lists: list[UpstreamsUpdated] = []
         handle = self.pool.balancer.handle
 
-        def listen(now_us: int, event: api.Event) -> list[api.Action]:
-            if isinstance(event, api.UpstreamsUpdated):
+        def listen(now_us: int, event: Event) -> list[Action]:
+            if isinstance(event, UpstreamsUpdated):
                 self.lists.append(event)
             return handle(now_us, event)
 
         self.pool.balancer.handle = listen  # type: ignore[method-assign]
 
-    def tell(self, kind: api.ListKind, entries: list[api.Upstream]) -> None:
-        self.host.list_changed(self.pool, api.UpstreamsUpdated(kind, entries), where(entries))
+    def tell(self, kind: ListKind, entries: list[Upstream]) -> None:
+        self.host.list_changed(self.pool, UpstreamsUpdated(kind, entries), where(entries))
 
     async def settle(self) -> None:
         while self.pool.untold or self.pool.untold_ends:
             await asyncio.sleep(0)
 
 
-def where(entries: list[api.Upstream]) -> dict[int, tuple[str, int]]:
+def where(entries: list[Upstream]) -> dict[int, tuple[str, int]]:
     return {entry.id: ("127.0.0.1", 1 + entry.id) for entry in entries}
 
 
 def test_a_long_list_is_told_in_slices_and_drains_overtake_it() -> None:
     async def test() -> None:
         told = Told()
-        entries = [api.Upstream(number) for number in range(1, 1_101)]
-        told.tell(api.ListKind.CACHED, entries)
+        entries = [Upstream(number) for number in range(1, 1_101)]
+        told.tell(ListKind.CACHED, entries)
         assert len(told.pool.balancer.servers) == SLICE
         await asyncio.sleep(0)
         assert len(told.pool.balancer.servers) == 2 * SLICE
         # before the rest has been told: one that is known drains, one that isn't yet goes, another changes
         told.tell(
-            api.ListKind.DELTA,
+            ListKind.DELTA,
             [
-                api.Upstream(1, api.UpstreamState.DRAINING),
-                api.Upstream(1_000, api.UpstreamState.GONE),
-                api.Upstream(1_001, weight=7.0),
+                Upstream(1, UpstreamState.DRAINING),
+                Upstream(1_000, UpstreamState.GONE),
+                Upstream(1_001, weight=7.0),
             ],
         )
         assert 1 not in told.pool.balancer.servers and 1 not in told.pool.serving
@@ -301,13 +303,13 @@
         assert all(server.slow_start for server in servers.values() if server.entry.id != 1_001)
 
         # a whole list without half of them: these go before anything else is told
-        told.tell(api.ListKind.FULL, entries[10:600])
+        told.tell(ListKind.FULL, entries[10:600])
         await asyncio.sleep(0)
         gone = [entry for event in told.lists[-2:] for entry in event.upstreams]
-        assert len(gone) == 2 * SLICE and {entry.state for entry in gone} == {api.UpstreamState.GONE}
+        assert len(gone) == 2 * SLICE and {entry.state for entry in gone} == {UpstreamState.GONE}
         await told.settle()
         assert told.pool.serving == set(range(11, 601)) == told.pool.balancer.servers.keys()
-        told.tell(api.ListKind.FULL, entries[:3])
+        told.tell(ListKind.FULL, entries[:3])
         await told.settle()
         assert told.pool.balancer.servers.keys() == {1, 2, 3} == told.pool.serving
         assert all(len(event.upstreams) <= SLICE for event in told.lists)
@@ -320,8 +322,8 @@
 def test_what_a_whole_list_drops_before_it_was_told_never_comes() -> None:
     async def test() -> None:
         told = Told()
-        told.tell(api.ListKind.FULL, [api.Upstream(number) for number in range(1, 1_001)])
-        told.tell(api.ListKind.FULL, [api.Upstream(number) for number in range(701, 1_001)])
+        told.tell(ListKind.FULL, [Upstream(number) for number in range(1, 1_001)])
+        told.tell(ListKind.FULL, [Upstream(number) for number in range(701, 1_001)])
         await told.settle()
         assert told.pool.balancer.servers.keys() == set(range(701, 1_001)) == told.pool.serving
         assert told.pool.listed.keys() == told.pool.serving
@@ -332,12 +334,12 @@
 def test_a_watch_that_fails_between_two_slices_loses_nothing() -> None:
     async def test() -> None:
         told = Told()
-        told.tell(api.ListKind.FULL, [api.Upstream(number) for number in range(1, 1_001)])
-        told.tell(api.ListKind.FAILED, [])
+        told.tell(ListKind.FULL, [Upstream(number) for number in range(1, 1_001)])
+        told.tell(ListKind.FAILED, [])
         await told.settle()
         assert len(told.pool.balancer.servers) == 1_000 == len(told.pool.serving)
         kinds = [event.kind for event in told.lists]
-        assert kinds == [api.ListKind.FULL, api.ListKind.FAILED] + [api.ListKind.FULL] * 3
+        assert kinds == [ListKind.FULL, ListKind.FAILED] + [ListKind.FULL] * 3
 
     run(test)
 
@@ -346,17 +348,17 @@
     async def test() -> None:
         told = Told()
         told.host.use_subset(told.pool, Subset(5, 4))
-        entries = [api.Upstream(number) for number in range(1, 1_101)]
-        told.tell(api.ListKind.CACHED, entries)
+        entries = [Upstream(number) for number in range(1, 1_101)]
+        told.tell(ListKind.CACHED, entries)
         assert not told.pool.serving
         await told.settle()
         whole = Subset(5, 4)
         whole.listed(entries, where(entries))
         assert told.pool.serving == whole.chosen.keys() == told.pool.balancer.servers.keys()
         drained = min(whole.chosen)
-        told.tell(api.ListKind.DELTA, [api.Upstream(drained, api.UpstreamState.DRAINING)])
+        told.tell(ListKind.DELTA, [Upstream(drained, UpstreamState.DRAINING)])
         assert drained not in told.pool.serving and len(told.pool.serving) == 4
-        told.tell(api.ListKind.FULL, entries[:600])
+        told.tell(ListKind.FULL, entries[:600])
         await told.settle()
         assert len(told.pool.serving) == 4 and max(told.pool.serving) <= 600
         told.host.retire(told.pool)
@@ -367,7 +369,7 @@
 def test_a_pool_that_retires_forgets_what_was_not_told_yet() -> None:
     async def test() -> None:
         told = Told()
-        told.tell(api.ListKind.FULL, [api.Upstream(number) for number in range(1, 1_001)])
+        told.tell(ListKind.FULL, [Upstream(number) for number in range(1, 1_001)])
         told.host.retire(told.pool)
         for _ in range(5):
             await asyncio.sleep(0)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -16,15 +16,8 @@
 import pytest
 
 from plovertrail.decisions.balance import MOST_SLOTS, Balancer
-from plovertrail.decisions.interface import (
-    AttemptEnded,
-    Event,
-    ListKind,
-    Outcome,
-    RequestClass,
-    Settings,
-    UpstreamsUpdated,
-)
+from plovertrail.decisions.events import AttemptEnded, Event, ListKind, Outcome, UpstreamsUpdated
+from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.exchange import Call, Result
 from plovertrail.host import Host
 from plovertrail.listeners import application as server
--- a/tests/test_slices.py
+++ b/tests/test_slices.py
@@ -8,12 +8,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from plovertrail.decisions import interface as api
+from plovertrail.decisions.events import ListKind, Upstream, UpstreamState
 from plovertrail.decisions.share import Subset
 from tests.daemons import run
 from tests.test_share import Told, where
 
-READY, DRAINING, GONE = api.UpstreamState.READY, api.UpstreamState.DRAINING, api.UpstreamState.GONE
+READY, DRAINING, GONE = UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.GONE
 STATES = (READY, READY, DRAINING, GONE)
 SERVERS = 16
 STEP = st.tuples(
@@ -27,24 +27,24 @@
 
     async def test() -> None:
         told = Told()
-        truth: dict[int, api.Upstream] = {}
+        truth: dict[int, Upstream] = {}
         if subset:
             told.host.use_subset(told.pool, Subset(1, 4))
         for what, rows in steps:
             entries = {
-                number: api.Upstream(number, STATES[state], weight=float(weight))
+                number: Upstream(number, STATES[state], weight=float(weight))
                 for number, state, weight in rows
             }
             if what == "change":
-                told.tell(api.ListKind.DELTA, list(entries.values()))
+                told.tell(ListKind.DELTA, list(entries.values()))
                 truth |= entries
             elif what in ("whole", "cached"):
                 listed = {n: e for n, e in entries.items() if e.state is not GONE}
-                kind = api.ListKind.FULL if what == "whole" else api.ListKind.CACHED
+                kind = ListKind.FULL if what == "whole" else ListKind.CACHED
                 told.tell(kind, list(listed.values()))
                 truth = listed
             elif what == "failed":
-                told.tell(api.ListKind.FAILED, [])
+                told.tell(ListKind.FAILED, [])
             elif what == "short" and told.pool.subset is not None:
                 told.host._changed_subset(told.pool, told.pool.subset.short(told.pool.balancer.now_us))
             else:
--- a/tests/upstreams/test_connections.py
+++ b/tests/upstreams/test_connections.py
@@ -6,7 +6,7 @@
 
 from fakes.web import WebServer, slowly
 from plovertrail.clock import clock_us
-from plovertrail.decisions.interface import Outcome
+from plovertrail.decisions.events import Outcome
 from plovertrail.decisions.share import Budget
 from plovertrail.exchange import Call, Result
 from plovertrail.upstreams.connections import IDLE_MARGIN_US, ConnectionPool
