--- a/benchmarks/capacity/list_calls_role.py
+++ b/benchmarks/capacity/list_calls_role.py
@@ -60,10 +60,10 @@
     settings = Settings(
         classes=[RequestClass("read", 300_000, 1_500_000)],
         instances=case.sidecars,
-        list_on_request=True,
-        ask_within_us=ASK_WITHIN_US,
+        endpoints_on_request=True,
+        max_poll_interval_us=ASK_WITHIN_US,
         drain_grace_us=int(BUDGET.drain_s * SECOND_US),
-        list_calls_per_s=STATED_CALLS_PER_S if case.stated else 0.0,
+        discovery_rate_per_s=STATED_CALLS_PER_S if case.stated else 0.0,
     )
     starting = max(1, case.sidecars // PARTS[case.situation])
     by_machine: Counter[tuple[int, int]] = Counter()
--- a/benchmarks/capacity/lost_watches.py
+++ b/benchmarks/capacity/lost_watches.py
@@ -18,7 +18,7 @@
 from benchmarks.report import Bar, close, table
 from plovertrail.decisions.actions import Subscribe
 from plovertrail.decisions.balance import Balancer
-from plovertrail.decisions.events import ListKind, TimerFired, Upstream, UpstreamsUpdated
+from plovertrail.decisions.events import Endpoint, EndpointsUpdated, ListKind, TimerFired
 from plovertrail.decisions.list_calls import BORNE_PER_S
 from plovertrail.decisions.settings import RequestClass, Settings
 
@@ -48,22 +48,22 @@
 
 def settings(case: Case, sidecars: int) -> Settings:
     """Of every sidecar; the list must be asked for each 10 s, and a drain holds 2 s after word."""
-    kind = RequestClass("call", aim_us=SECOND_US, deadline_us=SECOND_US)
+    kind = RequestClass("call", latency_objective_us=SECOND_US, deadline_us=SECOND_US)
     return Settings(
         [kind],
         instances=sidecars,
-        list_on_request=True,
-        ask_within_us=10 * SECOND_US,
+        endpoints_on_request=True,
+        max_poll_interval_us=10 * SECOND_US,
         drain_grace_us=2 * SECOND_US,
-        list_calls_per_s=case.calls_per_s,
+        discovery_rate_per_s=case.calls_per_s,
     )
 
 
 def called_after_us(case: Case, sidecars: int, seed: int) -> int:
     """When one sidecar calls, counted from the end of its watch."""
     balancer = Balancer(settings(case, sidecars), seed, 0)
-    balancer.handle(1_000, UpstreamsUpdated(ListKind.FULL, [Upstream(1)]))
-    balancer.handle(BREAKS_AT_US, UpstreamsUpdated(ListKind.FAILED, silent=case.silent))
+    balancer.handle(1_000, EndpointsUpdated(ListKind.FULL, [Endpoint(1)]))
+    balancer.handle(BREAKS_AT_US, EndpointsUpdated(ListKind.FAILED, watch_stalled=case.silent))
     while True:
         at_us = max(BREAKS_AT_US + 1, balancer.armed_us)
         actions = balancer.handle(at_us, TimerFired(0))
--- a/benchmarks/capacity/retry_bound.py
+++ b/benchmarks/capacity/retry_bound.py
@@ -34,7 +34,7 @@
     """How every attempt at the last service fails."""
 
     CONNECT_REFUSED = Outcome.CONNECT_FAILED
-    NOT_RUN_REFUSAL = Outcome.FULL
+    NOT_RUN_REFUSAL = Outcome.REJECTED
     TIME_OUT = Outcome.TIMEOUT
     RESET = Outcome.RESET
     ERROR_ANSWER = Outcome.ERROR
@@ -73,7 +73,7 @@
 def outcome_above(effect: Effect, outcome: Outcome, propagation: Propagation) -> Outcome:
     """What the caller's sidecar sees of a call that has failed so."""
     refused = effect is not Effect.UNSAFE or outcome in NEVER_RAN
-    return Outcome.FULL if refused and propagation is Propagation.NOT_RUN else Outcome.ERROR
+    return Outcome.REJECTED if refused and propagation is Propagation.NOT_RUN else Outcome.ERROR
 
 
 def factors(chain: Chain, effect: Effect, failure: Failure, propagation: Propagation) -> list[int]:
--- a/benchmarks/capacity/retry_model.py
+++ b/benchmarks/capacity/retry_model.py
@@ -8,18 +8,18 @@
 from dataclasses import dataclass, field
 
 from benchmarks.capacity.retry_bound import Chain, Effect, Failure, Propagation
-from plovertrail.decisions.actions import Fail, Refuse, Send, SetTimer
+from plovertrail.decisions.actions import Fail, Reject, Send, SetTimer
 from plovertrail.decisions.balance import NEVER_US, Balancer
 from plovertrail.decisions.events import (
     AttemptEnded,
+    Endpoint,
+    EndpointsUpdated,
     Event,
     ListKind,
     Outcome,
     RequestArrived,
-    RequestGone,
+    RequestCancelled,
     TimerFired,
-    Upstream,
-    UpstreamsUpdated,
 )
 from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.simulation.clock import SECOND_US, Clock
@@ -64,11 +64,11 @@
         """Of every sidecar."""
         kind = RequestClass(
             "call",
-            aim_us=self.aim_us,
+            latency_objective_us=self.aim_us,
             deadline_us=self.deadline_us,
-            late_worth=0.5,
+            late_weight=0.5,
             effect=self.effect.value,
-            memory_us=self.memory_us,
+            dedup_window_us=self.memory_us,
         )
         return Settings([kind], max_attempts=self.attempts, max_retry_after_us=2_000_000)
 
@@ -92,8 +92,8 @@
         self.balancer = Balancer(model.plan.settings(), seed, model.clock.now_us)
         self.calls: dict[int, Call] = {}
         self.last = 0
-        entries = [Upstream(number) for number in range(model.plan.servers)]
-        self.tell(UpstreamsUpdated(ListKind.FULL, entries))
+        entries = [Endpoint(number) for number in range(model.plan.servers)]
+        self.tell(EndpointsUpdated(ListKind.FULL, entries))
 
     def ask(self, root: int, told_us: int, reply: Reply) -> None:
         """A call of the service, which told how long it waits."""
@@ -109,8 +109,8 @@
         """The call's time is over."""
         call = self.calls.get(ident)
         if call is not None:
-            self.answer(ident, Outcome.ERROR if call.attempts else Outcome.FULL)
-            self.tell(RequestGone(ident))
+            self.answer(ident, Outcome.ERROR if call.attempts else Outcome.REJECTED)
+            self.tell(RequestCancelled(ident))
 
     def tell(self, event: Event) -> None:
         """Hand an event to the Balancer, and carry out the actions that it returns."""
@@ -118,8 +118,8 @@
         for action in self.balancer.handle(clock.now_us, event):
             if isinstance(action, Send):
                 self.send(action)
-            elif isinstance(action, Refuse):
-                self.answer(action.request, Outcome.FULL)
+            elif isinstance(action, Reject):
+                self.answer(action.request, Outcome.REJECTED)
             elif isinstance(action, Fail):
                 self.answer(action.request, Outcome.ERROR)
             elif isinstance(action, SetTimer):
@@ -153,11 +153,11 @@
                 self.answer(action.request, outcome)
             over = action.request not in self.calls
             self.tell(
-                AttemptEnded(action.request, number, action.upstream, outcome, elapsed_us, over),
+                AttemptEnded(action.request, number, action.endpoint_id, outcome, elapsed_us, over),
             )
 
         model.clock.after(timeout_us, ended, Outcome.TIMEOUT)
-        model.serve(self.depth, action.upstream, call.root, timeout_us, ended)
+        model.serve(self.depth, action.endpoint_id, call.root, timeout_us, ended)
 
 
 class Model:
@@ -218,7 +218,7 @@
         told_us = max(1, timeout_us // MILLISECOND_US) * MILLISECOND_US - plan.work_us
 
         def answered(outcome: Outcome) -> None:
-            if outcome is Outcome.FULL and plan.propagation is Propagation.ERROR:
+            if outcome is Outcome.REJECTED and plan.propagation is Propagation.ERROR:
                 outcome = Outcome.ERROR
             clock.after(plan.network_us, ended, outcome)
 
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -26,13 +26,13 @@
 from plovertrail.decisions.actions import Action, Send, SetTimer
 from plovertrail.decisions.events import (
     AttemptEnded,
+    Endpoint,
+    EndpointsUpdated,
     Event,
     ListKind,
     Outcome,
     RequestArrived,
     TimerFired,
-    Upstream,
-    UpstreamsUpdated,
 )
 from plovertrail.decisions.settings import RequestClass, Settings
 
@@ -64,15 +64,15 @@
         a_second, self.answer_us = LOADS[load]
         self.gap_us = 1e6 / (a_second * servers if load == "short" else a_second)
         self.now_us = 1_000_000
-        kind = RequestClass("read", 300_000, 1_500_000, late_worth=0.3)
+        kind = RequestClass("read", 300_000, 1_500_000, late_weight=0.3)
         settings = Settings([kind], max_attempts=3, cancel=True, max_retry_after_us=1_000_000)
         self.module = make(settings, seed, self.now_us)
         self.due: list[tuple[int, int, Event]] = []
         self.number = 0
         self.spent_ns = 0  # within the module
         self.attempts: dict[int, int] = {}
-        entries = [Upstream(ident) for ident in range(1, servers + 1)]
-        self.tell(UpstreamsUpdated(ListKind.FULL, entries))
+        entries = [Endpoint(ident) for ident in range(1, servers + 1)]
+        self.tell(EndpointsUpdated(ListKind.FULL, entries))
 
     def tell(self, event: Event) -> None:
         """Give the module an event, count the time that it takes, and carry out its actions."""
@@ -85,7 +85,7 @@
                 took_us = int(self.rng.expovariate(1 / self.answer_us))
                 self.later(
                     took_us,
-                    AttemptEnded(action.request, number, action.upstream, Outcome.OK, took_us, True),
+                    AttemptEnded(action.request, number, action.endpoint_id, Outcome.OK, took_us, True),
                 )
             elif isinstance(action, SetTimer):
                 self.later(action.at_us - self.now_us, TimerFired(action.token))
--- a/benchmarks/long_lists.py
+++ b/benchmarks/long_lists.py
@@ -16,7 +16,7 @@
 
 from benchmarks.processes import child, pin
 from benchmarks.report import Bar, close, table
-from plovertrail.decisions.events import UpstreamsUpdated
+from plovertrail.decisions.events import EndpointsUpdated
 from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.host import Host
 from plovertrail.sources.discovery import SETTLE_S, Directory, Discovery
@@ -101,12 +101,12 @@
     """Of each kind of step: the longest stall, and the time until it was in force, in ms."""
     host = Host()
     settings = Settings(
-        [RequestClass("read", 300_000, 1_500_000)], list_on_request=True, ask_within_us=60_000_000
+        [RequestClass("read", 300_000, 1_500_000)], endpoints_on_request=True, max_poll_interval_us=60_000_000
     )
     pool = host.add_pool("", settings, 1, ConnectionPool(10_000_000, 1_000_000, 100))
     told: list[int] = []
 
-    def listed(event: UpstreamsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
+    def listed(event: EndpointsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
         host.list_changed(pool, event, addresses)
         told.append(event.version)
 
--- a/benchmarks/planted_faults.py
+++ b/benchmarks/planted_faults.py
@@ -40,34 +40,34 @@
 ROUTES, REQUESTS = "plovertrail/decisions/routes.py", "plovertrail/decisions/requests.py"
 MEMBERS, FAILOVER = "plovertrail/decisions/endpoint_list.py", "plovertrail/decisions/failover.py"
 FRONT = "plovertrail/listeners/ordinary.py"
-NEVER_RAN = "NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)"
+NEVER_RAN = "NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)"
 FAULTS = [
     Fault(
         "a drain is ignored",
         "plovertrail/endpoint_registry.py",
-        "state = UpstreamState.DRAINING if entry.drain else UpstreamState.READY",
-        "state = UpstreamState.READY",
+        "state = EndpointStatus.DRAINING if entry.drain else EndpointStatus.READY",
+        "state = EndpointStatus.READY",
     ),
     Fault(
         "a server that has gone is kept",
         BALANCE,
-        "if entry.state is not UpstreamState.READY:",
-        "if entry.state is UpstreamState.DRAINING:",
+        "if entry.state is not EndpointStatus.READY:",
+        "if entry.state is EndpointStatus.DRAINING:",
     ),
     Fault(
         "a drained server is kept by the module and the host",
         BALANCE,
-        "            if entry.state is not UpstreamState.READY:\n                self.forget(entry.id)\n"
+        "            if entry.state is not EndpointStatus.READY:\n                self.forget(entry.id)\n"
         "                continue\n",
-        "            if entry.state is UpstreamState.GONE:\n"
+        "            if entry.state is EndpointStatus.REMOVED:\n"
         "                self.forget(entry.id)\n                continue\n",
     ),
     Fault(
         "a leave is told late by a second",
         "plovertrail/endpoint_registry.py",
-        "            self.host.list_changed(self.pool, UpstreamsUpdated(ListKind.DELTA, entries), addresses)",
+        "            self.host.list_changed(self.pool, EndpointsUpdated(ListKind.DELTA, entries), addresses)",
         "            self.host.loop.call_later(1.0, self.host.list_changed, self.pool,\n"
-        "                                      UpstreamsUpdated(ListKind.DELTA, entries), addresses)",
+        "                                      EndpointsUpdated(ListKind.DELTA, entries), addresses)",
     ),
     Fault(
         "an unsafe request is tried again",
@@ -151,13 +151,13 @@
     Fault(
         "the weight is inverted",
         BALANCE,
-        "size = server.entry.weight if self.settings.draw_by_weight else 1.0",
-        "size = 1.0 / server.entry.weight if self.settings.draw_by_weight else 1.0",
+        "size = server.entry.weight if self.settings.select_by_weight else 1.0",
+        "size = 1.0 / server.entry.weight if self.settings.select_by_weight else 1.0",
     ),
     Fault(
         "the weight is left out",
         BALANCE,
-        "size = server.entry.weight if self.settings.draw_by_weight else 1.0",
+        "size = server.entry.weight if self.settings.select_by_weight else 1.0",
         "size = 1.0",
     ),
     Fault(
--- a/benchmarks/reference_balance.py
+++ b/benchmarks/reference_balance.py
@@ -8,28 +8,28 @@
 import math
 import random
 
-from plovertrail.decisions.actions import Action, CloseIdle, Fail, Log, Refuse, Send, SetTimer, Subscribe
+from plovertrail.decisions.actions import Action, CloseIdle, Fail, Log, Reject, Send, SetTimer, Subscribe
 from plovertrail.decisions.events import (
     AttemptEnded,
+    Endpoint,
+    EndpointStatus,
+    EndpointsUpdated,
     Event,
     ListKind,
     Outcome,
     RequestArrived,
-    RequestGone,
+    RequestCancelled,
     StreamStarted,
     TimerFired,
-    Upstream,
-    UpstreamState,
-    UpstreamsUpdated,
 )
 from plovertrail.decisions.settings import RequestClass, Settings
 
 MOST_SLOTS = 8  # no upstream gets more from one sidecar, however quick its answers
-NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-INSTANT_FAULTS = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET)
-ANSWERED = (Outcome.OK, Outcome.SPOILT)  # it has done the work, and its time tells of its load
+NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+INSTANT_FAULTS = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET)
+ANSWERED = (Outcome.OK, Outcome.MALFORMED)  # it has done the work, and its time tells of its load
 # hazard: an upstream failing a part would lose them all
-REISSUED = (*INSTANT_FAULTS, Outcome.SPOILT, Outcome.TIMEOUT)
+REISSUED = (*INSTANT_FAULTS, Outcome.MALFORMED, Outcome.TIMEOUT)
 FAULT_MEMORY = 4  # attempts that make up an upstream's share of faults
 FAULT_SHARE = 0.35  # two faults in three attempts: more than what strikes all upstreams alike does by chance
 SMALLEST_WINDOW = 1 / 64  # a failing upstream is tried about once in 64 usual answer times
@@ -83,7 +83,7 @@
 class Server:
     """What this sidecar knows of one upstream."""
 
-    def __init__(self, entry: Upstream, pool: Pool, classes: int) -> None:
+    def __init__(self, entry: Endpoint, pool: Pool, classes: int) -> None:
         self.entry = entry
         self.pool = pool
         self.used = 0  # slots taken by this sidecar's sends
@@ -150,7 +150,9 @@
         self.servers: dict[int, Server] = {}  # the ready ones, in the order listed
         self.requests: dict[int, Request] = {}
         self.buffer: Request | None = None
-        self.mean_us = [c.aim_us / 4 for c in settings.classes]  # of each class's answers; at first a guess
+        self.mean_us = [
+            c.latency_objective_us / 4 for c in settings.classes
+        ]  # of each class's answers; at first a guess
         self.pools = [Pool(now_us), Pool(now_us)]  # drawn from in this order; the second may stay empty
         self.reissues = reissues or Reissues()
         self.short_us = 0  # when a request last found no free slot
@@ -175,11 +177,11 @@
             if self.armed_us <= now_us:  # hazard: a stale timer that armed another would never die out
                 self.armed_us = 0
             self.run_due()
-        elif isinstance(event, RequestGone) and event.request in self.requests:
+        elif isinstance(event, RequestCancelled) and event.request in self.requests:
             self.close(self.requests[event.request])
         elif isinstance(event, StreamStarted) and event.request in self.requests:
             self.requests[event.request].streaming = True
-        elif isinstance(event, UpstreamsUpdated):
+        elif isinstance(event, EndpointsUpdated):
             self.on_list(event)
         self.fill_from_buffer()
         self.arm()
@@ -234,13 +236,13 @@
     def value(self, request: Request) -> float:
         """The worth of a slot's time given to this request; what is beyond its tenant's share counts less.
         The share is judged among the tenants seen here: of total rates a sidecar knows nothing."""
-        s, worth = self.settings, self.class_of(request).worth
-        if not s.worth_by_work:
+        s, worth = self.settings, self.class_of(request).priority_weight
+        if not s.weight_by_work:
             worth /= self.mean_us[request.event.class_index]
         if request.event.tenant < len(s.tenants):
             allowed = s.tenants[request.event.tenant].allowance_per_s / self.allowed_per_s
             seen = self.tenant_seen[request.event.tenant] / sum(self.tenant_seen)
-            worth *= s.over_share_worth + (1.0 - s.over_share_worth) * min(1.0, allowed / seen)
+            worth *= s.over_share_weight + (1.0 - s.over_share_weight) * min(1.0, allowed / seen)
         return worth
 
     def class_of(self, request: Request) -> RequestClass:
@@ -249,12 +251,12 @@
 
     def half_aim_us(self, class_index: int) -> int:
         """The delay threshold, and the time of a slow answer: the other half is left for a new try."""
-        return self.settings.classes[class_index].aim_us // 2
+        return self.settings.classes[class_index].latency_objective_us // 2
 
     def useful_until_us(self, request: Request) -> int:
         """When an answer stops being worth anything."""
         kind = self.class_of(request)
-        late = kind.deadline_us if kind.late_worth > 0 else kind.aim_us
+        late = kind.deadline_us if kind.late_weight > 0 else kind.latency_objective_us
         return min(request.event.due_us, request.arrived_us + late)
 
     def latest_start_us(self, request: Request) -> int:
@@ -277,14 +279,14 @@
         harmless = (
             kind.effect == "idempotent"
             or request.first_that_may_have_run() is None
-            or (kind.effect == "deduplicated" and kind.group == "all")
+            or (kind.effect == "deduplicated" and kind.dedup_scope == "all")
         )
         self.close(request)
         ident, after_us = request.event.request, self.mean_us[request.event.class_index]
         # about one answer's time, spread lest refused clients return together
         after_us = min(after_us * (0.5 + self.random.random()), self.settings.max_retry_after_us)
         advice_us = int(after_us) if self.settings.retry_after else 0
-        self.actions.append(Refuse(ident, advice_us) if harmless else Fail(ident))
+        self.actions.append(Reject(ident, advice_us) if harmless else Fail(ident))
 
     def close(self, request: Request) -> None:
         """The request has its final answer; it is forgotten once no attempt is out."""
@@ -307,15 +309,15 @@
         slow_us = self.half_aim_us(class_index)
         # hazard: what spoils answers and breaks connections may do so on all upstreams alike, and one such
         # fault would shut each of them; only turning work away tells at once of the upstream itself
-        fault = outcome in INSTANT_FAULTS or outcome is Outcome.SPOILT
+        fault = outcome in INSTANT_FAULTS or outcome is Outcome.MALFORMED
         server.faults += (float(fault) - server.faults) / FAULT_MEMORY
-        faulty = outcome is Outcome.FULL or (fault and server.faults > FAULT_SHARE)
-        if fault and not faulty and outcome is not Outcome.SPOILT:
+        faulty = outcome is Outcome.REJECTED or (fault and server.faults > FAULT_SHARE)
+        if fault and not faulty and outcome is not Outcome.MALFORMED:
             return  # and its time tells nothing
         load = min(2.0, elapsed_us / slow_us) if outcome in ANSWERED else 2.0
         pace = SLOWEST_PACE if faulty else elapsed_us / self.mean_us[class_index]
         server.pace += (min(max(pace, 0.1), SLOWEST_PACE) - server.pace) / PACE_MEMORY
-        if outcome in (*ANSWERED, Outcome.TIMEOUT, Outcome.FULL):
+        if outcome in (*ANSWERED, Outcome.TIMEOUT, Outcome.REJECTED):
             # hazard: a light sidecar never fills its slots; they hold nothing back when all are slow; draws
             # are thinned, at once as queues stay for seconds, but not for one slow answer among quick ones
             pool.load += (load - pool.load) / 8
@@ -357,7 +359,7 @@
         s, age_us = self.settings, self.now_us - server.entry.started_us
         if server.entry.started_us == 0 or age_us >= s.warm_up_us:
             return 1.0
-        return s.cold_share + (1.0 - s.cold_share) * max(0, age_us) / s.warm_up_us
+        return s.warm_up_initial_capacity + (1.0 - s.warm_up_initial_capacity) * max(0, age_us) / s.warm_up_us
 
     def pace_cold(self, server: Server, part: float) -> None:
         """Rule 4: a cold upstream gets its part, by warmth, of what this sidecar sees served by its pool; and
@@ -388,13 +390,13 @@
         """The upstreams with a slot free for it, each with its slots, which count less where it is slow."""
         tried = [attempt.server for attempt in request.attempts]
         index = request.event.class_index
-        by_weight, first = self.settings.draw_by_weight, request.first_that_may_have_run()
+        by_weight, first = self.settings.select_by_weight, request.first_that_may_have_run()
         found = []
         for server in servers:
             slots = self.open_slots(server) - server.used
             if slots <= 0 or (some_rest and self.now_us < server.mute_until_us[index]):
                 continue
-            if server.entry.id in request.event.barred:
+            if server.entry.id in request.event.excluded:
                 continue
             if first is None or self.in_group(request, first, server):
                 size = server.entry.weight if by_weight else 1.0
@@ -409,19 +411,19 @@
         left = request.event.attempts_left
         if len(request.attempts) >= (self.settings.max_attempts if left is None else left):
             return False
-        if request.out() > 0 and not self.settings.second_copies:
+        if request.out() > 0 and not self.settings.hedging:
             return False
         first, kind = request.first_that_may_have_run(), self.class_of(request)
         if first is None or kind.effect == "idempotent":
             return True
-        return kind.effect == "deduplicated" and self.now_us - first.sent_us < kind.memory_us
+        return kind.effect == "deduplicated" and self.now_us - first.sent_us < kind.dedup_window_us
 
     def in_group(self, request: Request, first: Attempt, server: Server) -> bool:
         """Rule 2: after a keyed attempt that may have run, only upstreams that drop its repeats."""
         kind = self.class_of(request)
-        if kind.effect != "deduplicated" or kind.group == "all":
+        if kind.effect != "deduplicated" or kind.dedup_scope == "all":
             return True
-        if kind.group == "zone":
+        if kind.dedup_scope == "zone":
             return first.entry.zone == server.entry.zone
         return first.entry.cell == server.entry.cell
 
@@ -443,7 +445,7 @@
         silent_us = self.now_us + self.silent_after_us(attempt.class_index)
         self.wake(silent_us, "silence", request.event.request, len(request.attempts) - 1)
         self.actions.append(Send(request.event.request, server.entry.id, self.timeout_us(request)))
-        if self.settings.second_copies and self.class_of(request).effect != "at_most_once":
+        if self.settings.hedging and self.class_of(request).effect != "at_most_once":
             index = request.event.class_index  # soon enough to be back in time, late enough to be seldom
             after_us = min(int(2 * self.mean_us[index]), self.half_aim_us(index))
             self.wake(self.now_us + after_us, "copy", request.event.request)
@@ -451,7 +453,7 @@
     def silent_after_us(self, class_index: int) -> int:
         """Few answers take longer than the aim, unless the upstream is slow to all. Hazard: sooner, what
         an overload makes slow would be taken for lost."""
-        return self.settings.classes[class_index].aim_us
+        return self.settings.classes[class_index].latency_objective_us
 
     def on_silence(self, attempt: Attempt) -> None:
         """It has had no answer for longer than one takes. Hazard: an upstream, or what lies before it, may
@@ -492,7 +494,7 @@
         """As long as an answer is of use; where a repeat may follow, what the class usually takes."""
         left_us = max(1, self.useful_until_us(request) - self.now_us)
         once = self.class_of(request).effect == "at_most_once"
-        if self.settings.second_copies or once or self.reissues.in_hand < 1.0:
+        if self.settings.hedging or once or self.reissues.in_hand < 1.0:
             return left_us
         index, known_us = request.event.class_index, request.event.cost_us
         return min(left_us, max(int(4 * self.mean_us[index]), self.half_aim_us(index), 4 * known_us))
@@ -545,22 +547,22 @@
             else:
                 self.finish(request)
 
-    def on_list(self, event: UpstreamsUpdated) -> None:
+    def on_list(self, event: EndpointsUpdated) -> None:
         """A list of servers has come, or could not be had."""
         if event.kind is ListKind.FAILED:
             self.list_failures += 1
             # doubles with each failure; jittered, as all sidecars fail together; inside ask-within (rule 3)
-            longest_us = max(1, self.settings.ask_within_us // 2)
+            longest_us = max(1, self.settings.max_poll_interval_us // 2)
             backoff_us = min(FIRST_RETRY_US * 2 ** min(self.list_failures - 1, 20), longest_us)
             self.ask_list_at(self.now_us + int(backoff_us * (0.5 + self.random.random() / 2)))
             return
         if event.kind is not ListKind.CACHED:
             self.list_failures = self.ask_list_us = 0
         if event.kind is not ListKind.DELTA:
-            self.servers = {e.id: self.servers[e.id] for e in event.upstreams if e.id in self.servers}
+            self.servers = {e.id: self.servers[e.id] for e in event.endpoints if e.id in self.servers}
         restarted = []
-        for entry in event.upstreams:
-            if entry.state is not UpstreamState.READY:
+        for entry in event.endpoints:
+            if entry.state is not EndpointStatus.READY:
                 self.servers.pop(entry.id, None)  # rule 3: forgotten the moment we are told
                 continue
             away = self.settings.cross_zone_fee > 0 and entry.zone != self.settings.zone
@@ -578,7 +580,7 @@
 
     def ask_list_at(self, at_us: int) -> None:
         """Have the list asked for at a time, where lists come on request only."""
-        if self.settings.list_on_request:
+        if self.settings.endpoints_on_request:
             self.ask_list_us = at_us
             self.wake(at_us, "list", 0)
 
@@ -586,7 +588,7 @@
         """Asks again if no answer comes: a call that is lost must not leave us without a list (rule 3)."""
         if self.ask_list_us != 0 and self.now_us >= self.ask_list_us:
             self.actions.append(Subscribe(True))
-            self.ask_list_at(self.now_us + max(FIRST_RETRY_US, self.settings.ask_within_us // 2))
+            self.ask_list_at(self.now_us + max(FIRST_RETRY_US, self.settings.max_poll_interval_us // 2))
 
     def wake(self, at_us: int, what: str, ident: int, attempt: int = 0) -> None:
         """Note what is due at a time."""
--- a/fakes/balancers_model.py
+++ b/fakes/balancers_model.py
@@ -12,18 +12,18 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from plovertrail.decisions.actions import CloseIdle, Fail, Refuse, Send, SetTimer
+from plovertrail.decisions.actions import CloseIdle, Fail, Reject, Send, SetTimer
 from plovertrail.decisions.balance import Balancer
 from plovertrail.decisions.events import (
     AttemptEnded,
+    Endpoint,
+    EndpointStatus,
+    EndpointsUpdated,
     Event,
     ListKind,
     Outcome,
     RequestArrived,
     TimerFired,
-    Upstream,
-    UpstreamState,
-    UpstreamsUpdated,
 )
 from plovertrail.decisions.settings import RequestClass, Settings
 
@@ -31,22 +31,26 @@
 SECOND_US = 1_000_000
 WORK_US = 20_000  # a request's, on a warm upstream
 LONGEST_WAIT_US = 200_000
-NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 def classes() -> list[RequestClass]:
     """One of each effect."""
     return [
-        RequestClass("read", aim_us=300_000, deadline_us=1_500_000, effect="idempotent", late_worth=0.3),
-        RequestClass("pay", aim_us=300_000, deadline_us=600_000, worth=5, effect="at_most_once"),
+        RequestClass(
+            "read", latency_objective_us=300_000, deadline_us=1_500_000, effect="idempotent", late_weight=0.3
+        ),
+        RequestClass(
+            "pay", latency_objective_us=300_000, deadline_us=600_000, priority_weight=5, effect="at_most_once"
+        ),
         RequestClass(
             "mark",
-            aim_us=400_000,
+            latency_objective_us=400_000,
             deadline_us=2_000_000,
-            worth=3,
+            priority_weight=3,
             effect="deduplicated",
-            group="cell",
-            memory_us=1_200_000,
+            dedup_scope="cell",
+            dedup_window_us=1_200_000,
         ),
     ]
 
@@ -55,7 +59,7 @@
 class Server:
     """What one upstream has done and been sent."""
 
-    entry: Upstream
+    entry: Endpoint
     table: int  # connections that it takes
     work_us: int = WORK_US
     longest_wait_us: int = LONGEST_WAIT_US  # to an answer; what would take longer is turned away
@@ -64,10 +68,14 @@
     connections: int = 0
     sent: list[int] = field(default_factory=list)
 
-    def warmth(self, now_us: int, cold_share: float, warm_up_us: int) -> float:
-        """The part of its work that the server can do: `cold_share` at its start, 1 after `warm_up_us`."""
+    def warmth(self, now_us: int, warm_up_initial_capacity: float, warm_up_us: int) -> float:
+        """The fraction of its work that the server can do, from its start until `warm_up_us` later."""
         age_us = now_us - self.entry.started_us
-        return min(1.0, cold_share + (1 - cold_share) * age_us / warm_up_us) if self.entry.started_us else 1.0
+        return (
+            min(1.0, warm_up_initial_capacity + (1 - warm_up_initial_capacity) * age_us / warm_up_us)
+            if self.entry.started_us
+            else 1.0
+        )
 
 
 class Fleet:
@@ -83,15 +91,15 @@
             cancel=True,
             max_retry_after_us=1_000_000,
             connect_timeout_us=150_000,
-            cold_share=0.2,
+            warm_up_initial_capacity=0.2,
             warm_up_us=20 * SECOND_US,
             overload_factor=2.5,
-            fall_us=SECOND_US,
+            overload_duration_us=SECOND_US,
         )
         self.now_us = START_US
         self.balancers = [Balancer(self.settings, number, START_US) for number in range(sidecars)]
         self.servers = {
-            number: Server(Upstream(number, zone=number % 3), table) for number in range(1, servers + 1)
+            number: Server(Endpoint(number, zone=number % 3), table) for number in range(1, servers + 1)
         }
         self.left: dict[tuple[int, int], bool] = {}  # (sidecar, upstream): word of its leave has come
         self.idle: Counter[tuple[int, int]] = Counter()  # (sidecar, upstream)
@@ -107,38 +115,38 @@
         self.of_busy: Counter[str] = Counter()
         for number in range(sidecars):
             listed = [server.entry for server in self.servers.values()]
-            self.tell(number, UpstreamsUpdated(ListKind.FULL, listed))
+            self.tell(number, EndpointsUpdated(ListKind.FULL, listed))
 
     def at(self, at_us: int, sidecar: int, event: Event) -> None:
         """Tell a sidecar an event at a time."""
         self.order += 1
         heapq.heappush(self.due, (at_us, self.order, sidecar, event))
 
-    def change(self, entry: Upstream, late_us: int = 0) -> None:
+    def change(self, entry: Endpoint, late_us: int = 0) -> None:
         """All are told of it, each at a time of its own within `late_us`."""
-        if entry.state is UpstreamState.READY:
+        if entry.state is EndpointStatus.READY:
             self.servers[entry.id] = Server(entry, next(iter(self.servers.values())).table)
         for number in range(len(self.balancers)):
             told_us = self.now_us + int(self.random.random() * late_us)
-            self.at(told_us, number, UpstreamsUpdated(ListKind.DELTA, [entry]))
+            self.at(told_us, number, EndpointsUpdated(ListKind.DELTA, [entry]))
 
     def tell(self, sidecar: int, event: Event) -> None:
         """Give a sidecar an event, and carry out the actions that it returns."""
-        if isinstance(event, UpstreamsUpdated):
-            for entry in event.upstreams:
-                self.left[sidecar, entry.id] = entry.state is not UpstreamState.READY
+        if isinstance(event, EndpointsUpdated):
+            for entry in event.endpoints:
+                self.left[sidecar, entry.id] = entry.state is not EndpointStatus.READY
         if isinstance(event, AttemptEnded):
             self.outcomes[event.outcome] += 1
             if event.outcome is Outcome.OK:
                 self.answer(event.request, "served")
-                self.idle[sidecar, event.upstream] += 1
+                self.idle[sidecar, event.endpoint_id] += 1
             elif event.outcome in (Outcome.TIMEOUT, Outcome.RESET):
-                self.servers[event.upstream].connections -= 1
+                self.servers[event.endpoint_id].connections -= 1
         for action in self.balancers[sidecar].handle(self.now_us, event):
             if isinstance(action, Send):
                 self.send(sidecar, action)
-            elif isinstance(action, Refuse | Fail):
-                refused = isinstance(action, Refuse)
+            elif isinstance(action, Reject | Fail):
+                refused = isinstance(action, Reject)
                 request = self.owed[action.request][1]
                 unsafe = self.settings.classes[request.class_index].effect == "at_most_once"
                 may_have_run = unsafe and self.ran[action.request] > 0
@@ -147,7 +155,9 @@
             elif isinstance(action, SetTimer):
                 self.at(action.at_us, sidecar, TimerFired(action.token))
             elif isinstance(action, CloseIdle):
-                self.servers[action.upstream].connections -= self.idle.pop((sidecar, action.upstream), 0)
+                self.servers[action.endpoint_id].connections -= self.idle.pop(
+                    (sidecar, action.endpoint_id), 0
+                )
 
     def answer(self, request: int, how: str) -> None:
         """Count a final answer; raises on a second one and on a late one."""
@@ -159,9 +169,9 @@
 
     def send(self, sidecar: int, send: Send) -> None:
         """Carry out an attempt; raises AssertionError if it breaks a rule."""
-        server, now_us = self.servers[send.upstream], self.now_us
+        server, now_us = self.servers[send.endpoint_id], self.now_us
         assert send.request in self.owed, "rule 1: a send after the end"
-        assert not self.left[sidecar, send.upstream], "rule 3: sent after word of its leave"
+        assert not self.left[sidecar, send.endpoint_id], "rule 3: sent after word of its leave"
         nth = self.tries[send.request] = self.tries.get(send.request, -1) + 1
         index = self.owed[send.request][1].class_index
         if self.settings.classes[index].effect == "at_most_once":
@@ -169,17 +179,17 @@
         server.sent.append(now_us)
 
         def ends(after_us: int, how: Outcome) -> None:
-            ended = AttemptEnded(send.request, nth, send.upstream, how, after_us, how is Outcome.OK)
+            ended = AttemptEnded(send.request, nth, send.endpoint_id, how, after_us, how is Outcome.OK)
             self.at(now_us + after_us, sidecar, ended)
 
-        if self.idle[sidecar, send.upstream]:
-            self.idle[sidecar, send.upstream] -= 1
+        if self.idle[sidecar, send.endpoint_id]:
+            self.idle[sidecar, send.endpoint_id] -= 1
         elif server.connections >= server.table:
             ends(2_000, Outcome.CONNECT_FAILED)
             return
         else:
             server.connections += 1
-        warmth = server.warmth(now_us, self.settings.cold_share, self.settings.warm_up_us)
+        warmth = server.warmth(now_us, self.settings.warm_up_initial_capacity, self.settings.warm_up_us)
         ready_us = max(server.free_us, now_us) + int(server.work_us / warmth)
         if server.silent:
             self.ran[send.request] += 1
@@ -190,7 +200,7 @@
                 ends(send.timeout_us, Outcome.TIMEOUT)
         elif ready_us > now_us + server.longest_wait_us:
             server.connections -= 1  # it ends the connection with what it turns away
-            ends(2_000, Outcome.FULL)
+            ends(2_000, Outcome.REJECTED)
         else:
             server.free_us = ready_us
             self.ran[send.request] += 1
@@ -240,24 +250,27 @@
         listed = [
             server.entry for server in self.servers.values() if not self.left.get((sidecar, server.entry.id))
         ]
-        self.tell(sidecar, UpstreamsUpdated(ListKind.FULL, listed))
+        self.tell(sidecar, EndpointsUpdated(ListKind.FULL, listed))
 
     def beyond(self, number: int) -> float:
-        """How far a cold upstream got beyond N + 2 calls in any `fall_us`, N its budget: in roots of N."""
+        """How far a cold upstream got beyond N + 2 calls within `overload_duration_us`, N its
+        budget: in roots of N."""
         server, s, worst, end = self.servers[number], self.settings, -math.inf, 0
         for begin, start in enumerate(server.sent):
-            while end < len(server.sent) and server.sent[end] < start + s.fall_us:
+            while end < len(server.sent) and server.sent[end] < start + s.overload_duration_us:
                 end += 1
-            warmth = server.warmth(start, s.cold_share, s.warm_up_us)
-            budget = s.overload_factor * warmth * s.fall_us / server.work_us
+            warmth = server.warmth(start, s.warm_up_initial_capacity, s.warm_up_us)
+            budget = s.overload_factor * warmth * s.overload_duration_us / server.work_us
             worst = max(worst, (end - begin - budget - 2) / math.sqrt(budget))
         return worst
 
     def pushed(self, number: int) -> float:
-        """The most work sent to a cold upstream in any `fall_us`, of what pushes it over."""
+        """The most work sent to a cold upstream in any `overload_duration_us`, of what pushes it over."""
         server, s, worst = self.servers[number], self.settings, 0.0
         for start in server.sent:
-            work = server.work_us * sum(1 for at_us in server.sent if start <= at_us < start + s.fall_us)
-            warmth = server.warmth(start, s.cold_share, s.warm_up_us)
-            worst = max(worst, work / (s.overload_factor * warmth * s.fall_us))
+            work = server.work_us * sum(
+                1 for at_us in server.sent if start <= at_us < start + s.overload_duration_us
+            )
+            warmth = server.warmth(start, s.warm_up_initial_capacity, s.warm_up_us)
+            worst = max(worst, work / (s.overload_factor * warmth * s.overload_duration_us))
         return worst
--- a/fakes/fleet/instances.py
+++ b/fakes/fleet/instances.py
@@ -15,7 +15,7 @@
 from fakes.fleet.plan import Plan
 from plovertrail.clock import clock_us
 from plovertrail.decisions import share
-from plovertrail.decisions.events import UpstreamsUpdated
+from plovertrail.decisions.events import EndpointsUpdated
 from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.exchange import Answer, Call, Verdict
 from plovertrail.host import Host
@@ -35,20 +35,20 @@
         self.bounds = share.Bounds(plan.servers_each, plan.connections, plan.dials_per_s)
         self.rng = random.Random(number)
         settings = Settings(
-            classes=[RequestClass("read", AIM_US, DEADLINE_US, effect="at_most_once", late_worth=0.3)],
+            classes=[RequestClass("read", AIM_US, DEADLINE_US, effect="at_most_once", late_weight=0.3)],
             instances=self.fleet.size,
             self_index=number,
             max_attempts=4,
             max_retry_after_us=10_000_000,
             connect_timeout_us=500_000,
             cancel=True,
-            list_on_request=True,
-            ask_within_us=60_000_000,
-            list_calls_per_s=plan.list_calls_per_s,
-            cold_share=plan.cold_share,
+            endpoints_on_request=True,
+            max_poll_interval_us=60_000_000,
+            discovery_rate_per_s=plan.list_calls_per_s,
+            warm_up_initial_capacity=plan.cold_share,
             warm_up_us=int(plan.warm_up_s * 1e6),
             overload_factor=plan.overload_factor,
-            fall_us=int(plan.fall_s * 1e6),
+            overload_duration_us=int(plan.fall_s * 1e6),
         )
         self.host = Host()
         self.connections = ConnectionPool(int(plan.idle_s * 1e6), 500_000, MOST_CONNECTIONS)
@@ -65,7 +65,7 @@
         self.host.loop.call_later(NARROW_S, self._narrow)
         self.host.narrow(self.pool)
 
-    def listed(self, event: UpstreamsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
+    def listed(self, event: EndpointsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
         """A list of servers has come: hand it to the host, and fit the budget to its length."""
         self.host.list_changed(self.pool, event, addresses)
         budget = share.budget(self.fleet, self.bounds, len(self.pool.listed))
--- a/plovertrail/__main__.py
+++ b/plovertrail/__main__.py
@@ -56,7 +56,7 @@
     if settings.known:
         discovery.cached(settings.known)
     host.start(servers)
-    if not settings.settings.list_on_request:
+    if not settings.settings.endpoints_on_request:
         discovery.hold_open()
     # the rest is for discovery, the listener, the log and what is on its way to be closed
     server = Server(host, servers, settings.settings, most_clients=settings.sockets // 2)
--- a/plovertrail/config/classes.py
+++ b/plovertrail/config/classes.py
@@ -40,8 +40,8 @@
                 table.worth,
                 table.late_worth,
                 effect=EFFECTS[table.effect],
-                group=table.group or "all",
-                memory_us=memory_us,
+                dedup_scope=table.group or "all",
+                dedup_window_us=memory_us,
             )
             keys.append(key)
         if not raw:
@@ -81,7 +81,7 @@
 
     def overridden(self, kind: RequestClass, changes: OverrideTable, place: str) -> RequestClass:
         """A class with what a pool changes of it."""
-        aim_us = kind.aim_us
+        aim_us = kind.latency_objective_us
         if changes.aim is not None:
             aim_us = duration_us(changes.aim, f"{place}.aim", self.problems)
             if aim_us > kind.deadline_us:
@@ -92,9 +92,9 @@
             kind.name,
             aim_us,
             kind.deadline_us,
-            kind.worth if changes.worth is None else changes.worth,
-            kind.late_worth if changes.late_worth is None else changes.late_worth,
+            kind.priority_weight if changes.worth is None else changes.worth,
+            kind.late_weight if changes.late_worth is None else changes.late_worth,
             effect=kind.effect,
-            group=kind.group,
-            memory_us=kind.memory_us,
+            dedup_scope=kind.dedup_scope,
+            dedup_window_us=kind.dedup_window_us,
         )
--- a/plovertrail/config/pools.py
+++ b/plovertrail/config/pools.py
@@ -130,14 +130,14 @@
             max_retry_after_us=time("retry_after"),
             connect_timeout_us=time("connect_timeout"),
             cancel=True,
-            second_copies=table.second_copies,
-            cold_share=table.cold_share,
+            hedging=table.second_copies,
+            warm_up_initial_capacity=table.cold_share,
             warm_up_us=time("warm_up", 0),
             overload_factor=table.overload_factor,
-            fall_us=time("fall", 0),
+            overload_duration_us=time("fall", 0),
             cross_zone_fee=table.cross_zone_cost,
             weighted=True,
-            draw_by_weight=True,
+            select_by_weight=True,
         )
 
     def _affinity(self, table: PoolTable, place: str) -> Affinity | None:
--- a/plovertrail/config/settings.py
+++ b/plovertrail/config/settings.py
@@ -4,7 +4,7 @@
 
 import math
 
-from plovertrail.decisions.settings import EFFECTS, GROUPS, RequestClass, Settings, Tenant
+from plovertrail.decisions.settings import DEDUP_SCOPES, EFFECTS, RequestClass, Settings, Tenant
 
 # Load report values: the wire's names and ours; a name not known here is kept as it is.
 _REPORT_NAMES = {
@@ -62,14 +62,14 @@
 def _class(options: _Options, at: str) -> RequestClass:
     return RequestClass(
         name=options.text(at + "name"),
-        aim_us=options.whole(at + "aim"),
+        latency_objective_us=options.whole(at + "aim"),
         deadline_us=options.whole(at + "deadline"),
-        worth=options.number(at + "worth"),
-        late_worth=options.number(at + "late-worth", "0"),
-        aim_stretch=options.number(at + "aim-stretch", "0"),
+        priority_weight=options.number(at + "worth"),
+        late_weight=options.number(at + "late-worth", "0"),
+        objective_stretch=options.number(at + "aim-stretch", "0"),
         effect=options.choice(at + "effect", EFFECTS),
-        group=options.choice(at + "group", GROUPS, "all"),
-        memory_us=options.whole(at + "memory-span", "0"),
+        dedup_scope=options.choice(at + "group", DEDUP_SCOPES, "all"),
+        dedup_window_us=options.whole(at + "memory-span", "0"),
         stream=options.flag(at + "stream", "false"),
     )
 
@@ -87,8 +87,8 @@
         return Settings(
             classes=[_class(o, f"request-classes.{i}.") for i in range(o.whole("request-classes.count"))],
             tenants=[_tenant(o, f"accounts.{i}.") for i in range(o.whole("accounts.count", "0"))],
-            over_share_worth=o.number("over-share-worth", "1"),
-            worth_by_work=o.choice("value-by", ("request", "work"), "request") == "work",
+            over_share_weight=o.number("over-share-worth", "1"),
+            weight_by_work=o.choice("value-by", ("request", "work"), "request") == "work",
             instances=o.whole("instances"),
             self_index=o.whole("self-index", "0"),
             zone=o.whole("locality", "0"),
@@ -98,15 +98,15 @@
             connect_timeout_us=o.whole("bounds.dial-timeout", "0"),
             retry_after=o.flag("bounds.retry-after"),
             cancel=o.flag("bounds.cancel"),
-            probes=o.flag("bounds.probes"),
-            second_copies=o.flag("bounds.second-copies"),
-            list_on_request=o.choice("registry-mode", ("pushed", "on_request")) == "on_request",
-            ask_within_us=o.whole("invariants.ask-within", "0"),
+            health_checks=o.flag("bounds.probes"),
+            hedging=o.flag("bounds.second-copies"),
+            endpoints_on_request=o.choice("registry-mode", ("pushed", "on_request")) == "on_request",
+            max_poll_interval_us=o.whole("invariants.ask-within", "0"),
             drain_grace_us=o.whole("invariants.drain-grace", "0"),
-            cold_share=o.number("invariants.cold-share"),
+            warm_up_initial_capacity=o.number("invariants.cold-share"),
             warm_up_us=o.whole("invariants.warm-up"),
             overload_factor=o.number("invariants.overload-factor"),
-            fall_us=o.whole("invariants.fall"),
+            overload_duration_us=o.whole("invariants.fall"),
             cross_zone_fee=o.number("fees.cross-zone", "0"),
             report_names=[
                 _REPORT_NAMES.get(name, name) for name in o.text("report.names", "").split(",") if name
--- a/plovertrail/decisions/actions.py
+++ b/plovertrail/decisions/actions.py
@@ -10,17 +10,17 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; a request's attempts are numbered 0, 1, 2 ... in the order of their sends."""
+    """Start an attempt; the attempts of a request are numbered 0, 1, 2 ... in the order of their sends."""
 
     request: int
-    upstream: int
-    timeout_us: int = 0  # 0 = until the client quits
-    within_us: int = 0  # it may begin within this, and no later; 0 = at any time
+    endpoint_id: int
+    timeout_us: int = 0  # 0 = until the client disconnects
+    start_within_us: int = 0  # how late it may be written; 0 = at any time
 
 
 @dataclass(slots=True)
-class Refuse:
-    """Final answer: not done, and trying again is harmless."""
+class Reject:
+    """Final answer: not done, and a retry by the client is harmless."""
 
     request: int
     retry_after_us: int = 0  # 0 = no advice
@@ -35,22 +35,22 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """Give up an attempt that is out."""
+    """Cancel an attempt that is in flight."""
 
     request: int
     attempt: int
 
 
 @dataclass(slots=True)
-class Probe:
-    """Ask an upstream for its health and load, outside of requests."""
+class HealthCheck:
+    """Ask an endpoint for its health and load, outside of requests."""
 
-    upstream: int
+    endpoint_id: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Tell TimerFired with this token at `at_us`."""
+    """Deliver `TimerFired` with this token at `at_us`."""
 
     at_us: int
     token: int = 0
@@ -58,25 +58,25 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Begin to watch the list of upstreams, or end it."""
+    """Start or stop watching the endpoint list."""
 
     active: bool = True
 
 
 @dataclass(slots=True)
-class FetchList:
-    """Fetch the whole list of upstreams once."""
+class PollEndpoints:
+    """Fetch the complete endpoint list once."""
 
 
 @dataclass(slots=True)
 class CloseIdle:
-    """Close the idle connections to an upstream."""
+    """Close the idle connections to an endpoint."""
 
-    upstream: int
+    endpoint_id: int
 
 
 @dataclass(slots=True)
-class TellPeer:
+class SendToPeer:
     """Send a message to one other instance, or to all."""
 
     payload: bytes
@@ -90,4 +90,16 @@
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | Probe | SetTimer | Subscribe | FetchList | CloseIdle | TellPeer | Log
+Action = (
+    Send
+    | Reject
+    | Fail
+    | Cancel
+    | HealthCheck
+    | SetTimer
+    | Subscribe
+    | PollEndpoints
+    | CloseIdle
+    | SendToPeer
+    | Log
+)
--- a/plovertrail/decisions/admission.py
+++ b/plovertrail/decisions/admission.py
@@ -17,7 +17,7 @@
 CALM_US = 5_000_000  # without one late answer: what is asked is too little to tell, and to do harm
 LEAST = 2.0  # hazard: with one, of requests that come at random many would find the other one in their way
 IN_TIME = 0.5  # of the aim: where slots settle an answer takes less
-LATE = (Outcome.TIMEOUT, Outcome.FULL)
+LATE = (Outcome.TIMEOUT, Outcome.REJECTED)
 # what is refused comes back at random within this, several times the second that ordinary clients are told in
 ADVICE_US = 3_000_000
 
--- a/plovertrail/decisions/balance.py
+++ b/plovertrail/decisions/balance.py
@@ -11,20 +11,20 @@
 from collections import deque
 from collections.abc import Callable
 
-from plovertrail.decisions.actions import Action, CloseIdle, Fail, Log, Refuse, Send, SetTimer, Subscribe
+from plovertrail.decisions.actions import Action, CloseIdle, Fail, Log, Reject, Send, SetTimer, Subscribe
 from plovertrail.decisions.events import (
     AttemptEnded,
+    Endpoint,
+    EndpointStatus,
+    EndpointsUpdated,
     Event,
-    Hearsay,
     ListKind,
     Outcome,
+    PeerHealthUpdated,
     RequestArrived,
-    RequestGone,
+    RequestCancelled,
     StreamStarted,
     TimerFired,
-    Upstream,
-    UpstreamState,
-    UpstreamsUpdated,
 )
 from plovertrail.decisions.list_calls import (
     BORNE_PER_S,
@@ -39,9 +39,9 @@
 from plovertrail.decisions.weighted import WeightedDraw
 
 MOST_SLOTS = 8  # no upstream gets more from one sidecar, however quick its answers
-NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-INSTANT_FAULTS = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET)
-TIMED_OUT, TURNED_AWAY, SPOILT = Outcome.TIMEOUT, Outcome.FULL, Outcome.SPOILT
+NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+INSTANT_FAULTS = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET)
+TIMED_OUT, TURNED_AWAY, SPOILT = Outcome.TIMEOUT, Outcome.REJECTED, Outcome.MALFORMED
 ANSWERED = (Outcome.OK, SPOILT)  # it has done the work, and its time tells of its load
 # time-outs count too: else a slow fleet would go on being judged by its few quick answers
 TIMED = (*ANSWERED, TIMED_OUT)
@@ -194,7 +194,7 @@
         "hearsay",
     )
 
-    def __init__(self, entry: Upstream, pool: Pool, classes: int) -> None:
+    def __init__(self, entry: Endpoint, pool: Pool, classes: int) -> None:
         self.entry = entry
         self.pool = pool
         self.used = 0  # slots taken by this sidecar's sends
@@ -248,7 +248,7 @@
     def __init__(self, event: RequestArrived, kind: RequestClass, now_us: int) -> None:
         self.event = event
         # when an answer stops being worth anything
-        late_us = now_us + (kind.deadline_us if kind.late_worth > 0 else kind.aim_us)
+        late_us = now_us + (kind.deadline_us if kind.late_weight > 0 else kind.latency_objective_us)
         self.useful_until_us = late_us if late_us < event.due_us else event.due_us
         self.attempts: list[Attempt] = []
         self.out = 0  # attempts that have not ended
@@ -284,7 +284,9 @@
         self.doubts: list[tuple[int, int]] = []  # (when, number); a heap
         self.requests: dict[int, Request] = {}
         self.buffer: Request | None = None
-        self.mean_us = [c.aim_us / 4 for c in settings.classes]  # of each class's answers; at first a guess
+        self.mean_us = [
+            c.latency_objective_us / 4 for c in settings.classes
+        ]  # of each class's answers; at first a guess
         # drawn from in this order; a second one where crossing zones costs
         self.pools = [Pool(now_us) for _ in range(2 if settings.cross_zone_fee > 0 else 1)]
         self.reissues = reissues or Reissues()
@@ -301,7 +303,7 @@
         self.list_failures = 0
         self.ask_list_us = 0  # when the list is asked for next; 0 = not, as it is subscribed to
         self.asked_list_us = now_us  # when it last was
-        first_us = min(settings.ask_within_us // 2, longest_gap_us(settings))
+        first_us = min(settings.max_poll_interval_us // 2, longest_gap_us(settings))
         self.ask_list_at(now_us + self.list_backoff_us(first_us))
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
@@ -314,13 +316,13 @@
             if self.armed_us <= now_us:  # hazard: a stale timer that armed another would never die out
                 self.armed_us = NEVER_US
             self.run_due()
-        elif isinstance(event, RequestGone) and event.request in self.requests:
+        elif isinstance(event, RequestCancelled) and event.request in self.requests:
             self.close(self.requests[event.request])
         elif isinstance(event, StreamStarted) and event.request in self.requests:
             self.requests[event.request].streaming = True
-        elif isinstance(event, UpstreamsUpdated):
+        elif isinstance(event, EndpointsUpdated):
             self.on_list(event)
-        elif isinstance(event, Hearsay):
+        elif isinstance(event, PeerHealthUpdated):
             self.on_hearsay(event)
         if self.buffer is not None:
             self.fill_from_buffer()
@@ -395,15 +397,15 @@
         """The worth of a slot's time given to this request; what is beyond its tenant's share counts less.
         The share is judged among the tenants seen here, unless the fleet's is told: of total rates a sidecar
         knows nothing."""
-        s, worth = self.settings, self.class_of(request).worth
-        if not s.worth_by_work:
+        s, worth = self.settings, self.class_of(request).priority_weight
+        if not s.weight_by_work:
             worth /= self.mean_us[request.event.class_index]
         if request.event.tenant < len(s.tenants):
             allowed = s.tenants[request.event.tenant].allowance_per_s / self.allowed_per_s
             seen = request.event.tenant_share or self.tenant_seen[request.event.tenant] / sum(
                 self.tenant_seen
             )
-            worth *= s.over_share_worth + (1.0 - s.over_share_worth) * min(1.0, allowed / seen)
+            worth *= s.over_share_weight + (1.0 - s.over_share_weight) * min(1.0, allowed / seen)
         return worth
 
     def class_of(self, request: Request) -> RequestClass:
@@ -411,7 +413,7 @@
 
     def half_aim_us(self, class_index: int) -> int:
         """The delay threshold, and the time of a slow answer: the other half is left for a new try."""
-        return self.settings.classes[class_index].aim_us // 2
+        return self.settings.classes[class_index].latency_objective_us // 2
 
     def latest_start_us(self, request: Request) -> int:
         """An attempt that starts later is not expected back in time to be of use. Hazard: after an outage
@@ -432,7 +434,7 @@
         harmless = (
             kind.effect == "idempotent"
             or request.first_that_may_have_run() is None
-            or (kind.effect == "deduplicated" and kind.group == "all")
+            or (kind.effect == "deduplicated" and kind.dedup_scope == "all")
         )
         if not request.attempts:
             for pool in self.pools:
@@ -442,7 +444,7 @@
         # about one answer's time, spread lest refused clients return together
         after_us = min(after_us * (0.5 + self.random.random()), self.settings.max_retry_after_us)
         advice_us = int(after_us) if self.settings.retry_after else 0
-        self.actions.append(Refuse(ident, advice_us) if harmless else Fail(ident))
+        self.actions.append(Reject(ident, advice_us) if harmless else Fail(ident))
 
     def close(self, request: Request) -> None:
         request.done = True
@@ -565,7 +567,7 @@
         s, age_us = self.settings, self.now_us - started_us
         if age_us >= s.warm_up_us:
             return 1.0
-        return s.cold_share + (1.0 - s.cold_share) * max(0, age_us) / s.warm_up_us
+        return s.warm_up_initial_capacity + (1.0 - s.warm_up_initial_capacity) * max(0, age_us) / s.warm_up_us
 
     def pace_cold(self, server: Server, part: float) -> None:
         """Rule 4: a cold upstream gets its part, by warmth and size, of what this sidecar sees served by its
@@ -637,7 +639,7 @@
         index, first = request.event.class_index, request.first_that_may_have_run()
         tried = [attempt.server for attempt in request.attempts] if request.attempts else ()
         kind = self.settings.classes[index]
-        grouped = first is not None and kind.effect == "deduplicated" and kind.group != "all"
+        grouped = first is not None and kind.effect == "deduplicated" and kind.dedup_scope != "all"
         for _ in range(0 if grouped else DRAWS):
             number = group.draw(self.random.random())
             if number is None:
@@ -667,12 +669,12 @@
     def fits(self, request: Request, server: Server, some_rest: bool) -> bool:
         """Whether an upstream with a free slot may have this request now."""
         resting = some_rest and self.now_us < server.mute_until_us[request.event.class_index]
-        return not resting and server.entry.id not in request.event.barred
+        return not resting and server.entry.id not in request.event.excluded
 
     def drops_repeats(self, kind: RequestClass, first: Attempt, group: WeightedDraw) -> list[Server]:
         """Rule 2: after a keyed attempt that may have run, only upstreams that drop its repeats."""
-        place = first.entry.zone if kind.group == "zone" else first.entry.cell
-        mates = self.mates.get((kind.group, place), {})
+        place = first.entry.zone if kind.dedup_scope == "zone" else first.entry.cell
+        mates = self.mates.get((kind.dedup_scope, place), {})
         return [server for number, server in mates.items() if number in group]
 
     def share(self, server: Server) -> float:
@@ -680,10 +682,10 @@
         slots = self.open_slots(server) - server.used
         if slots <= 0:
             return 0.0
-        size = server.entry.weight if self.settings.draw_by_weight else 1.0
+        size = server.entry.weight if self.settings.select_by_weight else 1.0
         return slots * size / (server.pace * (1.0 + server.distrust / DISTRUST_BORNE)) ** 2
 
-    def size(self, entry: Upstream) -> float:
+    def size(self, entry: Endpoint) -> float:
         """What an upstream does beside the others once it is warm, as far as the list tells."""
         return entry.weight if self.settings.weighted else 1.0
 
@@ -761,7 +763,7 @@
         left = self.settings.max_attempts if event.attempts_left is None else event.attempts_left
         if len(request.attempts) >= left:
             return False
-        if request.out > 0 and not self.settings.second_copies:
+        if request.out > 0 and not self.settings.hedging:
             return False
         if not request.attempts:
             return True
@@ -769,7 +771,7 @@
         kind = self.settings.classes[event.class_index]
         if first is None or kind.effect == "idempotent":
             return True
-        return kind.effect == "deduplicated" and self.now_us - first.sent_us < kind.memory_us
+        return kind.effect == "deduplicated" and self.now_us - first.sent_us < kind.dedup_window_us
 
     def send(self, request: Request, server: Server) -> None:
         if self.warmth(server) < 1.0:
@@ -800,7 +802,7 @@
                 self.repeat_within_us(request),
             )
         )
-        if self.settings.second_copies and self.class_of(request).effect != "at_most_once":
+        if self.settings.hedging and self.class_of(request).effect != "at_most_once":
             # soon enough to be back in time, late enough to be seldom
             after_us = min(int(2 * self.mean_us[index]), self.half_aim_us(index))
             self.wake(self.now_us + after_us, "copy", request.event.request)
@@ -808,7 +810,7 @@
     def silent_after_us(self, class_index: int) -> int:
         """Few answers take longer than the aim, unless the upstream is slow to all. Hazard: sooner, what
         an overload makes slow would be taken for lost."""
-        return self.settings.classes[class_index].aim_us
+        return self.settings.classes[class_index].latency_objective_us
 
     def on_silence(self, attempt: Attempt) -> None:
         """It has had no answer for longer than one takes. Hazard: an upstream, or what lies before it, may
@@ -849,7 +851,7 @@
         """As long as an answer is of use; where a repeat may follow, what the class usually takes."""
         left_us = max(1, request.useful_until_us - self.now_us)
         once = self.class_of(request).effect == "at_most_once"
-        if self.settings.second_copies or once or self.reissues.in_hand < 1.0:
+        if self.settings.hedging or once or self.reissues.in_hand < 1.0:
             return left_us
         index, known_us = request.event.class_index, request.event.cost_us
         return min(left_us, max(int(4 * self.mean_us[index]), self.half_aim_us(index), 4 * known_us))
@@ -860,7 +862,7 @@
         kind, first = self.class_of(request), request.first_that_may_have_run()
         if kind.effect != "deduplicated" or first is None or first is request.attempts[-1]:
             return 0
-        return max(1, first.sent_us + kind.memory_us - self.now_us)
+        return max(1, first.sent_us + kind.dedup_window_us - self.now_us)
 
     def send_copy(self, request: Request) -> None:
         """The first runs on. Never in a shortage: copies would take the slots of requests that have none."""
@@ -913,11 +915,11 @@
             else:
                 self.finish(request)
 
-    def on_list(self, event: UpstreamsUpdated) -> None:
+    def on_list(self, event: EndpointsUpdated) -> None:
         if event.kind is ListKind.FAILED:
             self.list_failures += 1
             since_us = self.now_us
-            if event.silent:
+            if event.watch_stalled:
                 since_us -= SILENT_US
             elif self.ask_list_us != 0:  # no subscription was up: a call has failed
                 since_us = self.asked_list_us
@@ -926,13 +928,13 @@
             return
         if event.kind is not ListKind.CACHED:
             self.list_failures = self.ask_list_us = 0
-        if event.kind is not ListKind.DELTA and not event.part:
-            for number in self.servers.keys() - {entry.id for entry in event.upstreams}:
+        if event.kind is not ListKind.DELTA and not event.partial:
+            for number in self.servers.keys() - {entry.id for entry in event.endpoints}:
                 self.forget(number)
         self.open_rested()  # hazard: without a draw nothing else would take off what is over
         new, restarted = [], []
-        for entry in event.upstreams:
-            if entry.state is not UpstreamState.READY:
+        for entry in event.endpoints:
+            if entry.state is not EndpointStatus.READY:
                 self.forget(entry.id)
                 continue
             away = self.settings.cross_zone_fee > 0 and entry.zone != self.settings.zone
@@ -965,7 +967,7 @@
         for server in new:
             self.recall(server)
 
-    def on_hearsay(self, event: Hearsay) -> None:
+    def on_hearsay(self, event: PeerHealthUpdated) -> None:
         """Other instances find upstreams wrong: these are drawn less, and never shut. Hazard: whatever they
         say, it may be wrong; so of each class no more than a third is drawn less, the worst ones."""
         for number in self.hearsay:
@@ -974,7 +976,7 @@
         self.hearsay = set()
         most = int(MOST_DISTRUSTED * len(self.servers))
         left = [most] * len(self.settings.classes)
-        for (number, index), part in sorted(event.held_back.items(), key=lambda each: -each[1]):
+        for (number, index), part in sorted(event.penalties.items(), key=lambda each: -each[1]):
             server = self.servers.get(number)
             if server is not None and index < len(left) and left[index] > 0 and part > 0.0:
                 left[index] -= 1
@@ -987,13 +989,13 @@
         calls that come faster than discovery answers all fail, and what has waited in vain is work for it all
         the same."""
         s = self.settings
-        span_us = list_span_us(s.instances, s.list_calls_per_s or BORNE_PER_S)
+        span_us = list_span_us(s.instances, s.discovery_rate_per_s or BORNE_PER_S)
         if self.list_failures:
             span_us = max(RETRY_US, span_us) * 2 ** min(self.list_failures - 1, 20)
         return int(min(span_us, longest_us) * self.random.random())
 
     def ask_list_at(self, at_us: int) -> None:
-        if self.settings.list_on_request:
+        if self.settings.endpoints_on_request:
             self.ask_list_us = at_us
             self.wake(at_us, "list", 0)
 
@@ -1002,7 +1004,7 @@
         if self.ask_list_us != 0 and self.now_us >= self.ask_list_us:
             self.asked_list_us = self.now_us
             self.actions.append(Subscribe(True))
-            self.ask_list_at(self.now_us + max(UNANSWERED_US, self.settings.ask_within_us // 2))
+            self.ask_list_at(self.now_us + max(UNANSWERED_US, self.settings.max_poll_interval_us // 2))
 
     def wake(self, at_us: int, what: str, ident: int) -> None:
         at_us = max(at_us, self.now_us + 1)
--- a/plovertrail/decisions/events.py
+++ b/plovertrail/decisions/events.py
@@ -11,42 +11,42 @@
 
 
 class Outcome(enum.Enum):
-    """How one attempt or probe ended."""
+    """How one attempt or health check ended."""
 
     OK = "ok"
     ERROR = "error"  # answered with an error; may have run
-    FULL = "full"  # turned away unseen; never ran
-    TIMEOUT = "timeout"  # no answer in time; may have run or be running
+    REJECTED = "rejected"  # rejected before any work was done; never ran
+    TIMEOUT = "timeout"  # no response in time; may have run or be running
     CONNECT_FAILED = "connect_failed"  # no connection; never ran
     RESET = "reset"  # the connection broke; may have run
-    SPOILT = "spoilt"  # an answer that can't be read; has run
-    CANCELLED = "cancelled"  # cancelled by us; may have run
-    NOT_SENT = "not_sent"  # the sidecar could not send it; never ran
+    MALFORMED = "malformed"  # a response that cannot be parsed; has run
+    CANCELLED = "cancelled"  # cancelled by this process; may have run
+    NOT_SENT = "not_sent"  # not written to any connection; never ran
 
 
-class UpstreamState(enum.Enum):
-    """What the upstream list says of one upstream."""
+class EndpointStatus(enum.Enum):
+    """What the endpoint list says of one endpoint."""
 
-    GONE = "gone"
+    REMOVED = "removed"
     READY = "ready"
     DRAINING = "draining"
 
 
 class ListKind(enum.Enum):
-    """What an `UpstreamsUpdated` event carries."""
+    """What an `EndpointsUpdated` event carries."""
 
-    DELTA = "delta"  # changed entries only
+    DELTA = "delta"  # changed endpoints only
     FULL = "full"  # the complete list
     CACHED = "cached"  # the complete list as last known, possibly outdated
-    FAILED = "failed"  # a call failed or the subscription broke; the list stays as it was
+    FAILED = "failed"  # a poll failed or the watch broke; the list stays as it was
 
 
 @dataclass(slots=True)
-class Upstream:
-    """One entry of the upstream list."""
+class Endpoint:
+    """One endpoint as listed."""
 
     id: int
-    state: UpstreamState = UpstreamState.READY
+    state: EndpointStatus = EndpointStatus.READY
     zone: int = 0
     kind: int = 0
     cell: int = 0
@@ -55,106 +55,109 @@
 
 
 @dataclass(slots=True)
-class UpstreamsUpdated:
-    """A list of upstreams has come, whole or in part, or could not be had."""
+class EndpointsUpdated:
+    """A new endpoint list, complete or in part, or the failure to get one."""
 
     kind: ListKind
-    upstreams: list[Upstream] = field(default_factory=list)
+    endpoints: list[Endpoint] = field(default_factory=list)
     version: int = 0
-    part: bool = False  # of a long list: what is not in it stays as it was, and who is gone is named
-    silent: bool = False  # FAILED: the subscription was up and fell silent, so changes may have been missed
+    partial: bool = False  # endpoints that are missing stay as they were; removed ones are named
+    watch_stalled: bool = False  # FAILED: the watch went silent, so changes may have been missed
 
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A request has come; exactly one final answer is owed to it."""
+    """A request that is owed exactly one final answer."""
 
     request: int
     due_us: int  # when the client stops waiting
     class_index: int = 0
     tenant: int = 0
-    key: int = 0  # 0 = none
+    key: int = 0  # idempotency key; 0 = none
     cost_us: int = 0  # expected work on a standard core; 0 = not known
     retried: bool = False  # the client sends it again
     write: bool = False
     earlier_attempts: int = 0  # by other pools, all known not to have run
     attempts_left: int | None = None  # that this pool may make; None: as many as its settings say
-    barred: Container[int] = frozenset()  # upstreams that take none of its kind now; may be a live view
-    preferred: tuple[int, ...] = ()  # upstreams that its first attempt should go to if they have a free slot
-    tenant_share: float = 0.0  # of what the fleet is asked for, if that is known; 0 = as it is seen here
+    excluded: Container[int] = frozenset()  # endpoints that cannot take this kind now; may be a live view
+    preferred: tuple[int, ...] = ()  # endpoints for the first attempt, if they have a free slot
+    tenant_share: float = 0.0  # fraction of the whole fleet's requests; 0 = estimated from local traffic
 
 
 @dataclass(slots=True)
-class RequestGone:
-    """The client has quit; no answer is owed any more."""
+class RequestCancelled:
+    """The client has disconnected; no answer is owed any more."""
 
     request: int
 
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt has ended, `elapsed_us` after it was sent; `report` is the server's load report, if any."""
+    """An attempt ended `elapsed_us` after it was sent."""
 
     request: int
     attempt: int
-    upstream: int
+    endpoint_id: int
     outcome: Outcome
     elapsed_us: int = 0
     final: bool = False  # the request has ended; otherwise an answer is still owed
-    report: list[float] = field(default_factory=list)  # values in the order of `report_names`
+    report: list[float] = field(default_factory=list)  # load report, in the order of `report_names`
 
 
 @dataclass(slots=True)
 class StreamStarted:
-    """The first byte of a streamed answer has come, `elapsed_us` after the attempt was sent."""
+    """The first byte of a streamed response came `elapsed_us` after the attempt was sent."""
 
     request: int
     attempt: int
-    upstream: int
+    endpoint_id: int
     elapsed_us: int = 0
 
 
 @dataclass(slots=True)
-class ProbeEnded:
-    """A probe of an upstream has ended."""
+class HealthCheckEnded:
+    """A health check of an endpoint has ended."""
 
-    upstream: int
+    endpoint_id: int
     outcome: Outcome
     elapsed_us: int = 0
-    report: list[float] = field(default_factory=list)
+    report: list[float] = field(default_factory=list)  # load report, in the order of `report_names`
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that SetTimer asked for is due; `token` is that of SetTimer."""
+    """A timer set by `SetTimer` is due; `token` is the one given there."""
 
     token: int
 
 
 @dataclass(slots=True)
-class Hearsay:
-    """What other instances make of upstreams: how much less each is drawn for a class, from 0 to 1 (all that
-    is known went wrong). Whole: what is not in it is held back no more."""
+class PeerHealthUpdated:
+    """Selection penalties derived from the health reports of other instances.
 
-    held_back: Mapping[tuple[int, int], float] = field(default_factory=dict)  # by upstream and class index
+    The mapping is complete: a penalty that it does not name is lifted.
+    """
+
+    penalties: Mapping[tuple[int, int], float] = field(default_factory=dict)
+    """From 0 (none) to 1 (every known attempt failed), by endpoint id and class index."""
 
 
 @dataclass(slots=True)
 class PeerMessage:
-    """A message of another instance has come."""
+    """A message from another instance."""
 
     sender: int
     payload: bytes
 
 
 Event = (
-    UpstreamsUpdated
+    EndpointsUpdated
     | RequestArrived
-    | RequestGone
+    | RequestCancelled
     | AttemptEnded
     | StreamStarted
-    | ProbeEnded
+    | HealthCheckEnded
     | TimerFired
-    | Hearsay
+    | PeerHealthUpdated
     | PeerMessage
 )
--- a/plovertrail/decisions/list_calls.py
+++ b/plovertrail/decisions/list_calls.py
@@ -25,8 +25,8 @@
 def longest_gap_us(settings: Settings) -> int:
     """From the begin of one call, or from the last word of a subscription, to the begin of the next call. A
     change that discovery has just missed to tell is then told with that one, in time for its drain."""
-    asked_us = int(LONGEST_WAIT * settings.ask_within_us)
-    if settings.list_calls_per_s:
+    asked_us = int(LONGEST_WAIT * settings.max_poll_interval_us)
+    if settings.discovery_rate_per_s:
         return asked_us
     return min(asked_us, TOLD_US + settings.drain_grace_us - ANSWER_US)
 
--- a/plovertrail/decisions/remembered.py
+++ b/plovertrail/decisions/remembered.py
@@ -122,7 +122,9 @@
     for index, kind in enumerate(balancer.settings.classes):
         guess_us = balancer.mean_us[index]
         known_us = memory.means_us.get(kind.name, guess_us)
-        balancer.mean_us[index] = max(1.0, guess_us + (min(known_us, kind.aim_us) - guess_us) * left)
+        balancer.mean_us[index] = max(
+            1.0, guess_us + (min(known_us, kind.latency_objective_us) - guess_us) * left
+        )
 
 
 def sweep(
--- a/plovertrail/decisions/share.py
+++ b/plovertrail/decisions/share.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterable, Mapping, Set
 from dataclasses import dataclass
 
-from plovertrail.decisions.events import Upstream, UpstreamState
+from plovertrail.decisions.events import Endpoint, EndpointStatus
 from plovertrail.decisions.settings import RequestClass
 
 CERTAINTY = 3.0  # standard deviations beyond the highest of so many counts: one chance in a thousand, about
@@ -158,7 +158,7 @@
 def group_of(classes: Iterable[RequestClass]) -> str:
     """Which servers must be chosen together. Hazard: a keyed request that may have run may be repeated within
     its group only; were a part of the group chosen, it would have nowhere to go."""
-    groups = {kind.group for kind in classes if kind.effect == "deduplicated"}
+    groups = {kind.dedup_scope for kind in classes if kind.effect == "deduplicated"}
     return "zone" if "zone" in groups else "cell" if "cell" in groups else ""
 
 
@@ -167,7 +167,7 @@
     """Servers that are chosen together."""
 
     rank: tuple[bool, float, str]
-    servers: dict[int, Upstream]
+    servers: dict[int, Endpoint]
     weight: float
 
 
@@ -186,24 +186,24 @@
         self.widened_us = 0
         self.units: dict[str, _Unit] = {}
         self.ranked: list[tuple[tuple[bool, float, str], str]] = []
-        self.entries: dict[int, Upstream] = {}
+        self.entries: dict[int, Endpoint] = {}
         self.names: dict[int, str] = {}  # the unit of each
-        self.chosen: dict[int, Upstream] = {}  # as they were told
+        self.chosen: dict[int, Endpoint] = {}  # as they were told
 
     # Lists in, the own list out
 
     def listed(
-        self, entries: Iterable[Upstream], addresses: Mapping[int, Address], fill: bool = True
-    ) -> list[Upstream]:
+        self, entries: Iterable[Endpoint], addresses: Mapping[int, Address], fill: bool = True
+    ) -> list[Endpoint]:
         """Changed entries; returns what changes in the own list. Those whose state is GONE leave. Without
         `fill` nothing joins yet, as more of the same list follows."""
-        told: list[Upstream] = []
+        told: list[Endpoint] = []
         for entry in entries:
             self._take_out(entry.id)
-            if entry.state is not UpstreamState.GONE:
+            if entry.state is not EndpointStatus.REMOVED:
                 self._put_in(entry, addresses[entry.id])
             if entry.id in self.chosen:
-                if entry.state is UpstreamState.READY:
+                if entry.state is EndpointStatus.READY:
                     self.chosen[entry.id] = entry
                 else:
                     del self.chosen[entry.id]
@@ -211,13 +211,13 @@
         return told + self._filled() if fill else told
 
     def only(
-        self, numbers: Set[int], entries: Iterable[Upstream], addresses: Mapping[int, Address]
-    ) -> list[Upstream]:
+        self, numbers: Set[int], entries: Iterable[Endpoint], addresses: Mapping[int, Address]
+    ) -> list[Endpoint]:
         """A whole list: what it doesn't have is gone."""
-        gone = [Upstream(number, UpstreamState.GONE) for number in self.entries.keys() - numbers]
+        gone = [Endpoint(number, EndpointStatus.REMOVED) for number in self.entries.keys() - numbers]
         return self.listed([*gone, *entries], addresses)
 
-    def short(self, now_us: int) -> list[Upstream]:
+    def short(self, now_us: int) -> list[Endpoint]:
         """A request found no free slot among those chosen: twice as many, as far as there are."""
         self.short_us = now_us
         if self.width >= len(self.entries) or now_us < self.widened_us + WIDEN_GAP_US:
@@ -226,19 +226,19 @@
         self.widened_us = now_us
         return self._filled()
 
-    def narrow(self, now_us: int, busy: Set[int]) -> list[Upstream]:
+    def narrow(self, now_us: int, busy: Set[int]) -> list[Endpoint]:
         """Now and then: after a calm the half of what was added goes, and what has been replaced; never while
         requests of a unit are open, whose repeats may have nowhere else to go. What is wanted joins."""
         if self.width > self.size and now_us >= max(self.short_us, self.widened_us) + CALM_US:
             self.width = max(self.size, self.width // 2)
             self.widened_us = now_us
         wanted = self._wanted()
-        gone: list[Upstream] = []
+        gone: list[Endpoint] = []
         for number in [number for number in self.chosen if self.names[number] not in wanted]:
             if len(gone) >= MOST_CHANGED:
                 break
             if busy.isdisjoint(self.units[self.names[number]].servers):
-                gone.append(Upstream(number, UpstreamState.GONE))
+                gone.append(Endpoint(number, EndpointStatus.REMOVED))
         for entry in gone:
             del self.chosen[entry.id]
         return gone + self._filled()
@@ -252,25 +252,27 @@
         for _, name in self.ranked:
             if ready >= self.width:
                 break
-            here = sum(1 for entry in self.units[name].servers.values() if entry.state is UpstreamState.READY)
+            here = sum(
+                1 for entry in self.units[name].servers.values() if entry.state is EndpointStatus.READY
+            )
             if here:
                 ready += here
                 names[name] = None
         return names
 
-    def _filled(self) -> list[Upstream]:
+    def _filled(self) -> list[Endpoint]:
         """What is wanted and was not chosen joins."""
-        came: list[Upstream] = []
+        came: list[Endpoint] = []
         for name in self._wanted():
             if len(came) >= MOST_CHANGED:
                 break  # the next look goes on
             for number, entry in self.units[name].servers.items():
-                if number not in self.chosen and entry.state is UpstreamState.READY:
+                if number not in self.chosen and entry.state is EndpointStatus.READY:
                     self.chosen[number] = entry
                     came.append(entry)
         return came
 
-    def _put_in(self, entry: Upstream, address: Address) -> None:
+    def _put_in(self, entry: Endpoint, address: Address) -> None:
         if self.group:
             name = str(entry.zone if self.group == "zone" else entry.cell)
         else:
--- a/plovertrail/decisions/verdicts.py
+++ b/plovertrail/decisions/verdicts.py
@@ -84,7 +84,7 @@
         return EFFECTS.index(kind.effect) > EFFECTS.index(base.effect)  # the stricter the later
     if kind.effect != "deduplicated":
         return True
-    return kind.memory_us <= base.memory_us and kind.group == base.group
+    return kind.dedup_window_us <= base.dedup_window_us and kind.dedup_scope == base.dedup_scope
 
 
 def check_header_name(name: bytes, allowed: Allowed) -> None:
--- a/plovertrail/endpoint_registry.py
+++ b/plovertrail/endpoint_registry.py
@@ -13,7 +13,7 @@
 from plovertrail.clock import clock_us
 from plovertrail.decisions import endpoint_list
 from plovertrail.decisions.endpoint_list import Address, Candidate, Guards, Kind, Member, State, Step
-from plovertrail.decisions.events import ListKind, Upstream, UpstreamState, UpstreamsUpdated
+from plovertrail.decisions.events import Endpoint, EndpointStatus, EndpointsUpdated, ListKind
 from plovertrail.decisions.list_versions import SourceKey
 from plovertrail.host import Host, ServerPool
 from plovertrail.sources.first_read import FirstRead
@@ -155,7 +155,7 @@
         if changes and self.pool is not None:
             entries = [self.upstream(change.member, change.kind is Kind.LEAVE) for change in changes]
             addresses = {change.member.number: change.member.entry.address for change in changes}
-            self.host.list_changed(self.pool, UpstreamsUpdated(ListKind.DELTA, entries), addresses)
+            self.host.list_changed(self.pool, EndpointsUpdated(ListKind.DELTA, entries), addresses)
         for text in report.told:
             log.info("%s: generation %d: %s", self.name, self.state.generation, text)
         self.speak()
@@ -168,14 +168,14 @@
         if changes or self.state.by_hand != before.by_hand or self.state.layers is not before.layers:
             self.changed()
 
-    def upstream(self, member: Member, gone: bool = False) -> Upstream:
+    def upstream(self, member: Member, gone: bool = False) -> Endpoint:
         """A member as the module knows it."""
         entry = member.entry
-        state = UpstreamState.DRAINING if entry.drain else UpstreamState.READY
+        state = EndpointStatus.DRAINING if entry.drain else EndpointStatus.READY
         zone = 0 if entry.zone == self.home_zone else name_number(entry.zone)
-        return Upstream(
+        return Endpoint(
             member.number,
-            UpstreamState.GONE if gone else state,
+            EndpointStatus.REMOVED if gone else state,
             zone,
             0,
             name_number(entry.cell),
@@ -189,7 +189,7 @@
         self.pool = pool
         entries = [self.upstream(member) for member in self.state.members.values()]
         addresses = {member.number: member.entry.address for member in self.state.members.values()}
-        self.host.list_changed(pool, UpstreamsUpdated(ListKind.CACHED, entries), addresses)
+        self.host.list_changed(pool, EndpointsUpdated(ListKind.CACHED, entries), addresses)
 
     # Reports
 
--- a/plovertrail/generation.py
+++ b/plovertrail/generation.py
@@ -42,7 +42,7 @@
     def harmless(self) -> bool:
         """Whether trying again is harmless whatever has run (rule 2)."""
         return self.kind.effect == "idempotent" or (
-            self.kind.effect == "deduplicated" and self.kind.group == "all"
+            self.kind.effect == "deduplicated" and self.kind.dedup_scope == "all"
         )
 
 
--- a/plovertrail/hearsay.py
+++ b/plovertrail/hearsay.py
@@ -19,8 +19,8 @@
 
 # opinions follow evidence, which goes out five times a second as a rule
 OPINIONS = Work("opinions", Priority.PEERS, every_us=200_000, latest_us=1_000_000, share=0.02)
-FAULTS = frozenset((Outcome.ERROR, Outcome.RESET, Outcome.SPOILT, Outcome.CONNECT_FAILED))
-TELLING = FAULTS | {Outcome.OK, Outcome.FULL, Outcome.TIMEOUT}
+FAULTS = frozenset((Outcome.ERROR, Outcome.RESET, Outcome.MALFORMED, Outcome.CONNECT_FAILED))
+TELLING = FAULTS | {Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT}
 Rosters = Callable[[], Mapping[str, EndpointRegistry]]
 
 
@@ -107,14 +107,14 @@
     ) -> None:
         """An attempt has ended. One that was silent for its aim has been counted then."""
         judgements, key = self.judgements(), self._key(pool, number, class_index)
-        aim_us = pool.settings.classes[class_index].aim_us
+        aim_us = pool.settings.classes[class_index].latency_objective_us
         counted = outcome is Outcome.TIMEOUT and elapsed_us >= aim_us
         if judgements is not None and key is not None and outcome in TELLING and not counted:
             judgements.ended(
                 key,
                 clock_us(),
                 fault=outcome in FAULTS,
-                full=outcome is Outcome.FULL,
+                full=outcome is Outcome.REJECTED,
                 silent=outcome is Outcome.TIMEOUT,
             )
             if judgements.news:
--- a/plovertrail/host.py
+++ b/plovertrail/host.py
@@ -24,7 +24,7 @@
     CloseIdle,
     Fail,
     Log,
-    Refuse,
+    Reject,
     Send,
     SetTimer,
     Subscribe,
@@ -32,16 +32,16 @@
 from plovertrail.decisions.balance import Balancer, Reissues
 from plovertrail.decisions.events import (
     AttemptEnded,
+    Endpoint,
+    EndpointStatus,
+    EndpointsUpdated,
     Event,
-    Hearsay,
     ListKind,
     Outcome,
+    PeerHealthUpdated,
     RequestArrived,
-    RequestGone,
+    RequestCancelled,
     TimerFired,
-    Upstream,
-    UpstreamState,
-    UpstreamsUpdated,
 )
 from plovertrail.decisions.failover import Standing, attempts_left, next_pool
 from plovertrail.decisions.settings import Settings
@@ -98,8 +98,8 @@
         self.subset: Subset | None = None  # None: this instance uses all servers
         self.listed: dict[int, Address] = {}  # also those that are not in the subset
         # of a long list, what the module has not been told yet: first what drains or has gone
-        self.untold_ends: dict[int, Upstream | None] = {}  # None: it isn't listed any more
-        self.untold: dict[int, Upstream] = {}
+        self.untold_ends: dict[int, Endpoint | None] = {}  # None: it isn't listed any more
+        self.untold: dict[int, Endpoint] = {}
         self.telling: asyncio.Handle | None = None
         self.retired = False
         self.dial_timer: asyncio.TimerHandle | None = None
@@ -118,15 +118,15 @@
         if self.addresses.pop(ident, None) is not None:
             self.upstreams.forget(ident)
 
-    def sliced(self, event: UpstreamsUpdated, addresses: dict[int, Address]) -> UpstreamsUpdated:
+    def sliced(self, event: EndpointsUpdated, addresses: dict[int, Address]) -> EndpointsUpdated:
         """What is told at once: all of a short list, a slice of a long one. The rest waits, what drains or
         has gone first, and is overtaken by what a later list says."""
-        whole = event.kind in (ListKind.FULL, ListKind.CACHED) and not event.part
+        whole = event.kind in (ListKind.FULL, ListKind.CACHED) and not event.partial
         gone = self.listed.keys() - addresses.keys() if whole else set()
         self.listed |= addresses
-        for ident in gone | {e.id for e in event.upstreams if e.state is UpstreamState.GONE}:
+        for ident in gone | {e.id for e in event.endpoints if e.state is EndpointStatus.REMOVED}:
             self.listed.pop(ident, None)
-        if len(event.upstreams) + len(gone) > SLICE:  # in slices no part says who is missing
+        if len(event.endpoints) + len(gone) > SLICE:  # in slices no part says who is missing
             for ident in gone:
                 self.untold.pop(ident, None)
                 self.untold_ends[ident] = None
@@ -136,51 +136,51 @@
             return event
         elif not self.telling_rest:
             return event
-        for entry in event.upstreams:
+        for entry in event.endpoints:
             self.untold_ends.pop(entry.id, None)
             self.untold.pop(entry.id, None)
-            ready = entry.state is UpstreamState.READY
+            ready = entry.state is EndpointStatus.READY
             if ready:
                 self.untold[entry.id] = entry
             else:
                 self.untold_ends[entry.id] = entry
-        return replace(event, upstreams=self.next_slice(), part=True)
+        return replace(event, endpoints=self.next_slice(), partial=True)
 
     @property
     def telling_rest(self) -> bool:
         """Whether part of a long list has not been told yet."""
         return bool(self.untold or self.untold_ends)
 
-    def narrowed(self, event: UpstreamsUpdated) -> UpstreamsUpdated:
+    def narrowed(self, event: EndpointsUpdated) -> EndpointsUpdated:
         """What a list, or a slice of it, is to this instance."""
         if self.subset is None:
             return event
-        if event.kind in (ListKind.FULL, ListKind.CACHED) and not event.part:
-            mine = self.subset.only({entry.id for entry in event.upstreams}, event.upstreams, self.listed)
+        if event.kind in (ListKind.FULL, ListKind.CACHED) and not event.partial:
+            mine = self.subset.only({entry.id for entry in event.endpoints}, event.endpoints, self.listed)
         else:
-            mine = self.subset.listed(event.upstreams, self.listed, fill=not self.telling_rest)
-        return replace(event, upstreams=mine, part=True)
+            mine = self.subset.listed(event.endpoints, self.listed, fill=not self.telling_rest)
+        return replace(event, endpoints=mine, partial=True)
 
-    def next_slice(self) -> list[Upstream]:
+    def next_slice(self) -> list[Endpoint]:
         """Take out the next entries of a long list to tell the module, SLICE at most: as long as there are
         servers that drain or have gone only these, then the ready ones."""
         if self.untold_ends:
             ends = {ident: self.untold_ends.pop(ident) for ident in list(islice(self.untold_ends, SLICE))}
-            return [entry or Upstream(ident, UpstreamState.GONE) for ident, entry in ends.items()]
+            return [entry or Endpoint(ident, EndpointStatus.REMOVED) for ident, entry in ends.items()]
         return [self.untold.pop(ident) for ident in list(islice(self.untold, SLICE))]
 
-    def follow(self, event: UpstreamsUpdated) -> None:
+    def follow(self, event: EndpointsUpdated) -> None:
         """Keep what new requests may go to in step with what the module is told."""
-        if event.kind in (ListKind.FULL, ListKind.CACHED) and not event.part:
-            for ident in self.addresses.keys() - {entry.id for entry in event.upstreams}:
+        if event.kind in (ListKind.FULL, ListKind.CACHED) and not event.partial:
+            for ident in self.addresses.keys() - {entry.id for entry in event.endpoints}:
                 self.forget(ident)
-        for entry in event.upstreams:
+        for entry in event.endpoints:
             address = self.listed.get(entry.id)
             if address is None or self.addresses.get(entry.id, address) != address:
                 self.forget(entry.id)
-            if address is not None and entry.state is not UpstreamState.GONE:
+            if address is not None and entry.state is not EndpointStatus.REMOVED:
                 self.addresses[entry.id] = address
-            if entry.state is UpstreamState.READY:
+            if entry.state is EndpointStatus.READY:
                 self.serving.add(entry.id)
                 if self.ring is not None and address is not None:
                     self.ring.put(entry.id, address, entry.weight)
@@ -252,7 +252,7 @@
         self.loop = asyncio.get_running_loop()
         self.subscribe: Callable[[bool], None] = lambda active: None
         self.tenant_use: TenantUse | None = None  # where instances count together
-        self.servers_changed: Callable[[ServerPool, UpstreamsUpdated], None] = lambda pool, event: None
+        self.servers_changed: Callable[[ServerPool, EndpointsUpdated], None] = lambda pool, event: None
         self.reissues = Reissues()  # one budget for all pools
         # called with each attempt that has ended, where instances tell one another of servers
         self.attempt_over: Callable[[ServerPool, int, int, Outcome, int], None] | None = None
@@ -288,11 +288,11 @@
         pool.subset = None
         pool.untold_ends.clear()
         pool.untold.clear()
-        self._tell_list(pool, UpstreamsUpdated(ListKind.FULL))
+        self._tell_list(pool, EndpointsUpdated(ListKind.FULL))
         for request in list(self.requests.values()):
             # hazard: one that waits in its buffer would wait for a slot that never comes
             if request.pool is pool and not request.over and all(a.ended for a in request.attempts):
-                self._tell(pool, RequestGone(request.ident))
+                self._tell(pool, RequestCancelled(request.ident))
                 self._given_up(request, Answer(Verdict.REFUSED, self._retry_after_us(pool)))
 
     def arrived(
@@ -333,7 +333,7 @@
         if request is not None and not request.over:
             self._finish(request)
             if request.pool is not None:
-                self._tell(request.pool, RequestGone(ident))
+                self._tell(request.pool, RequestCancelled(ident))
 
     def end(self, ident: int) -> None:
         """No more time is left for it: a request that is still open has its final answer now."""
@@ -380,7 +380,7 @@
 
     # Lists
 
-    def list_changed(self, pool: ServerPool, event: UpstreamsUpdated, addresses: dict[int, Address]) -> None:
+    def list_changed(self, pool: ServerPool, event: EndpointsUpdated, addresses: dict[int, Address]) -> None:
         """What is known of a pool's servers has changed."""
         if event.kind is ListKind.FAILED:
             self._tell(pool, event)
@@ -391,7 +391,7 @@
 
     def heard_of(self, pool: ServerPool, held_back: Mapping[tuple[int, int], float]) -> None:
         """What other instances make of a pool's servers, by number and class."""
-        self._tell(pool, Hearsay(held_back))
+        self._tell(pool, PeerHealthUpdated(held_back))
 
     def use_subset(self, pool: ServerPool, subset: Subset) -> None:
         """This instance uses a part of a pool's servers from now on. Before the first list."""
@@ -411,7 +411,7 @@
             for ident in waiting:
                 self._let_through(pool, ident)
 
-    def _tell_list(self, pool: ServerPool, event: UpstreamsUpdated) -> None:
+    def _tell_list(self, pool: ServerPool, event: EndpointsUpdated) -> None:
         pool.follow(event)
         self._tell(pool, event)
 
@@ -425,12 +425,12 @@
         pool.telling = None
         entries = pool.next_slice()
         if entries:
-            self._tell_list(pool, pool.narrowed(UpstreamsUpdated(kind, entries, part=True)))
+            self._tell_list(pool, pool.narrowed(EndpointsUpdated(kind, entries, partial=True)))
             self._tell_rest(pool, kind)
 
-    def _changed_subset(self, pool: ServerPool, entries: list[Upstream]) -> None:
+    def _changed_subset(self, pool: ServerPool, entries: list[Endpoint]) -> None:
         if entries:
-            self._tell_list(pool, UpstreamsUpdated(ListKind.DELTA, entries))
+            self._tell_list(pool, EndpointsUpdated(ListKind.DELTA, entries))
 
     def narrow(self, pool: ServerPool) -> None:
         """Now and then: what the pool's subset can do without goes."""
@@ -453,7 +453,7 @@
 
     def _tell(self, pool: ServerPool, event: Event) -> None:
         """Hand over an event and carry out the actions; what they bring about at once waits its turn."""
-        if self.held and isinstance(event, UpstreamsUpdated):
+        if self.held and isinstance(event, EndpointsUpdated):
             self.held_lists.append((pool, event))
         elif not (self.held and isinstance(event, TimerFired) and (pool, event) in self.events):
             self.events.append((pool, event))
@@ -480,7 +480,7 @@
             request = self.requests.get(getattr(event, "request", 0))
             if request is not None and not request.over:
                 self._answer(request.ident, Answer(Verdict.FAILED))
-                self.events.append((pool, RequestGone(request.ident)))
+                self.events.append((pool, RequestCancelled(request.ident)))
             return
         for action in actions:
             try:
@@ -496,7 +496,7 @@
                 self.held_sends.append((pool, action))
             else:
                 self._send(pool, action)
-        elif isinstance(action, Refuse):
+        elif isinstance(action, Reject):
             self._gave_up(pool, action.request, Answer(Verdict.REFUSED, self._back_after_us(pool, action)))
             if pool.subset is not None:
                 self._changed_subset(pool, pool.subset.short(clock_us()))
@@ -507,7 +507,7 @@
         elif isinstance(action, Cancel):
             self._cancel(pool, action)
         elif isinstance(action, CloseIdle):
-            pool.upstreams.close_idle(action.upstream)
+            pool.upstreams.close_idle(action.endpoint_id)
         elif isinstance(action, Subscribe):
             self.subscribe(action.active)
         elif isinstance(action, Log):
@@ -531,7 +531,7 @@
             answer = Answer(Verdict.REFUSED, self._retry_after_us(request.pools[0]))
         self._answer(request.ident, answer)
         if request.pool is not None:
-            self._tell(request.pool, RequestGone(request.ident))
+            self._tell(request.pool, RequestCancelled(request.ident))
 
     def _gave_up(self, pool: ServerPool, ident: int, answer: Answer) -> None:
         """A pool's module gives a request up."""
@@ -574,7 +574,7 @@
             call.retried,
             earlier_attempts=standing.attempts,
             attempts_left=attempts_left(standing, serving, number, most),
-            barred=barred,
+            excluded=barred,
             preferred=pool.preferred(call),
             tenant_share=0.0 if self.tenant_use is None else self.tenant_use.share(call.tenant, clock_us()),
         )
@@ -594,7 +594,7 @@
             request.ident,
             call.tenant_name,
             call.client,
-            pool.settings.classes[call.class_index].worth,
+            pool.settings.classes[call.class_index].priority_weight,
             request.due_us,
             now_us,
             room,
@@ -672,7 +672,7 @@
         pool.dial_timer = None
         self._tell(pool, TimerFired(0))
 
-    def _back_after_us(self, pool: ServerPool, action: Refuse) -> int:
+    def _back_after_us(self, pool: ServerPool, action: Reject) -> int:
         """A client that is refused for want of a connection comes back in vain before one may be made."""
         if not action.retry_after_us:
             return 0
@@ -715,10 +715,10 @@
             return  # over, and the module has been told
         now_us = clock_us()
         number = len(request.attempts)
-        attempt = Attempt(pool, action.upstream, now_us)
+        attempt = Attempt(pool, action.endpoint_id, now_us)
         request.attempts.append(attempt)
         request.standing.attempt_began()
-        address = pool.addresses.get(action.upstream)
+        address = pool.addresses.get(action.endpoint_id)
         left_us = request.due_us - now_us
         if address is None:  # it was forgotten since the module chose it
             self._end_attempt(request, number, Result(Outcome.CONNECT_FAILED))
@@ -736,12 +736,12 @@
         timeout_us = min(action.timeout_us or left_us, left_us)
         attempt.timer = self._at(now_us + timeout_us, self._timed_out, request, number)
         attempt.flight = pool.upstreams.start(
-            action.upstream,
+            action.endpoint_id,
             address,
             request.call,
             timeout_us,
             lambda result: self._end_attempt(request, number, result),
-            action.within_us,
+            action.start_within_us,
         )
 
     def _has_left(self, request: Request) -> bool:
@@ -796,7 +796,7 @@
                 attempt.pool, attempt.upstream, request.call.class_index, result.outcome, elapsed_us
             )
         if attempt.pool.admission is not None:
-            aim_us = attempt.pool.settings.classes[request.call.class_index].aim_us
+            aim_us = attempt.pool.settings.classes[request.call.class_index].latency_objective_us
             attempt.pool.admission.ended(result.outcome, elapsed_us, aim_us, clock_us())
         request.standing.attempt_ended(result.outcome)
         if result.outcome is Outcome.OK:
--- a/plovertrail/listeners/sockets.py
+++ b/plovertrail/listeners/sockets.py
@@ -11,7 +11,7 @@
 
 from plovertrail.clock import clock_us
 from plovertrail.decisions import sockets as api
-from plovertrail.decisions.events import ListKind, UpstreamState, UpstreamsUpdated
+from plovertrail.decisions.events import EndpointStatus, EndpointsUpdated, ListKind
 from plovertrail.exchange import Tunnel
 from plovertrail.generation import Plan
 from plovertrail.host import Host, ServerPool
@@ -23,9 +23,9 @@
 log = logging.getLogger(__name__)
 
 WORDS = {
-    UpstreamState.READY: api.Word.READY,
-    UpstreamState.DRAINING: api.Word.DRAINING,
-    UpstreamState.GONE: api.Word.GONE,
+    EndpointStatus.READY: api.Word.READY,
+    EndpointStatus.DRAINING: api.Word.DRAINING,
+    EndpointStatus.REMOVED: api.Word.GONE,
 }
 LONGEST_LOGGED = 64  # characters of a tenant's name
 
@@ -148,13 +148,13 @@
         self.tell(api.Opened(pending.ident))
         relay.start(from_client, tunnel.rest)
 
-    def servers_changed(self, pool: ServerPool, event: UpstreamsUpdated) -> None:
+    def servers_changed(self, pool: ServerPool, event: EndpointsUpdated) -> None:
         """Word of servers has come."""
-        for entry in event.upstreams:
+        for entry in event.endpoints:
             if (pool.name, entry.id) in self.table.by_server:
                 self.tell(api.ServerChanged((pool.name, entry.id), WORDS[entry.state]))
         if event.kind in (ListKind.FULL, ListKind.CACHED):
-            listed = {entry.id for entry in event.upstreams}
+            listed = {entry.id for entry in event.endpoints}
             for name, number in list(self.table.by_server):
                 if name == pool.name and number not in listed:
                     self.tell(api.ServerChanged((name, number), api.Word.GONE))
--- a/plovertrail/scenario_tests/judge.py
+++ b/plovertrail/scenario_tests/judge.py
@@ -88,9 +88,9 @@
                 f"{sending.pool}/{sending.server}, which doesn't drop the repeat",
                 asked,
             )
-        elif sending.at_us - before[0].at_us >= kind.memory_us:
+        elif sending.at_us - before[0].at_us >= kind.dedup_window_us:
             yield Broken("rule 2", "repeated when its key was forgotten", asked)
-    harmless = kind.effect == "deduplicated" and kind.group == "all"
+    harmless = kind.effect == "deduplicated" and kind.dedup_scope == "all"
     if asked.status in REFUSALS and not harmless:
         at_us = asked.answers[0][0]
         if any(not known_not_run(each, at_us) for each in asked.attempts):
@@ -99,9 +99,9 @@
 
 def same_group(kind: RequestClass, one: Sending, other: Sending) -> bool:
     """Whether a server drops the repeat of what another one has had."""
-    if kind.group == "zone":
+    if kind.dedup_scope == "zone":
         return one.zone == other.zone
-    return kind.group != "cell" or one.cell == other.cell
+    return kind.dedup_scope != "cell" or one.cell == other.cell
 
 
 def _drains(played: Played) -> Iterator[Broken]:
@@ -131,18 +131,22 @@
     joined = [moved for moved in played.moved if moved.move == "join"]
     for moved in joined:
         settings = played.setup.pools[moved.pool].settings
-        if not settings.warm_up_us or not settings.fall_us:
+        if not settings.warm_up_us or not settings.overload_duration_us:
             continue
         here = [sending for asked in played.asked for sending in asked.attempts if sending.pool == moved.pool]
         others = {sending.server for sending in here} - {each.server for each in joined}
         if not others:
             continue
-        for start_us in range(moved.at_us, moved.at_us + settings.warm_up_us, settings.fall_us // 2 or 1):
+        for start_us in range(
+            moved.at_us, moved.at_us + settings.warm_up_us, settings.overload_duration_us // 2 or 1
+        ):
             inside = Counter(
-                sending.server for sending in here if start_us <= sending.at_us < start_us + settings.fall_us
+                sending.server
+                for sending in here
+                if start_us <= sending.at_us < start_us + settings.overload_duration_us
             )
-            warmth = settings.cold_share + (1 - settings.cold_share) * min(
-                1.0, (start_us + settings.fall_us - moved.at_us) / settings.warm_up_us
+            warmth = settings.warm_up_initial_capacity + (1 - settings.warm_up_initial_capacity) * min(
+                1.0, (start_us + settings.overload_duration_us - moved.at_us) / settings.warm_up_us
             )
             usual = sum(inside[name] for name in others) / len(others)
             if inside[moved.server] > settings.overload_factor * warmth * usual + COLD_SLACK:
@@ -150,7 +154,7 @@
                     "rule 4",
                     f"{moved.pool}/{moved.server}, {(start_us - moved.at_us) / 1e6:g} s after its "
                     f"start, had {inside[moved.server]} requests in "
-                    f"{settings.fall_us / 1e6:g} s; the warm ones {usual:.1f}",
+                    f"{settings.overload_duration_us / 1e6:g} s; the warm ones {usual:.1f}",
                 )
                 break
 
--- a/plovertrail/scenario_tests/servers.py
+++ b/plovertrail/scenario_tests/servers.py
@@ -40,7 +40,7 @@
 OUTCOMES = {
     Does.OK: Outcome.OK,
     Does.ERROR: Outcome.ERROR,
-    Does.FULL: Outcome.FULL,
+    Does.FULL: Outcome.REJECTED,
     Does.REFUSE: Outcome.CONNECT_FAILED,
     Does.RESET_EARLY: Outcome.CONNECT_FAILED,
     Does.RESET_LATE: Outcome.RESET,
--- a/plovertrail/simulation/fleet.py
+++ b/plovertrail/simulation/fleet.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from plovertrail.decisions import share
-from plovertrail.decisions.events import Upstream, UpstreamState
+from plovertrail.decisions.events import Endpoint, EndpointStatus
 from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.decisions.turns import Place
 from plovertrail.simulation.clients import BIN_US, ClientPlan, Clients
@@ -46,14 +46,14 @@
         self.plan = plan
         self.rng = random.Random(seed)
         self.clock = Clock()
-        kind = RequestClass("read", plan.aim_us, plan.clients.deadline_us, late_worth=0.3)
+        kind = RequestClass("read", plan.aim_us, plan.clients.deadline_us, late_weight=0.3)
         size = plan.told_size or plan.instances
         settings = Settings(
             classes=[kind],
             instances=size,
             max_attempts=plan.max_attempts,
             max_retry_after_us=plan.max_retry_after_us,
-            cold_share=plan.server.cold_share,
+            warm_up_initial_capacity=plan.server.cold_share,
             warm_up_us=plan.server.warm_up_us,
             overload_factor=plan.overload_factor,
         )
@@ -90,16 +90,16 @@
         for number in instances:
             self.instances[number].start(with_state)
 
-    def tell_all(self, entry: Upstream) -> None:
+    def tell_all(self, entry: Endpoint) -> None:
         """A change of the list, to every instance at one moment."""
         for instance in self.instances:
             instance.changed(entry)
 
     def restart_server(self, number: int) -> None:
         """A server goes; it is back, cold, at once."""
-        self.tell_all(Upstream(number, UpstreamState.GONE))
+        self.tell_all(Endpoint(number, EndpointStatus.REMOVED))
         self.servers[number].started_us = self.clock.now_us
-        self.tell_all(Upstream(number, started_us=self.clock.now_us))
+        self.tell_all(Endpoint(number, started_us=self.clock.now_us))
 
     # What it comes to
 
--- a/plovertrail/simulation/instances.py
+++ b/plovertrail/simulation/instances.py
@@ -8,19 +8,19 @@
 from dataclasses import dataclass
 
 from plovertrail.decisions import remembered, share
-from plovertrail.decisions.actions import Fail, Refuse, Send, SetTimer
+from plovertrail.decisions.actions import Fail, Reject, Send, SetTimer
 from plovertrail.decisions.admission import Admission
 from plovertrail.decisions.balance import Balancer
 from plovertrail.decisions.events import (
     AttemptEnded,
+    Endpoint,
+    EndpointStatus,
+    EndpointsUpdated,
     Event,
     ListKind,
     Outcome,
     RequestArrived,
     TimerFired,
-    Upstream,
-    UpstreamState,
-    UpstreamsUpdated,
 )
 from plovertrail.decisions.settings import Settings
 from plovertrail.decisions.turns import Place
@@ -94,7 +94,7 @@
                 server.entry.id in self.memory
                 and remembered.recall_server(self.balancer, server, self.memory[server.entry.id], age_us)
             )
-        entries = [Upstream(one.number, started_us=one.started_us) for one in around.servers.values()]
+        entries = [Endpoint(one.number, started_us=one.started_us) for one in around.servers.values()]
         self.listed(ListKind.CACHED, entries)
 
     def kill(self) -> None:
@@ -118,17 +118,17 @@
 
     # Lists
 
-    def listed(self, kind: ListKind, entries: list[Upstream]) -> None:
+    def listed(self, kind: ListKind, entries: list[Endpoint]) -> None:
         """Tell the decision module a list of servers, cut down to those that this instance uses."""
         where = {entry.id: ("10.0.0.1", entry.id) for entry in entries}
         mine = self.subset.listed(entries, where)
         if mine:
-            self.tell(UpstreamsUpdated(kind, mine, part=True))
+            self.tell(EndpointsUpdated(kind, mine, partial=True))
 
-    def changed(self, entry: Upstream) -> None:
+    def changed(self, entry: Endpoint) -> None:
         """One server has come, or gone and its connections with it."""
         self.listed(ListKind.DELTA, [entry])
-        if entry.state is not UpstreamState.READY:
+        if entry.state is not EndpointStatus.READY:
             self.met.discard(entry.id)
             for _ in range(self.idle.pop(entry.id, 0)):
                 self.close(entry.id)
@@ -144,7 +144,7 @@
                 reply(False, self.admission.back_after_us())
                 return
         self.owed[ident] = reply
-        self.tell(RequestArrived(ident, due_us, barred=self))
+        self.tell(RequestArrived(ident, due_us, excluded=self))
 
     def __contains__(self, server: object) -> bool:
         """The servers that it can't reach now (`barred`)."""
@@ -166,15 +166,15 @@
                 self.send(action)
             elif isinstance(action, SetTimer):
                 self.around.clock.at(action.at_us, self.fired, self.life, action.token)
-            elif isinstance(action, Refuse | Fail):
-                after_us = action.retry_after_us if isinstance(action, Refuse) else 0
+            elif isinstance(action, Reject | Fail):
+                after_us = action.retry_after_us if isinstance(action, Reject) else 0
                 if after_us and self.dials is not None:
                     longest_us = self.around.settings.max_retry_after_us
                     after_us = max(after_us, self.dials.promise_us(now_us, longest_us) - now_us)
                 self.answered(action.request, False, after_us)
                 wider = self.subset.short(now_us)
                 if wider:
-                    self.tell(UpstreamsUpdated(ListKind.DELTA, wider, part=True))
+                    self.tell(EndpointsUpdated(ListKind.DELTA, wider, partial=True))
 
     def fired(self, life: int, token: int) -> None:
         """A timer of the decision module is due; it is void if the process of that `life` has ended."""
@@ -195,18 +195,18 @@
         It fails as NOT_SENT where no connection may be opened, and as CONNECT_FAILED where the server takes
         none.
         """
-        clock, server = self.around.clock, self.around.servers[action.upstream]
+        clock, server = self.around.clock, self.around.servers[action.endpoint_id]
         tried = self.attempts.setdefault(action.request, [])
         out = Out(action.request, len(tried), server, clock.now_us)
         tried.append(out)
-        if action.upstream in self:  # one more than there is room for was sent in one go
+        if action.endpoint_id in self:  # one more than there is room for was sent in one go
             clock.after(0, self.ended, self.life, out, Outcome.NOT_SENT)
             return
         way_us = self.around.network_us
-        if self.idle.get(action.upstream):
-            self.idle[action.upstream] -= 1
-            if not self.idle[action.upstream]:
-                del self.idle[action.upstream]
+        if self.idle.get(action.endpoint_id):
+            self.idle[action.endpoint_id] -= 1
+            if not self.idle[action.endpoint_id]:
+                del self.idle[action.endpoint_id]
         else:
             self.make_room()
             if self.dials is not None:
@@ -214,7 +214,7 @@
             if not server.dialled():
                 clock.after(REFUSED_DIAL_US, self.ended, self.life, out, Outcome.CONNECT_FAILED)
                 return
-            self.open[action.upstream] += 1
+            self.open[action.endpoint_id] += 1
             way_us *= 3
         if action.timeout_us:
             clock.after(action.timeout_us, self.ended, self.life, out, Outcome.TIMEOUT)
@@ -228,7 +228,7 @@
         took_us = out.server.answers_us()
         outcome = Outcome.OK
         if took_us is None:
-            took_us, outcome = 0, Outcome.FULL
+            took_us, outcome = 0, Outcome.REJECTED
         self.around.clock.after(took_us + self.around.network_us, self.ended, life, out, outcome)
 
     def ended(self, life: int, out: Out, outcome: Outcome) -> None:
@@ -237,7 +237,7 @@
             return
         out.ended = True
         number, now_us = out.server.number, self.around.clock.now_us
-        if outcome in (Outcome.OK, Outcome.FULL):
+        if outcome in (Outcome.OK, Outcome.REJECTED):
             if self.budget.keep_idle:
                 self.idle[number] = self.idle.get(number, 0) + 1
             else:
@@ -246,7 +246,9 @@
             self.close(number)
         served, elapsed_us = outcome is Outcome.OK, now_us - out.sent_us
         if self.admission is not None:
-            self.admission.ended(outcome, elapsed_us, self.around.settings.classes[0].aim_us, now_us)
+            self.admission.ended(
+                outcome, elapsed_us, self.around.settings.classes[0].latency_objective_us, now_us
+            )
         if served:
             self.answered(out.request, True)
         final = out.request not in self.owed
--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -19,7 +19,7 @@
 from plovertrail.clock import clock_us
 from plovertrail.config.platform import parse_address
 from plovertrail.decisions.endpoint_list import UNGUARDED, Candidate, Change, Entry, Kind, State, reduce
-from plovertrail.decisions.events import ListKind, Upstream, UpstreamState, UpstreamsUpdated
+from plovertrail.decisions.events import Endpoint, EndpointStatus, EndpointsUpdated, ListKind
 from plovertrail.decisions.list_calls import SILENT_US, UNANSWERED_US
 
 log = logging.getLogger(__name__)
@@ -36,9 +36,9 @@
 SETTLE_S = 1.0
 MOST_UNREAD = 64  # lines that wait for this,
 MOST_UNREAD_BYTES = 2 * LONGEST_LINE  # and their bytes; then no more is taken from the watch
-STATES = {"active": UpstreamState.READY, "leaving": UpstreamState.DRAINING, "left": UpstreamState.GONE}
+STATES = {"active": EndpointStatus.READY, "leaving": EndpointStatus.DRAINING, "left": EndpointStatus.REMOVED}
 Address = tuple[str, int]
-Listener = Callable[[UpstreamsUpdated, dict[int, Address]], None]
+Listener = Callable[[EndpointsUpdated, dict[int, Address]], None]
 
 
 class OlderChangeError(ValueError):
@@ -74,13 +74,13 @@
         """The number of servers in force, those that drain included."""
         return len(self.state.members)
 
-    def read_line(self, line: bytes, known: int = 0) -> tuple[UpstreamsUpdated, dict[int, Address]]:
+    def read_line(self, line: bytes, known: int = 0) -> tuple[EndpointsUpdated, dict[int, Address]]:
         """The event for one line of a watch; `known` is the version of what it changes."""
         return self.read(parse(line), known=known)
 
     def read(
         self, lines: Any, kind: ListKind | None = None, known: int = 0
-    ) -> tuple[UpstreamsUpdated, dict[int, Address]]:
+    ) -> tuple[EndpointsUpdated, dict[int, Address]]:
         """The event for one list, with the addresses of its entries; raises on what is malformed, and then
         nothing of it has been taken. Hazard: a change from before the known version would put a server that
         was told to drain back to work (rule 3); a whole list holds whatever its version is."""
@@ -95,7 +95,7 @@
         for line in lines["targets"]:
             entry = self.entry(line)
             listed.pop(entry.id, None)
-            if STATES[line["state"]] is not UpstreamState.GONE:
+            if STATES[line["state"]] is not EndpointStatus.REMOVED:
                 listed[entry.id] = entry
         candidate = Candidate("discovery", tuple(listed.values()))
         self.state, changes, report = reduce(self.state, candidate, clock_us(), UNGUARDED)
@@ -105,13 +105,13 @@
             changes = tuple(Change(Kind.JOIN, member) for member in self.state.members.values())
         entries = [self.upstream(change) for change in changes]
         addresses = {change.member.number: change.member.entry.address for change in changes}
-        return UpstreamsUpdated(kind, entries, rev), addresses
+        return EndpointsUpdated(kind, entries, rev), addresses
 
     def entry(self, line: Any) -> Entry:
         """One of discovery's entries as sources have them."""
         boot_ms = int(line["boot_ms"])
         weight = float(line["capacity_hint"])
-        drains = STATES[line["state"]] is UpstreamState.DRAINING
+        drains = STATES[line["state"]] is EndpointStatus.DRAINING
         return Entry(
             str(line["uid"]),
             endpoint(line["endpoint"]),
@@ -123,13 +123,13 @@
             boot_ms * 1000 + self.to_clock_us if boot_ms else 0,
         )
 
-    def upstream(self, change: Change) -> Upstream:
+    def upstream(self, change: Change) -> Endpoint:
         """A changed server as the module knows it."""
         member, entry = change.member, change.member.entry
-        state = UpstreamState.DRAINING if entry.drain else UpstreamState.READY
-        return Upstream(
+        state = EndpointStatus.DRAINING if entry.drain else EndpointStatus.READY
+        return Endpoint(
             id=member.number,
-            state=UpstreamState.GONE if change.kind is Kind.LEAVE else state,
+            state=EndpointStatus.REMOVED if change.kind is Kind.LEAVE else state,
             zone=self.zones.index(entry.zone) if entry.zone in self.zones else len(self.zones),
             kind=self.kinds.index(entry.model) if entry.model in self.kinds else len(self.kinds),
             cell=int(entry.cell),
@@ -380,7 +380,7 @@
         self.unread = deque(each for each in self.unread if each[0] is not watch)
         self.unread_bytes = sum(len(line) for _, line in self.unread)
 
-    def changed(self, watch: Watch, event: UpstreamsUpdated, addresses: dict[int, Address]) -> None:
+    def changed(self, watch: Watch, event: EndpointsUpdated, addresses: dict[int, Address]) -> None:
         """Pass an event on to the listener, and remember its version if the watch is of the current
         address."""
         if watch.address == self.address:  # hazard: the versions of another one mean nothing here
@@ -392,6 +392,6 @@
         opened anew after REOPEN_S seconds."""
         if watch is self.watch:
             self.stop()
-            self.listener(UpstreamsUpdated(ListKind.FAILED, silent=watch.silent), {})
+            self.listener(EndpointsUpdated(ListKind.FAILED, watch_stalled=watch.silent), {})
             if self.pushed:
                 self.loop.call_later(REOPEN_S, self.reopen)
--- a/plovertrail/upstreams/connections.py
+++ b/plovertrail/upstreams/connections.py
@@ -41,7 +41,7 @@
     def outcome(self, status: int, not_run: bool) -> Outcome:
         """What a whole answer means. Hazard: only the server's own word tells that nothing has run."""
         if status in (503, 504) and not_run:
-            return Outcome.FULL
+            return Outcome.REJECTED
         good = status == 200 if self.faults is None else status not in self.faults
         return Outcome.OK if good else Outcome.ERROR
 
@@ -254,8 +254,8 @@
             self.closed = True
 
     def data_received(self, data: bytes) -> None:
-        """Read a part of the answer; closes the connection and ends the attempt as SPOILT on bytes that make
-        no answer, and closes it on bytes that no request asked for."""
+        """Read a part of the answer. Bytes that are no answer end the attempt as MALFORMED and close the
+        connection; bytes that no request asked for close it as well."""
         if self.attempt is None or self.parser is None:
             self.close()  # bytes that nobody asked for
             return
@@ -274,7 +274,7 @@
             self.finish_complete()
         elif spoilt or self.switched or self.received > self.most():
             self.close()  # hazard: an answer without end would fill the memory
-            self.finish(Outcome.SPOILT)
+            self.finish(Outcome.MALFORMED)
 
     def most(self) -> int:
         """Bytes that an answer may hold, as far as it is known."""
@@ -301,7 +301,7 @@
         except ValueError as error:
             log.warning("upstream %d accepted a handshake wrongly: %s", self.upstream, error)
             self.close()
-            self.finish(Outcome.SPOILT)
+            self.finish(Outcome.MALFORMED)
             return
         self.closed = True
         self.attempt = self.parser = None
--- a/simulator/wire.py
+++ b/simulator/wire.py
@@ -17,29 +17,29 @@
     Cancel,
     CloseIdle,
     Fail,
-    FetchList,
+    HealthCheck,
     Log,
-    Probe,
-    Refuse,
+    PollEndpoints,
+    Reject,
     Send,
+    SendToPeer,
     SetTimer,
     Subscribe,
-    TellPeer,
 )
 from plovertrail.decisions.events import (
     AttemptEnded,
+    Endpoint,
+    EndpointStatus,
+    EndpointsUpdated,
     Event,
+    HealthCheckEnded,
     ListKind,
     Outcome,
     PeerMessage,
-    ProbeEnded,
     RequestArrived,
-    RequestGone,
+    RequestCancelled,
     StreamStarted,
     TimerFired,
-    Upstream,
-    UpstreamState,
-    UpstreamsUpdated,
 )
 from plovertrail.decisions.settings import Settings
 
@@ -60,14 +60,14 @@
 _OUTCOMES = {
     0: Outcome.OK,
     5: Outcome.ERROR,
-    11: Outcome.FULL,
+    11: Outcome.REJECTED,
     110: Outcome.TIMEOUT,
     111: Outcome.CONNECT_FAILED,
     104: Outcome.RESET,
     125: Outcome.CANCELLED,
     114: Outcome.NOT_SENT,
 }
-_STATES = {0: UpstreamState.GONE, 1: UpstreamState.READY, 2: UpstreamState.DRAINING}
+_STATES = {0: EndpointStatus.REMOVED, 1: EndpointStatus.READY, 2: EndpointStatus.DRAINING}
 _LIST_KINDS = {0: ListKind.DELTA, 1: ListKind.FULL, 2: ListKind.CACHED, 3: ListKind.FAILED}
 _U32_MAX = 0xFFFFFFFF
 V = TypeVar("V")
@@ -105,7 +105,7 @@
     """Reads batches; remembers the numbered upstream lists, which events refer to."""
 
     def __init__(self) -> None:
-        self.lists: dict[int, list[Upstream]] = {}
+        self.lists: dict[int, list[Endpoint]] = {}
         self.data = b""
         self.at = 0
 
@@ -160,7 +160,7 @@
             if not math.isfinite(weight):
                 raise WireError(f"upstream {upstream} has a weight that is not a finite number")
             entries.append(
-                Upstream(
+                Endpoint(
                     upstream, _known(_STATES, state, "upstream condition"), zone, kind, cell, weight, started
                 )
             )
@@ -187,10 +187,10 @@
     how, version, number = frame.fields(_MEMBERS)
     kind = _known(_LIST_KINDS, how, "list kind")
     if kind is ListKind.FAILED:
-        return UpstreamsUpdated(kind, [], version)
+        return EndpointsUpdated(kind, [], version)
     if number not in frame.lists:
         raise WireError(f"upstream list {number} was never sent")
-    return UpstreamsUpdated(kind, frame.lists[number], version)
+    return EndpointsUpdated(kind, frame.lists[number], version)
 
 
 def _accept(frame: Decoder) -> Record:
@@ -220,7 +220,7 @@
 
 def _health(frame: Decoder) -> Record:
     upstream, verdict, spent, count = frame.fields(_HEALTH)
-    return ProbeEnded(upstream, _known(_OUTCOMES, verdict, "outcome"), spent, frame.floats(count))
+    return HealthCheckEnded(upstream, _known(_OUTCOMES, verdict, "outcome"), spent, frame.floats(count))
 
 
 def _datagram(frame: Decoder) -> Record:
@@ -234,7 +234,7 @@
     30: _datagram,
     40: _stopped,
     50: lambda frame: TimerFired(frame.fields(_U32)[0]),
-    60: lambda frame: RequestGone(frame.fields(_U32)[0]),
+    60: lambda frame: RequestCancelled(frame.fields(_U32)[0]),
     70: _accept,
     80: _members,
     90: _health,
@@ -259,16 +259,16 @@
 
 
 _WRITERS: dict[type, Callable[[int, Any], bytes]] = {
-    Send: lambda i, a: _send(i, a.request, a.upstream, a.timeout_us),
-    Refuse: lambda i, a: _refuse(i, a.request, a.retry_after_us),
+    Send: lambda i, a: _send(i, a.request, a.endpoint_id, a.timeout_us),
+    Reject: lambda i, a: _refuse(i, a.request, a.retry_after_us),
     Fail: lambda i, a: _fail(i, a.request),
     Cancel: lambda i, a: _cancel(i, a.request, a.attempt),
-    Probe: lambda i, a: _probe(i, a.upstream),
+    HealthCheck: lambda i, a: _probe(i, a.endpoint_id),
     SetTimer: lambda i, a: _timer(i, a.at_us, a.token),
     Subscribe: lambda i, a: _subscribe(i, int(a.active)),
-    FetchList: lambda i, a: _fetch(i),
-    CloseIdle: lambda i, a: _close(i, a.upstream),
-    TellPeer: lambda i, a: _tell(i, _U32_MAX if a.to is None else a.to, len(a.payload)) + a.payload,
+    PollEndpoints: lambda i, a: _fetch(i),
+    CloseIdle: lambda i, a: _close(i, a.endpoint_id),
+    SendToPeer: lambda i, a: _tell(i, _U32_MAX if a.to is None else a.to, len(a.payload)) + a.payload,
     Log: lambda i, a: _text(_text_log, i, a.text),
     InternalError: lambda i, a: _text(_text_error, i, a.text),
 }
--- a/tests/benchmarks/test_capacity_page.py
+++ b/tests/benchmarks/test_capacity_page.py
@@ -12,11 +12,11 @@
 from plovertrail.decisions.balance import MOST_SLOTS, Balancer
 from plovertrail.decisions.events import (
     AttemptEnded,
+    Endpoint,
+    EndpointsUpdated,
     ListKind,
     Outcome,
     RequestArrived,
-    Upstream,
-    UpstreamsUpdated,
 )
 from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.sources import lists
@@ -48,9 +48,9 @@
 
 
 def test_no_upstream_has_more_slots_than_the_bound() -> None:
-    kind = RequestClass("x", aim_us=SECOND_US, deadline_us=2 * SECOND_US)
+    kind = RequestClass("x", latency_objective_us=SECOND_US, deadline_us=2 * SECOND_US)
     balancer = Balancer(Settings([kind]), 1, 0)
-    balancer.handle(0, UpstreamsUpdated(ListKind.FULL, [Upstream(1)]))
+    balancer.handle(0, EndpointsUpdated(ListKind.FULL, [Endpoint(1)]))
     for number in range(1, 200):
         balancer.handle(number * 1_000, RequestArrived(number, SECOND_US))
     for number in range(1, 200):
--- a/tests/config/test_operator.py
+++ b/tests/config/test_operator.py
@@ -336,10 +336,10 @@
     names = {"buy", "topup", "bookmark", "front", "help", "covers", "pages"}
     assert {route.name for route in setup.routes.routes} == names
     store = setup.pools["store"]
-    assert [server.weight for server in store.servers] == [1.0, 2.0, 1.0] and store.settings.draw_by_weight
+    assert [server.weight for server in store.servers] == [1.0, 2.0, 1.0] and store.settings.select_by_weight
     assert store.servers[0].cell == store.servers[1].cell != store.servers[2].cell
     kinds = {kind.name: kind for kind in store.settings.classes}
-    assert kinds["coin-topup"].group == "cell" and kinds["coin-topup"].memory_us == 8_000_000
+    assert kinds["coin-topup"].dedup_scope == "cell" and kinds["coin-topup"].dedup_window_us == 8_000_000
     buy = setup.routes.routes[0]
     assert (buy.tenant_from, buy.tenant_header) == (TenantSource.HEADER, b"x-publisher")
 
@@ -356,7 +356,7 @@
     with_get = parse(GOOD.replace('path = "/buy"', 'methods = ["GET"]'))
     assert with_get.routes.routes[0].methods == {"GET", "HEAD"}
     own = parse(GOOD.replace("[pools.spare]", '[pools.main.classes.read]\naim = "50ms"\n[pools.spare]'))
-    assert [pool.settings.classes[0].aim_us for pool in own.pools.values()] == [50_000, 100_000]
+    assert [pool.settings.classes[0].latency_objective_us for pool in own.pools.values()] == [50_000, 100_000]
 
 
 def test_paths_and_hosts_of_routes_are_put_in_their_one_form() -> None:
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -52,7 +52,7 @@
         answer(it, outcome)
     assert it.window == 6.0
     answer(it, Outcome.TIMEOUT, AIM_US)
-    answer(it, Outcome.FULL)
+    answer(it, Outcome.REJECTED)
     answer(it, Outcome.OK, AIM_US * 9 // 10)
     assert it.window == 3.0
     for _ in range(10):
--- a/tests/decisions/test_affinity.py
+++ b/tests/decisions/test_affinity.py
@@ -12,13 +12,13 @@
 from plovertrail.decisions.balance import NEVER_RAN, Balancer
 from plovertrail.decisions.events import (
     AttemptEnded,
+    Endpoint,
+    EndpointStatus,
+    EndpointsUpdated,
     Event,
     ListKind,
     Outcome,
     RequestArrived,
-    Upstream,
-    UpstreamState,
-    UpstreamsUpdated,
 )
 from plovertrail.decisions.settings import RequestClass, Settings
 
@@ -89,13 +89,13 @@
         RequestClass("buy", SECOND, 4 * SECOND, effect="at_most_once"),
     ]
     made = Balancer(Settings(kinds, max_attempts=3, **more), 1, SECOND)  # type: ignore[arg-type]
-    listed = [Upstream(number) for number in range(1, servers + 1)]
-    made.handle(SECOND, UpstreamsUpdated(ListKind.FULL, listed))
+    listed = [Endpoint(number) for number in range(1, servers + 1)]
+    made.handle(SECOND, EndpointsUpdated(ListKind.FULL, listed))
     return made
 
 
 def sent(made: Balancer, now_us: int, event: Event) -> list[int]:
-    return [action.upstream for action in made.handle(now_us, event) if isinstance(action, Send)]
+    return [action.endpoint_id for action in made.handle(now_us, event) if isinstance(action, Send)]
 
 
 def test_the_preferred_server_gets_each_request_while_it_has_a_free_slot() -> None:
@@ -115,11 +115,11 @@
 
 
 def test_one_that_drains_is_gone_or_barred_is_not_preferred() -> None:
-    for change in ([Upstream(2, UpstreamState.DRAINING)], [Upstream(2, UpstreamState.GONE)]):
+    for change in ([Endpoint(2, EndpointStatus.DRAINING)], [Endpoint(2, EndpointStatus.REMOVED)]):
         made = balancer()
-        made.handle(SECOND, UpstreamsUpdated(ListKind.DELTA, change))
+        made.handle(SECOND, EndpointsUpdated(ListKind.DELTA, change))
         assert sent(made, SECOND, RequestArrived(1, 5 * SECOND, preferred=(2,)))[0] != 2
-    barred = RequestArrived(1, 5 * SECOND, barred=frozenset((2,)), preferred=(2,))
+    barred = RequestArrived(1, 5 * SECOND, excluded=frozenset((2,)), preferred=(2,))
     assert sent(balancer(), SECOND, barred)[0] != 2
 
 
@@ -127,8 +127,14 @@
     """A second's requests that all prefer it: it gets what the warm ones' answers allow."""
 
     def got(preferred: tuple[int, ...]) -> int:
-        made = balancer(5, cold_share=0.2, warm_up_us=10 * SECOND, overload_factor=2.0, fall_us=2 * SECOND)
-        made.handle(SECOND, UpstreamsUpdated(ListKind.DELTA, [Upstream(1, started_us=SECOND)]))
+        made = balancer(
+            5,
+            warm_up_initial_capacity=0.2,
+            warm_up_us=10 * SECOND,
+            overload_factor=2.0,
+            overload_duration_us=2 * SECOND,
+        )
+        made.handle(SECOND, EndpointsUpdated(ListKind.DELTA, [Endpoint(1, started_us=SECOND)]))
         count, now_us = 0, SECOND
         for ident in range(1, 201):
             now_us += 5_000
@@ -145,7 +151,7 @@
 def test_a_request_that_is_tried_again_goes_elsewhere() -> None:
     made = balancer()
     assert sent(made, SECOND, RequestArrived(1, 5 * SECOND, preferred=(2,))) == [2]
-    again = sent(made, SECOND, AttemptEnded(1, 0, 2, Outcome.FULL, 100))
+    again = sent(made, SECOND, AttemptEnded(1, 0, 2, Outcome.REJECTED, 100))
     assert len(again) == 1 and again != [2]
 
 
@@ -175,7 +181,7 @@
         for attempt in range(4):
             sends = [action for action in made.handle(now_us, event) if isinstance(action, Send)]
             assert not ran & {send.request for send in sends}
-            mine = [send.upstream for send in sends if send.request == ident]
+            mine = [send.endpoint_id for send in sends if send.request == ident]
             if not mine:
                 break
             if kind > 1 and outcome not in NEVER_RAN:
--- a/tests/decisions/test_calm.py
+++ b/tests/decisions/test_calm.py
@@ -8,14 +8,14 @@
 from plovertrail.decisions.balance import Balancer
 from plovertrail.decisions.events import (
     AttemptEnded,
+    EndpointsUpdated,
+    HealthCheckEnded,
     Outcome,
     PeerMessage,
-    ProbeEnded,
     RequestArrived,
-    RequestGone,
+    RequestCancelled,
     StreamStarted,
     TimerFired,
-    UpstreamsUpdated,
 )
 from plovertrail.decisions.events import ListKind as Kind
 from plovertrail.decisions.settings import RequestClass, Tenant
@@ -27,12 +27,12 @@
     world.tell_list(upstreams(3))
     for event in (
         AttemptEnded(77, 0, 100, Outcome.OK, 5, True),
-        RequestGone(77),
+        RequestCancelled(77),
         TimerFired(123456),
         StreamStarted(77, 0, 100, 5),
-        ProbeEnded(4242, Outcome.OK, 5, [1.0, 2.0]),
+        HealthCheckEnded(4242, Outcome.OK, 5, [1.0, 2.0]),
         PeerMessage(1, b"hi"),
-        UpstreamsUpdated(Kind.FAILED),
+        EndpointsUpdated(Kind.FAILED),
     ):
         assert world.tell(event) == []
     assert world.sends(world.arrive(0))
@@ -45,10 +45,10 @@
     world.quit(request)
     assert world.end(request, 0, Outcome.ERROR) == []
     assert world.tell(AttemptEnded(request, 0, 100, Outcome.OK, 5, True)) == []
-    assert world.tell(RequestGone(request)) == []
+    assert world.tell(RequestCancelled(request)) == []
     served = world.arrive(0)
     world.end(served, 0, Outcome.OK)
-    assert world.tell(RequestGone(served)) == []
+    assert world.tell(RequestCancelled(served)) == []
 
 
 def test_an_outcome_of_an_attempt_never_made_is_ignored() -> None:
@@ -72,7 +72,7 @@
     first, second, other = (Balancer(settings(), seed, START_US) for seed in (5, 5, 6))
     told = []
     for balancer in (first, second, other):
-        actions = balancer.handle(START_US, UpstreamsUpdated(Kind.FULL, upstreams(9)))
+        actions = balancer.handle(START_US, EndpointsUpdated(Kind.FULL, upstreams(9)))
         for n in range(20):
             actions += balancer.handle(START_US, RequestArrived(n, START_US + 900_000))
         told.append(actions)
@@ -82,15 +82,15 @@
 @pytest.mark.parametrize(
     ("make", "words"),
     [
-        (lambda: RequestClass("x", 0, 10), "aim_us above 0"),
+        (lambda: RequestClass("x", 0, 10), "latency_objective_us above 0"),
         (lambda: RequestClass("x", 10, -1), "deadline_us above 0"),
         (lambda: RequestClass("x", 10, 10, effect="maybe"), "idempotent, deduplicated, at_most_once"),
-        (lambda: RequestClass("x", 10, 10, group="planet"), "all, zone, cell"),
-        (lambda: RequestClass("x", 10, 10, late_worth=2), "late_worth from 0 to 1"),
+        (lambda: RequestClass("x", 10, 10, dedup_scope="planet"), "all, zone, cell"),
+        (lambda: RequestClass("x", 10, 10, late_weight=2), "late_weight from 0 to 1"),
         (lambda: Tenant("t", -1), "allowance_per_s of 0 or more"),
         (lambda: settings(max_attempts=-1), "max_attempts of 1 or more"),
         (lambda: settings(instances=0), "instances of 1 or more"),
-        (lambda: settings(cold_share=0), "cold_share above 0"),
+        (lambda: settings(warm_up_initial_capacity=0), "warm_up_initial_capacity above 0"),
         (lambda: settings(warm_up_us=-5), "warm_up_us of 0 or more"),
         (lambda: settings(classes=[]), "at least one request class"),
     ],
--- a/tests/decisions/test_cold_fleet.py
+++ b/tests/decisions/test_cold_fleet.py
@@ -8,7 +8,7 @@
 import pytest
 
 from fakes.balancers_model import SECOND_US, Fleet
-from plovertrail.decisions.events import Upstream, UpstreamState
+from plovertrail.decisions.events import Endpoint, EndpointStatus
 
 ROOTS = 2.0  # that are put down to chance, beyond N calls and two
 # cold share, warm-up, what pushes over and for how long, in seconds: as several deployments state them
@@ -25,19 +25,19 @@
     """A fleet whose settings are drawn."""
     fleet = Fleet(upstreams, sidecars=sidecars, seed=rng.randrange(2**30))
     s = fleet.settings
-    s.cold_share, warm_s, s.overload_factor, fall_s = rng.choice(SETTINGS)
-    s.warm_up_us, s.fall_us = int(warm_s * SECOND_US), int(fall_s * SECOND_US)
+    s.warm_up_initial_capacity, warm_s, s.overload_factor, fall_s = rng.choice(SETTINGS)
+    s.warm_up_us, s.overload_duration_us = int(warm_s * SECOND_US), int(fall_s * SECOND_US)
     for kind in s.classes:
-        kind.aim_us, kind.deadline_us = 3 * kind.aim_us, 2 * kind.deadline_us
+        kind.latency_objective_us, kind.deadline_us = 3 * kind.latency_objective_us, 2 * kind.deadline_us
     return fleet
 
 
 def join(fleet: Fleet, count: int, work_us: int) -> list[int]:
     """So many are replaced by cold ones at one moment, and all are told within a quarter of a second."""
     for number in range(1, count + 1):
-        gone = replace(fleet.servers[number].entry, state=UpstreamState.DRAINING)
+        gone = replace(fleet.servers[number].entry, state=EndpointStatus.DRAINING)
         fleet.change(gone, SECOND_US // 4)
-        fleet.change(Upstream(1000 + number, zone=number % 3, started_us=fleet.now_us), SECOND_US // 4)
+        fleet.change(Endpoint(1000 + number, zone=number % 3, started_us=fleet.now_us), SECOND_US // 4)
     for server in fleet.servers.values():
         server.work_us, server.longest_wait_us = work_us, SECOND_US
     return [1000 + number for number in range(1, count + 1)]
--- a/tests/decisions/test_draw.py
+++ b/tests/decisions/test_draw.py
@@ -22,12 +22,12 @@
     Server,
 )
 from plovertrail.decisions.events import (
+    Endpoint,
+    EndpointStatus,
     ListKind,
     Outcome,
     RequestArrived,
     TimerFired,
-    Upstream,
-    UpstreamState,
 )
 from tests.decisions import world
 from tests.decisions.world import World, upstreams
@@ -37,9 +37,9 @@
     Outcome.OK,
     Outcome.OK,
     Outcome.ERROR,
-    Outcome.FULL,
+    Outcome.REJECTED,
     Outcome.RESET,
-    Outcome.SPOILT,
+    Outcome.MALFORMED,
     Outcome.CONNECT_FAILED,
 ]
 STEP = st.tuples(st.sampled_from(["arrive", "arrive", "end", "time", "list", "quit"]), st.integers(0, 2**16))
@@ -99,14 +99,17 @@
 def play(steps: list[tuple[str, int]], seed: int) -> World:
     """Let these things happen, and hold the books and the draw against the reference after each."""
     played = World(
-        world.settings(cold_share=0.3, warm_up_us=3_000_000, weighted=True, draw_by_weight=True), seed
+        world.settings(
+            warm_up_initial_capacity=0.3, warm_up_us=3_000_000, weighted=True, select_by_weight=True
+        ),
+        seed,
     )
-    entries = [Upstream(100 + i, zone=i // 2, cell=i // 2, weight=1.0 + i % 3) for i in range(8)]
+    entries = [Endpoint(100 + i, zone=i // 2, cell=i // 2, weight=1.0 + i % 3) for i in range(8)]
     played.tell_list(entries)
     for what, number in steps:
         if what == "arrive":
             for _ in range(1 + number % 4):
-                played.arrive(number % 3, key=number, barred=frozenset((100,)) if number % 5 == 0 else ())
+                played.arrive(number % 3, key=number, excluded=frozenset((100,)) if number % 5 == 0 else ())
         elif what == "end":
             out = [(ident, n) for ident, owed in played.owed.items() for n in owed.out()]
             if out:
@@ -119,8 +122,8 @@
                 played.quit(open_now[number % len(open_now)])
         else:
             entry = entries[number % len(entries)]
-            state = (UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.GONE)[number % 3]
-            entry = entries[number % len(entries)] = Upstream(
+            state = (EndpointStatus.READY, EndpointStatus.DRAINING, EndpointStatus.REMOVED)[number % 3]
+            entry = entries[number % len(entries)] = Endpoint(
                 entry.id,
                 state,
                 entry.zone,
@@ -174,10 +177,10 @@
     played = World()
     played.tell_list(upstreams(3))
     barred = frozenset((100, 102))
-    idents = [played.arrive(0, barred=barred) for _ in range(20)]
-    assert {send.upstream for ident in idents for send in played.sends(ident)} == {101}
+    idents = [played.arrive(0, excluded=barred) for _ in range(20)]
+    assert {send.endpoint_id for ident in idents for send in played.sends(ident)} == {101}
     balancer = played.balancer
-    event = RequestArrived(9_999, balancer.now_us + 1_000_000, barred=frozenset((100, 101, 102)))
+    event = RequestArrived(9_999, balancer.now_us + 1_000_000, excluded=frozenset((100, 101, 102)))
     request = Request(event, balancer.settings.classes[0], balancer.now_us)
     assert [balancer.draw(request) for _ in range(50)] == [None] * 50
 
@@ -192,7 +195,7 @@
     balancer.mute(balancer.servers[101], 0, 0)
     check_books(balancer)
     assert balancer.muted[0] == 2
-    played.tell_list([Upstream(102, UpstreamState.GONE)], ListKind.DELTA)
+    played.tell_list([Endpoint(102, EndpointStatus.REMOVED)], ListKind.DELTA)
     check_books(balancer)
     assert balancer.muted[0] == 1
     for after_us, count in ((499_999, 1), (2, 0)):
@@ -203,13 +206,13 @@
 
 
 def test_a_retry_goes_to_one_not_tried_yet_as_long_as_there_is_one() -> None:
-    played = World(world.settings(second_copies=False))
+    played = World(world.settings(hedging=False))
     played.tell_list(upstreams(3))
     ident = played.arrive(0)
-    seen = [played.sends(ident)[-1].upstream]
+    seen = [played.sends(ident)[-1].endpoint_id]
     for attempt in range(3):
         played.end(ident, attempt, Outcome.CONNECT_FAILED)
-        seen.append(played.sends(ident)[-1].upstream)
+        seen.append(played.sends(ident)[-1].endpoint_id)
     assert len(set(seen[:3])) == 3
 
 
@@ -217,14 +220,14 @@
     played = World()
     played.tell_list(upstreams(1))
     old = played.arrive(0)
-    played.tell_list([Upstream(100, UpstreamState.GONE)], ListKind.DELTA)
+    played.tell_list([Endpoint(100, EndpointStatus.REMOVED)], ListKind.DELTA)
     played.tell_list(upstreams(1), ListKind.DELTA)
     played.arrive(0)
     balancer = played.balancer
     assert 100 in balancer.pools[0].in_use and balancer.servers[100].used == 1
     before = len(played.log)
     balancer.requests[old].attempts[0].server.window = 0.01
-    played.end(old, 0, Outcome.FULL)
+    played.end(old, 0, Outcome.REJECTED)
     assert 100 in balancer.pools[0].in_use
     assert not [action for action in played.log[before:] if isinstance(action, CloseIdle)]
     check_books(balancer)
--- a/tests/decisions/test_failover.py
+++ b/tests/decisions/test_failover.py
@@ -8,11 +8,11 @@
 from plovertrail.decisions.balance import MOST_RETRIES, NEVER_RAN, Balancer, Reissues
 from plovertrail.decisions.events import (
     AttemptEnded,
+    Endpoint,
+    EndpointsUpdated,
     ListKind,
     Outcome,
     RequestArrived,
-    Upstream,
-    UpstreamsUpdated,
 )
 from plovertrail.decisions.failover import Standing, attempts_left, next_pool
 from plovertrail.decisions.settings import RequestClass, Settings
@@ -43,18 +43,18 @@
 @pytest.mark.parametrize("outcome", list(Outcome))
 def test_only_what_never_ran_goes_on(outcome: Outcome) -> None:
     assert ask(tried(outcome), True, True) == (1 if outcome in NEVER_RAN else None)
-    assert ask(tried(Outcome.FULL, outcome), True, True) == (1 if outcome in NEVER_RAN else None)
-    assert ask(tried(outcome, Outcome.FULL), True, True) == (1 if outcome in NEVER_RAN else None)
+    assert ask(tried(Outcome.REJECTED, outcome), True, True) == (1 if outcome in NEVER_RAN else None)
+    assert ask(tried(outcome, Outcome.REJECTED), True, True) == (1 if outcome in NEVER_RAN else None)
 
 
 def test_an_attempt_that_is_out_holds_the_request() -> None:
-    standing = tried(Outcome.FULL)
+    standing = tried(Outcome.REJECTED)
     standing.attempt_began()
     assert ask(standing, True, True) is None
 
 
 def test_attempts_time_and_reissues_are_counted_over_all_pools() -> None:
-    two = tried(Outcome.FULL, Outcome.FULL)
+    two = tried(Outcome.REJECTED, Outcome.REJECTED)
     assert ask(two, True, True, most=3) == 1 and ask(two, True, True, most=2) is None
     assert ask(two, True, True, now_us=100) is None
     spent = Reissues()
@@ -66,11 +66,12 @@
 def test_two_balancers_share_one_budget_and_one_count_of_attempts() -> None:
     reissues = Reissues()
     settings = Settings(
-        classes=[RequestClass("buy", 100_000, 1_000_000, effect="at_most_once", late_worth=1)], max_attempts=3
+        classes=[RequestClass("buy", 100_000, 1_000_000, effect="at_most_once", late_weight=1)],
+        max_attempts=3,
     )
     first, second = (Balancer(settings, seed, 0, reissues) for seed in (1, 2))
     for balancer in (first, second):
-        balancer.handle(0, UpstreamsUpdated(ListKind.FULL, [Upstream(1), Upstream(2), Upstream(3)]))
+        balancer.handle(0, EndpointsUpdated(ListKind.FULL, [Endpoint(1), Endpoint(2), Endpoint(3)]))
 
     def sends(balancer: Balancer, earlier: int) -> int:
         """How often a request is sent that every server turns away."""
@@ -78,8 +79,8 @@
         actions = balancer.handle(1, event)
         count = 0
         while any(isinstance(action, Send) for action in actions):
-            upstream = next(action.upstream for action in actions if isinstance(action, Send))
-            actions = balancer.handle(2, AttemptEnded(9, count, upstream, Outcome.FULL))
+            upstream = next(action.endpoint_id for action in actions if isinstance(action, Send))
+            actions = balancer.handle(2, AttemptEnded(9, count, upstream, Outcome.REJECTED))
             count += 1
         return count
 
@@ -96,8 +97,8 @@
     assert left(tried(), True) == 4 and left(tried(), True, True) == 3
     assert left(tried(), True, False, True) == 3  # an empty one needs none
     assert left(tried(), *[True] * 8) == 1  # it has one itself
-    assert left(tried(Outcome.FULL, Outcome.FULL), True, True, True, number=1) == 1
-    assert left(tried(*[Outcome.FULL] * 3), True, True, True, number=1) == 1
+    assert left(tried(Outcome.REJECTED, Outcome.REJECTED), True, True, True, number=1) == 1
+    assert left(tried(*[Outcome.REJECTED] * 3), True, True, True, number=1) == 1
 
 
 def test_the_figure_that_a_request_brings_counts_and_not_the_pool_s_own() -> None:
@@ -105,9 +106,9 @@
     for own in (1, 6):
         settings = Settings([RequestClass("read", 100_000, 1_000_000)], max_attempts=own)
         balancer = Balancer(settings, 1, 0)
-        balancer.handle(0, UpstreamsUpdated(ListKind.FULL, [Upstream(1), Upstream(2), Upstream(3)]))
+        balancer.handle(0, EndpointsUpdated(ListKind.FULL, [Endpoint(1), Endpoint(2), Endpoint(3)]))
         actions = balancer.handle(1, RequestArrived(9, 900_000, earlier_attempts=3, attempts_left=1))
         sends = [action for action in actions if isinstance(action, Send)]
         assert len(sends) == 1
-        actions = balancer.handle(2, AttemptEnded(9, 0, sends[0].upstream, Outcome.FULL))
+        actions = balancer.handle(2, AttemptEnded(9, 0, sends[0].endpoint_id, Outcome.REJECTED))
         assert not [action for action in actions if isinstance(action, Send)]
--- a/tests/decisions/test_fairness.py
+++ b/tests/decisions/test_fairness.py
@@ -12,11 +12,11 @@
 from plovertrail.decisions.balance import Balancer
 from plovertrail.decisions.events import (
     AttemptEnded,
+    Endpoint,
+    EndpointsUpdated,
     ListKind,
     Outcome,
     RequestArrived,
-    Upstream,
-    UpstreamsUpdated,
 )
 from plovertrail.decisions.fairness import (
     MOST_PROMISES,
@@ -293,7 +293,7 @@
     def window(asked: bool) -> float:
         kinds = [RequestClass("read", 300_000, 1_500_000)]
         balancer = Balancer(Settings(kinds, max_attempts=3), 1, SECOND)
-        balancer.handle(SECOND, UpstreamsUpdated(ListKind.FULL, [Upstream(7)]))
+        balancer.handle(SECOND, EndpointsUpdated(ListKind.FULL, [Endpoint(7)]))
         now_us = 2 * SECOND
         for ident in range(1, 60):
             assert balancer.has_room(now_us) or asked
--- a/tests/decisions/test_judgements.py
+++ b/tests/decisions/test_judgements.py
@@ -12,7 +12,7 @@
 from fakes.membership_model import MembershipModel
 from plovertrail.decisions.actions import Send
 from plovertrail.decisions.balance import Balancer
-from plovertrail.decisions.events import Hearsay, ListKind, RequestArrived, UpstreamsUpdated
+from plovertrail.decisions.events import EndpointsUpdated, ListKind, PeerHealthUpdated, RequestArrived
 from plovertrail.decisions.judgements import (
     CAP,
     HALF_LIFE_US,
@@ -241,13 +241,13 @@
     """Where 2,000 first requests of class 0 go, of eight servers."""
     sent = dict.fromkeys(range(100, 108), 0)
     for seed in range(250):
-        balancer = Balancer(module_settings(second_copies=False), seed, START_US)
-        balancer.handle(START_US, UpstreamsUpdated(ListKind.FULL, upstreams(8)))
-        balancer.handle(START_US, Hearsay(held))
+        balancer = Balancer(module_settings(hedging=False), seed, START_US)
+        balancer.handle(START_US, EndpointsUpdated(ListKind.FULL, upstreams(8)))
+        balancer.handle(START_US, PeerHealthUpdated(held))
         for request in range(4):
             for action in balancer.handle(START_US, RequestArrived(request, START_US + S)):
                 if isinstance(action, Send):
-                    sent[action.upstream] += 1
+                    sent[action.endpoint_id] += 1
     return sent
 
 
@@ -265,25 +265,25 @@
     """With little traffic servers that are not in use are drawn first, and it may be the only one of them."""
     sent = []
     for seed in range(40):
-        balancer = Balancer(module_settings(second_copies=False), seed, START_US)
-        balancer.handle(START_US, UpstreamsUpdated(ListKind.FULL, upstreams(4)))
+        balancer = Balancer(module_settings(hedging=False), seed, START_US)
+        balancer.handle(START_US, EndpointsUpdated(ListKind.FULL, upstreams(4)))
         for server in list(balancer.servers.values())[1:]:
             balancer.use(server, True)
-        balancer.handle(START_US, Hearsay({(100, 0): 0.4}))
+        balancer.handle(START_US, PeerHealthUpdated({(100, 0): 0.4}))
         for request in range(4):
             found = balancer.handle(START_US, RequestArrived(request, START_US + S))
-            sent += [action.upstream for action in found if isinstance(action, Send)]
+            sent += [action.endpoint_id for action in found if isinstance(action, Send)]
     assert sent[3::4] == [100] * 40  # the fourth finds no other slot
     assert sum(upstream == 100 for upstream in sent) <= 45
 
 
 def test_hearsay_is_whole_and_speaks_of_servers_that_are_there() -> None:
     balancer = Balancer(module_settings(), 1, START_US)
-    balancer.handle(START_US, UpstreamsUpdated(ListKind.FULL, upstreams(8)))
-    balancer.handle(START_US, Hearsay({(100, 0): 0.5, (999, 0): 1.0, (101, 77): 1.0}))
+    balancer.handle(START_US, EndpointsUpdated(ListKind.FULL, upstreams(8)))
+    balancer.handle(START_US, PeerHealthUpdated({(100, 0): 0.5, (999, 0): 1.0, (101, 77): 1.0}))
     assert balancer.servers[100].hearsay == {0: 0.5} and balancer.hearsay == {100}
-    balancer.handle(START_US, UpstreamsUpdated(ListKind.FULL, upstreams(8)[1:]))
-    balancer.handle(START_US, Hearsay({(102, 0): 0.5}))
+    balancer.handle(START_US, EndpointsUpdated(ListKind.FULL, upstreams(8)[1:]))
+    balancer.handle(START_US, PeerHealthUpdated({(102, 0): 0.5}))
     assert balancer.hearsay == {102} and balancer.servers[101].hearsay is None
     known = Known({100: 7, 101: 8}, (READ, BUY))
     it = one()
--- a/tests/decisions/test_large_fleet.py
+++ b/tests/decisions/test_large_fleet.py
@@ -7,7 +7,7 @@
 import pytest
 
 from fakes.balancers_model import SECOND_US, Fleet
-from plovertrail.decisions.events import Outcome, Upstream, UpstreamState
+from plovertrail.decisions.events import Endpoint, EndpointStatus, Outcome
 
 PER_S = 1_500.0  # half of what sixty warm upstreams can do
 
@@ -18,8 +18,8 @@
     fleet = Fleet(60, seed=seed)
     fleet.play(2.0, PER_S)
     for number in range(1, 37):
-        fleet.change(replace(fleet.servers[number].entry, state=UpstreamState.DRAINING), late_us=SECOND_US)
-        fleet.change(Upstream(100 + number, zone=number % 3, started_us=fleet.now_us), late_us=SECOND_US)
+        fleet.change(replace(fleet.servers[number].entry, state=EndpointStatus.DRAINING), late_us=SECOND_US)
+        fleet.change(Endpoint(100 + number, zone=number % 3, started_us=fleet.now_us), late_us=SECOND_US)
         fleet.play(7.0 / 36, PER_S)
     fleet.play(6.0, PER_S)
     fleet.settle()
@@ -40,10 +40,10 @@
     fleet.play(3.0, PER_S)
     assert fleet.outcomes[Outcome.TIMEOUT] > 0 and fleet.outcomes[Outcome.RESET] > 0
     for number in lost:
-        fleet.change(replace(fleet.servers[number].entry, state=UpstreamState.GONE), late_us=SECOND_US)
+        fleet.change(replace(fleet.servers[number].entry, state=EndpointStatus.REMOVED), late_us=SECOND_US)
     fleet.play(3.0, PER_S)
     for number in lost:
-        fleet.change(Upstream(number + 100, zone=0, started_us=fleet.now_us), late_us=SECOND_US)
+        fleet.change(Endpoint(number + 100, zone=0, started_us=fleet.now_us), late_us=SECOND_US)
     fleet.play(5.0, PER_S)
     fleet.settle()
     assert 0.0 < max(fleet.pushed(number + 100) for number in lost) <= 1.0
--- a/tests/decisions/test_list_calls.py
+++ b/tests/decisions/test_list_calls.py
@@ -10,7 +10,7 @@
 
 from plovertrail.decisions.actions import Action, SetTimer, Subscribe
 from plovertrail.decisions.balance import Balancer
-from plovertrail.decisions.events import ListKind, TimerFired, Upstream, UpstreamsUpdated
+from plovertrail.decisions.events import Endpoint, EndpointsUpdated, ListKind, TimerFired
 from plovertrail.decisions.list_calls import (
     ANSWER_US,
     LEAST_SPAN_US,
@@ -30,8 +30,8 @@
 
 def asked(grace_us: int, **changes: object) -> Settings:
     values: dict[str, object] = {
-        "list_on_request": True,
-        "ask_within_us": 10_000_000,
+        "endpoints_on_request": True,
+        "max_poll_interval_us": 10_000_000,
         "drain_grace_us": grace_us,
     }
     return settings(**(values | changes))
@@ -47,12 +47,12 @@
     silent_us: int = 0  # when open subscriptions fall silent, once
     told: list[int] = field(default_factory=list)
 
-    def call(self, now_us: int) -> tuple[int, UpstreamsUpdated]:
+    def call(self, now_us: int) -> tuple[int, EndpointsUpdated]:
         """When a call ends, and how."""
         if now_us < self.back_us:
             waits_us = {REFUSED: 1_000, WAITS: ANSWER_US, LOST: UNANSWERED_US}[self.how]
-            return now_us + waits_us, UpstreamsUpdated(ListKind.FAILED)
-        return now_us + self.rng.randint(0, ANSWER_US), UpstreamsUpdated(ListKind.FULL, [Upstream(1)], 1)
+            return now_us + waits_us, EndpointsUpdated(ListKind.FAILED)
+        return now_us + self.rng.randint(0, ANSWER_US), EndpointsUpdated(ListKind.FULL, [Endpoint(1)], 1)
 
 
 def next_us(actions: list[Action], now_us: int) -> int:
@@ -64,12 +64,12 @@
 def told_at(config: Settings, discovery: Discovery, seed: int) -> int:
     """When an instance has the list after discovery's return."""
     balancer = Balancer(config, seed, START_US)
-    due: list[tuple[int, int, UpstreamsUpdated | TimerFired]] = [(START_US, 0, TimerFired(0))]
+    due: list[tuple[int, int, EndpointsUpdated | TimerFired]] = [(START_US, 0, TimerFired(0))]
     number = 0
     while due:
         now_us, _, event = heapq.heappop(due)
         assert now_us < START_US + 120_000_000
-        if isinstance(event, UpstreamsUpdated) and event.kind is ListKind.FULL:
+        if isinstance(event, EndpointsUpdated) and event.kind is ListKind.FULL:
             return now_us
         for action in balancer.handle(now_us, event):
             number += 1
@@ -90,7 +90,9 @@
         rng = random.Random(seed)
         instances = rng.choice([1, 5, 40, 200])
         back_us = START_US + rng.randint(0, 20_000_000)
-        config = asked(grace_us, instances=instances, ask_within_us=rng.choice([4_000_000, 60_000_000]))
+        config = asked(
+            grace_us, instances=instances, max_poll_interval_us=rng.choice([4_000_000, 60_000_000])
+        )
         told_us = told_at(config, Discovery(back_us, how, rng), seed)
         worst_us = max(worst_us, told_us - back_us)
     assert ANSWER_US < worst_us <= TOLD_US + grace_us + SLACK_US
@@ -111,10 +113,10 @@
         rng = random.Random(seed)
         config = asked(grace_us, instances=rng.choice([1, 40, 200]))
         balancer = Balancer(config, seed, START_US)
-        balancer.handle(START_US, UpstreamsUpdated(ListKind.FULL, [Upstream(1)], 1))
+        balancer.handle(START_US, EndpointsUpdated(ListKind.FULL, [Endpoint(1)], 1))
         heard_us = START_US + 30_000_000
         now_us = heard_us + SILENT_US
-        actions = balancer.handle(now_us, UpstreamsUpdated(ListKind.FAILED, silent=True))
+        actions = balancer.handle(now_us, EndpointsUpdated(ListKind.FAILED, watch_stalled=True))
         while not any(isinstance(action, Subscribe) for action in actions):
             now_us = next_us(actions, now_us)
             actions = balancer.handle(now_us, TimerFired(0))
@@ -135,7 +137,7 @@
                 made += 1
                 calls.append(now_us)
                 now_us += ANSWER_US
-                actions = balancer.handle(now_us, UpstreamsUpdated(ListKind.FAILED))
+                actions = balancer.handle(now_us, EndpointsUpdated(ListKind.FAILED))
             now_us = next_us(actions, now_us)
     last = calls[1::2]
     worst = max(sum(1 for at_us in last if since_us <= at_us < since_us + 1_000_000) for since_us in last)
@@ -144,5 +146,5 @@
 
 def test_a_stated_rate_goes_before_the_six_seconds() -> None:
     """Where the settings say what discovery bears, a fleet keeps to that, and is told later."""
-    config = asked(250_000, instances=5_000, list_calls_per_s=500.0, ask_within_us=60_000_000)
+    config = asked(250_000, instances=5_000, discovery_rate_per_s=500.0, max_poll_interval_us=60_000_000)
     assert longest_gap_us(config) > 5 * TOLD_US
--- a/tests/decisions/test_remembered.py
+++ b/tests/decisions/test_remembered.py
@@ -8,7 +8,7 @@
 
 from plovertrail.decisions.actions import Send
 from plovertrail.decisions.balance import MUTE, Balancer
-from plovertrail.decisions.events import ListKind, RequestArrived, Upstream, UpstreamsUpdated
+from plovertrail.decisions.events import Endpoint, EndpointsUpdated, ListKind, RequestArrived
 from plovertrail.decisions.remembered import (
     HALF_LIFE_US,
     OLDEST_US,
@@ -28,7 +28,7 @@
 
 def balancer_with(judged: dict[int, Judgement], age_us: int = 0, seed: int = 1) -> Balancer:
     """A module that has just been told of eight servers and remembers some."""
-    made = Balancer(settings(second_copies=False), seed, START_US)
+    made = Balancer(settings(hedging=False), seed, START_US)
     classes = len(made.settings.classes)
 
     def fit(old: Judgement) -> Judgement:
@@ -41,7 +41,7 @@
     made.recall = lambda server: (
         server.entry.id in judged and recall_server(made, server, fit(judged[server.entry.id]), age_us)
     )
-    made.handle(START_US, UpstreamsUpdated(ListKind.CACHED, upstreams(8)))
+    made.handle(START_US, EndpointsUpdated(ListKind.CACHED, upstreams(8)))
     return made
 
 
@@ -71,7 +71,7 @@
         for request in range(8):
             for action in balancer.handle(START_US, RequestArrived(request, START_US + 1_000_000)):
                 if isinstance(action, Send):
-                    sent[action.upstream] += 1
+                    sent[action.endpoint_id] += 1
     others = [sent[number] for number in range(102, 108)]
     assert sent[100] == 0 and sent[101] > max(others)
     assert sum(sent.values()) == 1_600
@@ -79,8 +79,8 @@
 
 def test_a_cold_server_and_one_that_is_like_any_other_are_not_remembered() -> None:
     balancer = balancer_with({100: BAD, 101: GOOD})
-    cold = Upstream(200, started_us=START_US - 1)
-    balancer.handle(START_US, UpstreamsUpdated(ListKind.DELTA, [cold]))
+    cold = Endpoint(200, started_us=START_US - 1)
+    balancer.handle(START_US, EndpointsUpdated(ListKind.DELTA, [cold]))
     balancer.servers[200].window = 0.1
     assert judgement(balancer, balancer.servers[200]) is None
     assert judgement(balancer, balancer.servers[102]) is None
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -12,13 +12,13 @@
 from plovertrail.decisions.balance import Balancer
 from plovertrail.decisions.events import (
     AttemptEnded,
+    Endpoint,
+    EndpointStatus,
+    EndpointsUpdated,
     ListKind,
     Outcome,
     RequestArrived,
     TimerFired,
-    Upstream,
-    UpstreamState,
-    UpstreamsUpdated,
 )
 from plovertrail.decisions.settings import RequestClass
 from tests.decisions.world import START_US, World, classes, settings, upstreams
@@ -29,7 +29,7 @@
     st.tuples(st.just("arrive"), st.integers(0, 4), st.integers(1, 2_000_000)),
     st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from(FAULTS)),
     st.tuples(st.just("advance"), st.integers(0, 700_000), st.just(0)),
-    st.tuples(st.just("list"), st.integers(0, 7), st.sampled_from(list(UpstreamState))),
+    st.tuples(st.just("list"), st.integers(0, 7), st.sampled_from(list(EndpointStatus))),
     st.tuples(st.just("full"), st.integers(0, 8), st.sampled_from([ListKind.FULL, ListKind.CACHED])),
     st.tuples(st.just("restart"), st.integers(0, 7), st.integers(0, 30_000_000)),
     st.tuples(st.just("fail"), st.just(0), st.just(0)),
@@ -39,14 +39,14 @@
 
 CONFIGS = st.fixed_dictionaries(
     {
-        "second_copies": st.booleans(),
-        "list_on_request": st.booleans(),
+        "hedging": st.booleans(),
+        "endpoints_on_request": st.booleans(),
         "cancel": st.booleans(),
         "max_attempts": st.integers(1, 5),
         "instances": st.integers(1, 8),
         "retry_after": st.booleans(),
-        "ask_within_us": st.sampled_from([0, 10_000_000]),
-        "probes": st.booleans(),
+        "max_poll_interval_us": st.sampled_from([0, 10_000_000]),
+        "health_checks": st.booleans(),
         "report_names": st.sampled_from([[], ["utilization"], ["in_flight", "queued", "latency_ms"]]),
     }
 )
@@ -55,8 +55,10 @@
 def many_classes() -> list[RequestClass]:
     return [
         *classes(),
-        RequestClass("zoned", 200_000, 900_000, effect="deduplicated", group="zone", memory_us=400_000),
-        RequestClass("feed", 200_000, 900_000, effect="deduplicated", memory_us=9_000_000, stream=True),
+        RequestClass(
+            "zoned", 200_000, 900_000, effect="deduplicated", dedup_scope="zone", dedup_window_us=400_000
+        ),
+        RequestClass("feed", 200_000, 900_000, effect="deduplicated", dedup_window_us=9_000_000, stream=True),
     ]
 
 
@@ -70,14 +72,14 @@
         world.advance(number)
     elif what in ("list", "restart"):
         started = world.now_us - extra if isinstance(extra, int) else 0
-        state = extra if isinstance(extra, UpstreamState) else UpstreamState.READY
-        entry = Upstream(100 + number, state, number // 2, 0, number // 2, 1.0, started)
+        state = extra if isinstance(extra, EndpointStatus) else EndpointStatus.READY
+        entry = Endpoint(100 + number, state, number // 2, 0, number // 2, 1.0, started)
         world.tell_list([entry], ListKind.DELTA)
     elif what == "full":
         assert isinstance(extra, ListKind)
         world.tell_list(upstreams(number), extra)
-    elif what == "fail" and world.settings.list_on_request:
-        world.tell(UpstreamsUpdated(ListKind.FAILED))
+    elif what == "fail" and world.settings.endpoints_on_request:
+        world.tell(EndpointsUpdated(ListKind.FAILED))
     elif what == "quit" and world.owed:
         ident = list(world.owed)[number % len(world.owed)]
         if not world.owed[ident].closed:
@@ -129,7 +131,7 @@
             number = dice.randrange(60_000)
         elif kind in ("list", "restart"):
             number = dice.randrange(8)
-            extra = dice.choice(list(UpstreamState)) if kind == "list" else dice.randrange(30_000_000)
+            extra = dice.choice(list(EndpointStatus)) if kind == "list" else dice.randrange(30_000_000)
         play(world, (kind, number, extra))
     world.advance(5_000_000)
     return list(world.log)
@@ -138,27 +140,30 @@
 def test_busy_days_break_no_rule_and_are_decided_alike_each_time() -> None:
     for seed in range(12):
         config: dict[str, object] = {
-            "second_copies": seed % 2 == 0,
-            "list_on_request": seed % 3 == 0,
-            "ask_within_us": 10_000_000,
+            "hedging": seed % 2 == 0,
+            "endpoints_on_request": seed % 3 == 0,
+            "max_poll_interval_us": 10_000_000,
             "report_names": [["utilization"], [], ["queued", "in_flight"]][seed % 3],
-            "probes": seed % 4 == 0,
+            "health_checks": seed % 4 == 0,
         }
         assert busy_day(config, seed) == busy_day(config, seed)
 
 
 def pushed_share(skew: list[int], outcome: Outcome, cost_us: int = 0) -> float:
-    """The most work that sidecars together send one cold upstream in any `fall_us`, over its budget there.
+    """The most work over budget that sidecars send one warming upstream in an `overload_duration_us`.
 
     The upstream is new among nine of one core, which serve in turn and turn away what would wait over 300 ms;
     requests take 40 ms of a warm one. Each sidecar gets `skew` requests a tick of 4 ms: up to 26 times what
     the nine can do."""
     config = settings(instances=len(skew), classes=[RequestClass("read", 300_000, 1_500_000)])
     balancers = [Balancer(config, n, START_US) for n in range(len(skew))]
-    listed = [Upstream(1, started_us=START_US), *[Upstream(n) for n in range(2, 11)]]
+    listed = [Endpoint(1, started_us=START_US), *[Endpoint(n) for n in range(2, 11)]]
 
     def warmth(at_us: int) -> float:
-        return config.cold_share + (1 - config.cold_share) * (at_us - START_US) / config.warm_up_us
+        return (
+            config.warm_up_initial_capacity
+            + (1 - config.warm_up_initial_capacity) * (at_us - START_US) / config.warm_up_us
+        )
 
     free_us = {entry.id: START_US for entry in listed}
     sent: list[int] = []
@@ -167,7 +172,7 @@
     timers: list[tuple[int, int]] = []
     now_us, request = START_US, 0
     for balancer in balancers:
-        balancer.handle(now_us, UpstreamsUpdated(ListKind.FULL, listed))
+        balancer.handle(now_us, EndpointsUpdated(ListKind.FULL, listed))
     while now_us < START_US + 8_000_000:
         events: list[tuple[int, object]] = []
         for number, rate in enumerate(skew):
@@ -186,25 +191,25 @@
                 if isinstance(action, Send):
                     nth = tries.get(action.request, 0)
                     tries[action.request] = nth + 1
-                    slower = warmth(now_us) if action.upstream == 1 else 1.0
-                    ready_us = max(free_us[action.upstream], now_us) + int(40_000 / slower)
-                    how = outcome if action.upstream == 1 else Outcome.OK
+                    slower = warmth(now_us) if action.endpoint_id == 1 else 1.0
+                    ready_us = max(free_us[action.endpoint_id], now_us) + int(40_000 / slower)
+                    how = outcome if action.endpoint_id == 1 else Outcome.OK
                     if how is not Outcome.OK or ready_us > now_us + 300_000:
-                        ready_us, how = now_us + 4_000, Outcome.FULL if how is Outcome.OK else how
+                        ready_us, how = now_us + 4_000, Outcome.REJECTED if how is Outcome.OK else how
                     else:
-                        free_us[action.upstream] = ready_us
-                    ends.append((ready_us, number, action.request, action.upstream, nth, how, now_us))
-                    if action.upstream == 1:
+                        free_us[action.endpoint_id] = ready_us
+                    ends.append((ready_us, number, action.request, action.endpoint_id, nth, how, now_us))
+                    if action.endpoint_id == 1:
                         sent.append(now_us)
         now_us += 4_000
     worst = 0.0
     for start in sent:
-        pushed = 40_000 * sum(1 for at in sent if start <= at < start + config.fall_us)
-        worst = max(worst, pushed / (config.overload_factor * warmth(start) * config.fall_us))
+        pushed = 40_000 * sum(1 for at in sent if start <= at < start + config.overload_duration_us)
+        worst = max(worst, pushed / (config.overload_factor * warmth(start) * config.overload_duration_us))
     return worst
 
 
 def test_a_cold_upstream_is_not_pushed_over_by_all_sidecars_together() -> None:
     for skew in ([1, 1, 1], [3, 0, 0], [1] * 8, [1] * 24, [4, 1, 1, 1]):
-        for outcome in (Outcome.OK, Outcome.FULL, Outcome.ERROR, Outcome.CONNECT_FAILED):
+        for outcome in (Outcome.OK, Outcome.REJECTED, Outcome.ERROR, Outcome.CONNECT_FAILED):
             assert 0 < pushed_share(skew, outcome) <= 1, (skew, outcome)
--- a/tests/decisions/test_share.py
+++ b/tests/decisions/test_share.py
@@ -10,22 +10,22 @@
 from hypothesis import strategies as st
 
 from plovertrail.decisions import share
-from plovertrail.decisions.events import Upstream, UpstreamState
+from plovertrail.decisions.events import Endpoint, EndpointStatus
 from plovertrail.decisions.settings import RequestClass
 from plovertrail.decisions.share import Bounds, Dials, Fleet, Subset, budget, overdrawn, usable_mean
 
-GONE, READY, DRAINING = UpstreamState.GONE, UpstreamState.READY, UpstreamState.DRAINING
+GONE, READY, DRAINING = EndpointStatus.REMOVED, EndpointStatus.READY, EndpointStatus.DRAINING
 
 
-def servers(count: int, first: int = 1, **changes: object) -> list[Upstream]:
-    return [Upstream(first + i, zone=i % 3, cell=i // 2, **changes) for i in range(count)]  # type: ignore[arg-type]
+def servers(count: int, first: int = 1, **changes: object) -> list[Endpoint]:
+    return [Endpoint(first + i, zone=i % 3, cell=i // 2, **changes) for i in range(count)]  # type: ignore[arg-type]
 
 
-def addresses(entries: list[Upstream]) -> dict[int, tuple[str, int]]:
+def addresses(entries: list[Endpoint]) -> dict[int, tuple[str, int]]:
     return {entry.id: ("127.0.0.1", 1000 + entry.id) for entry in entries}
 
 
-def made(number: int, size: int, entries: list[Upstream], group: str = "", home: int | None = None) -> Subset:
+def made(number: int, size: int, entries: list[Endpoint], group: str = "", home: int | None = None) -> Subset:
     subset = Subset(number, size, group, home)
     subset.listed(entries, addresses(entries))
     return subset
@@ -162,7 +162,7 @@
     first = made(7, 5, entries)
     again = made(7, 5, entries[::-1])
     assert first.chosen.keys() == again.chosen.keys() and len(first.chosen) == 5
-    renumbered = [Upstream(entry.id + 500, zone=entry.zone, cell=entry.cell) for entry in entries]
+    renumbered = [Endpoint(entry.id + 500, zone=entry.zone, cell=entry.cell) for entry in entries]
     other = Subset(7, 5)
     other.listed(renumbered, {entry.id + 500: ("127.0.0.1", 1000 + entry.id) for entry in entries})
     assert {number - 500 for number in other.chosen} == first.chosen.keys()
@@ -177,7 +177,7 @@
 
 
 def test_weights_of_100_to_1_are_kept() -> None:
-    entries = [Upstream(number, weight=100.0 if number <= 10 else 1.0) for number in range(1, 111)]
+    entries = [Endpoint(number, weight=100.0 if number <= 10 else 1.0) for number in range(1, 111)]
     counts = Counter(number for instance in range(2_000) for number in made(instance, 1, entries).chosen)
     heavy = sum(counts[number] for number in range(1, 11))
     assert abs(heavy / 2_000 - 1_000 / 1_100) < 0.025
@@ -188,7 +188,7 @@
     before = {instance: made(instance, 4, entries) for instance in range(400)}
     had = {instance: set(subset.chosen) for instance, subset in before.items()}
     for instance, subset in before.items():
-        told = subset.listed([Upstream(9, GONE)], {})
+        told = subset.listed([Endpoint(9, GONE)], {})
         assert bool(told) == (9 in had[instance])
         assert len(subset.chosen) == 4 and len(set(subset.chosen) - had[instance]) == (9 in had[instance])
     for instance, subset in before.items():
@@ -201,7 +201,7 @@
     entries = servers(10)
     subset = made(1, 3, entries)
     drained = min(subset.chosen)
-    told = subset.listed([Upstream(drained, DRAINING, drained % 3)], addresses(entries))
+    told = subset.listed([Endpoint(drained, DRAINING, drained % 3)], addresses(entries))
     assert told[0].id == drained and told[0].state is DRAINING
     assert len(subset.chosen) == 3 and drained not in subset.chosen and told[1].state is READY
 
@@ -210,9 +210,9 @@
     entries = servers(10)
     subset = made(1, 3, entries)
     had = set(subset.chosen)
-    subset.listed([Upstream(number, DRAINING) for number in had], addresses(entries))
+    subset.listed([Endpoint(number, DRAINING) for number in had], addresses(entries))
     assert len(subset.chosen) == 3 and had.isdisjoint(subset.chosen)
-    subset.listed([Upstream(entry.id, GONE) for entry in entries], {})
+    subset.listed([Endpoint(entry.id, GONE) for entry in entries], {})
     assert not subset.chosen and not subset.ranked and not subset.units
 
 
@@ -226,16 +226,18 @@
                 whole = {entry.id for entry in entries if getattr(entry, kind) == mine}
                 assert whole <= subset.chosen.keys()
     assert share.group_of([RequestClass("a", 1, 1)]) == ""
-    keyed = RequestClass("k", 1, 1, effect="deduplicated", group="cell")
+    keyed = RequestClass("k", 1, 1, effect="deduplicated", dedup_scope="cell")
     assert share.group_of([keyed]) == "cell"
-    assert share.group_of([keyed, RequestClass("z", 1, 1, effect="deduplicated", group="zone")]) == "zone"
+    assert (
+        share.group_of([keyed, RequestClass("z", 1, 1, effect="deduplicated", dedup_scope="zone")]) == "zone"
+    )
 
 
 def test_the_home_zone_comes_first_and_others_when_it_has_too_few() -> None:
     entries = servers(30)
     subset = made(3, 4, entries, home=1)
     assert {entry.zone for entry in subset.chosen.values()} == {1}
-    home = [Upstream(e.id, DRAINING, 1, 0, e.cell) for e in entries if e.zone == 1]
+    home = [Endpoint(e.id, DRAINING, 1, 0, e.cell) for e in entries if e.zone == 1]
     subset.listed(home, addresses(entries))
     assert len(subset.chosen) == 4 and 1 not in {entry.zone for entry in subset.chosen.values()}
 
@@ -281,20 +283,20 @@
     steps: list[tuple[str, int]], group: str, instance: int
 ) -> None:
     subset = Subset(instance, 3, group)
-    told: dict[int, Upstream] = {}
-    listed: dict[int, Upstream] = {}
+    told: dict[int, Endpoint] = {}
+    listed: dict[int, Endpoint] = {}
     where = {number: ("127.0.0.1", 1000 + number) for number in range(12)}
     now_us = 0
     for what, number in steps:
         now_us += 3_000_000
-        entry = Upstream(number, READY, zone=number % 3, cell=number // 2)
-        changes: list[Upstream] = []
+        entry = Endpoint(number, READY, zone=number % 3, cell=number // 2)
+        changes: list[Endpoint] = []
         if what in ("ready", "drain", "gone"):
             entry.state = {"ready": READY, "drain": DRAINING, "gone": GONE}[what]
             listed[number] = entry
             changes = subset.listed([entry], where)
         elif what == "whole":
-            entries = [Upstream(n, READY, zone=n % 3, cell=n // 2) for n in range(number)]
+            entries = [Endpoint(n, READY, zone=n % 3, cell=n // 2) for n in range(number)]
             listed = {e.id: e for e in entries}
             changes = subset.only(listed.keys(), entries, where)
         elif what == "short":
--- a/tests/decisions/test_sites.py
+++ b/tests/decisions/test_sites.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from plovertrail.decisions.events import ListKind, UpstreamState
+from plovertrail.decisions.events import EndpointStatus, ListKind
 from plovertrail.decisions.settings import RequestClass, Settings
 from tests.decisions.test_rules import FAULTS, play
 from tests.decisions.world import World, upstreams
@@ -33,8 +33,8 @@
             kind["worth"],
             kind["late_worth"],
             effect=EFFECTS[kind["effect"]],
-            group=kind.get("group", "all"),
-            memory_us=1000 * kind.get("window_ms", 0),
+            dedup_scope=kind.get("group", "all"),
+            dedup_window_us=1000 * kind.get("window_ms", 0),
         )
         for kind in site["class"]
     ]
@@ -45,16 +45,16 @@
         max_attempts=allow["max_attempts"],
         retry_after=allow["retry_after"],
         cancel=allow["cancel"],
-        probes=allow["probes"],
-        second_copies=allow["second_copies"],
+        health_checks=allow["probes"],
+        hedging=allow["second_copies"],
         max_retry_after_us=1000 * site["clients"]["max_retry_after_ms"],
         connect_timeout_us=1000 * site["tier"][0]["conn"]["connect_timeout_ms"],
-        list_on_request=site["discovery"]["mode"] == "ask",
-        ask_within_us=10_000_000,
+        endpoints_on_request=site["discovery"]["mode"] == "ask",
+        max_poll_interval_us=10_000_000,
         drain_grace_us=1000 * rules["drain_grace_ms"],
         overload_factor=rules["fall_multiple"],
-        fall_us=1000 * rules["fall_ms"],
-        cold_share=0.3,
+        overload_duration_us=1000 * rules["fall_ms"],
+        warm_up_initial_capacity=0.3,
         warm_up_us=8_000_000,
         cross_zone_fee=site["prices"]["cross_zone"],
         weighted=site["tier"][0]["weights"] != "none",
@@ -82,7 +82,7 @@
         elif what == "advance":
             step = (what, dice.randrange(60_000), None)
         elif what == "list":
-            step = (what, dice.randrange(8), dice.choice(list(UpstreamState)))
+            step = (what, dice.randrange(8), dice.choice(list(EndpointStatus)))
         elif what == "restart":
             step = (what, dice.randrange(8), dice.randrange(30_000_000))
         play(world, step)
