--- a/tests/decisions/test_slots.py
+++ b/tests/decisions/test_slots.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from plovertrail.decisions.actions import Fail, Log, Refuse
-from plovertrail.decisions.events import ListKind, Outcome, Upstream, UpstreamState
+from plovertrail.decisions.actions import Fail, Log, Reject
+from plovertrail.decisions.events import Endpoint, EndpointStatus, ListKind, Outcome
 from plovertrail.decisions.settings import Tenant
 from tests.decisions.world import START_US, World, classes, settings, upstreams
 
@@ -33,14 +33,14 @@
 def test_a_request_goes_to_a_ready_upstream_at_once() -> None:
     world = ready_world()
     request = world.arrive(READ)
-    assert [s.upstream in world.known for s in world.sends(request)] == [True]
+    assert [s.endpoint_id in world.known for s in world.sends(request)] == [True]
 
 
 def test_choice_is_spread_over_all_upstreams() -> None:
     world = ready_world(6)
     for _ in range(60):
         world.end(world.arrive(READ), 0, Outcome.OK)
-    assert {s.upstream for s in world.sends()} == set(world.known)
+    assert {s.endpoint_id for s in world.sends()} == set(world.known)
 
 
 def test_outstanding_sends_are_capped_and_one_request_waits_and_the_next_is_refused() -> None:
@@ -49,38 +49,38 @@
     assert world.answer(taken[-1]) is None
     last = world.arrive(READ)
     answer = world.answer(last)
-    assert isinstance(answer, Refuse) and answer.retry_after_us > 0
+    assert isinstance(answer, Reject) and answer.retry_after_us > 0
 
 
 def test_the_waiting_request_takes_the_first_slot_that_frees() -> None:
     world = ready_world()
     taken = fill(world)
-    freed = world.sends(taken[0])[0].upstream
+    freed = world.sends(taken[0])[0].endpoint_id
     world.end(taken[0], 0, Outcome.OK)
-    assert [s.upstream for s in world.sends(taken[-1])] == [freed]
+    assert [s.endpoint_id for s in world.sends(taken[-1])] == [freed]
 
 
 def test_what_waited_past_the_delay_threshold_is_refused() -> None:
     world = ready_world()
     waiting = fill(world)[-1]
     world.advance(200_000)
-    assert isinstance(world.answer(waiting), Refuse)
+    assert isinstance(world.answer(waiting), Reject)
 
 
 def test_a_request_too_near_its_due_time_is_refused_unsent() -> None:
     world = ready_world()
     request = world.arrive(READ, patience_us=1_000)
-    assert isinstance(world.answer(request), Refuse) and not world.sends(request)
+    assert isinstance(world.answer(request), Reject) and not world.sends(request)
 
 
-@pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED])
+@pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED])
 @pytest.mark.parametrize("class_index", [READ, PAY, MARK])
 def test_what_never_ran_is_reissued_elsewhere(outcome: Outcome, class_index: int) -> None:
     world = ready_world()
     request = world.arrive(class_index)
     world.end(request, 0, outcome)
     first, second = world.sends(request)
-    assert first.upstream != second.upstream
+    assert first.endpoint_id != second.endpoint_id
 
 
 def test_an_unsafe_request_that_may_have_run_is_failed() -> None:
@@ -111,8 +111,8 @@
     world.tell_list([])
     request = world.arrive(READ)
     world.advance(400_000)
-    assert isinstance(world.answer(request), Refuse)
-    world.tell_list([Upstream(5)])
+    assert isinstance(world.answer(request), Reject)
+    world.tell_list([Endpoint(5)])
     assert world.sends(world.arrive(READ))
 
 
@@ -120,17 +120,17 @@
     world = World(settings(instances=24))
     world.tell_list(upstreams(3))
     churn(world, 20, took_us=20_000)
-    world.tell_list([Upstream(1, started_us=world.now_us - 1_000), *upstreams(3)])
+    world.tell_list([Endpoint(1, started_us=world.now_us - 1_000), *upstreams(3)])
     churn(world, 150, took_us=20_000)
-    cold = sum(1 for s in world.sends() if s.upstream == 1)
+    cold = sum(1 for s in world.sends() if s.endpoint_id == 1)
     assert 0 < cold <= 8  # an even share would be 37
 
 
 def test_an_upstream_gets_less_than_the_others_until_it_is_warm() -> None:
     world = World(settings(instances=400))
-    world.tell_list([Upstream(1, started_us=world.now_us - 12_000_000), *upstreams(3)])  # two thirds warm
+    world.tell_list([Endpoint(1, started_us=world.now_us - 12_000_000), *upstreams(3)])  # two thirds warm
     churn(world, 1000, took_us=5_000)
-    cold = sum(1 for s in world.sends() if s.upstream == 1)
+    cold = sum(1 for s in world.sends() if s.endpoint_id == 1)
     assert 0 < cold < 190  # an even share would be 250
 
 
@@ -139,11 +139,11 @@
 
     def part(took_us: int) -> float:
         world = World(settings(instances=40, warm_up_us=2_000_000_000))
-        world.tell_list([Upstream(1, started_us=world.now_us - 1_000), *upstreams(9)])
+        world.tell_list([Endpoint(1, started_us=world.now_us - 1_000), *upstreams(9)])
         churn(world, 600, took_us=took_us)
         before = len(world.sends())
         churn(world, 600, took_us=took_us)
-        return sum(1 for s in world.sends()[before:] if s.upstream == 1) / 600
+        return sum(1 for s in world.sends()[before:] if s.endpoint_id == 1) / 600
 
     even = 0.2 / 9.2  # its part by its warmth
     calm, busy = part(20_000), part(100_000)
@@ -164,28 +164,28 @@
 
 def test_a_larger_cold_upstream_gets_more_by_its_size() -> None:
     world = World(settings(instances=40, warm_up_us=2_000_000_000, weighted=True))
-    cold = [Upstream(1, started_us=world.now_us, weight=3.0), Upstream(2, started_us=world.now_us)]
+    cold = [Endpoint(1, started_us=world.now_us, weight=3.0), Endpoint(2, started_us=world.now_us)]
     world.tell_list([*cold, *upstreams(8)])
     churn(world, 2_000, took_us=20_000)
-    large, small = (sum(1 for s in world.sends() if s.upstream == number) for number in (1, 2))
+    large, small = (sum(1 for s in world.sends() if s.endpoint_id == number) for number in (1, 2))
     assert 2.4 * small < large < 3.6 * small
 
 
 def test_a_cold_upstream_that_turns_work_away_gets_less() -> None:
     def got(outcome: Outcome) -> int:
         world = World(settings(instances=40, warm_up_us=2_000_000_000))
-        world.tell_list([Upstream(1, started_us=world.now_us), *upstreams(3)])
+        world.tell_list([Endpoint(1, started_us=world.now_us), *upstreams(3)])
         for _ in range(600):
             request = world.arrive(READ)
             world.advance(20_000)
             for send in world.sends(request):
                 if world.owed[request].tries[0].outcome is None:
-                    world.end(request, 0, outcome if send.upstream == 1 else Outcome.OK)
+                    world.end(request, 0, outcome if send.endpoint_id == 1 else Outcome.OK)
                 elif world.owed[request].tries[-1].outcome is None:
                     world.end(request, len(world.owed[request].tries) - 1, Outcome.OK)
-        return sum(1 for s in world.sends() if s.upstream == 1)
+        return sum(1 for s in world.sends() if s.endpoint_id == 1)
 
-    assert 0 < got(Outcome.FULL) < got(Outcome.OK) / 3
+    assert 0 < got(Outcome.REJECTED) < got(Outcome.OK) / 3
 
 
 def part_after(outcome: Outcome, wait_us: int = 0) -> float:
@@ -197,13 +197,13 @@
         upstream = 0
         while upstream != 100:
             request = world.arrive(PAY)
-            upstream = world.sends(request)[0].upstream
+            upstream = world.sends(request)[0].endpoint_id
             world.advance(10_000)
             world.end(request, 0, outcome if upstream == 100 else Outcome.OK)
         world.advance(wait_us)
         before = len(world.sends())
         churn(world, 120, class_index=PAY)
-        got += sum(1 for s in world.sends()[before:] if s.upstream == 100)
+        got += sum(1 for s in world.sends()[before:] if s.endpoint_id == 100)
     return got / 100
 
 
@@ -221,7 +221,7 @@
         if world.sends(request) and world.owed[request].tries[0].outcome is None:
             world.end(request, 0, Outcome.ERROR if request % 5 == 0 else Outcome.OK)
         assert len(world.balancer.distrusted) <= 4  # a third
-    assert all(any(s.upstream == number for s in world.sends()[-150:]) for number in range(100, 112))
+    assert all(any(s.endpoint_id == number for s in world.sends()[-150:]) for number in range(100, 112))
 
 
 def test_distrust_fades_without_traffic() -> None:
@@ -233,10 +233,10 @@
     world = World(settings(instances=40))
     world.tell_list(upstreams(6))
     request = world.arrive(PAY)
-    upstream = world.sends(request)[0].upstream
+    upstream = world.sends(request)[0].endpoint_id
     world.end(request, 0, Outcome.ERROR)
     assert list(world.balancer.distrusted) == [upstream]
-    world.tell_list([Upstream(upstream, UpstreamState.GONE)], ListKind.DELTA)
+    world.tell_list([Endpoint(upstream, EndpointStatus.REMOVED)], ListKind.DELTA)
     world.advance(60_000_000)
     world.arrive(PAY)
     assert not world.balancer.distrusted and not world.balancer.doubts
@@ -246,7 +246,7 @@
     world = World(settings(instances=40))
     world.tell_list(upstreams(1))
     old = world.arrive(PAY)
-    world.tell_list([Upstream(100, UpstreamState.GONE)], ListKind.DELTA)
+    world.tell_list([Endpoint(100, EndpointStatus.REMOVED)], ListKind.DELTA)
     world.tell_list(upstreams(1), ListKind.DELTA)
     new = world.arrive(PAY)
     world.end(new, 0, Outcome.ERROR)
@@ -298,7 +298,7 @@
 
 def test_drained_upstreams_get_nothing() -> None:
     world = ready_world(2)
-    world.tell_list([Upstream(100, UpstreamState.DRAINING), Upstream(101, UpstreamState.GONE)])
+    world.tell_list([Endpoint(100, EndpointStatus.DRAINING), Endpoint(101, EndpointStatus.REMOVED)])
     request = world.arrive(READ)
     world.advance(1_000_000)
     assert not world.sends(request)
@@ -308,7 +308,7 @@
     world: World,
     steps: int,
     bad: int | None = None,
-    fault: Outcome = Outcome.FULL,
+    fault: Outcome = Outcome.REJECTED,
     class_index: int = READ,
     took_us: int = 10_000,
 ) -> None:
@@ -330,18 +330,18 @@
     return len(taken)
 
 
-@pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET])
+@pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET])
 def test_an_upstream_that_fails_at_once_does_not_draw_more(outcome: Outcome) -> None:
     world = ready_world(5)
     churn(world, 200, 100, outcome)
-    assert sum(1 for s in world.sends() if s.upstream == 100) < 20
+    assert sum(1 for s in world.sends() if s.endpoint_id == 100) < 20
 
 
 def test_an_upstream_that_failed_is_tried_again_and_comes_back() -> None:
     world = ready_world(2)
     churn(world, 40, 100)
     churn(world, 1000)
-    assert sum(1 for s in world.sends()[-200:] if s.upstream == 100) > 30
+    assert sum(1 for s in world.sends()[-200:] if s.endpoint_id == 100) > 30
 
 
 def test_slots_open_only_while_requests_find_none_free() -> None:
@@ -374,7 +374,7 @@
         world.advance(1_000)
         for ident, owed in list(world.owed.items()):
             for attempt in owed.out():
-                world.end(ident, attempt, Outcome.FULL)
+                world.end(ident, attempt, Outcome.REJECTED)
     world.advance(10_000_000)
     assert len(world.timers) == 0
 
@@ -382,30 +382,30 @@
 def test_an_idle_upstream_of_this_zone_is_drawn_first_where_crossing_costs() -> None:
     world = ready_world(8, zone=1, cross_zone_fee=0.03)
     first = [world.arrive(READ) for _ in range(2)]
-    assert {world.known[world.sends(r)[0].upstream].zone for r in first} == {1}
+    assert {world.known[world.sends(r)[0].endpoint_id].zone for r in first} == {1}
     third = world.arrive(READ)
-    assert world.known[world.sends(third)[0].upstream].zone != 1
+    assert world.known[world.sends(third)[0].endpoint_id].zone != 1
 
 
 def test_zones_do_not_matter_where_crossing_is_free() -> None:
     world = ready_world(8, zone=1)
     churn(world, 100)
-    assert {world.known[s.upstream].zone for s in world.sends()} == {0, 1, 2, 3}
+    assert {world.known[s.endpoint_id].zone for s in world.sends()} == {0, 1, 2, 3}
 
 
 def test_a_dearer_request_takes_the_buffer_from_a_cheaper_one() -> None:
     world = ready_world()
     cheap = fill(world)[-1]
     dear = world.arrive(PAY)
-    assert isinstance(world.answer(cheap), Refuse) and world.answer(dear) is None
+    assert isinstance(world.answer(cheap), Reject) and world.answer(dear) is None
     late = world.arrive(READ)
-    assert isinstance(world.answer(late), Refuse)
+    assert isinstance(world.answer(late), Reject)
     world.end(world.sends()[0].request, 0, Outcome.OK)
     assert world.sends(dear)
 
 
 def test_a_tenant_beyond_its_share_yields_the_buffer() -> None:
-    world = ready_world(tenants=[Tenant("big", 100.0), Tenant("small", 100.0)], over_share_worth=0.1)
+    world = ready_world(tenants=[Tenant("big", 100.0), Tenant("small", 100.0)], over_share_weight=0.1)
     for _ in range(50):
         world.arrive(READ, tenant=0)
     holder = world.balancer.buffer
@@ -419,14 +419,14 @@
     request = world.arrive(READ)
     world.advance(250_000)
     first, second = world.sends(request)
-    assert first.upstream != second.upstream
+    assert first.endpoint_id != second.endpoint_id
     world.end(request, 0, Outcome.OK)
     assert world.answer(request) is None and world.owed[request].answers == 1
 
 
-@pytest.mark.parametrize(("class_index", "second_copies"), [(PAY, True), (READ, False)])
-def test_no_copy_where_none_is_allowed(class_index: int, second_copies: bool) -> None:
-    world = ready_world(second_copies=second_copies)
+@pytest.mark.parametrize(("class_index", "hedging"), [(PAY, True), (READ, False)])
+def test_no_copy_where_none_is_allowed(class_index: int, hedging: bool) -> None:
+    world = ready_world(hedging=hedging)
     request = world.arrive(class_index)
     world.advance(250_000)
     assert len(world.sends(request)) == 1
@@ -490,20 +490,20 @@
 def test_what_the_own_zone_thins_out_goes_to_another_zone() -> None:
     world = ready_world(8, zone=1, cross_zone_fee=0.2, instances=400)
     churn(world, 30, class_index=PAY)
-    assert {world.known[s.upstream].zone for s in world.sends()} == {1}
+    assert {world.known[s.endpoint_id].zone for s in world.sends()} == {1}
     before = len(world.sends())
     for _ in range(30):
         request = world.arrive(PAY)
-        home = [s for s in world.sends(request) if world.known[s.upstream].zone == 1]
+        home = [s for s in world.sends(request) if world.known[s.endpoint_id].zone == 1]
         world.advance(300_000 if home else 20_000)
         if not home and world.owed[request].out():
             world.end(request, 0, Outcome.OK)
-    crossed = [s for s in world.sends()[before:] if world.known[s.upstream].zone != 1]
+    crossed = [s for s in world.sends()[before:] if world.known[s.endpoint_id].zone != 1]
     assert len(crossed) >= 10 and len(world.sends()) - before >= 25
 
 
 def test_when_every_attempt_fails_not_all_are_repeated() -> None:
-    world = ready_world(40, second_copies=False)
+    world = ready_world(40, hedging=False)
     errors = 0
     for _ in range(60):
         request = world.arrive(READ)
@@ -518,31 +518,31 @@
 def test_a_sidecar_with_little_traffic_uses_few_of_many_upstreams() -> None:
     world = ready_world(60, instances=400)
     churn(world, 100, took_us=1_000_000)
-    assert len({s.upstream for s in world.sends()}) <= 6
+    assert len({s.endpoint_id for s in world.sends()}) <= 6
 
 
 def test_a_sidecar_that_turns_busy_spreads_over_more_upstreams() -> None:
     world = ready_world(60, instances=400)
     churn(world, 600, took_us=20_000)
-    assert len({s.upstream for s in world.sends()}) >= 30
+    assert len({s.endpoint_id for s in world.sends()}) >= 30
 
 
 def test_an_upstream_slower_than_the_others_is_drawn_less() -> None:
-    world = ready_world(4, second_copies=False)
+    world = ready_world(4, hedging=False)
     for _ in range(200):
         request = world.arrive(READ)
-        slow = world.sends(request)[0].upstream == 100
+        slow = world.sends(request)[0].endpoint_id == 100
         world.advance(120_000 if slow else 30_000)
         world.end(request, 0, Outcome.OK)
-    assert sum(1 for s in world.sends() if s.upstream == 100) < 25
+    assert sum(1 for s in world.sends() if s.endpoint_id == 100) < 25
 
 
 def test_upstreams_long_gone_leave_no_state() -> None:
     world = ready_world(4)
     for n in range(50):
-        world.tell_list([Upstream(1000 + n)], ListKind.DELTA)
+        world.tell_list([Endpoint(1000 + n)], ListKind.DELTA)
         churn(world, 5)
-        world.tell_list([Upstream(1000 + n, UpstreamState.GONE)], ListKind.DELTA)
+        world.tell_list([Endpoint(1000 + n, EndpointStatus.REMOVED)], ListKind.DELTA)
     assert len(world.balancer.servers) == 4 and len(world.balancer.pools[0].in_use) <= 4
 
 
@@ -605,7 +605,7 @@
 
 
 def test_a_request_known_to_be_heavy_is_not_timed_out_early() -> None:
-    world = ready_world(second_copies=False)
+    world = ready_world(hedging=False)
     churn(world, 50)
     light, heavy = world.arrive(READ, cost_us=10_000), world.arrive(READ, cost_us=200_000)
     assert world.sends(light)[0].timeout_us < 200_000 < 800_000 <= world.sends(heavy)[0].timeout_us
@@ -636,7 +636,7 @@
 def test_log_lines_are_few_on_the_worst_day() -> None:
     world = ready_world(50)
     begin_us = world.now_us
-    for fault in (Outcome.FULL, Outcome.OK, Outcome.FULL, Outcome.OK):
+    for fault in (Outcome.REJECTED, Outcome.OK, Outcome.REJECTED, Outcome.OK):
         for _ in range(30):
             churn_all(world, fault)
     assert 1 <= len(log_lines(world)) <= 1 + (world.now_us - begin_us) / 1_000_000
@@ -652,9 +652,9 @@
             world.end(ident, attempt, outcome)
 
 
-@pytest.mark.parametrize("second_copies", [True, False])
-def test_after_an_outage_that_every_answer_outlasted_requests_are_tried_again(second_copies: bool) -> None:
-    world = ready_world(2, second_copies=second_copies)
+@pytest.mark.parametrize("hedging", [True, False])
+def test_after_an_outage_that_every_answer_outlasted_requests_are_tried_again(hedging: bool) -> None:
+    world = ready_world(2, hedging=hedging)
     for _ in range(20):
         for class_index in (READ, PAY, MARK):
             world.arrive(class_index)
@@ -670,7 +670,7 @@
     return sum(1 for _ in range(count) if not world.sends(world.arrive(PAY)))
 
 
-@pytest.mark.parametrize("fault", [Outcome.RESET, Outcome.SPOILT, Outcome.ERROR])
+@pytest.mark.parametrize("fault", [Outcome.RESET, Outcome.MALFORMED, Outcome.ERROR])
 def test_a_fault_that_strikes_all_upstreams_alike_shuts_none(fault: Outcome) -> None:
     world = ready_world(6)
     for outcome in (Outcome.OK, fault):
@@ -700,7 +700,7 @@
 
 def test_a_class_that_an_upstream_never_answers_is_seldom_sent_there_and_the_others_are() -> None:
     kinds = classes()
-    kinds[PAY] = replace(kinds[PAY], late_worth=0.5)  # so that it is waited for to its deadline
+    kinds[PAY] = replace(kinds[PAY], late_weight=0.5)  # so that it is waited for to its deadline
     world = ready_world(classes=kinds)
     deaf = min(world.known)
 
@@ -708,16 +708,16 @@
         request = world.arrive(class_index)
         sends = world.sends(request)
         world.advance(20_000)
-        if sends and (sends[0].upstream != deaf or class_index != PAY):
+        if sends and (sends[0].endpoint_id != deaf or class_index != PAY):
             world.end(request, 0, Outcome.OK)
-        return sum(1 for send in sends if send.upstream == deaf)
+        return sum(1 for send in sends if send.endpoint_id == deaf)
 
     assert 3 <= sum(sent_to_deaf(PAY) for _ in range(1000)) <= 15
     assert sum(sent_to_deaf(READ) for _ in range(40)) > 0
 
 
 def test_an_upstream_slow_to_all_frees_no_more_than_one_slot() -> None:
-    world = ready_world(1, second_copies=False)
+    world = ready_world(1, hedging=False)
     for _ in range(40):  # requests that meet open slots
         both = [world.arrive(READ), world.arrive(READ)]
         world.advance(10_000)
@@ -726,7 +726,7 @@
                 world.end(request, 0, Outcome.OK)
     slots = len(fill(world)) - 1
     kind = world.settings.classes[READ]
-    world.advance(kind.aim_us - 1)
+    world.advance(kind.latency_objective_us - 1)
     assert len(fill(world)) == 1
     sent = len(world.sends())
     world.advance(1)
--- a/tests/decisions/test_verdicts.py
+++ b/tests/decisions/test_verdicts.py
@@ -27,7 +27,7 @@
 
 
 def keyed(group: str = "cell", memory_us: int = 8) -> RequestClass:
-    return RequestClass("mark", 1, 1, effect="deduplicated", group=group, memory_us=memory_us)
+    return RequestClass("mark", 1, 1, effect="deduplicated", dedup_scope=group, dedup_window_us=memory_us)
 
 
 @pytest.mark.parametrize(
--- a/tests/decisions/test_warming.py
+++ b/tests/decisions/test_warming.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from fakes.balancers_model import SECOND_US, Fleet
-from plovertrail.decisions.events import Upstream
+from plovertrail.decisions.events import Endpoint
 
 OLD, NEW = range(1, 17), range(101, 125)
 PER_S = 8.0
@@ -27,7 +27,7 @@
 def join(fleet: Fleet, age_s: float = 0.0) -> None:
     for number in NEW:
         started_us = fleet.now_us - int(age_s * SECOND_US)
-        fleet.change(Upstream(number, zone=number % 3, started_us=started_us))
+        fleet.change(Endpoint(number, zone=number % 3, started_us=started_us))
     fleet.run(fleet.now_us)
 
 
--- a/tests/decisions/test_whole_fleet.py
+++ b/tests/decisions/test_whole_fleet.py
@@ -8,7 +8,7 @@
 import pytest
 
 from fakes.balancers_model import SECOND_US, Fleet
-from plovertrail.decisions.events import Outcome, Upstream, UpstreamState
+from plovertrail.decisions.events import Endpoint, EndpointStatus, Outcome
 
 SIDECARS = 200
 UPSTREAMS = 60
@@ -74,9 +74,9 @@
     fleet = Fleet(UPSTREAMS, sidecars=SIDECARS, seed=seed)
     fleet.play(3.0, 1.8 * PER_S)
     for number in range(1, UPSTREAMS // 10 + 1):
-        gone = replace(fleet.servers[number].entry, state=UpstreamState.DRAINING)
+        gone = replace(fleet.servers[number].entry, state=EndpointStatus.DRAINING)
         fleet.change(gone, SECOND_US // 4)
-        fleet.change(Upstream(100 + number, zone=number % 3, started_us=fleet.now_us), SECOND_US // 4)
+        fleet.change(Endpoint(100 + number, zone=number % 3, started_us=fleet.now_us), SECOND_US // 4)
     fleet.play(5.0, 1.8 * PER_S)
     fleet.settle()
     joined = [100 + number for number in range(1, UPSTREAMS // 10 + 1)]
--- a/tests/decisions/world.py
+++ b/tests/decisions/world.py
@@ -15,9 +15,9 @@
     Action,
     Cancel,
     Fail,
-    FetchList,
-    Probe,
-    Refuse,
+    HealthCheck,
+    PollEndpoints,
+    Reject,
     Send,
     SetTimer,
     Subscribe,
@@ -25,20 +25,20 @@
 from plovertrail.decisions.balance import Balancer
 from plovertrail.decisions.events import (
     AttemptEnded,
+    Endpoint,
+    EndpointStatus,
+    EndpointsUpdated,
     Event,
     ListKind,
     Outcome,
     RequestArrived,
-    RequestGone,
+    RequestCancelled,
     StreamStarted,
     TimerFired,
-    Upstream,
-    UpstreamState,
-    UpstreamsUpdated,
 )
 from plovertrail.decisions.settings import Settings
 
-NEVER_RAN = {Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
+NEVER_RAN = {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
 
 
 def settings(**changes: object) -> Settings:
@@ -50,19 +50,19 @@
         "cancel": True,
         "max_retry_after_us": 1_000_000,
         "connect_timeout_us": 150_000,
-        "second_copies": True,
-        "cold_share": 0.2,
+        "hedging": True,
+        "warm_up_initial_capacity": 0.2,
         "warm_up_us": 20_000_000,
         "overload_factor": 2.5,
-        "fall_us": 1_000_000,
+        "overload_duration_us": 1_000_000,
     }
     values.update(changes)
     return Settings(**values)  # type: ignore[arg-type]
 
 
-def upstreams(count: int, **changes: Any) -> list[Upstream]:
+def upstreams(count: int, **changes: Any) -> list[Endpoint]:
     """`count` ready upstreams, two to a cell and to a zone."""
-    return [Upstream(100 + i, zone=i // 2, cell=i // 2, **changes) for i in range(count)]
+    return [Endpoint(100 + i, zone=i // 2, cell=i // 2, **changes) for i in range(count)]
 
 
 @dataclass
@@ -96,7 +96,7 @@
         self.now_us = START_US
         self.balancer = Balancer(self.settings, seed, self.now_us)
         self.owed: dict[int, Owed] = {}
-        self.known: dict[int, Upstream] = {}
+        self.known: dict[int, Endpoint] = {}
         self.refused_us: dict[int, int] = {}  # upstreams told draining or gone: since when
         self.timers: list[tuple[int, int]] = []
         self.log: list[Action] = []
@@ -111,17 +111,17 @@
         self.log.extend(actions)
         return actions
 
-    def tell_list(self, entries: list[Upstream], kind: ListKind = ListKind.FULL) -> list[Action]:
+    def tell_list(self, entries: list[Endpoint], kind: ListKind = ListKind.FULL) -> list[Action]:
         for entry in entries:
             self.known[entry.id] = entry
-            if entry.state is UpstreamState.READY:
+            if entry.state is EndpointStatus.READY:
                 self.refused_us.pop(entry.id, None)
             else:
                 self.refused_us.setdefault(entry.id, self.now_us)
         if kind in (ListKind.FULL, ListKind.CACHED):
             for ident in self.known.keys() - {e.id for e in entries}:
                 self.refused_us.setdefault(ident, self.now_us)
-        return self.tell(UpstreamsUpdated(kind, entries))
+        return self.tell(EndpointsUpdated(kind, entries))
 
     def arrive(self, class_index: int = 0, patience_us: int | None = None, **fields: Any) -> int:
         ident = self.next_id
@@ -153,7 +153,7 @@
     def quit(self, request: int) -> None:
         self.owed[request].closed = True
         self.owed[request].answers = 1
-        self.tell(RequestGone(request))
+        self.tell(RequestCancelled(request))
 
     def advance(self, by_us: int) -> None:
         """Move the clock, with the timers and the attempts' time-outs that fall due on the way."""
@@ -188,7 +188,7 @@
     def check(self, action: Action) -> None:
         if isinstance(action, Send):
             self.check_send(action)
-        elif isinstance(action, Refuse | Fail):
+        elif isinstance(action, Reject | Fail):
             self.check_answer(action)
         elif isinstance(action, Cancel):
             assert self.settings.cancel, "a cancel where none is allowed"
@@ -196,40 +196,44 @@
         elif isinstance(action, SetTimer):
             assert action.at_us >= self.now_us
             self.timers.append((action.at_us, action.token))
-        elif isinstance(action, Probe):
-            assert self.settings.probes, "a probe where none is allowed"
+        elif isinstance(action, HealthCheck):
+            assert self.settings.health_checks, "a probe where none is allowed"
         else:
-            assert not isinstance(action, Subscribe | FetchList) or self.settings.list_on_request
+            assert not isinstance(action, Subscribe | PollEndpoints) or self.settings.endpoints_on_request
 
     def check_send(self, send: Send) -> None:
         owed = self.owed[send.request]
-        entry = self.known[send.upstream]
+        entry = self.known[send.endpoint_id]
         kind = self.settings.classes[owed.event.class_index]
         assert not owed.closed, "rule 1: a send after the end"
         assert len(owed.tries) < self.settings.max_attempts, "more attempts than allowed"
-        assert send.upstream not in self.refused_us, "rule 3: a send to a draining or gone upstream"
-        assert self.settings.second_copies or not owed.out(), "rule 2: two attempts out together"
+        assert send.endpoint_id not in self.refused_us, "rule 3: a send to a draining or gone upstream"
+        assert self.settings.hedging or not owed.out(), "rule 2: two attempts out together"
         for earlier in owed.may_have_run():
             assert kind.effect != "at_most_once", "rule 2: an unsafe request sent again"
             if kind.effect == "deduplicated":
-                left_us = earlier.sent_us + kind.memory_us - self.now_us
-                assert 0 < send.within_us <= left_us, "rule 2: past the memory, or once its connection is up"
-                assert kind.group != "cell" or entry.cell == earlier.cell, "rule 2: outside the cell"
-                assert kind.group != "zone" or entry.zone == earlier.zone, "rule 2: outside the zone"
+                left_us = earlier.sent_us + kind.dedup_window_us - self.now_us
+                assert 0 < send.start_within_us <= left_us, (
+                    "rule 2: past the memory, or once its connection is up"
+                )
+                assert kind.dedup_scope != "cell" or entry.cell == earlier.cell, "rule 2: outside the cell"
+                assert kind.dedup_scope != "zone" or entry.zone == earlier.zone, "rule 2: outside the zone"
         ends_us = owed.event.due_us
         if send.timeout_us:
             ends_us = min(ends_us, self.now_us + send.timeout_us)
-        owed.tries.append(Try(send.upstream, entry.zone, entry.cell, self.now_us, ends_us))
+        owed.tries.append(Try(send.endpoint_id, entry.zone, entry.cell, self.now_us, ends_us))
 
-    def check_answer(self, answer: Refuse | Fail) -> None:
+    def check_answer(self, answer: Reject | Fail) -> None:
         owed = self.owed[answer.request]
         kind = self.settings.classes[owed.event.class_index]
         assert not owed.closed, "rule 1: a second answer"
         owed.closed = True
         owed.answers += 1
-        if isinstance(answer, Refuse):
+        if isinstance(answer, Reject):
             assert answer.retry_after_us <= self.settings.max_retry_after_us
-            harmless = kind.effect == "idempotent" or (kind.effect == "deduplicated" and kind.group == "all")
+            harmless = kind.effect == "idempotent" or (
+                kind.effect == "deduplicated" and kind.dedup_scope == "all"
+            )
             assert harmless or not owed.may_have_run(), "rule 2: a refusal of what may have run"
 
     # What tests look at
@@ -239,6 +243,6 @@
 
     def answer(self, request: int) -> Action | None:
         for action in self.log:
-            if isinstance(action, Refuse | Fail) and action.request == request:
+            if isinstance(action, Reject | Fail) and action.request == request:
                 return action
         return None
--- a/tests/hooks/test_chain.py
+++ b/tests/hooks/test_chain.py
@@ -19,7 +19,7 @@
 
 CLASSES = {
     "read": RequestClass("read", 1, 1),
-    "mark": RequestClass("mark", 1, 1, effect="deduplicated", group="cell", memory_us=8),
+    "mark": RequestClass("mark", 1, 1, effect="deduplicated", dedup_scope="cell", dedup_window_us=8),
     "buy": RequestClass("buy", 1, 1, effect="at_most_once"),
 }
 HEADERS = [(b"Host", b"shop.example"), (b"X-A", b"1"), (b"X-A", b"2")]
--- a/tests/listeners/test_connections.py
+++ b/tests/listeners/test_connections.py
@@ -35,7 +35,9 @@
 
 def patient() -> list[RequestClass]:
     """A class whose requests wait for long."""
-    return [RequestClass("pay", aim_us=40_000_000, deadline_us=60_000_000, effect="at_most_once")]
+    return [
+        RequestClass("pay", latency_objective_us=40_000_000, deadline_us=60_000_000, effect="at_most_once")
+    ]
 
 
 def released(first: bytes, release: asyncio.Event) -> Script:
--- a/tests/net.py
+++ b/tests/net.py
@@ -25,16 +25,22 @@
 
 def classes() -> list[RequestClass]:
     return [
-        RequestClass("read", aim_us=1_000_000, deadline_us=20_000_000, late_worth=0.5),
-        RequestClass("pay", aim_us=1_000_000, deadline_us=20_000_000, late_worth=0.5, effect="at_most_once"),
+        RequestClass("read", latency_objective_us=1_000_000, deadline_us=20_000_000, late_weight=0.5),
+        RequestClass(
+            "pay",
+            latency_objective_us=1_000_000,
+            deadline_us=20_000_000,
+            late_weight=0.5,
+            effect="at_most_once",
+        ),
         RequestClass(
             "mark",
-            aim_us=1_000_000,
+            latency_objective_us=1_000_000,
             deadline_us=20_000_000,
-            late_worth=0.5,
+            late_weight=0.5,
             effect="deduplicated",
-            group="cell",
-            memory_us=20_000_000,
+            dedup_scope="cell",
+            dedup_window_us=20_000_000,
         ),
     ]
 
@@ -269,8 +275,8 @@
         "max_attempts": 4,
         "connect_timeout_us": 10_000_000,
         "max_retry_after_us": 1_000_000,
-        "list_on_request": discovery is not None,
-        "ask_within_us": 10_000_000,
+        "endpoints_on_request": discovery is not None,
+        "max_poll_interval_us": 10_000_000,
     }
     known = known or listing(*(entry(f"u{i}", upstream.port) for i, upstream in enumerate(upstreams)))
     port, stop, reload = free_port(), asyncio.Event(), asyncio.Event()
--- a/tests/simulation/test_large_fleets.py
+++ b/tests/simulation/test_large_fleets.py
@@ -7,7 +7,7 @@
 import pytest
 
 from plovertrail.decisions import share
-from plovertrail.decisions.events import Upstream, UpstreamState
+from plovertrail.decisions.events import Endpoint, EndpointStatus
 from plovertrail.simulation.clients import ClientPlan
 from plovertrail.simulation.clock import SECOND_US
 from plovertrail.simulation.fleet import Fleet, FleetPlan
@@ -102,7 +102,7 @@
 def test_a_server_that_leaves_all_subsets_at_once_moves_its_load_and_no_more() -> None:
     fleet = settled(PLAN)
     before, second = most(fleet, "dials"), seconds_of(fleet)
-    fleet.tell_all(Upstream(2, UpstreamState.DRAINING))
+    fleet.tell_all(Endpoint(2, EndpointStatus.DRAINING))
     fleet.play(0.1)  # what was on its way has come
     came = sum(fleet.servers[2].requests.values())
     played(fleet, SECONDS)
@@ -128,7 +128,7 @@
     twin = fleet.instances[3]
     fleet.instances.append(twin)  # the number was given away twice
     first = share.Subset(3, PLAN.bounds.servers)
-    entries = [Upstream(number) for number in fleet.servers]
+    entries = [Endpoint(number) for number in fleet.servers]
     first.listed(entries, {entry.id: ("10.0.0.1", entry.id) for entry in entries})
     assert first.chosen.keys() == {number for number in twin.subset.chosen if number in first.chosen}
     played(fleet, 3)
@@ -139,7 +139,7 @@
     fleet = settled(replace(PLAN, instances=40, clients=replace(PLAN.clients, per_s=100.0)))
     instance = fleet.instances[0]
     for number in list(instance.subset.chosen):
-        fleet.tell_all(Upstream(number, UpstreamState.GONE))
+        fleet.tell_all(Endpoint(number, EndpointStatus.REMOVED))
     fleet.play(1)  # what was open ends
     before = served(fleet)
     fleet.clients.ask(instance)
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -12,28 +12,28 @@
     Cancel,
     CloseIdle,
     Fail,
-    FetchList,
+    HealthCheck,
     Log,
-    Probe,
-    Refuse,
+    PollEndpoints,
+    Reject,
     Send,
+    SendToPeer,
     SetTimer,
     Subscribe,
-    TellPeer,
 )
 from plovertrail.decisions.balance import Balancer
 from plovertrail.decisions.events import (
     AttemptEnded,
+    Endpoint,
+    EndpointsUpdated,
+    HealthCheckEnded,
     ListKind,
     Outcome,
     PeerMessage,
-    ProbeEnded,
     RequestArrived,
-    RequestGone,
+    RequestCancelled,
     StreamStarted,
     TimerFired,
-    Upstream,
-    UpstreamsUpdated,
 )
 from simulator import adapter, wire
 from tests.simulator.options import OPTIONS
@@ -47,9 +47,9 @@
 EVENTS: list[tuple[str, wire.Record]] = [
     (
         LIST + "50 0300 02 29000000 00000000",
-        UpstreamsUpdated(
+        EndpointsUpdated(
             ListKind.CACHED,
-            [Upstream(FIRST), Upstream(SECOND, zone=1, weight=1.5, started_us=6100000)],
+            [Endpoint(FIRST), Endpoint(SECOND, zone=1, weight=1.5, started_us=6100000)],
             41,
         ),
     ),
@@ -59,29 +59,29 @@
     ),
     ("28 0300", wire.InstanceStopped()),
     ("32 0300 4d000000", TimerFired(77)),
-    ("3c 0300 192b6f0e", RequestGone(OTHER)),
+    ("3c 0300 192b6f0e", RequestCancelled(OTHER)),
     (
         "0a 0300 c4913a5d 00 074a1203 0000 44480000 01 00",
         AttemptEnded(TICKET, 0, FIRST, Outcome.OK, 18500, True),
     ),
     ("1e 0300 0200 0400 68692037", PeerMessage(2, b"hi 7")),
     ("14 0300 c4913a5d 00 22240000 074a1203", StreamStarted(TICKET, 0, FIRST, 9250)),
-    ("5a 0300 f211902c 0000 78050000 00", ProbeEnded(SECOND, Outcome.OK, 1400)),
+    ("5a 0300 f211902c 0000 78050000 00", HealthCheckEnded(SECOND, Outcome.OK, 1400)),
 ]
 
 ACTIONS: list[tuple[str, wire.Reply]] = [
     ("14 0300 c4913a5d 074a1203 80380100", Send(TICKET, FIRST, 80000)),
     ("5a 0300 192b6f0e", Fail(OTHER)),
-    ("32 0300 ffffffff 0400 68692037", TellPeer(b"hi 7")),
+    ("32 0300 ffffffff 0400 68692037", SendToPeer(b"hi 7")),
     ("46 0300 01", Subscribe()),
     ("6e 0300 f211902c", CloseIdle(SECOND)),
-    ("28 0300 192b6f0e 90d00300", Refuse(OTHER, 250000)),
+    ("28 0300 192b6f0e 90d00300", Reject(OTHER, 250000)),
     ("1e 0300 7afd870000000000 4d000000", SetTimer(8912250, 77)),
-    ("50 0300 f211902c", Probe(SECOND)),
+    ("50 0300 f211902c", HealthCheck(SECOND)),
     ("78 0300 1100 74776f2073657276657273206b6e6f776e", Log("two servers known")),
     ("64 0300 c4913a5d 00", Cancel(TICKET, 0)),
     ("3c 0300 1200 696e646578206f7574206f662072616e6765", wire.InternalError("index out of range")),
-    ("0a 0300", FetchList()),
+    ("0a 0300", PollEndpoints()),
 ]
 
 EMPTY = "00000000 00000000 5a5c800000000000"
@@ -126,7 +126,7 @@
     assert [(i, type(e).__name__) for i, e in events] == [
         (3, "RequestArrived"),
         (3, "TimerFired"),
-        (5, "RequestGone"),
+        (5, "RequestCancelled"),
     ]
     records = [
         wire.encode(3, ACTIONS[0][1]),
@@ -162,8 +162,8 @@
     members = bytes.fromhex("50 0300 01 29000000 00000000")
     data = bytes.fromhex(LIST) + members + short + members
     first, second = wire.Decoder().batch(data, 4)
-    assert isinstance(first[1], UpstreamsUpdated) and len(first[1].upstreams) == 2
-    assert isinstance(second[1], UpstreamsUpdated) and second[1].upstreams == []
+    assert isinstance(first[1], EndpointsUpdated) and len(first[1].endpoints) == 2
+    assert isinstance(second[1], EndpointsUpdated) and second[1].endpoints == []
 
 
 @pytest.mark.parametrize(
@@ -202,9 +202,9 @@
     settings = wire.parse_settings(OPTIONS + "brand-new.key=1\nfees.fleet=0.2\n")
     assert settings == wire.parse_settings(OPTIONS)
     assert [c.effect for c in settings.classes] == ["idempotent", "at_most_once", "deduplicated"]
-    assert settings.classes[2].memory_us == 1_200_000 and settings.classes[2].group == "cell"
-    assert settings.tenants[1].allowance_per_s == 152.0 and settings.ask_within_us == 10_000_000
-    assert settings.list_on_request and settings.second_copies and not settings.probes
+    assert settings.classes[2].dedup_window_us == 1_200_000 and settings.classes[2].dedup_scope == "cell"
+    assert settings.tenants[1].allowance_per_s == 152.0 and settings.max_poll_interval_us == 10_000_000
+    assert settings.endpoints_on_request and settings.hedging and not settings.health_checks
 
 
 def test_report_names_are_translated_and_unknown_ones_kept() -> None:
--- a/tests/sources/test_discovery.py
+++ b/tests/sources/test_discovery.py
@@ -7,20 +7,20 @@
 
 import pytest
 
-from plovertrail.decisions.events import ListKind, UpstreamState
+from plovertrail.decisions.events import EndpointStatus, ListKind
 from plovertrail.sources.discovery import Directory, OlderChangeError
 from tests.net import entry, listing
 
 
-def states(directory: Directory, lines: Any, kind: ListKind | None = None) -> dict[int, UpstreamState]:
+def states(directory: Directory, lines: Any, kind: ListKind | None = None) -> dict[int, EndpointStatus]:
     event, addresses = directory.read(lines, kind)
-    assert set(addresses) == {each.id for each in event.upstreams}
-    return {each.id: each.state for each in event.upstreams}
+    assert set(addresses) == {each.id for each in event.endpoints}
+    return {each.id: each.state for each in event.endpoints}
 
 
 def test_lists_and_changes_become_events() -> None:
     directory = Directory(["a"], ["m"])
-    ready, draining, gone = UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.GONE
+    ready, draining, gone = EndpointStatus.READY, EndpointStatus.DRAINING, EndpointStatus.REMOVED
     assert states(directory, listing(entry("x", 1), entry("y", 2)), ListKind.CACHED) == {1: ready, 2: ready}
     assert states(directory, listing(entry("x", 1), entry("y", 2))) == {
         1: ready,
@@ -37,8 +37,8 @@
     directory = Directory(["a"], ["m"])
     directory.read(listing(entry("x", 1)))
     event, _ = directory.read(listing(entry("x", 1, boot_ms=5), full=False))
-    assert [(each.id, each.started_us) for each in event.upstreams] == [(1, 5000 + directory.to_clock_us)]
-    assert (event.upstreams[0].zone, event.upstreams[0].kind, event.upstreams[0].cell) == (0, 0, 1)
+    assert [(each.id, each.started_us) for each in event.endpoints] == [(1, 5000 + directory.to_clock_us)]
+    assert (event.endpoints[0].zone, event.endpoints[0].kind, event.endpoints[0].cell) == (0, 0, 1)
 
 
 def test_two_servers_at_one_address_are_both_told() -> None:
@@ -76,12 +76,12 @@
             if line["state"] != "left":
                 listed[uid] = line
         event, addresses = directory.read(listing(*lines, full=False))
-        for each in event.upstreams:
+        for each in event.endpoints:
             served.pop(each.id, None)
-            if each.state is UpstreamState.READY:
+            if each.state is EndpointStatus.READY:
                 served[each.id] = addresses[each.id]
         wanted, whole = follower.read(listing(*listed.values()))
-        ready = sorted(whole[each.id] for each in wanted.upstreams if each.state is UpstreamState.READY)
+        ready = sorted(whole[each.id] for each in wanted.endpoints if each.state is EndpointStatus.READY)
         assert sorted(served.values()) == ready
 
 
--- a/tests/sources/test_long_lists.py
+++ b/tests/sources/test_long_lists.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from plovertrail.decisions.events import ListKind, UpstreamState, UpstreamsUpdated
+from plovertrail.decisions.events import EndpointStatus, EndpointsUpdated, ListKind
 from plovertrail.sources import discovery
 from plovertrail.sources.discovery import Directory, Discovery, Watch
 from tests.daemons import run
@@ -19,11 +19,11 @@
     """A Discovery with a watch whose connection the test stands in for."""
 
     def __init__(self) -> None:
-        self.events: list[UpstreamsUpdated] = []
+        self.events: list[EndpointsUpdated] = []
         self.discovery = Discovery(("127.0.0.1", 1), Directory(["a"], ["m"]), self.listed)
         self.watch = self.discovery.watch = Watch(self.discovery)
 
-    def listed(self, event: UpstreamsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
+    def listed(self, event: EndpointsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
         self.events.append(event)
 
     def come(self, *lines: Any) -> None:
@@ -50,8 +50,8 @@
             told.come(listing(entry("x", 1, state), full=False, rev=rev))
         await told.read()
         assert [event.version for event in told.events] == list(range(5, 40))
-        states = [event.upstreams[0].state for event in told.events[1:]]
-        assert states == [UpstreamState.DRAINING, UpstreamState.READY] * 17
+        states = [event.endpoints[0].state for event in told.events[1:]]
+        assert states == [EndpointStatus.DRAINING, EndpointStatus.READY] * 17
         assert told.discovery.version == 39
 
     run(test)
@@ -78,7 +78,7 @@
         await told.read()
         kinds = [event.kind for event in told.events]
         assert sorted(kind.value for kind in kinds) == ["delta", "failed", "full"]
-        assert told.events[kinds.index(ListKind.DELTA)].upstreams[0].state is UpstreamState.DRAINING
+        assert told.events[kinds.index(ListKind.DELTA)].endpoints[0].state is EndpointStatus.DRAINING
 
     run(test)
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -64,7 +64,7 @@
     config: Config = load(str(configuration(tmp_path)))
     assert (config.seed, config.sockets, config.idle_us) == (0x8C1F, 1024, 5_000_000)
     assert (config.zones, config.kinds) == (["a", "b"], ["m"])
-    assert config.settings.zone == 1 and config.settings.list_on_request and config.settings.weighted
+    assert config.settings.zone == 1 and config.settings.endpoints_on_request and config.settings.weighted
     assert config.settings.report_names == ["in_flight", "queued"]
     assert [kind.effect for kind in config.settings.classes] == ["at_most_once"]
 
--- a/tests/test_share.py
+++ b/tests/test_share.py
@@ -14,7 +14,7 @@
 from plovertrail.config.operator import load
 from plovertrail.config.problems import ConfigError
 from plovertrail.decisions.actions import Action
-from plovertrail.decisions.events import Event, ListKind, Upstream, UpstreamState, UpstreamsUpdated
+from plovertrail.decisions.events import Endpoint, EndpointStatus, EndpointsUpdated, Event, ListKind
 from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.decisions.share import DIAL_BURST, Subset
 from plovertrail.decisions.turns import Place
@@ -255,32 +255,32 @@
         self.host = Host()
         settings = Settings(classes=[RequestClass("read", 100_000, 400_000)])
         self.pool: ServerPool = self.host.add_pool("p", settings, 1, ConnectionPool(1_000_000, 1_000_000, 10))
-        self.lists: list[UpstreamsUpdated] = []
+        self.lists: list[EndpointsUpdated] = []
         handle = self.pool.balancer.handle
 
         def listen(now_us: int, event: Event) -> list[Action]:
-            if isinstance(event, UpstreamsUpdated):
+            if isinstance(event, EndpointsUpdated):
                 self.lists.append(event)
             return handle(now_us, event)
 
         self.pool.balancer.handle = listen  # type: ignore[method-assign]
 
-    def tell(self, kind: ListKind, entries: list[Upstream]) -> None:
-        self.host.list_changed(self.pool, UpstreamsUpdated(kind, entries), where(entries))
+    def tell(self, kind: ListKind, entries: list[Endpoint]) -> None:
+        self.host.list_changed(self.pool, EndpointsUpdated(kind, entries), where(entries))
 
     async def settle(self) -> None:
         while self.pool.untold or self.pool.untold_ends:
             await asyncio.sleep(0)
 
 
-def where(entries: list[Upstream]) -> dict[int, tuple[str, int]]:
+def where(entries: list[Endpoint]) -> dict[int, tuple[str, int]]:
     return {entry.id: ("127.0.0.1", 1 + entry.id) for entry in entries}
 
 
 def test_a_long_list_is_told_in_slices_and_drains_overtake_it() -> None:
     async def test() -> None:
         told = Told()
-        entries = [Upstream(number) for number in range(1, 1_101)]
+        entries = [Endpoint(number) for number in range(1, 1_101)]
         told.tell(ListKind.CACHED, entries)
         assert len(told.pool.balancer.servers) == SLICE
         await asyncio.sleep(0)
@@ -289,9 +289,9 @@
         told.tell(
             ListKind.DELTA,
             [
-                Upstream(1, UpstreamState.DRAINING),
-                Upstream(1_000, UpstreamState.GONE),
-                Upstream(1_001, weight=7.0),
+                Endpoint(1, EndpointStatus.DRAINING),
+                Endpoint(1_000, EndpointStatus.REMOVED),
+                Endpoint(1_001, weight=7.0),
             ],
         )
         assert 1 not in told.pool.balancer.servers and 1 not in told.pool.serving
@@ -299,20 +299,20 @@
         servers = told.pool.balancer.servers
         assert servers.keys() == set(range(2, 1_101)) - {1_000} and servers[1_001].entry.weight == 7.0
         assert told.pool.serving == servers.keys() == told.pool.addresses.keys()
-        assert all(len(event.upstreams) <= SLICE for event in told.lists)
+        assert all(len(event.endpoints) <= SLICE for event in told.lists)
         assert all(server.slow_start for server in servers.values() if server.entry.id != 1_001)
 
         # a whole list without half of them: these go before anything else is told
         told.tell(ListKind.FULL, entries[10:600])
         await asyncio.sleep(0)
-        gone = [entry for event in told.lists[-2:] for entry in event.upstreams]
-        assert len(gone) == 2 * SLICE and {entry.state for entry in gone} == {UpstreamState.GONE}
+        gone = [entry for event in told.lists[-2:] for entry in event.endpoints]
+        assert len(gone) == 2 * SLICE and {entry.state for entry in gone} == {EndpointStatus.REMOVED}
         await told.settle()
         assert told.pool.serving == set(range(11, 601)) == told.pool.balancer.servers.keys()
         told.tell(ListKind.FULL, entries[:3])
         await told.settle()
         assert told.pool.balancer.servers.keys() == {1, 2, 3} == told.pool.serving
-        assert all(len(event.upstreams) <= SLICE for event in told.lists)
+        assert all(len(event.endpoints) <= SLICE for event in told.lists)
         told.host.retire(told.pool)
         assert not told.pool.balancer.servers and not told.pool.serving
 
@@ -322,8 +322,8 @@
 def test_what_a_whole_list_drops_before_it_was_told_never_comes() -> None:
     async def test() -> None:
         told = Told()
-        told.tell(ListKind.FULL, [Upstream(number) for number in range(1, 1_001)])
-        told.tell(ListKind.FULL, [Upstream(number) for number in range(701, 1_001)])
+        told.tell(ListKind.FULL, [Endpoint(number) for number in range(1, 1_001)])
+        told.tell(ListKind.FULL, [Endpoint(number) for number in range(701, 1_001)])
         await told.settle()
         assert told.pool.balancer.servers.keys() == set(range(701, 1_001)) == told.pool.serving
         assert told.pool.listed.keys() == told.pool.serving
@@ -334,7 +334,7 @@
 def test_a_watch_that_fails_between_two_slices_loses_nothing() -> None:
     async def test() -> None:
         told = Told()
-        told.tell(ListKind.FULL, [Upstream(number) for number in range(1, 1_001)])
+        told.tell(ListKind.FULL, [Endpoint(number) for number in range(1, 1_001)])
         told.tell(ListKind.FAILED, [])
         await told.settle()
         assert len(told.pool.balancer.servers) == 1_000 == len(told.pool.serving)
@@ -348,7 +348,7 @@
     async def test() -> None:
         told = Told()
         told.host.use_subset(told.pool, Subset(5, 4))
-        entries = [Upstream(number) for number in range(1, 1_101)]
+        entries = [Endpoint(number) for number in range(1, 1_101)]
         told.tell(ListKind.CACHED, entries)
         assert not told.pool.serving
         await told.settle()
@@ -356,7 +356,7 @@
         whole.listed(entries, where(entries))
         assert told.pool.serving == whole.chosen.keys() == told.pool.balancer.servers.keys()
         drained = min(whole.chosen)
-        told.tell(ListKind.DELTA, [Upstream(drained, UpstreamState.DRAINING)])
+        told.tell(ListKind.DELTA, [Endpoint(drained, EndpointStatus.DRAINING)])
         assert drained not in told.pool.serving and len(told.pool.serving) == 4
         told.tell(ListKind.FULL, entries[:600])
         await told.settle()
@@ -369,7 +369,7 @@
 def test_a_pool_that_retires_forgets_what_was_not_told_yet() -> None:
     async def test() -> None:
         told = Told()
-        told.tell(ListKind.FULL, [Upstream(number) for number in range(1, 1_001)])
+        told.tell(ListKind.FULL, [Endpoint(number) for number in range(1, 1_001)])
         told.host.retire(told.pool)
         for _ in range(5):
             await asyncio.sleep(0)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -16,7 +16,7 @@
 import pytest
 
 from plovertrail.decisions.balance import MOST_SLOTS, Balancer
-from plovertrail.decisions.events import AttemptEnded, Event, ListKind, Outcome, UpstreamsUpdated
+from plovertrail.decisions.events import AttemptEnded, EndpointsUpdated, Event, ListKind, Outcome
 from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.exchange import Call, Result
 from plovertrail.host import Host
@@ -347,7 +347,7 @@
             async with sidecar(upstream) as it:
                 assert status(await it.ask(request("pay"))) == 500
                 assert status(await it.ask(request("pay"))) == 200
-        assert outcomes == [Outcome.SPOILT, Outcome.OK] and upstream.connections == 2
+        assert outcomes == [Outcome.MALFORMED, Outcome.OK] and upstream.connections == 2
 
     run(test)
 
@@ -817,7 +817,7 @@
     """A discovery that works in turn would be asked anew again and again, and never be heard."""
 
     async def test() -> None:
-        told: list[UpstreamsUpdated] = []
+        told: list[EndpointsUpdated] = []
         first, second = Discovery(), Discovery()
         for each in (first, second):
             await each.start()
@@ -877,7 +877,7 @@
 def test_a_watch_that_was_up_and_fell_silent_is_told_apart_from_one_that_ended(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    told: list[UpstreamsUpdated] = []
+    told: list[EndpointsUpdated] = []
 
     async def test() -> None:
         server = Discovery()
@@ -899,7 +899,7 @@
         server.stop()
 
     run(test)
-    assert [event.silent for event in told if event.kind is ListKind.FAILED] == [True, False]
+    assert [event.watch_stalled for event in told if event.kind is ListKind.FAILED] == [True, False]
 
 
 def test_where_lists_are_pushed_the_agent_is_watched_for_good() -> None:
@@ -907,7 +907,7 @@
         agent = Discovery()
         upstream = Upstream(answering(OK))
         await upstream.start()
-        async with sidecar(discovery=agent, list_on_request=False) as it:
+        async with sidecar(discovery=agent, endpoints_on_request=False) as it:
             await agent.watched()
             agent.writers[-1].transport.abort()
             await agent.watched()
@@ -979,7 +979,7 @@
 
 def test_at_its_end_what_has_come_in_part_is_turned_away_and_what_is_open_has_its_answer() -> None:
     async def test() -> None:
-        short = [RequestClass("pay", aim_us=50_000, deadline_us=100_000, effect="at_most_once")]
+        short = [RequestClass("pay", latency_objective_us=50_000, deadline_us=100_000, effect="at_most_once")]
         upstream = Upstream(silent)
         async with sidecar(upstream, classes=short) as it, asyncio.timeout(PATIENCE_S):
             half, half_writer = await it.connect()
@@ -1010,10 +1010,10 @@
                 each.name,
                 100_000,
                 300_000,
-                late_worth=0.5,
+                late_weight=0.5,
                 effect=each.effect,
-                group=each.group,
-                memory_us=100_000,
+                dedup_scope=each.dedup_scope,
+                dedup_window_us=100_000,
             )
             for each in classes()
         ]
@@ -1059,7 +1059,7 @@
     thread.start()
 
     async def test() -> None:
-        short = [RequestClass("pay", 1_000_000, 3_000_000, late_worth=0.5, effect="at_most_once")]
+        short = [RequestClass("pay", 1_000_000, 3_000_000, late_weight=0.5, effect="at_most_once")]
         known = listing(entry("u0", server.getsockname()[1]))
         async with sidecar(classes=short, known=known) as it:
             reader, writer = await it.connect()
@@ -1150,7 +1150,7 @@
 
     def held(
         self: discovery_module.Directory, line: bytes, known: int = 0
-    ) -> tuple[UpstreamsUpdated, dict[int, tuple[str, int]]]:
+    ) -> tuple[EndpointsUpdated, dict[int, tuple[str, int]]]:
         if b'"old"' in line:
             reading.set()
             assert release.wait(PATIENCE_S)
@@ -1213,7 +1213,9 @@
 
 
 QUICK = [
-    RequestClass(name, aim_us=200_000, deadline_us=600_000_000, late_worth=0.5, effect="at_most_once")
+    RequestClass(
+        name, latency_objective_us=200_000, deadline_us=600_000_000, late_weight=0.5, effect="at_most_once"
+    )
     for name in ("pay", "order")
 ]
 
--- a/tests/test_slices.py
+++ b/tests/test_slices.py
@@ -8,12 +8,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from plovertrail.decisions.events import ListKind, Upstream, UpstreamState
+from plovertrail.decisions.events import Endpoint, EndpointStatus, ListKind
 from plovertrail.decisions.share import Subset
 from tests.daemons import run
 from tests.test_share import Told, where
 
-READY, DRAINING, GONE = UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.GONE
+READY, DRAINING, GONE = EndpointStatus.READY, EndpointStatus.DRAINING, EndpointStatus.REMOVED
 STATES = (READY, READY, DRAINING, GONE)
 SERVERS = 16
 STEP = st.tuples(
@@ -27,12 +27,12 @@
 
     async def test() -> None:
         told = Told()
-        truth: dict[int, Upstream] = {}
+        truth: dict[int, Endpoint] = {}
         if subset:
             told.host.use_subset(told.pool, Subset(1, 4))
         for what, rows in steps:
             entries = {
-                number: Upstream(number, STATES[state], weight=float(weight))
+                number: Endpoint(number, STATES[state], weight=float(weight))
                 for number, state, weight in rows
             }
             if what == "change":
