--- a/benchmarks/capacity/retry_model.py
+++ b/benchmarks/capacity/retry_model.py
@@ -24,7 +24,7 @@
 from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.simulation.clock import SECOND_US, Clock
 
-ANSWER_MARGIN_US = 10_000  # as in plovertrail/host.py
+ANSWER_MARGIN_US = 10_000  # as in plovertrail/dispatch/dispatcher.py
 MILLISECOND_US = 1_000
 Reply = Callable[[Outcome], None]
 
--- a/benchmarks/long_lists.py
+++ b/benchmarks/long_lists.py
@@ -18,7 +18,7 @@
 from benchmarks.report import Bar, close, table
 from plovertrail.decisions.events import EndpointsUpdated
 from plovertrail.decisions.settings import RequestClass, Settings
-from plovertrail.host import Host
+from plovertrail.dispatch.dispatcher import Host
 from plovertrail.sources.discovery import SETTLE_S, Directory, Discovery
 from plovertrail.upstreams.connections import ConnectionPool
 
--- a/benchmarks/planted_faults.py
+++ b/benchmarks/planted_faults.py
@@ -36,7 +36,7 @@
     new: str
 
 
-BALANCE, HOST = "plovertrail/decisions/balance.py", "plovertrail/host.py"
+BALANCE, HOST = "plovertrail/decisions/balance.py", "plovertrail/dispatch/dispatcher.py"
 ROUTES, REQUESTS = "plovertrail/decisions/routes.py", "plovertrail/decisions/requests.py"
 MEMBERS, FAILOVER = "plovertrail/decisions/endpoint_list.py", "plovertrail/decisions/failover.py"
 FRONT = "plovertrail/listeners/ordinary.py"
--- a/fakes/fleet/instances.py
+++ b/fakes/fleet/instances.py
@@ -17,8 +17,8 @@
 from plovertrail.decisions import share
 from plovertrail.decisions.events import EndpointsUpdated
 from plovertrail.decisions.settings import RequestClass, Settings
-from plovertrail.exchange import Answer, Call, Verdict
-from plovertrail.host import Host
+from plovertrail.dispatch.dispatcher import Host
+from plovertrail.dispatch.types import Answer, Call, Verdict
 from plovertrail.sources.discovery import Directory, Discovery
 from plovertrail.upstreams.connections import ConnectionPool
 
--- a/plovertrail/__main__.py
+++ b/plovertrail/__main__.py
@@ -12,7 +12,7 @@
 from plovertrail.clock import clock_us
 from plovertrail.config import platform as config
 from plovertrail.config.settings import SettingsError
-from plovertrail.host import Host
+from plovertrail.dispatch.dispatcher import Host
 from plovertrail.listeners.application import Server
 from plovertrail.logs import log_to_stderr
 from plovertrail.sources.discovery import Directory, Discovery
--- /dev/null
+++ b/plovertrail/dispatch/__init__.py
@@ -0,0 +1,1 @@
+"""Requests on their way: from their arrival to pools, attempts and the one final answer."""
--- a/plovertrail/host.py
+++ b/plovertrail/dispatch/dispatcher.py
@@ -45,7 +45,7 @@
 )
 from plovertrail.decisions.failover import Standing, attempts_left, next_pool
 from plovertrail.decisions.settings import Settings
-from plovertrail.exchange import Answer, Call, Flight, Handshake, Result, Upstreams, Verdict
+from plovertrail.dispatch.types import Answer, Call, Flight, Handshake, Result, Upstreams, Verdict
 
 if TYPE_CHECKING:  # brought in where they are asked for: the platform's start has none of them
     from plovertrail.decisions.admission import Admission
--- a/plovertrail/generation.py
+++ b/plovertrail/generation.py
@@ -11,8 +11,8 @@
 from plovertrail.decisions.routes import Route
 from plovertrail.decisions.settings import RequestClass
 from plovertrail.decisions.templates import Template
+from plovertrail.dispatch.dispatcher import ServerPool
 from plovertrail.hooks.chain import Chain, make_chain
-from plovertrail.host import ServerPool
 
 if TYPE_CHECKING:  # the engine is large, and most daemons have no hooks
     from plovertrail.hooks.hook import Hook
--- a/plovertrail/hearsay.py
+++ b/plovertrail/hearsay.py
@@ -14,8 +14,8 @@
 from plovertrail.decisions.endpoint_list import State
 from plovertrail.decisions.events import Outcome
 from plovertrail.decisions.judgements import Judgements, Known, Opinion, Window, hearsay
+from plovertrail.dispatch.dispatcher import Host, ServerPool
 from plovertrail.endpoint_registry import EndpointRegistry
-from plovertrail.host import Host, ServerPool
 
 # opinions follow evidence, which goes out five times a second as a rule
 OPINIONS = Work("opinions", Priority.PEERS, every_us=200_000, latest_us=1_000_000, share=0.02)
--- a/plovertrail/listeners/application.py
+++ b/plovertrail/listeners/application.py
@@ -11,8 +11,8 @@
 
 from plovertrail.clock import clock_us
 from plovertrail.decisions.settings import Settings
-from plovertrail.exchange import Answer, Call, Verdict
-from plovertrail.host import Host, ServerPool
+from plovertrail.dispatch.dispatcher import Host, ServerPool
+from plovertrail.dispatch.types import Answer, Call, Verdict
 from plovertrail.listeners.connections import ClientConnection, Listener, State
 
 log = logging.getLogger(__name__)
--- a/plovertrail/listeners/connections.py
+++ b/plovertrail/listeners/connections.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from plovertrail.clock import clock_us
-from plovertrail.host import Host
+from plovertrail.dispatch.dispatcher import Host
 
 log = logging.getLogger(__name__)
 
--- a/plovertrail/listeners/ordinary.py
+++ b/plovertrail/listeners/ordinary.py
@@ -26,10 +26,10 @@
 )
 from plovertrail.decisions.routes import FixedAnswer
 from plovertrail.decisions.sockets import Cause
-from plovertrail.exchange import Answer, Call, Result, Tunnel, Verdict
+from plovertrail.dispatch.dispatcher import Host
+from plovertrail.dispatch.types import Answer, Call, Result, Tunnel, Verdict
 from plovertrail.generation import Current, Plan, dropped_by_listener
 from plovertrail.hooks.chain import AnswerWithheldError, RequestRefusedError, Seen, Trail
-from plovertrail.host import Host
 from plovertrail.http1.heads import Headers, answer_head, end_to_end
 from plovertrail.http1.requests import RequestMessage, RequestReader
 from plovertrail.listeners.connections import ClientConnection, Listener, Patience, State
--- a/plovertrail/listeners/sockets.py
+++ b/plovertrail/listeners/sockets.py
@@ -12,9 +12,9 @@
 from plovertrail.clock import clock_us
 from plovertrail.decisions import sockets as api
 from plovertrail.decisions.events import EndpointStatus, EndpointsUpdated, ListKind
-from plovertrail.exchange import Tunnel
+from plovertrail.dispatch.dispatcher import Host, ServerPool
+from plovertrail.dispatch.types import Tunnel
 from plovertrail.generation import Plan
-from plovertrail.host import Host, ServerPool
 from plovertrail.http1.heads import Headers
 from plovertrail.line_log import LineLog
 from plovertrail.listeners.relay import Relay
--- a/plovertrail/recovery_manager.py
+++ b/plovertrail/recovery_manager.py
@@ -9,8 +9,8 @@
 
 from plovertrail.clock import clock_us
 from plovertrail.decisions.recovery import Phase, Recovery
+from plovertrail.dispatch.dispatcher import Host
 from plovertrail.endpoint_registry import EndpointRegistry
-from plovertrail.host import Host
 from plovertrail.sources.subscriptions import Subscription
 from plovertrail.stall_detector import StallDetectingLoop
 
--- a/plovertrail/running_pool.py
+++ b/plovertrail/running_pool.py
@@ -11,8 +11,8 @@
 from plovertrail.decisions.admission import Admission
 from plovertrail.decisions.endpoint_list import Address
 from plovertrail.decisions.turns import Place
+from plovertrail.dispatch.dispatcher import Host
 from plovertrail.endpoint_registry import EndpointRegistry
-from plovertrail.host import Host
 from plovertrail.upstreams.connections import AnswerRules, ConnectionPool
 
 FAULTS = frozenset((429, 500, 502, 503, 504))  # answers that tell of the server, not of what was asked
--- a/plovertrail/scenario_tests/servers.py
+++ b/plovertrail/scenario_tests/servers.py
@@ -9,7 +9,7 @@
 
 from plovertrail.decisions.events import Outcome
 from plovertrail.decisions.share import Budget
-from plovertrail.exchange import Call, Result
+from plovertrail.dispatch.types import Call, Result
 
 USUAL_US = 20_000
 REFUSED_US = 200  # a refused connection is told so soon
--- a/plovertrail/store/memory.py
+++ b/plovertrail/store/memory.py
@@ -15,7 +15,7 @@
 from plovertrail.decisions.endpoint_list import State
 from plovertrail.decisions.limits import Limiter, Remembered
 from plovertrail.decisions.remembered import Judgement, Memory, means, recall_means, recall_server, sweep
-from plovertrail.host import ServerPool
+from plovertrail.dispatch.dispatcher import ServerPool
 from plovertrail.store.keeper import StoreKeeper
 from plovertrail.store.records import Kept
 
--- a/plovertrail/upstreams/connections.py
+++ b/plovertrail/upstreams/connections.py
@@ -13,7 +13,7 @@
 from plovertrail.clock import clock_us
 from plovertrail.decisions.events import Outcome
 from plovertrail.decisions.share import Budget, Dials
-from plovertrail.exchange import Call, Handshake, Result, Tunnel, stays
+from plovertrail.dispatch.types import Call, Handshake, Result, Tunnel, stays
 
 log = logging.getLogger(__name__)
 
--- a/tests/listeners/test_descriptors.py
+++ b/tests/listeners/test_descriptors.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from plovertrail.host import Host
+from plovertrail.dispatch.dispatcher import Host
 from plovertrail.listeners import connections
 from plovertrail.listeners.connections import ClientConnection, Listener
 from tests.daemons import run
--- a/tests/scenario_tests/test_judge.py
+++ b/tests/scenario_tests/test_judge.py
@@ -8,7 +8,7 @@
 import pytest
 
 from plovertrail.config.operator import parse
-from plovertrail.exchange import Call
+from plovertrail.dispatch.types import Call
 from plovertrail.scenario_tests.daemon import Asked, Sending
 from plovertrail.scenario_tests.judge import rules, trace
 from plovertrail.scenario_tests.loop import TIE, VirtualLoop
--- a/tests/test_share.py
+++ b/tests/test_share.py
@@ -18,7 +18,7 @@
 from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.decisions.share import DIAL_BURST, Subset
 from plovertrail.decisions.turns import Place
-from plovertrail.host import SLICE, Host, ServerPool
+from plovertrail.dispatch.dispatcher import SLICE, Host, ServerPool
 from plovertrail.upstreams.connections import ConnectionPool
 from tests.daemons import Client, message, run, running, site
 from tests.net import until
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -18,8 +18,8 @@
 from plovertrail.decisions.balance import MOST_SLOTS, Balancer
 from plovertrail.decisions.events import AttemptEnded, EndpointsUpdated, Event, ListKind, Outcome
 from plovertrail.decisions.settings import RequestClass, Settings
-from plovertrail.exchange import Call, Result
-from plovertrail.host import Host
+from plovertrail.dispatch.dispatcher import Host
+from plovertrail.dispatch.types import Call, Result
 from plovertrail.listeners import application as server
 from plovertrail.listeners import connections
 from plovertrail.sources import discovery as discovery_module
--- a/tests/test_slices.py
+++ b/tests/test_slices.py
@@ -65,7 +65,7 @@
         assert told.pool.listed == where([e for e in truth.values() if e.state is not GONE])
         told.host.retire(told.pool)
 
-    with patch("plovertrail.host.SLICE", 3):
+    with patch("plovertrail.dispatch.dispatcher.SLICE", 3):
         run(test)
 
 
--- a/tests/upstreams/test_connections.py
+++ b/tests/upstreams/test_connections.py
@@ -8,7 +8,7 @@
 from plovertrail.clock import clock_us
 from plovertrail.decisions.events import Outcome
 from plovertrail.decisions.share import Budget
-from plovertrail.exchange import Call, Result
+from plovertrail.dispatch.types import Call, Result
 from plovertrail.upstreams.connections import IDLE_MARGIN_US, ConnectionPool
 from tests.daemons import run
 from tests.net import until
