--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -29,7 +29,7 @@
 from fakes.web import OK, WebServer, slowly
 from plovertrail.clock import clock_us
 from plovertrail.config.operator import load
-from plovertrail.daemon import Daemon, settle_heap
+from plovertrail.daemon.process import Daemon, settle_heap
 from plovertrail.decisions.endpoint_list import Candidate, Entry, Guards, State, reduce
 from plovertrail.sources.list_reader import ListReader
 from plovertrail.sources.lists import parse, sealed
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -25,7 +25,7 @@
 from fakes.ports import free_port
 from fakes.web import ERROR, NOT_RUN, OK, Arrival, Line, WebServer
 from plovertrail.config.operator import load
-from plovertrail.daemon import Daemon
+from plovertrail.daemon.process import Daemon
 
 DEADLINE_S = 1.0
 SLACK_S = 0.1  # for this client's own loop
--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -24,7 +24,7 @@
 from benchmarks.membership import Stall, daemon_in, many, members, put, until
 from benchmarks.report import Bar, close, table
 from plovertrail.clock import clock_us
-from plovertrail.daemon import Daemon
+from plovertrail.daemon.process import Daemon
 from plovertrail.decisions.endpoint_list import Candidate, Entry, Guards, State, drained_by_hand, reduce
 from plovertrail.store.files import Clocks, Files, replace_file
 from plovertrail.store.records import list_changes
--- a/fakes/cluster/instances.py
+++ b/fakes/cluster/instances.py
@@ -20,11 +20,11 @@
 DISK = ("state", "state.journal")
 SERVE = ("-m", "plovertrail.cli", "serve")
 PLAIN = """import asyncio, sys
-from plovertrail import daemon
+from plovertrail.daemon import process
 from plovertrail.config.operator import load
 from plovertrail.logs import log_to_stderr
 log_to_stderr()
-asyncio.run(daemon.serve(load(sys.argv[1])))
+asyncio.run(process.serve(load(sys.argv[1])))
 """
 LIAR = """import sys
 from plovertrail.decisions import judgements
--- a/plovertrail/cli/demo.py
+++ b/plovertrail/cli/demo.py
@@ -16,7 +16,7 @@
 from fakes.ports import free_port
 from fakes.web import OK, WebServer, always
 from plovertrail.config import operator
-from plovertrail.daemon import Daemon
+from plovertrail.daemon.process import Daemon
 from plovertrail.logs import log_to_stderr
 
 FILE = """\
--- a/plovertrail/cli/serve.py
+++ b/plovertrail/cli/serve.py
@@ -7,9 +7,9 @@
 
 import click
 
-from plovertrail import daemon
 from plovertrail.cli.files import load_or_exit
 from plovertrail.config.problems import ConfigError, Problem
+from plovertrail.daemon import process
 from plovertrail.logs import log_to_stderr
 from plovertrail.stall_detector import StallDetectingLoop
 
@@ -64,7 +64,7 @@
         wrong = await approve(file) if tests else ""
         if wrong:
             raise ConfigError(file, [Problem("", wrong)])
-        await daemon.serve(setup, approve=approve if tests else None)
+        await process.serve(setup, approve=approve if tests else None)
 
     try:
         with asyncio.Runner(loop_factory=StallDetectingLoop) as runner:
--- /dev/null
+++ b/plovertrail/daemon/__init__.py
@@ -0,0 +1,1 @@
+"""The daemon: one process that serves under an operator's file and follows its changes."""
--- a/tests/cli/test_balances.py
+++ b/tests/cli/test_balances.py
@@ -23,7 +23,7 @@
 from fakes.web import WebServer, always
 from plovertrail.cli.demo import FILE, rows
 from plovertrail.config.operator import load
-from plovertrail.daemon import Daemon
+from plovertrail.daemon.process import Daemon
 from tests.daemons import run
 from tests.net import PATIENCE_S
 
--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -12,7 +12,7 @@
 from fakes.ports import free_port
 from fakes.web import OK, Arrival, Line, WebServer
 from plovertrail.config.operator import load
-from plovertrail.daemon import Daemon
+from plovertrail.daemon.process import Daemon
 from tests.net import PATIENCE_S
 
 CLASSES = """
--- a/tests/hooks/test_daemon_hooks.py
+++ b/tests/hooks/test_daemon_hooks.py
@@ -16,7 +16,7 @@
 from fakes.web import ERROR, WebServer, always, breaking
 from plovertrail.config.operator import load
 from plovertrail.config.problems import ConfigError
-from plovertrail.daemon import Daemon
+from plovertrail.daemon.process import Daemon
 from plovertrail.decisions.verdicts import Verdict
 from plovertrail.hooks import abi
 from plovertrail.hooks.engine import Compiled, Runtime
--- a/tests/store/test_gathering.py
+++ b/tests/store/test_gathering.py
@@ -12,7 +12,7 @@
 from fakes.web import ERROR, OK, WebServer, always
 from plovertrail.clock import clock_us
 from plovertrail.config.operator import load
-from plovertrail.daemon import Daemon
+from plovertrail.daemon.process import Daemon
 from plovertrail.decisions.balance import Balancer
 from plovertrail.decisions.remembered import Judgement, sweep
 from plovertrail.store import memory
--- a/tests/store/test_restart.py
+++ b/tests/store/test_restart.py
@@ -13,7 +13,7 @@
 from fakes.ports import free_port
 from fakes.web import ERROR, OK, WebServer, always
 from plovertrail.config.operator import load
-from plovertrail.daemon import Daemon
+from plovertrail.daemon.process import Daemon
 from plovertrail.decisions.endpoint_list import Candidate, Entry, Guards, State, reduce
 from plovertrail.store import keeper
 from tests.daemons import LIMITED, Running, message, run, site
--- a/tests/test_endpoint_registry.py
+++ b/tests/test_endpoint_registry.py
@@ -20,7 +20,7 @@
 from plovertrail.cli import main
 from plovertrail.clock import clock_us
 from plovertrail.config.operator import load
-from plovertrail.daemon import Daemon
+from plovertrail.daemon.process import Daemon
 from plovertrail.sources.list_reader import ListReader
 from plovertrail.sources.lists import sealed
 from tests.daemons import CLASSES, ROUTES, Client, Running, message, run
--- a/tests/test_many_lists.py
+++ b/tests/test_many_lists.py
@@ -25,7 +25,7 @@
 from plovertrail.config.descriptors import PoolNeed, default_connections
 from plovertrail.config.operator import load
 from plovertrail.config.problems import ConfigError
-from plovertrail.daemon import Daemon, lists_of
+from plovertrail.daemon.process import Daemon, lists_of
 from plovertrail.decisions.list_versions import SourceKey
 from plovertrail.decisions.share import Fleet
 from plovertrail.decisions.turns import Place
--- a/tests/websocket_site.py
+++ b/tests/websocket_site.py
@@ -13,7 +13,7 @@
 from fakes.live import LiveServer
 from fakes.ports import free_port
 from plovertrail.config.operator import load
-from plovertrail.daemon import Daemon
+from plovertrail.daemon.process import Daemon
 from plovertrail.decisions.sockets import Socket
 from plovertrail.listeners.sockets import Asker, log_line
 from tests.daemons import Client
