--- /dev/null
+++ b/tests/store/test_stored_data.py
@@ -0,0 +1,219 @@
+"""State files of an earlier version are read whole, and mean what they meant to the version that wrote them.
+
+`data/README.md` says how the files and the recorded answers were made.
+"""
+
+from __future__ import annotations
+
+import json
+import random
+import shutil
+from dataclasses import astuple
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from plovertrail.decisions.balance import Balancer
+from plovertrail.decisions.counts import Counts, Window, key_of
+from plovertrail.decisions.endpoint_list import State
+from plovertrail.decisions.events import Endpoint, EndpointsUpdated, ListKind
+from plovertrail.decisions.limits import Allowance, KeyedBy, Limiter, LimiterSettings, OverLimit, admit
+from plovertrail.decisions.remembered import Memory, recall_means, recall_server, sweep
+from plovertrail.decisions.settings import RequestClass, Settings
+from plovertrail.store.files import Clocks, Files, Found
+from plovertrail.store.records import Kept, list_changes, other_records
+
+DATA = Path(__file__).parent / "data"
+ANSWERS: dict[str, dict[str, Any]] = json.loads((DATA / "answers.json").read_text())
+WITH_HISTORIES = [name for name, recorded in ANSWERS.items() if "in_use" in recorded]
+S = 1_000_000
+TENANTS = ("ann", "bob", "carol", "dora")
+WINDOW = Window(60 * S, 6)
+LIMITERS = (
+    LimiterSettings(
+        "by-client", KeyedBy.CLIENT, Allowance(rate_per_s=0.1, burst=3), max_retry_after_us=60 * S
+    ),
+    LimiterSettings(
+        "each",
+        KeyedBy.TENANT,
+        Allowance(rate_per_s=0.5, burst=8),
+        unlisted_each=True,
+        max_retry_after_us=60 * S,
+    ),
+)
+
+
+def read(folder: Path, recorded: dict[str, Any]) -> Found:
+    """What the store finds in a copy of the files, by the clocks of a recorded case."""
+    shutil.copy(DATA / recorded["file"], folder / "state")
+    if recorded["journal"]:
+        shutil.copy(DATA / "state.journal", folder / "state.journal")
+    clocks = Clocks(recorded["now_us"], recorded["unix_us"], recorded["boot"])
+    return Files(str(folder / "state"), recorded["instance"]).read(clocks)
+
+
+def as_json(value: object) -> Any:
+    """A value as it comes back from JSON, where a tuple is a list."""
+    return json.loads(json.dumps(value))
+
+
+def lists_in(state: State) -> dict[str, Any]:
+    return {
+        "generation": state.generation,
+        "started": state.started,
+        "drained_by_hand": sorted(state.by_hand),
+        "layers": [
+            {
+                "source": layer.source,
+                "version": layer.version,
+                "by_operator": layer.by_operator,
+                "entries": [astuple(entry) for entry in layer.entries],
+            }
+            for layer in state.layers
+        ],
+        "members": [
+            {"number": member.number, "joined_us": member.came_us, "entry": astuple(member.entry)}
+            for member in state.members.values()
+        ],
+        "leaving": [
+            {"number": number, "since_us": since_us, "entry": astuple(member.entry)}
+            for number, (member, since_us) in state.leaving.items()
+        ],
+        "joins_held_until_us": dict(state.held),
+        "last_number": state.last_number,
+    }
+
+
+def histories_in(memory: Memory) -> dict[str, Any]:
+    return {
+        "at_us": memory.at_us,
+        "mean_latency_us": dict(memory.means_us),
+        "endpoints": {" ".join(called): astuple(history) for called, history in memory.servers.items()},
+    }
+
+
+def all_in(kept: Kept) -> dict[str, Any]:
+    counters = kept.counts
+    return {
+        "lists": {name: lists_in(state) for name, state in kept.states.items()},
+        "endpoint_histories": {name: histories_in(memory) for name, memory in kept.memories.items()},
+        "limits": {
+            name: {
+                "salt": limit.salt.hex(),
+                "free_us": {f"{key:x}": free_us for key, free_us in limit.free_us.items()},
+            }
+            for name, limit in kept.limits.items()
+        },
+        "counters": None
+        if counters is None
+        else {
+            "name": counters.name,
+            "start_us": counters.start_us,
+            "span_us": counters.span_us,
+            "buckets": counters.buckets,
+            "rows": {f"{key:x}": row for key, row in counters.rows.items()},
+        },
+    }
+
+
+def balancer_with(memory: Memory, now_us: int) -> tuple[Balancer, dict[int, tuple[str, str]]]:
+    """A load balancer whose endpoints begin with their histories, and what each endpoint id is called."""
+    classes = [
+        RequestClass("read", 250_000, 2 * S),
+        RequestClass("buy", 400_000, 5 * S, effect="at_most_once"),
+    ]
+    balancer = Balancer(Settings(classes=classes, warm_up_us=0), 1, now_us)
+    recall_means(balancer, memory, now_us)
+    called = dict(enumerate(sorted(memory.servers), 1))
+    balancer.recall = lambda server: recall_server(
+        balancer, server, memory.servers[called[server.entry.id]], now_us - memory.at_us
+    )
+    endpoints = [Endpoint(endpoint_id) for endpoint_id in called]
+    balancer.handle(now_us, EndpointsUpdated(ListKind.CACHED, endpoints))
+    return balancer, called
+
+
+def admitted_by(limiter: Limiter, now_us: int) -> dict[str, Any]:
+    """How many of a tenant's ten requests are admitted, and the first Retry-After of the others."""
+    found = {}
+    for tenant in TENANTS:
+        results = [admit([limiter], tenant, f"10.9.0.{len(tenant)}", now_us) for _ in range(10)]
+        over = [result.retry_after_us for result in results if isinstance(result, OverLimit)]
+        found[tenant] = {"admitted": 10 - len(over), "retry_after_us": over[:1]}
+    return found
+
+
+@pytest.mark.parametrize("case", ANSWERS)
+def test_a_state_file_of_an_earlier_version_is_read_whole(tmp_path: Path, case: str) -> None:
+    recorded = ANSWERS[case]
+    found = read(tmp_path, recorded)
+    assert len(found.problems) == recorded["problems"] == (recorded["instance"] != "n1")
+    assert (found.journal_frames, found.age_us) == (recorded["journal_frames"], recorded["age_us"])
+    assert as_json(all_in(found.kept)) == recorded["kept"]
+    assert not (tmp_path / "state.bad").exists()
+
+
+@pytest.mark.parametrize("case", ANSWERS)
+def test_what_was_read_is_written_again_as_the_earlier_version_would(tmp_path: Path, case: str) -> None:
+    recorded = ANSWERS[case]
+    kept = read(tmp_path, recorded).kept
+    ahead = recorded["unix_us"] - recorded["now_us"]
+    records = {name: list_changes(name, State(), state, ahead) for name, state in kept.states.items()}
+    records[""] = list(other_records(kept, ahead).items())
+    written = {name: [[*key, value] for key, value in part] for name, part in records.items()}
+    assert as_json(written) == recorded["records"]
+
+
+@pytest.mark.parametrize("case", WITH_HISTORIES)
+def test_endpoints_begin_with_the_histories_that_an_earlier_version_kept(tmp_path: Path, case: str) -> None:
+    recorded = ANSWERS[case]
+    now_us, in_use = recorded["now_us"], recorded["in_use"]
+    kept = read(tmp_path, recorded).kept
+    assert kept.memories.keys() == in_use["endpoint_histories"].keys()
+    for pool, memory in kept.memories.items():
+        balancer, called = balancer_with(memory, now_us)
+        histories = {
+            " ".join(each): astuple(history) for each, history in sweep(balancer, called.items()).items()
+        }
+        assert as_json(histories) == in_use["endpoint_histories"][pool]
+        classes = [kind.name for kind in balancer.settings.classes]
+        assert dict(zip(classes, balancer.mean_us, strict=True)) == in_use["mean_latency_us"][pool]
+
+
+@pytest.mark.parametrize("settings", LIMITERS, ids=lambda settings: settings.name)
+@pytest.mark.parametrize("case", WITH_HISTORIES)
+def test_limits_go_on_from_what_an_earlier_version_admitted(
+    tmp_path: Path, case: str, settings: LimiterSettings
+) -> None:
+    recorded = ANSWERS[case]
+    limiter = Limiter(settings, random.Random(3).random)
+    limiter.recall(read(tmp_path, recorded).kept.limits[settings.name], recorded["now_us"])
+    assert admitted_by(limiter, recorded["now_us"]) == recorded["in_use"]["admitted"][settings.name]
+
+
+@pytest.mark.parametrize("case", WITH_HISTORIES)
+def test_counters_go_on_from_what_an_earlier_version_counted(tmp_path: Path, case: str) -> None:
+    recorded = ANSWERS[case]
+    now_us, stored = recorded["now_us"], read(tmp_path, recorded).kept.counts
+    assert stored is not None
+    counters = Counts("n1", 3, WINDOW, now_us)
+    assert counters.recall(stored, now_us) == recorded["in_use"]["counters_taken"]
+    counted = {
+        tenant: [counters.own_count(key_of("tenant", tenant), now_us + n * 10 * S) for n in range(7)]
+        for tenant in TENANTS
+    }
+    assert counted == recorded["in_use"]["counted"]
+
+
+def test_the_recorded_answers_hold_something_of_every_kind() -> None:
+    kept = ANSWERS["the machine was started again"]["kept"]
+    main = kept["lists"]["main"]
+    for part in ("drained_by_hand", "leaving", "joins_held_until_us"):
+        assert main[part]
+    assert [bool(layer["entries"]) for layer in main["layers"]] == [True, True]
+    assert all(memory["endpoints"] for memory in kept["endpoint_histories"].values())
+    assert [bool(limit["free_us"]) for limit in kept["limits"].values()] == [True, True]
+    assert kept["counters"]["rows"]
+    assert "old" not in kept["lists"]
+    assert "late" in kept["lists"]
