--- a/plovertrail/listeners/sockets.py
+++ b/plovertrail/listeners/sockets.py
@@ -14,9 +14,9 @@
 from plovertrail.decisions.events import EndpointStatus, EndpointsUpdated, ListKind
 from plovertrail.dispatch.dispatcher import Host, ServerPool
 from plovertrail.dispatch.types import Tunnel
+from plovertrail.event_log import EventSink
 from plovertrail.generation import Plan
 from plovertrail.http1.heads import Headers
-from plovertrail.line_log import LineLog
 from plovertrail.listeners.relay import Relay
 from plovertrail.websocket.handshake import check_answer, new_key, request_headers
 
@@ -104,7 +104,7 @@
 class SocketKeeper:
     """Owns the table and the relays of open sockets. `ended` is called once for each that was asked for."""
 
-    def __init__(self, host: Host, seed: int, lines: LineLog) -> None:
+    def __init__(self, host: Host, seed: int, lines: EventSink) -> None:
         self.host = host
         self.lines = lines
         self.table = api.SocketTable(seed)
--- a/tests/listeners/test_sockets.py
+++ b/tests/listeners/test_sockets.py
@@ -27,7 +27,7 @@
 )
 from fakes.live import Line, LiveServer, listen
 from fakes.web import OK
-from plovertrail import line_log
+from plovertrail import event_log
 from plovertrail.decisions.sockets import CLIENT, Cause, Phase
 from plovertrail.listeners.relay import HIGH_WATER, READ_BYTES, SOCKET_BYTES
 from tests.daemons import message, run
@@ -1032,7 +1032,7 @@
     async def test() -> None:
         async with live_site(tmp_path, [LiveServer()]) as site:
             held = await site.open()
-            monkeypatch.setattr(line_log, "MOST_WAITING", 0)
+            monkeypatch.setattr(event_log, "MAX_QUEUED_LINES", 0)
             client = await site.connect()
             assert await client.ask_socket() == 503
             monkeypatch.undo()
