--- a/benchmarks/coming_back_model.py
+++ b/benchmarks/coming_back_model.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 
 from benchmarks.report import Bar, chosen, close, table
-from plovertrail.decisions import share
+from plovertrail.decisions import fleet_limits
 from plovertrail.simulation.clients import BIN_US, ClientPlan
 from plovertrail.simulation.clock import SECOND_US, START_US
 from plovertrail.simulation.fleet import BINS, Fleet, FleetPlan
@@ -29,7 +29,7 @@
 MOST_LESS_SERVED = 0.02
 SERVED_AGAIN = 0.95
 WITH_STATE_S, WITHOUT_S = 2.0, 5.0
-BOUNDS = share.Bounds(servers=4, connections=400, dials_per_s=400.0)
+BOUNDS = fleet_limits.FleetLimits(subset_size=4, connections=400, connects_per_s=400.0)
 
 
 @dataclass(frozen=True)
@@ -111,7 +111,7 @@
 
 def bound_s(instances: int) -> float:
     """How long the dials that servers bear need for one of each instance that comes back."""
-    usable = share.usable_mean(BOUNDS.dials_per_s, SERVERS)
+    usable = fleet_limits.usable_mean(BOUNDS.connects_per_s, SERVERS)
     return 0.7 * instances / (usable * SERVERS)
 
 
@@ -167,7 +167,7 @@
             bars += [
                 Bar(
                     f"{name}: dials at a server, the worst second, of the bound",
-                    told.worst_dials / BOUNDS.dials_per_s,
+                    told.worst_dials / BOUNDS.connects_per_s,
                     1.0,
                 ),
                 Bar(f"{name}: late", told.late, 0.0),
--- a/fakes/fleet/instances.py
+++ b/fakes/fleet/instances.py
@@ -14,7 +14,7 @@
 
 from fakes.fleet.plan import Plan
 from plovertrail.clock import clock_us
-from plovertrail.decisions import share
+from plovertrail.decisions import fleet_limits, subsetting
 from plovertrail.decisions.events import EndpointsUpdated
 from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.dispatch.dispatcher import Host
@@ -31,8 +31,8 @@
     """One instance, as the platform's program builds it, with a part of its servers."""
 
     def __init__(self, plan: Plan, number: int, discovery_port: int, known: Any) -> None:
-        self.fleet = share.Fleet(plan.instances, number)
-        self.bounds = share.Bounds(plan.servers_each, plan.connections, plan.dials_per_s)
+        self.fleet = fleet_limits.Fleet(plan.instances, number)
+        self.bounds = fleet_limits.FleetLimits(plan.servers_each, plan.connections, plan.dials_per_s)
         self.rng = random.Random(number)
         settings = Settings(
             classes=[RequestClass("read", AIM_US, DEADLINE_US, effect="at_most_once", late_weight=0.3)],
@@ -54,7 +54,7 @@
         self.connections = ConnectionPool(int(plan.idle_s * 1e6), 500_000, MOST_CONNECTIONS)
         self.pool = self.host.add_pool("", settings, number, self.connections)
         if plan.servers_each:
-            self.host.use_subset(self.pool, share.Subset(number, plan.servers_each))
+            self.host.use_subset(self.pool, subsetting.EndpointSubset(number, plan.servers_each))
             self._narrow()
         self.discovery = Discovery(("127.0.0.1", discovery_port), Directory(["a"], ["m"]), self.listed)
         self.host.subscribe = self.discovery.subscribe
@@ -68,7 +68,7 @@
     def listed(self, event: EndpointsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
         """A list of servers has come: hand it to the host, and fit the budget to its length."""
         self.host.list_changed(self.pool, event, addresses)
-        budget = share.budget(self.fleet, self.bounds, len(self.pool.listed))
+        budget = fleet_limits.instance_limits(self.fleet, self.bounds, len(self.pool.listed))
         if budget != self.connections.budget:
             self.connections.limit(budget, self.rng.random())
 
--- a/plovertrail/config/pools.py
+++ b/plovertrail/config/pools.py
@@ -28,8 +28,8 @@
 from plovertrail.decisions.affinity import Affinity, AffinitySource
 from plovertrail.decisions.endpoint_list import Entry, Guards
 from plovertrail.decisions.fairness import DoorSettings
+from plovertrail.decisions.fleet_limits import FleetLimits
 from plovertrail.decisions.settings import RequestClass, Settings, Tenant
-from plovertrail.decisions.share import Bounds
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,7 +75,7 @@
             guards=guards,
             max_sockets=table.max_sockets,
             max_sockets_per_server=table.max_sockets_per_server or table.max_sockets,
-            bounds=Bounds(share.servers, share.connections, share.dials_per_s),
+            bounds=FleetLimits(share.servers, share.connections, share.dials_per_s),
             door=self._door(table, place, settings.max_retry_after_us),
             affinity=self._affinity(table, place),
             even_part=table.max_connections is None,
--- a/plovertrail/decisions/balance.py
+++ b/plovertrail/decisions/balance.py
@@ -26,6 +26,7 @@
     StreamStarted,
     TimerFired,
 )
+from plovertrail.decisions.fleet_limits import poll_spread_us
 from plovertrail.decisions.list_calls import (
     BORNE_PER_S,
     RETRY_US,
@@ -35,7 +36,6 @@
     retry_within_us,
 )
 from plovertrail.decisions.settings import RequestClass, Settings
-from plovertrail.decisions.share import list_span_us
 from plovertrail.decisions.weighted import WeightedDraw
 
 MOST_SLOTS = 8  # no upstream gets more from one sidecar, however quick its answers
@@ -989,7 +989,7 @@
         calls that come faster than discovery answers all fail, and what has waited in vain is work for it all
         the same."""
         s = self.settings
-        span_us = list_span_us(s.instances, s.discovery_rate_per_s or BORNE_PER_S)
+        span_us = poll_spread_us(s.instances, s.discovery_rate_per_s or BORNE_PER_S)
         if self.list_failures:
             span_us = max(RETRY_US, span_us) * 2 ** min(self.list_failures - 1, 20)
         return int(min(span_us, longest_us) * self.random.random())
--- /dev/null
+++ b/plovertrail/decisions/fleet_limits.py
@@ -0,0 +1,108 @@
+"""What one of many instances may hold, so that all together stay within the capacity of each endpoint.
+
+The instances do not talk to each other: each derives its own limits from the size of the fleet, and leaves
+room for the random spread of the others' choices. docs/large-fleets.md derives the bound and states its
+error.
+"""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass
+
+SPREAD_DEVIATIONS = (
+    3.0  # standard deviations above the highest count that is expected: one chance in a thousand
+)
+MAX_CONNECTIONS_PER_ENDPOINT = 64  # of one instance
+
+
+@dataclass(frozen=True, slots=True)
+class Fleet:
+    """The instances that share the endpoints, and the number of this one among them."""
+
+    size: int = 1
+    number: int = 0
+
+
+@dataclass(frozen=True, slots=True)
+class FleetLimits:
+    """What one endpoint supports from all instances together. 0 = unlimited."""
+
+    subset_size: int = 0  # endpoints that one instance needs
+    connections: int = 0
+    connects_per_s: float = 0.0
+
+
+@dataclass(frozen=True, slots=True)
+class InstanceLimits:
+    """What one instance may hold of a pool. 0 = unlimited."""
+
+    connections: int = 0  # to all endpoints together
+    connections_per_endpoint: int = 0
+    keep_idle: bool = True  # False: connections are closed after each request
+    connect_interval_us: int = 0  # between two connects, to any endpoints
+
+
+def usable_mean(bound: float, places: int, lot: int = 1) -> float:
+    """Return the highest mean for which a count stays within `bound` at each of `places` places.
+
+    The count comes in independent lots (Poisson). The highest of n normal values lies about sqrt(2 ln n)
+    standard deviations above the mean.
+    """
+    deviations = SPREAD_DEVIATIONS + math.sqrt(2.0 * math.log(max(1, places)))
+    spread = deviations * math.sqrt(lot)
+    return ((math.sqrt(spread * spread + 4.0 * bound) - spread) / 2.0) ** 2
+
+
+def uniform_hash(instance: int, name: str) -> float:
+    """Return a number between 0 and 1 that is always the same for an instance and a name."""
+    import hashlib  # late, because the platform's program has no fleet and would load it at each start
+
+    digest = hashlib.blake2b(f"{instance} {name}".encode(), digest_size=8).digest()
+    return (int.from_bytes(digest) + 0.5) / 2.0**64
+
+
+def instance_limits(fleet: Fleet, limits: FleetLimits, endpoints: int) -> InstanceLimits:
+    """Return one instance's part of what `endpoints` endpoints support.
+
+    Where the part is 2.5 connections, half of the instances have two and the others three. Where it is less
+    than one, the others keep no idle connection and open one for each request.
+    """
+    if endpoints <= 0:
+        return InstanceLimits()
+    connections, per_endpoint, keep_idle = _connection_limits(fleet, limits, endpoints)
+    interval_us = 0
+    if limits.connects_per_s:
+        interval_us = int(1e6 * fleet.size / (usable_mean(limits.connects_per_s, endpoints) * endpoints))
+    return InstanceLimits(connections, per_endpoint, keep_idle, interval_us)
+
+
+def _connection_limits(fleet: Fleet, limits: FleetLimits, endpoints: int) -> tuple[int, int, bool]:
+    """Return the connections in all, those to one endpoint, and whether idle ones are kept."""
+    if not limits.connections:
+        return 0, 0, True
+    subset_size = min(limits.subset_size or endpoints, endpoints)
+    for per_endpoint in range(1, MAX_CONNECTIONS_PER_ENDPOINT + 1):
+        part = usable_mean(limits.connections, endpoints, per_endpoint) * endpoints / fleet.size
+        if part < subset_size * (per_endpoint + 1):
+            break
+    # the same instances round up at each start
+    rounded = int(part + uniform_hash(fleet.number, "connections"))
+    return max(1, rounded), per_endpoint, rounded >= 1
+
+
+def poll_spread_us(instances: int, polls_per_s: float) -> int:
+    """Return the span over which all instances spread their polls of the endpoint list at random."""
+    return int(1e6 * instances / usable_mean(polls_per_s, 1))
+
+
+def oversubscribed(fleet: Fleet, limits: FleetLimits, endpoints: int) -> str:
+    """Return what no instance's restraint can keep within the limits; empty if there is nothing."""
+    if not limits.connections or endpoints <= 0:
+        return ""
+    if fleet.size <= usable_mean(limits.connections, endpoints) * endpoints:
+        return ""
+    return (
+        f"{fleet.size} instances on {endpoints} servers that bear {limits.connections} connections each: "
+        "not one for each instance, so some keep none between requests, and dial for each"
+    )
--- a/plovertrail/dispatch/dispatcher.py
+++ b/plovertrail/dispatch/dispatcher.py
@@ -54,7 +54,7 @@
     from plovertrail.decisions.fairness import Action as DoorAction
     from plovertrail.decisions.fairness import Door, DoorSettings
     from plovertrail.decisions.limits import Limiter, Permit
-    from plovertrail.decisions.share import Subset
+    from plovertrail.decisions.subsetting import EndpointSubset
 
 log = logging.getLogger(__name__)
 
@@ -95,7 +95,7 @@
         self.balancer = Balancer(settings, seed, clock_us(), reissues)
         self.addresses: dict[int, Address] = {}
         self.serving: set[int] = set()  # the servers that new requests may go to
-        self.subset: Subset | None = None  # None: this instance uses all servers
+        self.subset: EndpointSubset | None = None  # None: this instance uses all servers
         self.listed: dict[int, Address] = {}  # also those that are not in the subset
         # of a long list, what the module has not been told yet: first what drains or has gone
         self.untold_ends: dict[int, Endpoint | None] = {}  # None: it isn't listed any more
@@ -156,9 +156,9 @@
         if self.subset is None:
             return event
         if event.kind in (ListKind.FULL, ListKind.CACHED) and not event.partial:
-            mine = self.subset.only({entry.id for entry in event.endpoints}, event.endpoints, self.listed)
+            mine = self.subset.replace({entry.id for entry in event.endpoints}, event.endpoints, self.listed)
         else:
-            mine = self.subset.listed(event.endpoints, self.listed, fill=not self.telling_rest)
+            mine = self.subset.update(event.endpoints, self.listed, add_missing=not self.telling_rest)
         return replace(event, endpoints=mine, partial=True)
 
     def next_slice(self) -> list[Endpoint]:
@@ -393,7 +393,7 @@
         """What other instances make of a pool's servers, by number and class."""
         self._tell(pool, PeerHealthUpdated(held_back))
 
-    def use_subset(self, pool: ServerPool, subset: Subset) -> None:
+    def use_subset(self, pool: ServerPool, subset: EndpointSubset) -> None:
         """This instance uses a part of a pool's servers from now on. Before the first list."""
         pool.subset = subset
 
@@ -499,7 +499,7 @@
         elif isinstance(action, Reject):
             self._gave_up(pool, action.request, Answer(Verdict.REFUSED, self._back_after_us(pool, action)))
             if pool.subset is not None:
-                self._changed_subset(pool, pool.subset.short(clock_us()))
+                self._changed_subset(pool, pool.subset.widen(clock_us()))
         elif isinstance(action, Fail):
             self._gave_up(pool, action.request, Answer(Verdict.FAILED))
         elif isinstance(action, SetTimer):
@@ -603,7 +603,7 @@
         if request.ident in door.waiting:
             self._mind_door(pool, door)
             if pool.subset is not None:
-                self._changed_subset(pool, pool.subset.short(now_us))
+                self._changed_subset(pool, pool.subset.widen(now_us))
 
     def _from_door(self, pool: ServerPool, actions: Sequence[DoorAction]) -> None:
         from plovertrail.decisions.fairness import Admitted
--- a/plovertrail/fleet_manager.py
+++ b/plovertrail/fleet_manager.py
@@ -9,8 +9,8 @@
 
 from plovertrail.config.setup import FleetSetup
 from plovertrail.decisions.endpoint_list import Candidate, Entry
+from plovertrail.decisions.fleet_limits import Fleet
 from plovertrail.decisions.list_versions import SourceKey
-from plovertrail.decisions.share import Fleet
 from plovertrail.decisions.turns import Place, place
 from plovertrail.sources.first_read import FirstRead
 from plovertrail.sources.instances import InstanceList
--- a/plovertrail/running_pool.py
+++ b/plovertrail/running_pool.py
@@ -7,7 +7,7 @@
 
 from plovertrail.clock import clock_us
 from plovertrail.config.setup import PoolSetup
-from plovertrail.decisions import share
+from plovertrail.decisions import fleet_limits, subsetting
 from plovertrail.decisions.admission import Admission
 from plovertrail.decisions.endpoint_list import Address
 from plovertrail.decisions.turns import Place
@@ -46,19 +46,22 @@
         self.connections = connect(config, AnswerRules(max_answer, FAULTS))
         self.connections.stale = host.stale
         self.pool = host.add_pool(config.name, config.settings, seed, self.connections)
-        self.budget = share.Budget()
+        self.budget = fleet_limits.InstanceLimits()
         self.overdrawn = ""
         self.begun = False  # it knows its part of the fleet
         self.draw = random.Random(seed).random
         self.use_door(host, seed)
         if config.affinity is not None:
             self.pool.use_affinity(config.affinity)
-        if config.bounds.servers:
+        if config.bounds.subset_size:
             zones = config.settings.cross_zone_fee > 0
             host.use_subset(
                 self.pool,
-                share.Subset(
-                    chosen_by[0], config.bounds.servers, chosen_by[1], config.settings.zone if zones else None
+                subsetting.EndpointSubset(
+                    chosen_by[0],
+                    config.bounds.subset_size,
+                    chosen_by[1],
+                    config.settings.zone if zones else None,
                 ),
             )
 
@@ -72,7 +75,7 @@
         """Share the slots as configured now."""
         host.use_door(self.pool, self.config.door, random.Random(seed).random)
 
-    def take_part(self, fleet: share.Fleet, place: Place, slow_start: bool) -> None:
+    def take_part(self, fleet: fleet_limits.Fleet, place: Place, slow_start: bool) -> None:
         """Keep to this instance's part of what the servers that are listed bear from the whole fleet; its
         turn is by its place there."""
         if not self.begun:
@@ -81,18 +84,18 @@
         elif self.pool.admission is not None:
             self.pool.admission.size = fleet.size
         bounds, servers = self.config.bounds, len(self.registry.state.members)
-        self.overdrawn = share.overdrawn(fleet, bounds, servers)
-        budget = share.budget(fleet, bounds, servers)
+        self.overdrawn = fleet_limits.oversubscribed(fleet, bounds, servers)
+        budget = fleet_limits.instance_limits(fleet, bounds, servers)
         if budget != self.budget:
             self.budget = budget
             self.connections.limit(budget, place.part(self.draw()))
 
-    def begin_slowly(self, fleet: share.Fleet, slow_start: bool) -> None:
+    def begin_slowly(self, fleet: fleet_limits.Fleet, slow_start: bool) -> None:
         """Many instances may come to life, or wake, at this moment: let in more as answers come."""
         slowly = slow_start and fleet.size > 1
         self.pool.admission = Admission(fleet.size, clock_us(), self.draw) if slowly else None
 
-    def stood_still(self, fleet: share.Fleet, place: Place, slow_start: bool) -> None:
+    def stood_still(self, fleet: fleet_limits.Fleet, place: Place, slow_start: bool) -> None:
         """The process did nothing for a while, and perhaps all others of its host as well."""
         self.connections.stood_still(place.part(self.draw()))
         self.begin_slowly(fleet, slow_start)
@@ -108,8 +111,8 @@
             and self.max_answer == max_answer
             and mine.home_zone == config.home_zone
             and mine.affinity == config.affinity
-            and mine.bounds.servers == config.bounds.servers
-            and (self.chosen_by == chosen_by or not config.bounds.servers)
+            and mine.bounds.subset_size == config.bounds.subset_size
+            and (self.chosen_by == chosen_by or not config.bounds.subset_size)
         )
 
     def retire(self, host: Host) -> None:
--- a/plovertrail/scenario_tests/servers.py
+++ b/plovertrail/scenario_tests/servers.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from plovertrail.decisions.events import Outcome
-from plovertrail.decisions.share import Budget
+from plovertrail.decisions.fleet_limits import InstanceLimits
 from plovertrail.dispatch.types import Call, Result
 
 USUAL_US = 20_000
@@ -122,7 +122,7 @@
     def forget(self, upstream: int) -> None:
         """Nothing is kept of a server that has left."""
 
-    def limit(self, budget: Budget, turn: float) -> None:
+    def limit(self, budget: InstanceLimits, turn: float) -> None:
         """Budgets of connections are not played."""
 
     def allow(self, most: int) -> None:
--- a/plovertrail/simulation/fleet.py
+++ b/plovertrail/simulation/fleet.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from plovertrail.decisions import share
+from plovertrail.decisions import fleet_limits
 from plovertrail.decisions.events import Endpoint, EndpointStatus
 from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.decisions.turns import Place
@@ -28,7 +28,7 @@
     servers: int = 8
     server: ServerPlan = field(default_factory=ServerPlan)
     clients: ClientPlan = field(default_factory=ClientPlan)
-    bounds: share.Bounds = field(default_factory=share.Bounds)
+    bounds: fleet_limits.FleetLimits = field(default_factory=fleet_limits.FleetLimits)
     aim_us: int = 300_000
     network_us: int = 250
     admits: bool = True
@@ -65,7 +65,7 @@
             self.clock, settings, self.servers, plan.bounds, plan.network_us, plan.admits, plan.by_list
         )
         self.instances = [
-            Instance(around, share.Fleet(size, number), Place(number, plan.instances), self._random())
+            Instance(around, fleet_limits.Fleet(size, number), Place(number, plan.instances), self._random())
             for number in range(plan.instances)
         ]
         for instance in self.instances:
--- a/plovertrail/simulation/instances.py
+++ b/plovertrail/simulation/instances.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from plovertrail.decisions import remembered, share
+from plovertrail.decisions import connect_rate, fleet_limits, remembered, subsetting
 from plovertrail.decisions.actions import Fail, Reject, Send, SetTimer
 from plovertrail.decisions.admission import Admission
 from plovertrail.decisions.balance import Balancer
@@ -38,7 +38,7 @@
     clock: Clock
     settings: Settings
     servers: dict[int, Server]
-    bounds: share.Bounds
+    bounds: fleet_limits.FleetLimits
     network_us: int  # one way
     admits: bool  # admission that rises with what succeeds
     by_list: bool  # turns by the place in the list of instances
@@ -58,7 +58,7 @@
 class Instance:
     """Killed and started again; what it keeps is what it remembers of servers."""
 
-    def __init__(self, around: Around, fleet: share.Fleet, place: Place, rng: random.Random) -> None:
+    def __init__(self, around: Around, fleet: fleet_limits.Fleet, place: Place, rng: random.Random) -> None:
         self.around = around
         self.fleet = fleet
         self.place = place
@@ -83,10 +83,16 @@
         self.idle, self.open, self.met = {}, Counter(), set()
         self.owed, self.attempts = {}, {}
         self.balancer = Balancer(around.settings, self.rng.getrandbits(32), now_us)
-        self.subset = share.Subset(self.fleet.number, around.bounds.servers or len(around.servers))
-        self.budget = share.budget(self.fleet, around.bounds, len(around.servers))
+        self.subset = subsetting.EndpointSubset(
+            self.fleet.number, around.bounds.subset_size or len(around.servers)
+        )
+        self.budget = fleet_limits.instance_limits(self.fleet, around.bounds, len(around.servers))
         turn = self.place.part(self.rng.random()) if around.by_list else self.rng.random()
-        self.dials = share.Dials(self.budget.dial_gap_us, now_us, turn) if self.budget.dial_gap_us else None
+        self.dials = (
+            connect_rate.ConnectRateLimiter(self.budget.connect_interval_us, now_us, turn)
+            if self.budget.connect_interval_us
+            else None
+        )
         self.admission = Admission(self.fleet.size, now_us, self.rng.random) if around.admits else None
         if with_state:
             age_us = now_us - self.kept_us
@@ -121,7 +127,7 @@
     def listed(self, kind: ListKind, entries: list[Endpoint]) -> None:
         """Tell the decision module a list of servers, cut down to those that this instance uses."""
         where = {entry.id: ("10.0.0.1", entry.id) for entry in entries}
-        mine = self.subset.listed(entries, where)
+        mine = self.subset.update(entries, where)
         if mine:
             self.tell(EndpointsUpdated(kind, mine, partial=True))
 
@@ -154,9 +160,9 @@
         budget = self.budget
         if budget.connections and self.open.total() >= budget.connections and not self.idle:
             return True
-        if budget.connections_each and self.open[server] >= budget.connections_each:
+        if budget.connections_per_endpoint and self.open[server] >= budget.connections_per_endpoint:
             return True
-        return self.dials is not None and not self.dials.may(self.around.clock.now_us)
+        return self.dials is not None and not self.dials.allows(self.around.clock.now_us)
 
     def tell(self, event: Event) -> None:
         """Give the decision module an event and carry out the actions that it returns."""
@@ -170,9 +176,9 @@
                 after_us = action.retry_after_us if isinstance(action, Reject) else 0
                 if after_us and self.dials is not None:
                     longest_us = self.around.settings.max_retry_after_us
-                    after_us = max(after_us, self.dials.promise_us(now_us, longest_us) - now_us)
+                    after_us = max(after_us, self.dials.reserve_retry_us(now_us, longest_us) - now_us)
                 self.answered(action.request, False, after_us)
-                wider = self.subset.short(now_us)
+                wider = self.subset.widen(now_us)
                 if wider:
                     self.tell(EndpointsUpdated(ListKind.DELTA, wider, partial=True))
 
@@ -210,7 +216,7 @@
         else:
             self.make_room()
             if self.dials is not None:
-                self.dials.took(clock.now_us)
+                self.dials.consume(clock.now_us)
             if not server.dialled():
                 clock.after(REFUSED_DIAL_US, self.ended, self.life, out, Outcome.CONNECT_FAILED)
                 return
--- a/plovertrail/status.py
+++ b/plovertrail/status.py
@@ -21,8 +21,8 @@
         "problems": [*running.registry.loud(), *filter(None, [running.overdrawn])],
         "share": {
             "connections": running.budget.connections,
-            "connections_each": running.budget.connections_each,
-            "dial_gap_us": running.budget.dial_gap_us,
+            "connections_each": running.budget.connections_per_endpoint,
+            "dial_gap_us": running.budget.connect_interval_us,
             "servers": len(running.pool.serving),
         },
         "admission": admission_status(running.pool.admission),
--- a/plovertrail/upstreams/connections.py
+++ b/plovertrail/upstreams/connections.py
@@ -11,8 +11,9 @@
 import httptools
 
 from plovertrail.clock import clock_us
+from plovertrail.decisions.connect_rate import ConnectRateLimiter
 from plovertrail.decisions.events import Outcome
-from plovertrail.decisions.share import Budget, Dials
+from plovertrail.decisions.fleet_limits import InstanceLimits
 from plovertrail.dispatch.types import Call, Handshake, Result, Tunnel, stays
 
 log = logging.getLogger(__name__)
@@ -390,8 +391,8 @@
         self.dial_timeout_us = dial_timeout_us
         self.configured = self.most = most  # connections
         self.count = 0
-        self.budget = Budget()  # this instance's part of what an upstream bears from all
-        self.dial_turns: Dials | None = None
+        self.budget = InstanceLimits()  # this instance's part of what an upstream bears from all
+        self.dial_turns: ConnectRateLimiter | None = None
         self.rules = rules or AnswerRules()
         self.connections: dict[int, set[Connection]] = {}  # all there are, also those coming up
         self.idle: dict[int, list[Connection]] = {}
@@ -440,7 +441,7 @@
             self.loop.call_soon(self.not_sent, attempt, Outcome.NOT_SENT)
             return attempt
         if self.dial_turns is not None:
-            self.dial_turns.took(now_us)
+            self.dial_turns.consume(now_us)
         try:
             # hazard: one that is made only as its dial begins is not there yet when its upstream is forgotten
             made = self.make(upstream, attempt)
@@ -474,31 +475,31 @@
         self.configured = most
         self.most = min(most, self.budget.connections or most)
 
-    def limit(self, budget: Budget, turn: float) -> None:
+    def limit(self, budget: InstanceLimits, turn: float) -> None:
         """Keep to this instance's part from now on; its first dial comes after `turn`, a random number from 0
         to 1, of the time between two. What is open beyond its part closes as it becomes idle."""
         self.budget = budget
         self.most = min(self.configured, budget.connections or self.configured)
-        if not budget.dial_gap_us:
+        if not budget.connect_interval_us:
             self.dial_turns = None
         elif self.dial_turns is None:
-            self.dial_turns = Dials(budget.dial_gap_us, clock_us(), turn)
+            self.dial_turns = ConnectRateLimiter(budget.connect_interval_us, clock_us(), turn)
         else:
-            self.dial_turns.change(budget.dial_gap_us, clock_us())
+            self.dial_turns.set_interval(budget.connect_interval_us, clock_us())
 
     def stood_still(self, turn: float) -> None:
         """The process did nothing for a while; `turn` as for `limit`."""
         if self.dial_turns is not None:
-            self.dial_turns.stood_still(clock_us(), turn)
+            self.dial_turns.process_paused(clock_us(), turn)
 
     def may_dial(self, upstream: int) -> bool:
         """Whether a further connection fits into this instance's part."""
-        each = self.budget.connections_each
+        each = self.budget.connections_per_endpoint
         if each and len(self.connections.get(upstream, ())) >= each:
             return False
         if self.budget.connections and self.count >= self.most and not self.idle:
             return False
-        return self.dial_turns is None or self.dial_turns.may(clock_us())
+        return self.dial_turns is None or self.dial_turns.allows(clock_us())
 
     def shut(self, new: bool) -> Container[int]:
         """A live view of the upstreams that can't be reached now; `new`: without use of idle connections, as
@@ -515,9 +516,9 @@
         """When one that is refused for want of a turn to dial should come back, within so long if it can; 0:
         there is no such want."""
         now_us = clock_us()
-        if self.dial_turns is None or self.dial_turns.may(now_us):
+        if self.dial_turns is None or self.dial_turns.allows(now_us):
             return 0
-        return self.dial_turns.promise_us(now_us, longest_us)
+        return self.dial_turns.reserve_retry_us(now_us, longest_us)
 
     async def dial(self, made: Connection, address: Address, attempt: Attempt) -> None:
         """Bring a connection up within `dial_timeout_us`. If that fails, it is removed and its attempt ends
--- /dev/null
+++ b/tests/decisions/test_fleet_limits.py
@@ -0,0 +1,83 @@
+"""The limits of one instance of a fleet, and what those of all instances add up to."""
+
+from __future__ import annotations
+
+import random
+from collections import Counter
+
+import pytest
+
+from plovertrail.decisions.fleet_limits import (
+    MAX_CONNECTIONS_PER_ENDPOINT,
+    Fleet,
+    FleetLimits,
+    InstanceLimits,
+    instance_limits,
+    oversubscribed,
+    usable_mean,
+)
+
+
+def test_usable_mean_leaves_room_for_random_spread() -> None:
+    rng = random.Random(5)
+    for bound, places in ((100, 20), (400, 500)):
+        mean = usable_mean(bound, places)
+        # 5,000 instances choose places at random, each with the chance that gives this mean
+        over = 0
+        for _ in range(20):
+            counts = Counter(
+                place for place in range(places) for _ in range(_binomial(rng, 5_000, mean / 5_000))
+            )
+            over += any(count > bound for count in counts.values())
+        assert over == 0
+        assert mean > 0.5 * bound
+    assert usable_mean(100, 20, lot=4) < usable_mean(100, 20) < usable_mean(1_000, 20)
+
+
+def _binomial(rng: random.Random, count: int, chance: float) -> int:
+    return max(0, round(rng.gauss(count * chance, (count * chance * (1 - chance)) ** 0.5)))
+
+
+@pytest.mark.parametrize("size", [1, 5, 100, 500, 5_000, 100_000])
+@pytest.mark.parametrize("count", [1, 3, 20, 10_000])
+def test_limits_of_all_instances_stay_within_the_fleet_limits(size: int, count: int) -> None:
+    limits = FleetLimits(subset_size=8, connections=400, connects_per_s=100.0)
+    numbers = range(min(size, 2_000))
+    each = [instance_limits(Fleet(size, number), limits, count) for number in numbers]
+    assert all(
+        limits_of_one.connections >= 1
+        and 1 <= limits_of_one.connections_per_endpoint <= MAX_CONNECTIONS_PER_ENDPOINT
+        for limits_of_one in each
+    )
+    kept = (
+        sum(limits_of_one.connections for limits_of_one in each if limits_of_one.keep_idle)
+        * size
+        / len(numbers)
+    )
+    assert kept <= 400 * count
+    assert bool(oversubscribed(Fleet(size), limits, count)) == any(
+        not limits_of_one.keep_idle for limits_of_one in each
+    )
+    assert max(each, key=lambda limits_of_one: limits_of_one.connections).connections <= 1 + min(
+        limits_of_one.connections for limits_of_one in each
+    ), "shares are equal but for the fraction"
+    assert size / (each[0].connect_interval_us / 1e6) / count <= 100.0
+
+
+def test_without_limits_or_endpoints_nothing_is_limited() -> None:
+    assert instance_limits(Fleet(1000), FleetLimits(), 20) == InstanceLimits()
+    assert instance_limits(Fleet(1000), FleetLimits(connections=10), 0) == InstanceLimits()
+    assert not oversubscribed(Fleet(1000), FleetLimits(), 20)
+
+
+@pytest.mark.parametrize(("stated", "true"), [(500, 5_000), (50_000, 5_000)])
+def test_a_fleet_size_wrong_by_ten_times_changes_limits_by_ten_times_at_most(stated: int, true: int) -> None:
+    limits = FleetLimits(subset_size=4, connections=2_000, connects_per_s=100.0)
+    right, wrong = instance_limits(Fleet(true), limits, 20), instance_limits(Fleet(stated), limits, 20)
+    assert true / wrong.connect_interval_us <= 10.01 * true / right.connect_interval_us
+    if stated < true:  # the harm: up to ten times the bound, where all instances use all that they have
+        assert right.connections < wrong.connections <= 10.0 * 20 * 2_000 / true
+    else:  # the harm: dials ten times as rare, and few keep a connection
+        kept = sum(instance_limits(Fleet(stated, number), limits, 20).keep_idle for number in range(1_000))
+        assert 500 < kept < 900
+        assert wrong.connect_interval_us > 9 * right.connect_interval_us
--- a/tests/simulation/test_fleet.py
+++ b/tests/simulation/test_fleet.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from plovertrail.decisions import share
+from plovertrail.decisions import fleet_limits
 from plovertrail.simulation.clients import BIN_US, ClientPlan
 from plovertrail.simulation.clock import SECOND_US, START_US, Clock
 from plovertrail.simulation.fleet import BINS, Fleet, FleetPlan
@@ -66,7 +66,7 @@
 
 
 def test_connections_open_and_close_in_step_with_what_servers_count() -> None:
-    fleet, _ = outage(replace(PLAN, bounds=share.Bounds(2, 8, 50.0)), with_state=False)
+    fleet, _ = outage(replace(PLAN, bounds=fleet_limits.FleetLimits(2, 8, 50.0)), with_state=False)
     for number, server in fleet.servers.items():
         assert server.open == sum(instance.open[number] for instance in fleet.instances) >= 0
 
--- a/tests/simulation/test_large_fleets.py
+++ b/tests/simulation/test_large_fleets.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from plovertrail.decisions import share
+from plovertrail.decisions import fleet_limits, subsetting
 from plovertrail.decisions.events import Endpoint, EndpointStatus
 from plovertrail.simulation.clients import ClientPlan
 from plovertrail.simulation.clock import SECOND_US
@@ -19,7 +19,7 @@
     servers=20,
     server=ServerPlan(slots=8),
     clients=ClientPlan(per_s=400.0, deadline_us=1_200_000, tries=1),
-    bounds=share.Bounds(4, CONNECTIONS, DIALS_PER_S),
+    bounds=fleet_limits.FleetLimits(4, CONNECTIONS, DIALS_PER_S),
     aim_us=400_000,
     max_attempts=4,
     max_retry_after_us=10 * SECOND_US,
@@ -127,10 +127,10 @@
     fleet = settled(PLAN)
     twin = fleet.instances[3]
     fleet.instances.append(twin)  # the number was given away twice
-    first = share.Subset(3, PLAN.bounds.servers)
+    first = subsetting.EndpointSubset(3, PLAN.bounds.subset_size)
     entries = [Endpoint(number) for number in fleet.servers]
-    first.listed(entries, {entry.id: ("10.0.0.1", entry.id) for entry in entries})
-    assert first.chosen.keys() == {number for number in twin.subset.chosen if number in first.chosen}
+    first.update(entries, {entry.id: ("10.0.0.1", entry.id) for entry in entries})
+    assert first.selected.keys() == {number for number in twin.subset.selected if number in first.selected}
     played(fleet, 3)
     assert most(fleet, "open_most") <= CONNECTIONS
 
@@ -138,7 +138,7 @@
 def test_a_subset_that_is_all_down_is_replaced_before_the_next_request() -> None:
     fleet = settled(replace(PLAN, instances=40, clients=replace(PLAN.clients, per_s=100.0)))
     instance = fleet.instances[0]
-    for number in list(instance.subset.chosen):
+    for number in list(instance.subset.selected):
         fleet.tell_all(Endpoint(number, EndpointStatus.REMOVED))
     fleet.play(1)  # what was open ends
     before = served(fleet)
--- a/tests/test_many_lists.py
+++ b/tests/test_many_lists.py
@@ -26,8 +26,8 @@
 from plovertrail.config.operator import load
 from plovertrail.config.problems import ConfigError
 from plovertrail.daemon.process import Daemon, lists_of
+from plovertrail.decisions.fleet_limits import Fleet
 from plovertrail.decisions.list_versions import SourceKey
-from plovertrail.decisions.share import Fleet
 from plovertrail.decisions.turns import Place
 from plovertrail.running_pool import ElsewhereKnown, RunningPool
 from plovertrail.sources.first_read import FIRST_READ_S
--- a/tests/test_share.py
+++ b/tests/test_share.py
@@ -14,9 +14,10 @@
 from plovertrail.config.operator import load
 from plovertrail.config.problems import ConfigError
 from plovertrail.decisions.actions import Action
+from plovertrail.decisions.connect_rate import BURST
 from plovertrail.decisions.events import Endpoint, EndpointStatus, EndpointsUpdated, Event, ListKind
 from plovertrail.decisions.settings import RequestClass, Settings
-from plovertrail.decisions.share import DIAL_BURST, Subset
+from plovertrail.decisions.subsetting import EndpointSubset
 from plovertrail.decisions.turns import Place
 from plovertrail.dispatch.dispatcher import SLICE, Host, ServerPool
 from plovertrail.upstreams.connections import ConnectionPool
@@ -53,7 +54,7 @@
                 client.close()
             assert 1 < budget.connections <= 40 and budget.keep_idle
             assert set(found) <= {200, 503} and found.count(200) > 0
-            assert 0 < most <= budget.connections_each and most * 4 <= 40
+            assert 0 < most <= budget.connections_per_endpoint and most * 4 <= 40
             assert it.daemon.pools["main"].connections.count <= budget.connections
 
     run(test)
@@ -73,13 +74,15 @@
             tmp_path, {"main": servers}, routes=ROUTE, pool_extra=extra, head="[limits]\ninstances = 100000\n"
         ) as it:
             turns = it.daemon.pools["main"].connections.dial_turns
-            assert turns is not None and turns.gap_us > 1_000_000_000
-            assert began_us < turns.next_us <= clock_us() + turns.gap_us
-            turns.spent_us = clock_us() + turns.gap_us * DIAL_BURST  # the drawn one may come at any moment
+            assert turns is not None and turns.interval_us > 1_000_000_000
+            assert began_us < turns.next_us <= clock_us() + turns.interval_us
+            # the drawn one may come at any moment
+            turns.full_burst_us = clock_us() + turns.interval_us * BURST
             reply = await it.ask(message("GET /"))  # it waits for half its aim in the buffer
             assert reply.status == 503 and float(reply.all("Retry-After")[0]) > 1
             assert sum(server.connections for server in servers) == 0
-            turns.spent_us = clock_us() + turns.gap_us * (DIAL_BURST - 1)  # one turn has come, and no more
+            # one connect is allowed, and no more
+            turns.full_burst_us = clock_us() + turns.interval_us * (BURST - 1)
             assert (await it.ask(message("GET /"))).status == 200
             # the one connection carries on, and there is no other
             assert [(await it.ask(message("GET /"))).status for _ in range(20)] == [200] * 20
@@ -101,13 +104,13 @@
             turns = it.daemon.pools["main"].connections.dial_turns
             assert turns is not None
             host = it.daemon.host
-            turns.spent_us = host.pools[0].balancer.now_us + 3_600_000_000
+            turns.full_burst_us = host.pools[0].balancer.now_us + 3_600_000_000
             client = await it.connect()
             client.writer.write(message("GET /"))
             await until(lambda: bool(host.requests))
             timer = host.pools[0].dial_timer
             assert timer is not None and servers[0].connections == 0
-            turns.spent_us = 0
+            turns.full_burst_us = 0
             host._may_dial(host.pools[0])  # what the timer does
             assert (await client.reply()).status == 200
             client.close()
@@ -347,15 +350,15 @@
 def test_a_long_list_is_ranked_in_slices_and_none_is_chosen_before_all_are_known() -> None:
     async def test() -> None:
         told = Told()
-        told.host.use_subset(told.pool, Subset(5, 4))
+        told.host.use_subset(told.pool, EndpointSubset(5, 4))
         entries = [Endpoint(number) for number in range(1, 1_101)]
         told.tell(ListKind.CACHED, entries)
         assert not told.pool.serving
         await told.settle()
-        whole = Subset(5, 4)
-        whole.listed(entries, where(entries))
-        assert told.pool.serving == whole.chosen.keys() == told.pool.balancer.servers.keys()
-        drained = min(whole.chosen)
+        whole = EndpointSubset(5, 4)
+        whole.update(entries, where(entries))
+        assert told.pool.serving == whole.selected.keys() == told.pool.balancer.servers.keys()
+        drained = min(whole.selected)
         told.tell(ListKind.DELTA, [Endpoint(drained, EndpointStatus.DRAINING)])
         assert drained not in told.pool.serving and len(told.pool.serving) == 4
         told.tell(ListKind.FULL, entries[:600])
--- a/tests/test_slices.py
+++ b/tests/test_slices.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from plovertrail.decisions.events import Endpoint, EndpointStatus, ListKind
-from plovertrail.decisions.share import Subset
+from plovertrail.decisions.subsetting import EndpointSubset
 from tests.daemons import run
 from tests.test_share import Told, where
 
@@ -29,7 +29,7 @@
         told = Told()
         truth: dict[int, Endpoint] = {}
         if subset:
-            told.host.use_subset(told.pool, Subset(1, 4))
+            told.host.use_subset(told.pool, EndpointSubset(1, 4))
         for what, rows in steps:
             entries = {
                 number: Endpoint(number, STATES[state], weight=float(weight))
@@ -46,7 +46,7 @@
             elif what == "failed":
                 told.tell(ListKind.FAILED, [])
             elif what == "short" and told.pool.subset is not None:
-                told.host._changed_subset(told.pool, told.pool.subset.short(told.pool.balancer.now_us))
+                told.host._changed_subset(told.pool, told.pool.subset.widen(told.pool.balancer.now_us))
             else:
                 await asyncio.sleep(0)
             if what in ("change", "whole", "cached") and len(rows) <= 3:
--- a/tests/upstreams/test_connections.py
+++ b/tests/upstreams/test_connections.py
@@ -7,7 +7,7 @@
 from fakes.web import WebServer, slowly
 from plovertrail.clock import clock_us
 from plovertrail.decisions.events import Outcome
-from plovertrail.decisions.share import Budget
+from plovertrail.decisions.fleet_limits import InstanceLimits
 from plovertrail.dispatch.types import Call, Result
 from plovertrail.upstreams.connections import IDLE_MARGIN_US, ConnectionPool
 from tests.daemons import run
@@ -27,7 +27,7 @@
         for _ in range(4):
             pool.start(1, ("127.0.0.1", server.port), get(), 1_000_000, ends.append)
         await until(lambda: pool.count == 4)
-        pool.limit(Budget(connections=2, connections_each=2), 0.5)
+        pool.limit(InstanceLimits(connections=2, connections_per_endpoint=2), 0.5)
         await until(lambda: len(ends) == 4)
         assert pool.count == 2
         assert not pool.may_dial(1) and pool.may_dial(2)
@@ -42,7 +42,7 @@
         server = WebServer()
         await server.start()
         pool = ConnectionPool(10_000_000, 1_000_000, 10)
-        pool.limit(Budget(connections=3, connections_each=2), 0.5)
+        pool.limit(InstanceLimits(connections=3, connections_per_endpoint=2), 0.5)
         ends: list[Result] = []
         for _ in range(5):  # in one turn of the loop
             pool.start(1, ("127.0.0.1", server.port), get(), 1_000_000, ends.append)
@@ -57,7 +57,7 @@
 def test_an_attempt_given_up_before_it_could_be_told_of_the_limit_ends_once() -> None:
     async def test() -> None:
         pool = ConnectionPool(10_000_000, 1_000_000, 10)
-        pool.limit(Budget(dial_gap_us=3_600_000_000), 0.9)
+        pool.limit(InstanceLimits(connect_interval_us=3_600_000_000), 0.9)
         ends: list[Result] = []
         pool.start(1, ("127.0.0.1", 1), get(), 1_000_000, ends.append).give_up()
         await asyncio.sleep(0)
