--- a/benchmarks/capacity/evidence_load.py
+++ b/benchmarks/capacity/evidence_load.py
@@ -10,8 +10,9 @@
 from benchmarks.capacity.member_crowd import MemberCrowd
 from benchmarks.capacity.target import TARGET
 from plovertrail.decisions.background import Background
-from plovertrail.decisions.judgements import Judgements, Known, hearsay
-from plovertrail.hearsay import OPINIONS, class_key, server_key
+from plovertrail.decisions.health_evidence import AttemptResult
+from plovertrail.decisions.outlier_detection import OutlierDetector, PoolKeys, penalties_for_pool
+from plovertrail.health_reporter import EVALUATION, class_key, endpoint_key
 
 STEP_US = 20_000  # attempts that end within this are counted at one moment
 CLASS_KEY = class_key("read")
@@ -26,10 +27,10 @@
     servers: int = TARGET.servers_per_service
 
     @property
-    def server_keys(self) -> list[list[int]]:
+    def endpoint_keys(self) -> list[list[int]]:
         """By service, its servers as all sidecars know them."""
         return [
-            [server_key(f"service-{service}", f"server-{server}") for server in range(self.servers)]
+            [endpoint_key(f"service-{service}", f"server-{server}") for server in range(self.servers)]
             for service in range(self.services)
         ]
 
@@ -59,18 +60,18 @@
 
     def __init__(self, crowd: MemberCrowd, number: int, sizes: ServiceSizes, failing: FailingServers) -> None:
         member = crowd.members[number]
-        assert member.judgements is not None
+        assert member.detector is not None
         self.crowd = crowd
         self.number = number
-        self.judgements: Judgements = member.judgements
+        self.detector: OutlierDetector = member.detector
         self.failing = failing
         self.meter: CpuMeter = crowd.evidence_meters[number]
         self.rng = random.Random(crowd.plan.seed * 1_000 + number)
-        self.pools = sizes.server_keys
+        self.pools = sizes.endpoint_keys
         self.keys = [(server, CLASS_KEY) for pool in self.pools for server in pool]
-        self.known = [Known(dict(enumerate(pool)), (CLASS_KEY,)) for pool in self.pools]
+        self.pool_keys = [PoolKeys(dict(enumerate(pool)), (CLASS_KEY,)) for pool in self.pools]
         self.background = Background(crowd.local_us)
-        self.background.add(OPINIONS, crowd.local_us, OPINIONS.every_us)
+        self.background.add(EVALUATION, crowd.local_us, EVALUATION.every_us)
         self.next_pool = 0
         self.looks = 0
         self._due_attempts = 0.0
@@ -83,11 +84,11 @@
         while self._due_attempts >= 1.0:
             self._due_attempts -= 1.0
             place = self.rng.randrange(len(self.keys))
-            fault = place in self.failing
-            self.meter.call(self.judgements.ended, self.keys[place], self.crowd.local_us, fault=fault)
-        if self.judgements.news:
+            result = AttemptResult.FAILURE if place in self.failing else AttemptResult.SUCCESS
+            self.meter.call(self.detector.record_attempt, self.keys[place], result, self.crowd.local_us)
+        if self.detector.has_urgent_news:
             self.crowd.flush_news(self.number)
-            self.background.hurry(OPINIONS.name, self.crowd.local_us)
+            self.background.hurry(EVALUATION.name, self.crowd.local_us)
         self.crowd.queue.after(STEP_US, self._attempts)
 
     def _look_when_due(self) -> None:
@@ -100,11 +101,11 @@
             self.next_pool = (self.next_pool + 1) % len(self.pools)
             over = self.next_pool == 0
             self.looks += over
-            self.background.ran(OPINIONS.name, took_us, over, now_us)
+            self.background.ran(EVALUATION.name, took_us, over, now_us)
         due_us = self.background.look_us(now_us)
         assert due_us is not None
         self.crowd.queue.after(max(LEAST_WAIT_US, due_us - now_us), self._look_when_due)
 
     def _look_at_pool(self, pool: int, now_us: int) -> None:
-        known = self.known[pool]
-        hearsay(self.judgements.opinions(known.numbers.keys(), now_us), known)
+        keys = self.pool_keys[pool]
+        penalties_for_pool(self.detector.all_health(keys.endpoint_ids.keys(), now_us), keys)
--- a/benchmarks/capacity/evidence_role.py
+++ b/benchmarks/capacity/evidence_role.py
@@ -18,7 +18,8 @@
 from benchmarks.capacity.roles import Figure, RoleResult, TargetCost
 from benchmarks.capacity.slopes import Axis, Sample, Situation, Slope, Unit
 from benchmarks.capacity.target import TARGET
-from plovertrail.decisions.judgements import MOST_ROWS, Evidence, Judgements
+from plovertrail.decisions.health_evidence import MAX_PEER_REPORTS, AttemptResult, HealthReport
+from plovertrail.decisions.outlier_detection import OutlierDetector
 
 SIDECARS, SHORT_SIDECARS = (50, 200, 600, 1_800, 3_600), (50, 100, 150, 200)
 SERVICES, SHORT_SERVICES = (1, 10, 50, 200), (1, 4, 10, 20)
@@ -131,20 +132,21 @@
         failing.fail(1)
 
 
-def state_bytes(sizes: ServiceSizes, situation: Situation, tellers: int) -> float:
+def state_bytes(sizes: ServiceSizes, situation: Situation, reporters: int) -> float:
     """What one sidecar's evidence takes (tracemalloc): its own windows, and in restarts what it has heard."""
-    keys = [(server, CLASS_KEY) for pool in sizes.server_keys for server in pool]
+    keys = [(server, CLASS_KEY) for pool in sizes.endpoint_keys for server in pool]
     tracemalloc.start()
-    judgements = Judgements(1, 0, 1)
+    detector = OutlierDetector(1, 0, 1)
     for key in keys:
-        judgements.ended((key[0] + 0, key[1]), 1_000)
+        detector.record_attempt((key[0] + 0, key[1]), AttemptResult.SUCCESS, 1_000)
     if situation is Situation.RESTARTS:
         failing = keys[::RESTART_PART]
         rows = 0
-        for teller in range(2, tellers + 2):
+        for reporter in range(2, reporters + 2):
             for key in failing:
-                if rows < MOST_ROWS:
-                    judgements.take(Evidence(teller, 1, (key[0] + 0, key[1]), 4.0, 4.0, 0.0, 0.0, 0), 1_000)
+                if rows < MAX_PEER_REPORTS:
+                    own_key = key[0] + 0, key[1]
+                    detector.merge_report(HealthReport(reporter, 1, own_key, 4.0, 4.0, 0.0, 0.0, 0), 1_000)
                 rows += 1
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
--- a/benchmarks/capacity/member_crowd.py
+++ b/benchmarks/capacity/member_crowd.py
@@ -18,7 +18,8 @@
 from benchmarks.capacity.cpu_meter import CpuMeter
 from benchmarks.capacity.event_queue import SECOND_US, EventQueue
 from plovertrail.decisions.cluster_members import Address, ClusterMembers, Kind, MemberRecord, State
-from plovertrail.decisions.judgements import Evidence, Judgements
+from plovertrail.decisions.health_evidence import HealthReport
+from plovertrail.decisions.outlier_detection import OutlierDetector
 from plovertrail.peers.envelope import short
 from plovertrail.peers.gossip import told
 from plovertrail.peers.membership_codec import Datagram, MembershipCodec
@@ -125,9 +126,9 @@
             seeds,
             self.plan.size,
         )
-        judgements = Judgements(teller(self._name(number)), now_us, WALL_US) if self.plan.judge else None
+        detector = OutlierDetector(teller(self._name(number)), now_us, WALL_US) if self.plan.judge else None
         mine = frozenset({self.addresses[number]})
-        return MembershipProtocol(cluster, judgements, self.codec, mine, GOSSIP_US, FAN_OUT, now_us)
+        return MembershipProtocol(cluster, detector, self.codec, mine, GOSSIP_US, FAN_OUT, now_us)
 
     def _introduce(self, number: int) -> None:
         """Let a whole member know all of its side, with nothing left to tell."""
@@ -291,14 +292,14 @@
         like = replace(datagram, number=1, sender=self.records[hollow], unwell=False, rows=rows)
         self.queue.after(self._delay_us(), partial(self._deliver, whole, hollow, like))
 
-    def _as_told_by(self, hollow: int, sender: int, rows: Iterable[Evidence]) -> tuple[Evidence, ...]:
+    def _as_told_by(self, hollow: int, sender: int, rows: Iterable[HealthReport]) -> tuple[HealthReport, ...]:
         """A sender's evidence, its own as if the hollow member had told it."""
         self.sequence += 1
         own = teller(self._name(sender))
         other = teller(self._name(hollow))
         sequence = WALL_US + self.sequence
         return tuple(
-            replace(row, teller=other, sequence=sequence) if row.teller == own else row for row in rows
+            replace(row, reporter=other, sequence=sequence) if row.reporter == own else row for row in rows
         )
 
     def _answer(self, hollow: int, whole: int, kind: Kind, number: int, after_us: int) -> None:
@@ -324,7 +325,7 @@
         """News of a server doesn't wait for the next turn; a tick that finds nothing due is harmless."""
         member = self.members[number]
         due_us = member.due_us()
-        if member.judgements is not None and member.judgements.news and due_us < member.gossip_due_us:
+        if member.detector is not None and member.detector.has_urgent_news and due_us < member.gossip_due_us:
             wait_us = max(1_000, due_us - self.local_us)
             self.queue.after(wait_us, partial(self._tick_once, number, member))
 
--- a/benchmarks/shared_judgements.py
+++ b/benchmarks/shared_health_evidence.py
@@ -1,4 +1,4 @@
-"""What a fleet saves by telling of servers: `python -m benchmarks.shared_judgements`.
+"""What a fleet saves by telling of servers: `python -m benchmarks.shared_health_evidence`.
 
 Processes of the daemon with a switch of lossy links between them (fakes/cluster), the same outages with
 judgements shared, with none, and by an oracle that drains the bad servers at the moment they go bad.
@@ -152,7 +152,7 @@
 
 def main() -> int:
     """Run the cases under each way and print their table; returns 1 if a bar is missed or a rule broke."""
-    parser = outage_parser("shared_judgements")
+    parser = outage_parser("shared_health_evidence")
     parser.add_argument("--rate", type=float, default=240.0, help="requests a second of all together")
     asked = parser.parse_args()
     rows: list[list[object]] = []
@@ -216,7 +216,7 @@
         ],
         rows,
     )
-    return close("shared_judgements", figures, [Bar("rules broken", rules, 0.0), *bars])
+    return close("shared_health_evidence", figures, [Bar("rules broken", rules, 0.0), *bars])
 
 
 if __name__ == "__main__":
--- a/fakes/cluster/instances.py
+++ b/fakes/cluster/instances.py
@@ -27,14 +27,16 @@
 asyncio.run(process.serve(load(sys.argv[1])))
 """
 LIAR = """import sys
-from plovertrail.decisions import judgements
+from plovertrail.decisions.health_evidence import HealthReport
+from plovertrail.decisions.outlier_detection import OutlierDetector
 from plovertrail.cli import main
-def lie(self, most, size, doubts_itself, now_us):
+def lie(self, limit, cluster_size, is_unhealthy, now_us):
     self.sequence += 1
-    keys = list(self.own)[:most]
-    return [judgements.Evidence(self.me, self.sequence, key, 4000.0, 4000.0, 0.0, 0.0, 0) for key in keys]
-judgements.Judgements.tell = lie
-judgements.Judgements.accused = lambda self, now_us: set(self.own)
+    keys = list(self.own.by_key)[:limit]
+    me, number = self.reporter_id, self.sequence
+    return [HealthReport(me, number, key, 4000.0, 4000.0, 0.0, 0.0, 0) for key in keys]
+OutlierDetector.reports_to_send = lie
+OutlierDetector.accused = lambda self, now_us: set(self.own.by_key)
 main(["serve", sys.argv[1]])
 """
 TALK_PORT = 7400
--- a/fakes/membership_model.py
+++ b/fakes/membership_model.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from plovertrail.decisions.cluster_members import Address, ClusterMembers, MemberRecord, State
-from plovertrail.decisions.judgements import Judgements
+from plovertrail.decisions.outlier_detection import OutlierDetector
 from plovertrail.peers.membership_codec import MembershipCodec
 from plovertrail.peers.membership_protocol import MembershipProtocol, teller
 
@@ -83,9 +83,9 @@
         now_us = self.local_us(number)
         seeds = self.addresses if self.all_seeds else self.addresses[:1]
         cluster = ClusterMembers(me, self.period_us, random.Random(self.rng.random()), now_us, seeds)
-        judgements = Judgements(teller(me.name), now_us, wall_us) if self.judge else None
+        detector = OutlierDetector(teller(me.name), now_us, wall_us) if self.judge else None
         return MembershipProtocol(
-            cluster, judgements, self.codec, frozenset({me.address}), self.period_us // 5, 3, now_us
+            cluster, detector, self.codec, frozenset({me.address}), self.period_us // 5, 3, now_us
         )
 
     def restart(self, number: int, wall_off_us: int = 0) -> None:
@@ -175,8 +175,8 @@
             if at != of and self.alive[at] and at not in self.asleep
         )
 
-    def judgements(self, number: int) -> Judgements:
+    def outlier_detector(self, number: int) -> OutlierDetector:
         """What an instance has been told of servers."""
-        found = self.ships[number].judgements
+        found = self.ships[number].detector
         assert found is not None
         return found
--- /dev/null
+++ b/plovertrail/decisions/outlier_detection.py
@@ -0,0 +1,353 @@
+"""Outlier detection from the evidence of several instances: the penalty of each endpoint.
+
+An endpoint's health is how much worse it does than all endpoints together, as far as two reporters or more
+have seen it; the penalty that follows stays within the bounds below, whatever peers report. What is shared is
+evidence, never a verdict. Pure: times are arguments, in microseconds.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Iterable, Mapping, Set
+from dataclasses import dataclass, field, replace
+
+from plovertrail.decisions.health_evidence import (
+    FAILURE_HALF_LIFE_US,
+    FAULT_THRESHOLD,
+    MAX_REPORT_AGE_US,
+    MIN_ATTEMPTS,
+    UNHEALTHY_FAILURE_RATE,
+    AttemptResult,
+    EvidenceKey,
+    HealthReport,
+    OwnEvidence,
+    PeerReport,
+    PeerReports,
+)
+
+MAX_PENALIZED_FRACTION = 1 / 3  # of the endpoints, for one class, the worst: the others are always usable
+MAX_ATTEMPTS_PER_REPORTER = 4.0  # that count, for one endpoint and class
+MAX_ATTEMPTS_PER_ZONE = 24.0  # that count, of all reporters of one zone together
+OTHER_ZONE_WEIGHT = 0.3  # what cuts their zone off from an endpoint need not cut off ours
+OWN_WEIGHT = 3.0  # of this instance's attempts beside a peer's
+MAX_OWN_ATTEMPTS = 16.0  # that count
+PRIOR_SUCCESSES = 2.0  # assumed, so that a single failure causes no penalty
+MIN_REPORTERS = 2  # what one instance alone cannot reach may be its own fault
+STALE_SUCCESS_WEIGHT = 0.1  # of successes before MIN_REPORTERS had found the endpoint unhealthy
+OTHER_CLASS_WEIGHT = 0.25  # of evidence on other classes of the endpoint
+MIN_EXCESS_FAILURE_RATE = 0.15  # over the baseline; less than this is chance
+PENALTY_SLOPE = 1.5  # the penalty is complete at a failure rate of about two thirds over the baseline
+FORWARD_FACTOR = 2.0  # times log2 of the cluster's size: how often a peer's report is forwarded
+OWN_REPORTS_NUMERATOR, OWN_REPORTS_DENOMINATOR = 2, 3  # of the room in a datagram, for own reports
+
+
+@dataclass(slots=True)
+class WeightedAttempts:
+    """Attempts, and the unsuccessful ones of them, by the weight that they count with."""
+
+    attempts: float = 0.0
+    unsuccessful: float = 0.0
+
+    def add(self, attempts: float, unsuccessful: float, weight: float) -> None:
+        """Add evidence with a weight."""
+        self.attempts += attempts * weight
+        self.unsuccessful += unsuccessful * weight
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointHealth:
+    """The penalty of one endpoint and class, with the evidence that it follows from."""
+
+    penalty: float  # 0: as any other; 1: everything known failed, and nothing elsewhere does
+    reporters: int  # peers that find it unhealthy
+    peers: WeightedAttempts
+    own: WeightedAttempts
+    baseline_failure_rate: float  # of all endpoints together
+
+
+def max_forged_failure_rate(liars: int, honest: int, attempts_each: float) -> float:
+    """Return the highest failure rate that lying reporters can give a healthy endpoint.
+
+    `honest` others have tried it `attempts_each` times. The bound on what the lies do is
+    `penalty_of(max_forged_failure_rate(...), 0.0)`; it is stated for reporters of one zone, with no attempts
+    of this instance.
+    """
+    forged = liars * MAX_ATTEMPTS_PER_REPORTER
+    return forged / (forged + honest * min(MAX_ATTEMPTS_PER_REPORTER, attempts_each) + PRIOR_SUCCESSES)
+
+
+def penalty_of(failure_rate: float, baseline_failure_rate: float) -> float:
+    """Return the penalty from 0 to 1 for a failure rate, beside that of all endpoints."""
+    floor = min(1.0, baseline_failure_rate + MIN_EXCESS_FAILURE_RATE)
+    if floor >= 1.0:
+        return 0.0
+    return min(1.0, max(0.0, PENALTY_SLOPE * (failure_rate - floor) / (1.0 - floor)))
+
+
+class OutlierDetector:
+    """The evidence of one instance, its own and its peers', and the health that follows from it."""
+
+    def __init__(self, reporter_id: int, now_us: int, sequence: int = 0) -> None:
+        self.reporter_id = reporter_id  # this instance, as all instances know it
+        self.sequence = sequence
+        self.own = OwnEvidence()
+        self.peer_reports = PeerReports()
+        self.zone = ""  # of this instance
+        self.reporter_zones: dict[int, str] = {}  # as far as they are known
+        self.untrusted_reporters: set[int] = set()  # their own health is poor: their reports do not count
+        self.reports_paused_until_us = now_us  # no own reports until then
+        self.has_urgent_news = False  # an endpoint turned unhealthy, here or at a peer
+
+    # Evidence
+
+    def record_attempt(self, key: EvidenceKey, result: AttemptResult, now_us: int) -> None:
+        """Count an attempt of this instance.
+
+        Attempts that the client cancelled, or that could not be sent, are no evidence.
+        """
+        self.has_urgent_news |= self.own.record(key, result, now_us)
+
+    def process_paused(self, now_us: int) -> None:
+        """Drop own evidence after a pause of the process: failures then tell of the process itself."""
+        self.own.by_key.clear()
+        self.reports_paused_until_us = now_us + FAILURE_HALF_LIFE_US
+
+    def merge_report(self, report: HealthReport, now_us: int) -> bool:
+        """Merge a report that a peer has sent or forwarded; returns whether it was new."""
+        if report.reporter == self.reporter_id:
+            return False
+        if not report.is_valid:
+            self.peer_reports.dropped += 1
+            return False
+        previous = self.peer_reports.get(report.key, report.reporter)
+        if not self.peer_reports.merge(report, now_us):
+            return False
+        newly = previous is None or not previous.report.is_accusation
+        self.has_urgent_news |= report.is_accusation and newly
+        return True
+
+    def sweep(self, now_us: int) -> None:
+        """Drop evidence that has decayed; each call looks at a bounded number of entries."""
+        self.peer_reports.sweep(now_us)
+        self.own.sweep(now_us)
+
+    # Reports to peers
+
+    def accused(self, now_us: int) -> set[EvidenceKey]:
+        """Return the endpoints and classes that this instance or a peer finds unhealthy."""
+        found = {
+            key
+            for key, reports in self.peer_reports.by_key.items()
+            if any(stored.decayed(now_us)[1] >= FAULT_THRESHOLD for stored in reports.values())
+        }
+        for key, window in self.own.by_key.items():
+            window.decay(now_us)
+            if window.unsuccessful >= FAULT_THRESHOLD:
+                found.add(key)
+        return found
+
+    def reports_to_send(
+        self, limit: int, cluster_size: int, is_unhealthy: bool, now_us: int
+    ) -> list[HealthReport]:
+        """Choose at most `limit` reports for a datagram: own ones first, then peers' forwarded least often.
+
+        An instance whose own health is poor reports nothing of its own.
+        """
+        found: list[HealthReport] = []
+        paused = now_us < self.reports_paused_until_us
+        if not (is_unhealthy or paused or self.own.sees_all_unhealthy(now_us)):
+            found = self._own_reports(
+                max(1, limit * OWN_REPORTS_NUMERATOR // OWN_REPORTS_DENOMINATOR), now_us
+            )
+        max_forwards = FORWARD_FACTOR * math.log2(cluster_size + 1)
+        fresh = [
+            stored for stored in self.peer_reports.latest_first() if stored.times_forwarded < max_forwards
+        ]
+        # only the latest are sorted, so that the cost of a datagram stays bounded
+        candidates = sorted(fresh[: 4 * limit], key=lambda stored: stored.times_forwarded)
+        for stored in candidates[: limit - len(found)]:
+            if now_us - stored.observed_us <= MAX_REPORT_AGE_US:
+                stored.times_forwarded += 1
+                found.append(stored.forwarded(now_us))
+        return found
+
+    def _own_reports(self, limit: int, now_us: int) -> list[HealthReport]:
+        """Own evidence on accused endpoints, the worst first."""
+        self.sequence += 1
+        windows = [
+            (key, self.own.by_key[key])
+            for key in self.accused(now_us)
+            if key in self.own.by_key and self.own.by_key[key].attempts >= MIN_ATTEMPTS
+        ]
+        windows.sort(key=lambda pair: -pair[1].unsuccessful)
+        return [
+            HealthReport(
+                reporter=self.reporter_id,
+                sequence=self.sequence,
+                key=key,
+                attempts=window.attempts,
+                failures=window.failures,
+                timeouts=window.timeouts,
+                rejections=window.rejections,
+                age_us=0,
+                last_success_age_us=max(0, now_us - window.last_success_us),
+            )
+            for key, window in windows[:limit]
+        ]
+
+    # The health that follows
+
+    def baseline_failure_rate(self, request_class: int, now_us: int) -> float:
+        """Return the failure rate of this instance's own attempts of a class, the worst third left out.
+
+        What strikes all endpoints alike is the fault of none of them.
+        """
+        rates = []
+        for (_, window_class), window in self.own.by_key.items():
+            if window_class == request_class:
+                window.decay(now_us)
+                if window.attempts >= MIN_ATTEMPTS:
+                    rates.append(
+                        (window.unsuccessful / window.attempts, window.attempts, window.unsuccessful)
+                    )
+        rates.sort()
+        counted = rates[: math.ceil(len(rates) * (1.0 - MAX_PENALIZED_FRACTION))]
+        if not counted:
+            return 0.0
+        attempts = sum(rate[1] for rate in counted)
+        return sum(rate[2] for rate in counted) / (attempts + PRIOR_SUCCESSES)
+
+    def health_of(self, key: EvidenceKey, now_us: int, baseline_failure_rate: float) -> EndpointHealth:
+        """Combine all evidence on an endpoint and class."""
+        endpoint, request_class = key
+        classes = self.peer_reports.classes.get(endpoint, set()) | {request_class}
+        changed_us = self.changed_at_us(endpoint, classes, now_us)
+        peers, accusers = self._peer_evidence(key, classes, changed_us, now_us)
+        own, own_accuses = self._own_evidence(key, changed_us, now_us)
+        confirmed = len(accusers) >= MIN_REPORTERS or (bool(accusers) and own_accuses)
+        penalty = 0.0
+        if confirmed:
+            attempts = peers.attempts + own.attempts + PRIOR_SUCCESSES
+            penalty = penalty_of((peers.unsuccessful + own.unsuccessful) / attempts, baseline_failure_rate)
+        return EndpointHealth(penalty, len(accusers), peers, own, baseline_failure_rate)
+
+    def _peer_evidence(
+        self, key: EvidenceKey, classes: Iterable[int], changed_us: float, now_us: int
+    ) -> tuple[WeightedAttempts, set[int]]:
+        """What peers' reports weigh together, and the reporters that find the endpoint unhealthy."""
+        endpoint, request_class = key
+        by_zone: dict[str, WeightedAttempts] = {}
+        accusers: set[int] = set()
+        for each_class in classes:
+            weight = 1.0 if each_class == request_class else OTHER_CLASS_WEIGHT
+            for stored in self._trusted_reports((endpoint, each_class), now_us):
+                successes, unsuccessful = stored.decayed(now_us)
+                if stored.last_success_us < changed_us:
+                    successes *= STALE_SUCCESS_WEIGHT
+                attempts = successes + unsuccessful
+                if attempts < MIN_ATTEMPTS:
+                    continue
+                reporter = stored.report.reporter
+                zone = self.reporter_zones.get(reporter, "")
+                scale = weight * min(1.0, MAX_ATTEMPTS_PER_REPORTER / attempts)
+                by_zone.setdefault(zone, WeightedAttempts()).add(attempts, unsuccessful, scale)
+                if stored.unhealthy_since_us is not None and unsuccessful > UNHEALTHY_FAILURE_RATE * attempts:
+                    accusers.add(reporter)
+        total = WeightedAttempts()
+        for zone, evidence in by_zone.items():
+            zone_weight = 1.0 if zone == self.zone else OTHER_ZONE_WEIGHT
+            scale = min(1.0, MAX_ATTEMPTS_PER_ZONE / evidence.attempts) * zone_weight
+            total.add(evidence.attempts, evidence.unsuccessful, scale)
+        return total, accusers
+
+    def _own_evidence(
+        self, key: EvidenceKey, changed_us: float, now_us: int
+    ) -> tuple[WeightedAttempts, bool]:
+        """What this instance's attempts weigh, and whether they accuse the endpoint."""
+        window = self.own.by_key.get(key)
+        if window is None:
+            return WeightedAttempts(), False
+        window.decay(now_us)
+        stale = window.last_success_us < changed_us
+        attempts = window.successes * (STALE_SUCCESS_WEIGHT if stale else 1.0) + window.unsuccessful
+        scale = OWN_WEIGHT * min(1.0, MAX_OWN_ATTEMPTS / max(attempts, MIN_ATTEMPTS))
+        evidence = WeightedAttempts()
+        evidence.add(attempts, window.unsuccessful, scale)
+        return evidence, window.unsuccessful >= FAULT_THRESHOLD
+
+    def _trusted_reports(self, key: EvidenceKey, now_us: int) -> list[PeerReport]:
+        """The reports on an endpoint and class that count."""
+        return [
+            stored
+            for stored in self.peer_reports.on(key)
+            if stored.report.reporter not in self.untrusted_reporters
+            and now_us - stored.observed_us <= MAX_REPORT_AGE_US
+        ]
+
+    def changed_at_us(self, endpoint: int, classes: Set[int], now_us: int) -> float:
+        """Return when MIN_REPORTERS, this instance among them, had found an endpoint unhealthy.
+
+        Successes before that are old news. Minus infinity: they have not.
+        """
+        since: dict[int, int] = {}
+        for request_class in classes:
+            for stored in self._trusted_reports((endpoint, request_class), now_us):
+                if stored.unhealthy_since_us is not None:
+                    reporter = stored.report.reporter
+                    since[reporter] = min(
+                        stored.unhealthy_since_us, since.get(reporter, stored.unhealthy_since_us)
+                    )
+            own = self.own.by_key.get((endpoint, request_class))
+            if own is not None and own.unsuccessful >= FAULT_THRESHOLD:
+                since[self.reporter_id] = min(own.updated_us, since.get(self.reporter_id, own.updated_us))
+        times = sorted(since.values())
+        return times[MIN_REPORTERS - 1] if len(times) >= MIN_REPORTERS else -math.inf
+
+    def all_health(self, endpoints: Set[int], now_us: int) -> dict[EvidenceKey, EndpointHealth]:
+        """Return the health of all of these endpoints that peers report on, penalized or not.
+
+        Of one class at most MAX_PENALIZED_FRACTION of the endpoints are penalized.
+        """
+        found: dict[EvidenceKey, EndpointHealth] = {}
+        penalized: dict[int, list[tuple[float, EvidenceKey]]] = {}
+        baselines: dict[int, float] = {}
+        classes = {key[1] for key in (*self.peer_reports.by_key, *self.own.by_key)}
+        reported = self.peer_reports.classes.keys() & endpoints
+        for key in [(endpoint, request_class) for endpoint in reported for request_class in classes]:
+            request_class = key[1]
+            if request_class not in baselines:
+                baselines[request_class] = self.baseline_failure_rate(request_class, now_us)
+            health = self.health_of(key, now_us, baselines[request_class])
+            found[key] = health
+            if health.penalty:
+                penalized.setdefault(request_class, []).append((health.penalty, key))
+        max_penalized = int(MAX_PENALIZED_FRACTION * len(endpoints))
+        for candidates in penalized.values():
+            for _, key in sorted(candidates, reverse=True)[max_penalized:]:
+                found[key] = replace(found[key], penalty=0.0)
+        return found
+
+
+@dataclass(slots=True)
+class PoolKeys:
+    """The keys that instances share of a pool's endpoints and classes, by the pool's own ids."""
+
+    endpoints: Mapping[int, int]  # the shared key, by endpoint id
+    classes: tuple[int, ...]  # the shared key, by class index
+    endpoint_ids: dict[int, int] = field(default_factory=dict)  # by shared key
+
+    def __post_init__(self) -> None:
+        """Build the reverse map."""
+        self.endpoint_ids = {key: endpoint_id for endpoint_id, key in self.endpoints.items()}
+
+
+def penalties_for_pool(
+    health: Mapping[EvidenceKey, EndpointHealth], keys: PoolKeys
+) -> dict[tuple[int, int], float]:
+    """Return the penalties by a pool's own endpoint ids and class indexes."""
+    found = {}
+    for (endpoint, request_class), each in health.items():
+        endpoint_id = keys.endpoint_ids.get(endpoint)
+        if endpoint_id is not None and each.penalty and request_class in keys.classes:
+            found[endpoint_id, keys.classes.index(request_class)] = each.penalty
+    return found
--- /dev/null
+++ b/plovertrail/health_reporter.py
@@ -0,0 +1,222 @@
+"""Feeds outlier detection with the attempts of all pools, and their load balancers with what follows from it.
+
+Status keys, translated here: `held_back` is the penalty, `found_wrong_by` the number of reporters, `wrong`
+unsuccessful attempts, `everywhere` the baseline failure rate; of own attempts `faults` are failures, `silent`
+timeouts and `full` rejections.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator, Mapping
+from functools import lru_cache, partial
+from typing import Any, Protocol
+
+from plovertrail.background import Runner
+from plovertrail.clock import clock_us
+from plovertrail.decisions.background import Priority, Work
+from plovertrail.decisions.balance import Server
+from plovertrail.decisions.counts import key_of
+from plovertrail.decisions.endpoint_list import State
+from plovertrail.decisions.events import Outcome
+from plovertrail.decisions.health_evidence import AttemptResult, AttemptWindow, EvidenceKey
+from plovertrail.decisions.outlier_detection import (
+    EndpointHealth,
+    OutlierDetector,
+    PoolKeys,
+    penalties_for_pool,
+)
+from plovertrail.dispatch.dispatcher import Host, ServerPool
+from plovertrail.endpoint_registry import EndpointRegistry
+
+# Evidence is gossiped five times a second as a rule, so health is evaluated as often.
+EVALUATION = Work("opinions", Priority.PEERS, every_us=200_000, latest_us=1_000_000, share=0.02)
+RESULTS = {
+    Outcome.OK: AttemptResult.SUCCESS,
+    Outcome.ERROR: AttemptResult.FAILURE,
+    Outcome.RESET: AttemptResult.FAILURE,
+    Outcome.MALFORMED: AttemptResult.FAILURE,
+    Outcome.CONNECT_FAILED: AttemptResult.FAILURE,
+    Outcome.REJECTED: AttemptResult.REJECTION,
+    Outcome.TIMEOUT: AttemptResult.TIMEOUT,
+}  # other outcomes tell nothing of the endpoint's health
+Registries = Callable[[], Mapping[str, EndpointRegistry]]
+
+
+class EvidenceExchange(Protocol):
+    """What exchanges evidence with other instances."""
+
+    @property
+    def outlier_detector(self) -> OutlierDetector | None:
+        """The evidence; None while nothing is exchanged."""
+
+    def report_urgently(self, on_news: Callable[[], None]) -> None:
+        """Report urgent news now, and call `on_news` with each that is, here or at a peer."""
+
+
+# Digests of 10,000 ids at each change of a list would delay the event loop.
+@lru_cache(maxsize=16_384)
+def endpoint_key(pool: str, endpoint_name: str) -> int:
+    """Return the key of an endpoint among all instances: by its listed id, as addresses may differ."""
+    return key_of("server", pool, endpoint_name)
+
+
+def class_key(name: str) -> int:
+    """Return the key of a request class among all instances, in 32 bits."""
+    return key_of("class", name) >> 32
+
+
+class HealthReporter:
+    """Records attempts while evidence is exchanged, and passes penalties to the load balancers."""
+
+    def __init__(self, host: Host, registries: Registries, exchange: EvidenceExchange) -> None:
+        self.host = host
+        self.registries = registries
+        self.exchange = exchange
+        self.runner: Runner | None = None
+        self.health: dict[EvidenceKey, EndpointHealth] = {}  # as last evaluated
+        self._registry_of: dict[ServerPool, EndpointRegistry] = {}
+        self._keys: dict[ServerPool, tuple[State, PoolKeys]] = {}  # of this state of the pool's list
+        self._penalties: dict[ServerPool, Mapping[tuple[int, int], float]] = {}  # as last passed on
+
+    def apply(self, runner: Runner) -> None:
+        """Apply the pools and settings of a new configuration."""
+        registries = self.registries().values()
+        self._registry_of = {each.pool: each for each in registries if each.pool is not None}
+        self._penalties = {
+            pool: penalties for pool, penalties in self._penalties.items() if pool in self._registry_of
+        }
+        self._keys = {pool: keys for pool, keys in self._keys.items() if pool in self._registry_of}
+        self.runner = runner
+        enabled = self.exchange.outlier_detector is not None
+        self.host.attempt_over = self.attempt_ended if enabled else None
+        for pool in self._registry_of:
+            pool.balancer.silent = partial(self.no_response, pool) if enabled else _ignore
+        if enabled:
+            runner.add(EVALUATION, self.evaluate, EVALUATION.every_us)
+            self.exchange.report_urgently(self.evaluate_soon)
+        elif self.health or EVALUATION.name in runner.begins:
+            runner.remove(EVALUATION.name)
+            self._clear()
+
+    def _clear(self) -> None:
+        """Withdraw all penalties."""
+        self.health = {}
+        for pool, penalties in self._penalties.items():
+            if penalties:
+                self.host.heard_of(pool, {})
+        self._penalties = {}
+
+    def evaluate_soon(self) -> None:
+        """Evaluate before the regular time, as an endpoint has turned unhealthy."""
+        if self.runner is not None and EVALUATION.name in self.runner.begins:
+            self.runner.hurry(EVALUATION.name)
+
+    def attempt_ended(
+        self, pool: ServerPool, endpoint_id: int, class_index: int, outcome: Outcome, elapsed_us: int
+    ) -> None:
+        """Record an attempt; a timeout after the latency objective was recorded at the objective."""
+        objective_us = pool.settings.classes[class_index].latency_objective_us
+        recorded = outcome is Outcome.TIMEOUT and elapsed_us >= objective_us
+        result = RESULTS.get(outcome)
+        if result is not None and not recorded:
+            self._record(pool, endpoint_id, class_index, result)
+
+    def no_response(self, pool: ServerPool, server: Server, class_index: int) -> None:
+        """Record an attempt that has had no response for longer than one takes."""
+        self._record(pool, server.entry.id, class_index, AttemptResult.TIMEOUT)
+
+    def _record(self, pool: ServerPool, endpoint_id: int, class_index: int, result: AttemptResult) -> None:
+        detector = self.exchange.outlier_detector
+        key = self._key(pool, endpoint_id, class_index)
+        if detector is None or key is None:
+            return
+        detector.record_attempt(key, result, clock_us())
+        if detector.has_urgent_news:
+            self.exchange.report_urgently(self.evaluate_soon)
+
+    def _key(self, pool: ServerPool, endpoint_id: int, class_index: int) -> EvidenceKey | None:
+        registry = self._registry_of.get(pool)
+        if registry is None:
+            return None
+        keys = self._keys_of(pool, registry)
+        endpoint = keys.endpoints.get(endpoint_id)
+        return (endpoint, keys.classes[class_index]) if endpoint is not None else None
+
+    def _keys_of(self, pool: ServerPool, registry: EndpointRegistry) -> PoolKeys:
+        """The shared keys of a pool, computed anew when its list has changed."""
+        cached = self._keys.get(pool)
+        if cached is not None and cached[0] is registry.state:
+            return cached[1]
+        state = registry.state
+        endpoints = {
+            member.number: endpoint_key(registry.name, name) for name, member in state.members.items()
+        }
+        keys = PoolKeys(endpoints, tuple(class_key(each.name) for each in pool.settings.classes))
+        self._keys[pool] = state, keys
+        return keys
+
+    def evaluate(self) -> Iterator[None]:
+        """Evaluate the health of all endpoints once, a pool a slice."""
+        detector = self.exchange.outlier_detector
+        if detector is None:
+            return
+        found: dict[EvidenceKey, EndpointHealth] = {}
+        for pool, registry in list(self._registry_of.items()):
+            keys = self._keys_of(pool, registry)
+            health = detector.all_health(keys.endpoint_ids.keys(), clock_us())
+            found |= health
+            penalties = penalties_for_pool(health, keys)
+            if penalties != self._penalties.get(pool, {}):
+                self._penalties[pool] = penalties
+                self.host.heard_of(pool, penalties)
+            yield
+        # replaced and not updated, or it would keep all endpoints that ever were
+        self.health = found
+
+    def status(self) -> dict[str, Any]:
+        """Return the penalty and the evidence by pool, endpoint and class."""
+        detector = self.exchange.outlier_detector
+        if detector is None:
+            return {}
+        now_us = clock_us()
+        found: dict[str, Any] = {}
+        for pool, registry in self._registry_of.items():
+            keys = self._keys_of(pool, registry)
+            endpoints = {
+                keys.endpoints[member.number]: name
+                for name, member in registry.state.members.items()
+                if member.number in keys.endpoints
+            }
+            classes = {key: each.name for key, each in zip(keys.classes, pool.settings.classes, strict=True)}
+            for key in detector.accused(now_us):
+                if key[0] in endpoints and key[1] in classes:
+                    by_class = found.setdefault(registry.name, {}).setdefault(endpoints[key[0]], {})
+                    by_class[classes[key[1]]] = self._status_of(detector, key, now_us)
+        return found
+
+    def _status_of(self, detector: OutlierDetector, key: EvidenceKey, now_us: int) -> dict[str, Any]:
+        """One endpoint's health for operators, under the keys that stay."""
+        health = self.health.get(key)
+        if health is None:
+            health = detector.health_of(key, now_us, detector.baseline_failure_rate(key[1], now_us))
+        own = detector.own.by_key.get(key) or AttemptWindow(now_us)
+        own.decay(now_us)
+        return {
+            "held_back": round(health.penalty, 3),
+            "found_wrong_by": health.reporters,
+            "heard": {
+                "attempts": round(health.peers.attempts, 1),
+                "wrong": round(health.peers.unsuccessful, 1),
+            },
+            "own": {
+                "attempts": round(own.attempts, 1),
+                "faults": round(own.failures, 1),
+                "silent": round(own.timeouts, 1),
+                "full": round(own.rejections, 1),
+            },
+            "everywhere": round(health.baseline_failure_rate, 3),
+        }
+
+
+def _ignore(_server: Server, _class_index: int) -> None:
+    """Take the load balancer's reports where no evidence is exchanged."""
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -234,9 +234,11 @@
         EvidenceLoad(crowd, number, ServiceSizes(2, 9), failing)
     crowd.queue.run(5)
     for member in crowd.members:
-        assert member.judgements is not None
-        tellers = {teller for heard in member.judgements.heard.values() for teller in heard}
-        assert len(tellers) > 2 and member.judgements.me not in tellers
+        assert member.detector is not None
+        reporters = {
+            reporter for reports in member.detector.peer_reports.by_key.values() for reporter in reports
+        }
+        assert len(reporters) > 2 and member.detector.reporter_id not in reporters
 
 
 def test_without_failures_nothing_is_told_of_servers() -> None:
@@ -244,7 +246,7 @@
     loads = [EvidenceLoad(crowd, number, ServiceSizes(2, 9), FailingServers(18)) for number in range(2)]
     crowd.queue.run(5)
     assert all(load.looks >= 3 for load in loads)
-    assert not any(member.judgements.heard for member in crowd.members if member.judgements)
+    assert not any(member.detector.peer_reports.by_key for member in crowd.members if member.detector)
 
 
 def test_failing_servers_are_as_many_as_asked_for_and_at_least_one() -> None:
--- a/tests/peers/test_membership_codec.py
+++ b/tests/peers/test_membership_codec.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from plovertrail.decisions.cluster_members import Kind, MemberRecord, State
-from plovertrail.decisions.judgements import Evidence
+from plovertrail.decisions.health_evidence import HealthReport
 from plovertrail.peers.envelope import LARGEST, BadDatagramError, Dropped, short
 from plovertrail.peers.membership_codec import (
     HEAD,
@@ -36,7 +36,16 @@
 ages = st.integers(0, 3_000).map(lambda age: age * 10_000)
 keys = st.tuples(st.integers(0, 2**64 - 1), st.integers(0, 2**32 - 1))
 rows = st.builds(
-    Evidence, st.integers(0, 2**64 - 1), st.integers(0, 2**63), keys, parts, parts, parts, parts, ages, ages
+    HealthReport,
+    st.integers(0, 2**64 - 1),
+    st.integers(0, 2**63),
+    keys,
+    parts,
+    parts,
+    parts,
+    parts,
+    ages,
+    ages,
 )
 
 
@@ -70,7 +79,7 @@
     many = tuple(
         MemberRecord("n" * 60, ("10.0.0.1", number), 1, State.ALIVE, "z" * 32) for number in range(40)
     )
-    evidence = tuple(Evidence(number, 1, (1, 1), 2.0, 1.0, 0.0, 0.0, 0) for number in range(90))
+    evidence = tuple(HealthReport(number, 1, (1, 1), 2.0, 1.0, 0.0, 0.0, 0) for number in range(90))
     data = codec.write(ME, Datagram(Kind.TELL, 0, many[0], records=many, rows=evidence))
     found = codec.read(data, MINE)
     assert len(data) <= LARGEST and 5 < len(found.records) < MOST_RECORDS
--- a/tests/peers/test_membership_transport.py
+++ b/tests/peers/test_membership_transport.py
@@ -15,7 +15,7 @@
 from plovertrail.config.operator import parse
 from plovertrail.config.problems import ConfigError
 from plovertrail.decisions.cluster_members import State
-from plovertrail.hearsay import class_key, server_key
+from plovertrail.health_reporter import class_key, endpoint_key
 from tests.daemons import Running, message, run, running, site
 from tests.net import until
 from tests.peers.test_talk import datagram_ports, peers_text
@@ -159,4 +159,4 @@
 
 
 def test_servers_and_classes_go_by_names_that_all_instances_have() -> None:
-    assert server_key("main", "s1") != server_key("other", "s1") and class_key("buy") < 2**32
+    assert endpoint_key("main", "s1") != endpoint_key("other", "s1") and class_key("buy") < 2**32
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -112,10 +112,11 @@
         "plovertrail/config/route",
         "plovertrail/store/",
         "plovertrail/background",
-        "plovertrail/hearsay",
+        "plovertrail/health_reporter",
         "plovertrail/decisions/background",
         "plovertrail/decisions/cluster_members",
-        "plovertrail/decisions/judgements",
+        "plovertrail/decisions/health_evidence",
+        "plovertrail/decisions/outlier_detection",
         "plovertrail/decisions/remembered",
         "plovertrail/decisions/recovery",
     )
