--- /dev/null
+++ b/benchmarks/planted_fault_list.py
@@ -0,0 +1,317 @@
+"""The faults that `benchmarks.planted_faults` plants, and the texts that they replace.
+
+A fault that a second line of defence would hide is planted in both. Each replaced text stands exactly once in
+its file, which tests/benchmarks/test_planted_faults.py checks: when a line moves, its fault moves with it.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+SITE = "deploy/plovertrail.toml"
+
+
+@dataclass(frozen=True)
+class Replacement:
+    """A text of a file, and what is planted in its place."""
+
+    file: str  # under the root
+    old: str
+    new: str
+
+
+@dataclass(frozen=True)
+class Fault:
+    """A rule that is broken on purpose."""
+
+    name: str
+    file: str  # under the root
+    old: str
+    new: str
+    also: tuple[Replacement, ...] = ()  # in the lines of defence that would hide it
+
+    @property
+    def replacements(self) -> tuple[Replacement, ...]:
+        """All that is replaced."""
+        return (Replacement(self.file, self.old, self.new), *self.also)
+
+
+BALANCE = "plovertrail/decisions/balance.py"
+DISPATCHER = "plovertrail/dispatch/dispatcher.py"
+ENDPOINT_FEED = "plovertrail/dispatch/dispatcher.py"
+ENDPOINTS = "plovertrail/endpoint_registry.py"
+FAILOVER = "plovertrail/decisions/failover.py"
+REQUESTS = "plovertrail/decisions/requests.py"
+ROUTES = "plovertrail/decisions/routes.py"
+ROUTE_CONDITIONS = "plovertrail/config/route_conditions.py"
+HTTP_LISTENER = "plovertrail/listeners/ordinary.py"
+NEVER_RAN = "NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)"
+FAULTS = (
+    Fault(
+        "a drain is ignored",
+        ENDPOINTS,
+        "state = EndpointStatus.DRAINING if entry.drain else EndpointStatus.READY",
+        "state = EndpointStatus.READY",
+    ),
+    Fault(
+        "a server that has gone is kept",
+        BALANCE,
+        "if entry.state is not EndpointStatus.READY:",
+        "if entry.state is EndpointStatus.DRAINING:",
+        also=(
+            # the dispatcher drops its address, so that what is sent there fails at once and goes on elsewhere
+            Replacement(
+                ENDPOINT_FEED,
+                "            if address is None or self.addresses.get(entry.id, address) != address:\n",
+                "            if address is not None and self.addresses.get(entry.id, address) != address:\n",
+            ),
+            Replacement(
+                ENDPOINT_FEED,
+                "            else:\n                self.forget(entry.id)\n",
+                "            elif entry.state is EndpointStatus.DRAINING:\n"
+                "                self.forget(entry.id)\n",
+            ),
+        ),
+    ),
+    Fault(
+        "a drained server is kept by the module and the host",
+        BALANCE,
+        "            if entry.state is not EndpointStatus.READY:\n                self.forget(entry.id)\n"
+        "                continue\n",
+        "            if entry.state is EndpointStatus.REMOVED:\n"
+        "                self.forget(entry.id)\n                continue\n",
+        also=(
+            Replacement(
+                ENDPOINT_FEED,
+                "            else:\n                self.forget(entry.id)\n",
+                "            elif entry.state is EndpointStatus.REMOVED:\n"
+                "                self.forget(entry.id)\n",
+            ),
+        ),
+    ),
+    Fault(
+        "a leave is told late by a second",
+        ENDPOINTS,
+        "            self.host.list_changed(self.pool, EndpointsUpdated(ListKind.DELTA, entries), addresses)",
+        "            self.host.loop.call_later(1.0, self.host.list_changed, self.pool,\n"
+        "                                      EndpointsUpdated(ListKind.DELTA, entries), addresses)",
+    ),
+    Fault(
+        "an unsafe request is tried again",
+        BALANCE,
+        'if first is None or kind.effect == "idempotent":',
+        'if first is None or kind.effect != "deduplicated":',
+    ),
+    Fault(
+        "a keyed one is tried again as if it were safe",
+        BALANCE,
+        'if first is None or kind.effect == "idempotent":',
+        'if first is None or kind.effect != "at_most_once":',
+    ),
+    Fault(
+        "the group is forgotten",
+        BALANCE,
+        'grouped = first is not None and kind.effect == "deduplicated" and kind.dedup_scope != "all"',
+        "grouped = False",
+    ),
+    Fault(
+        "the group is of the zone instead of the cell",
+        BALANCE,
+        'place = first.entry.zone if kind.dedup_scope == "zone" else first.entry.cell',
+        "place = first.entry.zone",
+    ),
+    Fault(
+        "groups are mixed up",
+        BALANCE,
+        "mates = self.mates.get((kind.dedup_scope, place), {})",
+        "mates = self.servers",
+    ),
+    Fault(
+        "a reset counts as never run",
+        BALANCE,
+        NEVER_RAN,
+        f"{NEVER_RAN[:-1]}, Outcome.RESET)",
+    ),
+    Fault(
+        "an error counts as never run",
+        BALANCE,
+        NEVER_RAN,
+        f"{NEVER_RAN[:-1]}, Outcome.ERROR)",
+    ),
+    Fault(
+        "a time-out counts as never run",
+        BALANCE,
+        NEVER_RAN,
+        f"{NEVER_RAN[:-1]}, Outcome.TIMEOUT)",
+    ),
+    Fault(
+        "what may have run is refused",
+        BALANCE,
+        '            kind.effect == "idempotent"\n            or request.first_that_may_have_run() is None\n',
+        '            kind.effect != ""\n            or request.first_that_may_have_run() is None\n',
+    ),
+    Fault(
+        "what may have run goes to the next pool",
+        FAILOVER,
+        "if standing.may_have_run or standing.out",
+        "if standing.out",
+    ),
+    Fault(
+        "the next pool is not asked",
+        FAILOVER,
+        "return next((number for number in range(standing.asked, len(serving)) if serving[number]), None)",
+        "return next((number for number in range(standing.asked, "
+        "len(serving)) if serving[number] and not standing.attempts), None)",
+    ),
+    Fault(
+        "a pool leaves no attempt to those behind it",
+        FAILOVER,
+        "return left - max(0, min(behind, left - 1))",
+        "return left",
+    ),
+    Fault(
+        "each pool goes by its own attempts",
+        BALANCE,
+        "left = self.settings.max_attempts if event.attempts_left is None else event.attempts_left",
+        "left = self.settings.max_attempts - event.earlier_attempts",
+    ),
+    Fault(
+        "the weight is inverted",
+        BALANCE,
+        "size = server.entry.weight if self.settings.select_by_weight else 1.0",
+        "size = 1.0 / server.entry.weight if self.settings.select_by_weight else 1.0",
+    ),
+    Fault(
+        "the weight is left out",
+        BALANCE,
+        "size = server.entry.weight if self.settings.select_by_weight else 1.0",
+        "size = 1.0",
+    ),
+    Fault(
+        "a cold server counts as warm",
+        BALANCE,
+        "        if started_us == 0:\n            return 1.0\n",
+        "        if started_us >= 0:\n            return 1.0\n",
+    ),
+    Fault(
+        "a cold server gets ten times its part",
+        BALANCE,
+        "part * whole / (borne *",
+        "part * whole / (30 * borne *",
+    ),
+    Fault("precedence: prefixes before expressions", ROUTES, "    REGEX = 1  #", "    REGEX = 3  #"),
+    Fault("precedence: exact paths last", ROUTES, "    EXACT = 0", "    EXACT = 5"),
+    Fault(
+        "precedence: the shortest prefix first",
+        ROUTES,
+        'long = -self.path.rstrip("/").count("/")',
+        'long = self.path.rstrip("/").count("/")',
+    ),
+    Fault(
+        "methods are not looked at",
+        ROUTES,
+        "if route.methods and head.method not in route.methods:",
+        "if False:",
+    ),
+    Fault(
+        "a safe class takes all methods",
+        ROUTE_CONDITIONS,
+        'if not methods and kind is not None and kind.effect == "idempotent":',
+        "if False:",
+    ),
+    Fault(
+        "prefixes end within a segment",
+        ROUTES,
+        'path = path[: path.rfind("/")]',
+        "path = path[:-1]",
+    ),
+    Fault("the query is dropped", REQUESTS, "if head.query and match.route.keep_query:", "if False:"),
+    Fault(
+        "a rewrite is left out",
+        ROUTES,
+        "    if route.rewrite is None:\n        return path\n",
+        "    if route.rewrite is not False:\n        return path\n",
+    ),
+    Fault(
+        "the tenant is not read",
+        REQUESTS,
+        '        return head.headers.get(route.tenant_header, b"")\n',
+        '        return b""\n',
+    ),
+    Fault(
+        "the deadline is off by a thousand",
+        DISPATCHER,
+        "due_us = call.arrived_us + max(1, call.deadline_us - ANSWER_MARGIN_US)",
+        "due_us = call.arrived_us + max(1, call.deadline_us * 1000)",
+    ),
+    Fault(
+        "the deadline is reached with no margin",
+        DISPATCHER,
+        "ANSWER_MARGIN_US = 10_000",
+        "ANSWER_MARGIN_US = -5_000",
+    ),
+    Fault(
+        "requests are kept for ever",
+        DISPATCHER,
+        "        if over and self.requests.pop(request.ident, None) is not None:",
+        "        if over and self.requests.get(request.ident) is not None:",
+    ),
+    Fault(
+        "an answer is written twice",
+        HTTP_LISTENER,
+        "        self.answered += 1\n        self.transport.write(data)\n",
+        "        self.answered += 1\n" + 2 * "        self.transport.write(data)\n",
+    ),
+    Fault(
+        "a client that leaves is not noticed",
+        DISPATCHER,
+        "        if request is not None and not request.over:\n            self._finish(request)\n"
+        "            if "
+        "request.pool is not None:",
+        "        if request is None:\n            self._finish(request)\n            "
+        "if request.pool is not None:",
+    ),
+    Fault(
+        "a request is not answered by its own deadline",
+        DISPATCHER,
+        "        request.timer = self._at(due_us + BACKSTOP_US, self._overdue, request)\n",
+        "",
+        also=(
+            # an attempt that is out ends with the request's time at the latest, and its end is answered
+            Replacement(
+                DISPATCHER,
+                "        attempt.timer = self._at(now_us + timeout_us, self._timed_out, request, number)\n",
+                "",
+            ),
+        ),
+    ),
+    Fault(
+        "refused with no Retry-After",
+        HTTP_LISTENER,
+        'return [(b"Retry-After", b"%d" % -(-after_us // 1_000_000))] if after_us else []',
+        "return []",
+    ),
+    Fault(
+        "a request waits for a slot to its end",
+        BALANCE,
+        "until_us = self.now_us + self.half_aim_us(request.event.class_index)",
+        "until_us = self.now_us + 100 * self.half_aim_us(request.event.class_index)",
+    ),
+    Fault("slots are not given back", BALANCE, "server.used -= int(not attempt.lost)", "server.used -= 0"),
+    Fault(
+        "configuration: a purchase is safe",
+        SITE,
+        '[classes.chapter-buy]\neffect = "unsafe"',
+        '[classes.chapter-buy]\neffect = "safe"',
+    ),
+    Fault("configuration: a top-up's group is all", SITE, 'group = "cell"', 'group = "all"'),
+    Fault(
+        "configuration: purchases go to the reserve first",
+        SITE,
+        'class = "chapter-buy"\npools = ["store", "reserve"]',
+        'class = "chapter-buy"\npools = ["reserve", "store"]',
+    ),
+    Fault("configuration: top-ups take GET too", SITE, 'methods = ["POST", "PUT"]', 'methods = ["GET"]'),
+    Fault("configuration: another priority", SITE, 'name = "pages"\n', 'name = "pages"\npriority = 5\n'),
+    Fault("configuration: another weight", SITE, "weight = 2", "weight = 9"),
+)
