--- a/plovertrail/cli/check.py
+++ b/plovertrail/cli/check.py
@@ -7,7 +7,6 @@
 
 import click
 
-from plovertrail.bounds import even_part, needed_descriptors, needed_memory, too_few
 from plovertrail.cli.files import load_or_exit
 from plovertrail.clock import clock_us
 from plovertrail.config.descriptors import descriptors_allowed
@@ -15,6 +14,12 @@
 from plovertrail.config.setup import Setup
 from plovertrail.decisions.recovery import pieces
 from plovertrail.hooks.loader import HookLoader
+from plovertrail.resource_limits import (
+    default_pool_connections,
+    descriptor_shortage,
+    max_message_bytes,
+    required_descriptors,
+)
 from plovertrail.sources.file_reading import FileSource
 from plovertrail.sources.lists import InvalidListError
 
@@ -31,13 +36,13 @@
 
 def descriptors_of(setup: Setup) -> list[str]:
     """What max_connections comes to where pools don't write it, on this machine."""
-    pools, part = even_part(setup)
+    pools, part = default_pool_connections(setup)
     if not pools:
         return []
     allowed = descriptors_allowed()
     of_what = "" if allowed is None else f", of the {allowed} descriptors that a process may have here"
     found = [f"max_connections of {pools} pools that write none: {part} each{of_what}"]
-    few = too_few(setup)
+    few = descriptor_shortage(setup)
     return found if few is None else [*found, f"note: it would not start here: {few}"]
 
 
@@ -92,8 +97,8 @@
     click.echo(
         f"{file}: good: {len(setup.listeners)} listeners, {len(setup.routes.routes)} routes, "
         f"{len(setup.pools)} pools with {servers} servers, {len(setup.classes)} classes; "
-        f"at most {needed_descriptors(setup)} descriptors, "
-        f"{needed_memory(setup) >> 20} MiB of messages"
+        f"at most {required_descriptors(setup)} descriptors, "
+        f"{max_message_bytes(setup) >> 20} MiB of messages"
     )
     for line in descriptors_of(setup):
         click.echo(line)
--- a/plovertrail/setup_file.py
+++ b/plovertrail/daemon/config_watcher.py
@@ -15,7 +15,7 @@
 log = logging.getLogger(__name__)
 
 
-class SetupFile:
+class ConfigWatcher:
     """`reload` is called with the digest of a changed file that has settled."""
 
     def __init__(self, lists: ListReader, reload: Callable[[str], Awaitable[None]]) -> None:
--- a/plovertrail/fleet_manager.py
+++ b/plovertrail/daemon/fleet_tracker.py
@@ -19,7 +19,7 @@
 log = logging.getLogger(__name__)
 
 
-class FleetManager:
+class FleetTracker:
     """`changed` is called when their number is another one."""
 
     def __init__(self, changed: Callable[[], None], lists: ListReader) -> None:
--- /dev/null
+++ b/plovertrail/daemon/listeners.py
@@ -0,0 +1,130 @@
+"""The listeners of a daemon: bound before a configuration comes into force, and drained at the stop."""
+
+from __future__ import annotations
+
+import socket
+from collections.abc import Iterable, Mapping
+from typing import Protocol
+
+from plovertrail.config.problems import ConfigError, Problem
+from plovertrail.config.setup import ListenerSetup, Setup
+from plovertrail.dispatch.dispatcher import Host
+from plovertrail.generation import Current
+from plovertrail.listeners.ordinary import OrdinaryFront
+from plovertrail.listeners.sockets import SocketKeeper
+
+BACKLOG = 1024  # connections that the kernel completes before they are accepted
+
+
+class ListenerSockets(Protocol):
+    """Where listeners get their sockets from; scenario tests have none."""
+
+    def bind(self, address: tuple[str, int]) -> socket.socket:
+        """A listening socket; raises OSError."""
+
+    def accept_on(self, listener: OrdinaryFront, sock: socket.socket) -> None:
+        """Have a listener accept the connections of a socket."""
+
+
+class SystemListenerSockets:
+    """Sockets of the operating system."""
+
+    def bind(self, address: tuple[str, int]) -> socket.socket:
+        """A listening socket; raises OSError."""
+        return socket.create_server(address, backlog=BACKLOG)
+
+    def accept_on(self, listener: OrdinaryFront, sock: socket.socket) -> None:
+        """Have a listener accept the connections of a socket."""
+        listener.listen_on(sock)
+
+
+class ListenerSet:
+    """The listeners in force by name, and those that still have connections after their removal."""
+
+    def __init__(
+        self, host: Host, current: Current, websockets: SocketKeeper, sockets: ListenerSockets
+    ) -> None:
+        self.host = host
+        self.current = current
+        self.websockets = websockets
+        self.sockets = sockets
+        self.active: dict[str, OrdinaryFront] = {}
+        self.closing: list[OrdinaryFront] = []
+
+    @property
+    def all(self) -> tuple[OrdinaryFront, ...]:
+        """The active listeners and the closing ones."""
+        return (*self.active.values(), *self.closing)
+
+    def addresses(self) -> dict[str, tuple[str, int]]:
+        """Where the active listeners accept connections, by name."""
+        return {name: listener.listener.address for name, listener in self.active.items()}
+
+    def connection_count(self) -> int:
+        """How many connections of clients are open."""
+        return sum(listener.count() for listener in self.all)
+
+    def bind(self, setup: Setup) -> dict[str, socket.socket]:
+        """Bind the listeners that are new or have another address; raises ConfigError with all that fail."""
+        bound: dict[str, socket.socket] = {}
+        problems = []
+        for listener in setup.listeners:
+            active = self.active.get(listener.name)
+            if active is not None and active.listener.address == listener.address:
+                continue
+            try:
+                bound[listener.name] = self.sockets.bind(listener.address)
+            except OSError as error:
+                problems.append(_bind_problem(listener, error))
+        if problems:
+            close_sockets(bound.values())
+            raise ConfigError(setup.path, problems)
+        return bound
+
+    def apply(self, setup: Setup, bound: Mapping[str, socket.socket]) -> None:
+        """Follow a configuration; `bound` has the socket of each listener that is new or has moved."""
+        self.closing = [listener for listener in self.closing if listener.count()]
+        previous = self.active
+        self.active = {}
+        for configured in setup.listeners:
+            name = configured.name
+            if name in bound:
+                listener = OrdinaryFront(self.host, self.current, configured, self.websockets)
+                self.sockets.accept_on(listener, bound[name])
+            else:
+                listener = previous.pop(name)
+                listener.configure(configured)
+            self.active[name] = listener
+        for listener in previous.values():
+            listener.stop_listening()
+            listener.stop_idle()
+            self.closing.append(listener)
+
+    def stop_accepting(self) -> None:
+        """Accept what the kernel has completed, and nothing after it."""
+        for listener in self.all:
+            listener.drain_backlog()
+
+    def close_idle(self) -> None:
+        """Close the connections that have no open request."""
+        for listener in self.all:
+            listener.stop_idle()
+
+    def has_open_requests(self) -> bool:
+        """Whether a connection may still bring a request or has part of a response to come."""
+        return any(listener.owing() for listener in self.all)
+
+
+def _bind_problem(listener: ListenerSetup, error: OSError) -> Problem:
+    host, port = listener.address
+    return Problem(
+        f"listeners.{listener.name}.address",
+        f"can't listen on {host}:{port}: {error.strerror}",
+        "write an address that is free here",
+    )
+
+
+def close_sockets(sockets: Iterable[socket.socket]) -> None:
+    """Close the sockets of a configuration that does not come into force."""
+    for sock in sockets:
+        sock.close()
--- a/plovertrail/status.py
+++ b/plovertrail/daemon/status.py
@@ -4,10 +4,10 @@
 
 from typing import Any
 
+from plovertrail.daemon.running_pool import RunningPool
 from plovertrail.decisions.admission import Admission
 from plovertrail.decisions.fairness import Door
 from plovertrail.decisions.limits import Limiter
-from plovertrail.running_pool import RunningPool
 
 
 def pool_status(running: RunningPool) -> dict[str, Any]:
--- /dev/null
+++ b/plovertrail/resource_limits.py
@@ -0,0 +1,87 @@
+"""What a configuration may hold at most: file descriptors, and bytes of messages."""
+
+from __future__ import annotations
+
+import resource
+from typing import NamedTuple
+
+from plovertrail.config.descriptors import LEAST_BY_DEFAULT, OTHER_DESCRIPTORS, descriptors_allowed
+from plovertrail.config.problems import ConfigError, Problem
+from plovertrail.config.setup import Setup
+from plovertrail.listeners.relay import SOCKET_BYTES
+
+PIPELINE_LIMIT_BYTES = 64 * 1024  # of pipelined requests, where reading pauses
+LOOP_READ_BYTES = 256 * 1024  # the last read of the event loop before the pause takes effect
+PIPELINED_BYTES = PIPELINE_LIMIT_BYTES + LOOP_READ_BYTES
+
+
+class DefaultConnections(NamedTuple):
+    """What max_connections comes to in the pools that do not set it."""
+
+    pools: int  # how many do not set it
+    per_pool: int
+
+
+def required_descriptors(setup: Setup) -> int:
+    """How many descriptors a configuration may hold at most."""
+    listeners = sum(1 + listener.max_connections for listener in setup.listeners)
+    pools = sum(pool.max_connections + pool.max_sockets for pool in setup.pools.values())
+    return listeners + pools + OTHER_DESCRIPTORS
+
+
+def max_message_bytes(setup: Setup) -> int:
+    """How many bytes of messages may be held at once.
+
+    Each client connection may hold a request as it is received, its body once more as it is forwarded, what
+    is pipelined behind it, and a response that the client does not read. Each endpoint connection may hold
+    a response as it is received, and each WebSocket what its peers do not read.
+    """
+    limits = setup.limits
+    per_client = limits.max_head + 2 * limits.max_body + PIPELINED_BYTES + limits.max_answer
+    clients = sum(listener.max_connections for listener in setup.listeners) * per_client
+    endpoints = sum(pool.max_connections for pool in setup.pools.values()) * limits.max_answer
+    websockets = sum(pool.max_sockets for pool in setup.pools.values()) * SOCKET_BYTES
+    hooks = sum(hook.memory for hook in setup.hooks.values())
+    return clients + endpoints + websockets + hooks
+
+
+def default_pool_connections(setup: Setup) -> DefaultConnections:
+    """How many pools set no max_connections, and how many connections each of them gets."""
+    per_pool = [pool.max_connections for pool in setup.pools.values() if pool.even_part]
+    return DefaultConnections(len(per_pool), min(per_pool, default=0))
+
+
+def descriptor_shortage(setup: Setup) -> Problem | None:
+    """What is wrong where too few descriptors are left to the pools that set no max_connections."""
+    default = default_pool_connections(setup)
+    if not default.pools or default.per_pool >= LEAST_BY_DEFAULT:
+        return None
+    required = required_descriptors(setup) + default.pools * (LEAST_BY_DEFAULT - default.per_pool)
+    return Problem(
+        "pools",
+        f"{default.pools} pools write no max_connections, and the {descriptors_allowed()} descriptors that "
+        f"the process may have leave fewer than {LEAST_BY_DEFAULT} to each",
+        f"raise the limit (ulimit -n) to {required} or more, or lower max_connections of listeners "
+        "or of the pools that write it",
+    )
+
+
+def raise_descriptor_limit(setup: Setup) -> None:
+    """Raise the process's soft limit as far as a configuration needs; raises ConfigError if it can't be."""
+    shortage = descriptor_shortage(setup)
+    if shortage is not None:
+        raise ConfigError(setup.path, [shortage])
+    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
+    required = required_descriptors(setup)
+    if hard != resource.RLIM_INFINITY and required > hard:
+        raise ConfigError(setup.path, [_limit_problem(required, hard)])
+    if soft != resource.RLIM_INFINITY and required > soft:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (required, hard))
+
+
+def _limit_problem(required: int, hard: int) -> Problem:
+    return Problem(
+        "",
+        f"all connections together may take {required} descriptors, and the process may have {hard}",
+        "lower max_connections of listeners or pools, or raise the limit (ulimit -n)",
+    )
--- a/tests/benchmarks/test_capacity_processes.py
+++ b/tests/benchmarks/test_capacity_processes.py
@@ -19,8 +19,8 @@
 from benchmarks.capacity.slopes import Axis, Unit
 from benchmarks.capacity.target import TARGET
 from fakes.web import OK, WebServer, always
-from plovertrail.bounds import needed_descriptors
 from plovertrail.config.operator import load
+from plovertrail.resource_limits import required_descriptors
 from plovertrail.sources.lists import parse
 
 DESCRIPTORS = 20_000  # of a process on the machines that the benchmark is for
@@ -38,7 +38,7 @@
     setup = load(str(site.path))
     assert sorted(setup.pools) == sorted(site.service_names())
     assert len(setup.pools) == TARGET.services
-    assert needed_descriptors(setup) <= DESCRIPTORS
+    assert required_descriptors(setup) <= DESCRIPTORS
     for pool in setup.pools.values():
         ((path, needs_checksum),) = pool.lists
         assert needs_checksum
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -359,7 +359,7 @@
                 f'[listeners.free]\naddress = "127.0.0.1:{free_port()}"\n[listeners.more]\naddress = "{{}}"\n'
             )
             assert not await it.change(text + both.format(taken.address))
-            assert set(it.daemon.fronts) == {"web"}
+            assert set(it.daemon.listeners.active) == {"web"}
             assert await it.change(text + both.format(f"127.0.0.1:{free_port()}"))
             for _, port in it.daemon.addresses().values():
                 client = Client(*await asyncio.open_connection("127.0.0.1", port))
@@ -368,7 +368,7 @@
             kept = Client(*await asyncio.open_connection("127.0.0.1", it.daemon.addresses()["free"][1]))
             assert (await kept.ask(message("GET /"))).status == 200
             assert await it.change(text)  # the listeners go, with their idle connections
-            assert await kept.ended() and set(it.daemon.fronts) == {"web"}
+            assert await kept.ended() and set(it.daemon.listeners.active) == {"web"}
         taken.stop()
 
     run(test)
--- a/tests/test_many_lists.py
+++ b/tests/test_many_lists.py
@@ -16,8 +16,7 @@
 from click.testing import CliRunner
 
 from fakes.ports import free_port
-from plovertrail import bounds
-from plovertrail.bounds import check_descriptors, even_part
+from plovertrail import resource_limits
 from plovertrail.cli import main
 from plovertrail.clock import another_clock
 from plovertrail.config import descriptors
@@ -26,10 +25,11 @@
 from plovertrail.config.operator import load
 from plovertrail.config.problems import ConfigError
 from plovertrail.daemon.process import Daemon, lists_of
+from plovertrail.daemon.running_pool import ElsewhereKnown, RunningPool
 from plovertrail.decisions.fleet_limits import Fleet
 from plovertrail.decisions.list_versions import SourceKey
 from plovertrail.decisions.turns import Place
-from plovertrail.running_pool import ElsewhereKnown, RunningPool
+from plovertrail.resource_limits import default_pool_connections, raise_descriptor_limit
 from plovertrail.sources.first_read import FIRST_READ_S
 from plovertrail.sources.list_reader import ListReader
 from plovertrail.stall_detector import StallDetectingLoop
@@ -273,7 +273,7 @@
                 assert set(ports(daemon)) == {"a", "b"}
             site.write(["b"])  # and from now on by the signal only
             await until(lambda: set(ports(daemon)) == {"b"})
-            assert daemon.setup_file.subscription is None and daemon.status()["reload"] == {
+            assert daemon.config_watcher.subscription is None and daemon.status()["reload"] == {
                 "on": "signal",
                 "problem": "",
             }
@@ -416,14 +416,14 @@
         put(site.list_of(name), 1)
     site.write(names)
     done = CliRunner().invoke(main, ["check", str(site.path)])
-    pools, part = even_part(load(str(site.path)))
+    pools, part = default_pool_connections(load(str(site.path)))
     assert pools == 20 and f"max_connections of 20 pools that write none: {part} each" in done.output
     check_module = importlib.import_module("plovertrail.cli.check")
-    for module in (pools_module, bounds, check_module):
+    for module in (pools_module, resource_limits, check_module):
         monkeypatch.setattr(module, "descriptors_allowed", lambda: 1001 + 64 + 140)
     setup = load(str(site.path))
     with pytest.raises(ConfigError) as caught:
-        check_descriptors(setup)
+        raise_descriptor_limit(setup)
     assert f"ulimit -n) to {1001 + 64 + 160} or more" in str(caught.value)
     done = CliRunner().invoke(main, ["check", str(site.path)])
     assert "7 each, of the 1205 descriptors" in done.output and "would not start here" in done.output
