--- a/benchmarks/capacity/list_calls_role.py
+++ b/benchmarks/capacity/list_calls_role.py
@@ -13,7 +13,7 @@
 from benchmarks.capacity.slopes import Axis, Sample, Situation, Slope, Unit
 from benchmarks.capacity.target import BUDGET, TARGET
 from plovertrail.decisions.actions import Subscribe
-from plovertrail.decisions.balance import Balancer
+from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import TimerFired
 from plovertrail.decisions.settings import RequestClass, Settings
 
@@ -70,7 +70,7 @@
     by_second: Counter[int] = Counter()
     last_us = 0
     for _ in range(starting * case.services):
-        asked_us = _first_call_us(Balancer(settings, rng.getrandbits(32), START_US), meter)
+        asked_us = _first_call_us(LoadBalancer(settings, rng.getrandbits(32), START_US), meter)
         second = asked_us // SECOND_US
         by_machine[rng.randrange(TARGET.control_machines), second] += 1
         by_second[second] += 1
@@ -83,7 +83,7 @@
     )
 
 
-def _first_call_us(balancer: Balancer, meter: CpuMeter) -> int:
+def _first_call_us(balancer: LoadBalancer, meter: CpuMeter) -> int:
     """When it asks for its list, from its start on."""
     due_us = balancer.ask_list_us
     actions = meter.call(balancer.handle, due_us, TimerFired(0))
--- a/benchmarks/capacity/lost_watches.py
+++ b/benchmarks/capacity/lost_watches.py
@@ -1,7 +1,7 @@
 """Calls at discovery when all watches end at one moment: `python -m benchmarks.capacity.lost_watches`.
 
-A real Balancer for each sidecar, on a virtual clock: each is told that its subscription has broken, or that
-it fell silent, and asked when it calls. Counted: the calls of the worst second, of all sidecars together. The
+A real load balancer for each sidecar, on a virtual clock: each is told that its subscription has broken or
+fallen silent, and asked when it calls. Counted: the calls of the worst second, of all sidecars together. The
 bar, at the planned size: the stated rate, or what a program without one reckons with for each machine.
 """
 
@@ -17,7 +17,7 @@
 from benchmarks.capacity.target import TARGET
 from benchmarks.report import Bar, close, table
 from plovertrail.decisions.actions import Subscribe
-from plovertrail.decisions.balance import Balancer
+from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import Endpoint, EndpointsUpdated, ListKind, TimerFired
 from plovertrail.decisions.list_calls import BORNE_PER_S
 from plovertrail.decisions.settings import RequestClass, Settings
@@ -61,7 +61,7 @@
 
 def called_after_us(case: Case, sidecars: int, seed: int) -> int:
     """When one sidecar calls, counted from the end of its watch."""
-    balancer = Balancer(settings(case, sidecars), seed, 0)
+    balancer = LoadBalancer(settings(case, sidecars), seed, 0)
     balancer.handle(1_000, EndpointsUpdated(ListKind.FULL, [Endpoint(1)]))
     balancer.handle(BREAKS_AT_US, EndpointsUpdated(ListKind.FAILED, watch_stalled=case.silent))
     while True:
--- a/benchmarks/capacity/retry_bound.py
+++ b/benchmarks/capacity/retry_bound.py
@@ -4,7 +4,7 @@
 
 - attempts: a sidecar makes `attempts` of one call where the effect and the failure let it, else one;
 - time: a call's attempts follow one another, and each hop has at most what its caller's attempt has left;
-- budget: a sidecar's reissues are `MOST_RETRIES` in hand and `RETRY_SHARE` for each first send.
+- budget: a sidecar's reissues are `MAX_RETRY_BALANCE` in hand and `RETRY_SHARE` for each first send.
 
 The first two hold for each call. The third holds for all calls of a sidecar together, and so for one call
 alone. None holds for what a service repeats by itself, and time only where services tell deadlines on.
@@ -16,8 +16,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from plovertrail.decisions.balance import MOST_RETRIES, NEVER_RAN, REISSUED, RETRY_SHARE
 from plovertrail.decisions.events import Outcome
+from plovertrail.decisions.load_balancing.outcomes import NEVER_RAN, RETRYABLE
+from plovertrail.decisions.load_balancing.retry_budget import MAX_RETRY_BALANCE, RETRY_SHARE
 
 DEFAULT_ATTEMPTS = 3  # of a route, docs/operator.md
 
@@ -63,7 +64,7 @@
 
 def attempts_of_one_call(effect: Effect, outcome: Outcome, attempts: int) -> int:
     """The most attempts that one sidecar makes of one call whose attempts all end so."""
-    if outcome not in REISSUED:
+    if outcome not in RETRYABLE:
         return 1
     if effect is Effect.UNSAFE and outcome not in NEVER_RAN:
         return 1
@@ -114,7 +115,7 @@
 
 def most_reissues(first_sends: int, sidecars: int) -> float:
     """Reissues of all calls together, of so many sidecars, however long they go on."""
-    return MOST_RETRIES * sidecars + RETRY_SHARE * first_sends
+    return MAX_RETRY_BALANCE * sidecars + RETRY_SHARE * first_sends
 
 
 def of_one_call(
--- a/benchmarks/capacity/retry_model.py
+++ b/benchmarks/capacity/retry_model.py
@@ -1,4 +1,4 @@
-"""A chain of services on a virtual clock, with a real Balancer in every sidecar, whose last service fails."""
+"""A chain of services on a virtual clock, each sidecar with a real load balancer; the last service fails."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from benchmarks.capacity.retry_bound import Chain, Effect, Failure, Propagation
 from plovertrail.decisions.actions import Fail, Reject, Send, SetTimer
-from plovertrail.decisions.balance import NEVER_US, Balancer
+from plovertrail.decisions.balance import NEVER_US, LoadBalancer
 from plovertrail.decisions.events import (
     AttemptEnded,
     Endpoint,
@@ -89,7 +89,7 @@
     def __init__(self, model: Model, depth: int, seed: int) -> None:
         self.model = model
         self.depth = depth
-        self.balancer = Balancer(model.plan.settings(), seed, model.clock.now_us)
+        self.balancer = LoadBalancer(model.plan.settings(), seed, model.clock.now_us)
         self.calls: dict[int, Call] = {}
         self.last = 0
         entries = [Endpoint(number) for number in range(model.plan.servers)]
@@ -113,7 +113,7 @@
             self.tell(RequestCancelled(ident))
 
     def tell(self, event: Event) -> None:
-        """Hand an event to the Balancer, and carry out the actions that it returns."""
+        """Hand an event to the LoadBalancer, and carry out the actions that it returns."""
         clock = self.model.clock
         for action in self.balancer.handle(clock.now_us, event):
             if isinstance(action, Send):
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -53,7 +53,7 @@
 
 
 Make = Callable[[Settings, int, int], Module]
-MODULES: dict[str, Make] = {"module": balance.Balancer, "reference": reference_balance.Balancer}
+MODULES: dict[str, Make] = {"module": balance.LoadBalancer, "reference": reference_balance.Balancer}
 
 
 class Run:
--- a/benchmarks/long_lists.py
+++ b/benchmarks/long_lists.py
@@ -125,7 +125,7 @@
             while not (told and told[-1] == version and not pool.untold and not pool.untold_ends):
                 await asyncio.sleep(TICK_S)
             took = time.perf_counter() - began
-            if len(pool.serving) != count or pool.balancer.servers.keys() != pool.serving:
+            if len(pool.serving) != count or pool.balancer.endpoints.keys() != pool.serving:
                 raise SystemExit(f"{name}: {len(pool.serving)} servers are in use, {count} were expected")
             await asyncio.sleep(0.05)
             found.setdefault(name, []).append((clock.longest * 1e3, took * 1e3))
--- a/benchmarks/planted_fault_list.py
+++ b/benchmarks/planted_fault_list.py
@@ -37,6 +37,7 @@
 
 
 BALANCE = "plovertrail/decisions/balance.py"
+OUTCOMES = "plovertrail/decisions/load_balancing/outcomes.py"
 DISPATCHER = "plovertrail/dispatch/dispatcher.py"
 ENDPOINT_FEED = "plovertrail/dispatch/dispatcher.py"
 ENDPOINTS = "plovertrail/endpoint_registry.py"
@@ -117,30 +118,30 @@
     Fault(
         "the group is of the zone instead of the cell",
         BALANCE,
-        'place = first.entry.zone if kind.dedup_scope == "zone" else first.entry.cell',
-        "place = first.entry.zone",
+        'place = first.listed.zone if kind.dedup_scope == "zone" else first.listed.cell',
+        "place = first.listed.zone",
     ),
     Fault(
         "groups are mixed up",
         BALANCE,
         "mates = self.mates.get((kind.dedup_scope, place), {})",
-        "mates = self.servers",
+        "mates = self.endpoints",
     ),
     Fault(
         "a reset counts as never run",
-        BALANCE,
+        OUTCOMES,
         NEVER_RAN,
         f"{NEVER_RAN[:-1]}, Outcome.RESET)",
     ),
     Fault(
         "an error counts as never run",
-        BALANCE,
+        OUTCOMES,
         NEVER_RAN,
         f"{NEVER_RAN[:-1]}, Outcome.ERROR)",
     ),
     Fault(
         "a time-out counts as never run",
-        BALANCE,
+        OUTCOMES,
         NEVER_RAN,
         f"{NEVER_RAN[:-1]}, Outcome.TIMEOUT)",
     ),
@@ -178,13 +179,13 @@
     Fault(
         "the weight is inverted",
         BALANCE,
-        "size = server.entry.weight if self.settings.select_by_weight else 1.0",
-        "size = 1.0 / server.entry.weight if self.settings.select_by_weight else 1.0",
+        "size = server.listed.weight if self.settings.select_by_weight else 1.0",
+        "size = 1.0 / server.listed.weight if self.settings.select_by_weight else 1.0",
     ),
     Fault(
         "the weight is left out",
         BALANCE,
-        "size = server.entry.weight if self.settings.select_by_weight else 1.0",
+        "size = server.listed.weight if self.settings.select_by_weight else 1.0",
         "size = 1.0",
     ),
     Fault(
@@ -297,7 +298,12 @@
         "until_us = self.now_us + self.half_aim_us(request.event.class_index)",
         "until_us = self.now_us + 100 * self.half_aim_us(request.event.class_index)",
     ),
-    Fault("slots are not given back", BALANCE, "server.used -= int(not attempt.lost)", "server.used -= 0"),
+    Fault(
+        "slots are not given back",
+        BALANCE,
+        "server.in_flight -= int(not attempt.slot_released)",
+        "server.in_flight -= 0",
+    ),
     Fault(
         "configuration: a purchase is safe",
         SITE,
--- a/benchmarks/reference_balance.py
+++ b/benchmarks/reference_balance.py
@@ -84,37 +84,37 @@
     """What this sidecar knows of one upstream."""
 
     def __init__(self, entry: Endpoint, pool: Pool, classes: int) -> None:
-        self.entry = entry
-        self.pool = pool
-        self.used = 0  # slots taken by this sidecar's sends
-        self.out: list[Attempt] = []  # its attempts that have not ended, in the order of their sends
+        self.listed = entry
+        self.group = pool
+        self.in_flight = 0  # slots taken by this sidecar's sends
+        self.attempts: list[Attempt] = []  # its attempts that have not ended, in the order of their sends
         # by class, as an upstream may be well for all but some: the share of attempts that had no answer in
         # time, smoothed; how many of late in a row; and till when the class rests there
-        self.silence = [0.0] * classes
-        self.mute = [0] * classes
-        self.mute_until_us = [0] * classes
-        self.window = 1.0  # slots open while it is well; below 1 the one slot rests between sends
-        self.rest_until_us = 0
-        self.next_cold = 0.0  # while it is cold, it waits till this sidecar has seen so many served
-        self.pace = 1.0  # time of its answers beside those of the others, smoothed
-        self.slow_start = False  # its slots open fast until its first slow answer or fault
-        self.faults = 0.0  # share of its attempts that failed at once or spoilt, smoothed
-        self.rests = False  # as last logged
+        self.no_response_rate = [0.0] * classes
+        self.consecutive_no_response = [0] * classes
+        self.excluded_until_us = [0] * classes
+        self.concurrency_limit = 1.0  # slots open while it is well; below 1 the one slot rests between sends
+        self.ejected_until_us = 0
+        self.next_warm_up_send = 0.0  # while it is cold, it waits till this sidecar has seen so many served
+        self.relative_latency = 1.0  # time of its answers beside those of the others, smoothed
+        self.fast_growth = False  # its slots open fast until its first slow answer or fault
+        self.fault_rate = 0.0  # share of its attempts that failed at once or spoilt, smoothed
+        self.logged_as_ejected = False  # as last logged
 
 
 class Attempt:
     """An attempt that was sent to a server, and what has been seen of it."""
 
     def __init__(self, server: Server, class_index: int, now_us: int) -> None:
-        self.server = server
-        self.entry = server.entry  # as it was listed then
+        self.endpoint = server
+        self.listed = server.listed  # as it was listed then
         self.class_index = class_index
-        self.sent_us = now_us
-        self.overtaken = 0  # answers of its upstream to what was sent later
-        self.passed = False  # one of these was to its own class
-        self.silent = False  # it has had no answer for longer than one takes
-        self.lost = False  # and holds no slot any more
-        self.ended: Outcome | None = None  # None while it is out
+        self.sent_at_us = now_us
+        self.overtaken_by = 0  # answers of its upstream to what was sent later
+        self.overtaken_in_class = False  # one of these was to its own class
+        self.no_response = False  # it has had no answer for longer than one takes
+        self.slot_released = False  # and holds no slot any more
+        self.outcome: Outcome | None = None  # None while it is out
 
 
 class Request:
@@ -124,11 +124,11 @@
         self.event = event
         self.arrived_us = now_us
         self.attempts: list[Attempt] = []
-        self.done = self.streaming = False
+        self.is_closed = self.is_streaming = False
 
     def out(self) -> int:
         """How many attempts have not ended."""
-        return sum(1 for attempt in self.attempts if attempt.ended is None)
+        return sum(1 for attempt in self.attempts if attempt.outcome is None)
 
     def attempts_made(self) -> int:
         """All attempts so far, those of other pools included."""
@@ -136,7 +136,7 @@
 
     def first_that_may_have_run(self) -> Attempt | None:
         """The first attempt that may have had an effect; None if all are known not to have run."""
-        return next((attempt for attempt in self.attempts if attempt.ended not in NEVER_RAN), None)
+        return next((attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN), None)
 
 
 class Balancer:
@@ -180,7 +180,7 @@
         elif isinstance(event, RequestCancelled) and event.request in self.requests:
             self.close(self.requests[event.request])
         elif isinstance(event, StreamStarted) and event.request in self.requests:
-            self.requests[event.request].streaming = True
+            self.requests[event.request].is_streaming = True
         elif isinstance(event, EndpointsUpdated):
             self.on_list(event)
         self.fill_from_buffer()
@@ -290,7 +290,7 @@
 
     def close(self, request: Request) -> None:
         """The request has its final answer; it is forgotten once no attempt is out."""
-        request.done = True
+        request.is_closed = True
         if self.buffer is request:
             self.buffer = None
         if request.out() == 0:
@@ -299,24 +299,24 @@
     def open_slots(self, server: Server) -> int:
         """How many of this sidecar's sends an upstream may have now; the one place where health lives."""
         cold = self.warmth(server) < 1.0
-        if self.now_us < server.rest_until_us or (cold and server.pool.served < server.next_cold):
+        if self.now_us < server.ejected_until_us or (cold and server.group.served < server.next_warm_up_send):
             return 0
-        return 1 if cold else max(1, int(server.window))
+        return 1 if cold else max(1, int(server.concurrency_limit))
 
     def judge(self, attempt: Attempt, elapsed_us: int, class_index: int) -> None:
         """How an attempt's end opens or closes its upstream's slots."""
-        server, pool, outcome = attempt.server, attempt.server.pool, attempt.ended
+        server, pool, outcome = attempt.endpoint, attempt.endpoint.group, attempt.outcome
         slow_us = self.half_aim_us(class_index)
         # hazard: what spoils answers and breaks connections may do so on all upstreams alike, and one such
         # fault would shut each of them; only turning work away tells at once of the upstream itself
         fault = outcome in INSTANT_FAULTS or outcome is Outcome.MALFORMED
-        server.faults += (float(fault) - server.faults) / FAULT_MEMORY
-        faulty = outcome is Outcome.REJECTED or (fault and server.faults > FAULT_SHARE)
+        server.fault_rate += (float(fault) - server.fault_rate) / FAULT_MEMORY
+        faulty = outcome is Outcome.REJECTED or (fault and server.fault_rate > FAULT_SHARE)
         if fault and not faulty and outcome is not Outcome.MALFORMED:
             return  # and its time tells nothing
         load = min(2.0, elapsed_us / slow_us) if outcome in ANSWERED else 2.0
         pace = SLOWEST_PACE if faulty else elapsed_us / self.mean_us[class_index]
-        server.pace += (min(max(pace, 0.1), SLOWEST_PACE) - server.pace) / PACE_MEMORY
+        server.relative_latency += (min(max(pace, 0.1), SLOWEST_PACE) - server.relative_latency) / PACE_MEMORY
         if outcome in (*ANSWERED, Outcome.TIMEOUT, Outcome.REJECTED):
             # hazard: a light sidecar never fills its slots; they hold nothing back when all are slow; draws
             # are thinned, at once as queues stay for seconds, but not for one slow answer among quick ones
@@ -325,60 +325,62 @@
             pool.admitted *= max(0.3, 1.0 + gain * (FULL_LOAD - load))
             pool.admitted = min(1.0, max(pool.admitted, LEAST_ADMITTED))
         # hazard: a heavy request is slow by itself; many answers are judged together, each for a little
-        step = GROWTH * (FULL_LOAD - load) / max(server.window, 1.0)
-        server.slow_start = server.slow_start and step > 0.0 and not faulty
-        if server.slow_start:
+        step = GROWTH * (FULL_LOAD - load) / max(server.concurrency_limit, 1.0)
+        server.fast_growth = server.fast_growth and step > 0.0 and not faulty
+        if server.fast_growth:
             # hazard: at GROWTH a sidecar that starts in a busy hour would refuse a third of the first ones
             step = 1.0 - load / FULL_LOAD
         if faulty:
             # hazard: what fails at once frees its slot at once and so would draw ever more
-            server.window /= 2
+            server.concurrency_limit /= 2
         elif step < 0.0:
             # hazard: after an outage all would rest for long, so slow answers leave the one slot
-            server.window = max(server.window * (1.0 + step), min(server.window, 1.0))
+            server.concurrency_limit = max(
+                server.concurrency_limit * (1.0 + step), min(server.concurrency_limit, 1.0)
+            )
         # hazard: slots opened without need (none for two aims), by many sidecars above all, choke bursts
-        elif server.window < 1.0 or attempt.sent_us <= self.short_us + 4 * slow_us:
-            server.window += min(server.window, step)
-        server.window = min(max(server.window, SMALLEST_WINDOW), float(MOST_SLOTS))
-        if server.window < 1.0:
+        elif server.concurrency_limit < 1.0 or attempt.sent_at_us <= self.short_us + 4 * slow_us:
+            server.concurrency_limit += min(server.concurrency_limit, step)
+        server.concurrency_limit = min(max(server.concurrency_limit, SMALLEST_WINDOW), float(MOST_SLOTS))
+        if server.concurrency_limit < 1.0:
             # hazard: beside answers of seconds, short rests leave a choked upstream crowded
             busy_us = max(min(self.mean_us[class_index], slow_us), min(elapsed_us, 2 * slow_us))
-            rest_us = busy_us * (1.0 / server.window - 1.0) * (0.5 + self.random.random())
-            server.rest_until_us = self.now_us + int(rest_us)
-        if server.window < 0.5 and server in pool.in_use:
+            rest_us = busy_us * (1.0 / server.concurrency_limit - 1.0) * (0.5 + self.random.random())
+            server.ejected_until_us = self.now_us + int(rest_us)
+        if server.concurrency_limit < 0.5 and server in pool.in_use:
             pool.in_use.remove(server)  # another takes its place; it may come back when its rest is over
-            self.actions.append(CloseIdle(server.entry.id))
-        rests = server.window < (1.0 if server.rests else 0.25)
+            self.actions.append(CloseIdle(server.listed.id))
+        rests = server.concurrency_limit < (1.0 if server.logged_as_ejected else 0.25)
         change = "rests" if rests else "is back"
-        if rests != server.rests and self.log(f"upstream {server.entry.id} {change}"):
-            server.rests = rests
+        if rests != server.logged_as_ejected and self.log(f"upstream {server.listed.id} {change}"):
+            server.logged_as_ejected = rests
 
     def warmth(self, server: Server) -> float:
         """Rule 4: the share of its capacity that an upstream surely has. Hazard: calling it warm any sooner
         lets in all sidecars at one moment, and together they push it over."""
-        s, age_us = self.settings, self.now_us - server.entry.started_us
-        if server.entry.started_us == 0 or age_us >= s.warm_up_us:
+        s, age_us = self.settings, self.now_us - server.listed.started_us
+        if server.listed.started_us == 0 or age_us >= s.warm_up_us:
             return 1.0
         return s.warm_up_initial_capacity + (1.0 - s.warm_up_initial_capacity) * max(0, age_us) / s.warm_up_us
 
     def pace_cold(self, server: Server, part: float) -> None:
         """Rule 4: a cold upstream gets its part, by warmth, of what this sidecar sees served by its pool; and
         the fleet serves no more than it can, however much is asked of it."""
-        whole = sum(self.warmth(other) for other in self.servers.values() if other.pool is server.pool)
-        server.next_cold = server.pool.served + part * COLD_CARE * whole / self.warmth(server)
+        whole = sum(self.warmth(other) for other in self.servers.values() if other.group is server.group)
+        server.next_warm_up_send = server.group.served + part * COLD_CARE * whole / self.warmth(server)
 
     def draw(self, request: Request) -> Server | None:
         """A random free slot, at one of the few upstreams that this sidecar's traffic needs, else at any; a
         busy zone spills over only what it can't take: a request thinned or without a slot there."""
         index = request.event.class_index
-        resting = sum(1 for s in self.servers.values() if self.now_us < s.mute_until_us[index])
+        resting = sum(1 for s in self.servers.values() if self.now_us < s.excluded_until_us[index])
         some_rest = resting <= MOST_MUTE * len(self.servers)
         for pool in self.pools if self.may_send(request) else []:
             if pool.credit >= 1.0:
                 best = self.free_slots(request, pool.in_use, some_rest)
                 if not best or len(pool.in_use) < FEWEST_IN_USE + int(pool.rate / A_SECOND_EACH):
                     # hazard: each sidecar connected to each upstream fills their tables of connections
-                    others = [s for s in self.servers.values() if s.pool is pool and s not in pool.in_use]
+                    others = [s for s in self.servers.values() if s.group is pool and s not in pool.in_use]
                     best = self.free_slots(request, others, some_rest) or best
                 if best:
                     return self.random.choices(best, [share for _, share in best])[0][0]
@@ -388,25 +390,29 @@
         self, request: Request, servers: list[Server], some_rest: bool
     ) -> list[tuple[Server, float]]:
         """The upstreams with a slot free for it, each with its slots, which count less where it is slow."""
-        tried = [attempt.server for attempt in request.attempts]
+        tried = [attempt.endpoint for attempt in request.attempts]
         index = request.event.class_index
         by_weight, first = self.settings.select_by_weight, request.first_that_may_have_run()
         found = []
         for server in servers:
-            slots = self.open_slots(server) - server.used
-            if slots <= 0 or (some_rest and self.now_us < server.mute_until_us[index]):
+            slots = self.open_slots(server) - server.in_flight
+            if slots <= 0 or (some_rest and self.now_us < server.excluded_until_us[index]):
                 continue
-            if server.entry.id in request.event.excluded:
+            if server.listed.id in request.event.excluded:
                 continue
             if first is None or self.in_group(request, first, server):
-                size = server.entry.weight if by_weight else 1.0
-                share = slots * size / (server.pace * (1.0 + server.silence[index] / SILENCE_BORNE)) ** 2
+                size = server.listed.weight if by_weight else 1.0
+                share = (
+                    slots
+                    * size
+                    / (server.relative_latency * (1.0 + server.no_response_rate[index] / SILENCE_BORNE)) ** 2
+                )
                 found.append((server, share))
         return [pair for pair in found if pair[0] not in tried] or found
 
     def may_send(self, request: Request) -> bool:
         """Rules 1 and 2 as far as they don't depend on the upstream."""
-        if request.done or request.streaming or self.now_us >= request.event.due_us:
+        if request.is_closed or request.is_streaming or self.now_us >= request.event.due_us:
             return False
         left = request.event.attempts_left
         if len(request.attempts) >= (self.settings.max_attempts if left is None else left):
@@ -416,7 +422,7 @@
         first, kind = request.first_that_may_have_run(), self.class_of(request)
         if first is None or kind.effect == "idempotent":
             return True
-        return kind.effect == "deduplicated" and self.now_us - first.sent_us < kind.dedup_window_us
+        return kind.effect == "deduplicated" and self.now_us - first.sent_at_us < kind.dedup_window_us
 
     def in_group(self, request: Request, first: Attempt, server: Server) -> bool:
         """Rule 2: after a keyed attempt that may have run, only upstreams that drop its repeats."""
@@ -424,15 +430,15 @@
         if kind.effect != "deduplicated" or kind.dedup_scope == "all":
             return True
         if kind.dedup_scope == "zone":
-            return first.entry.zone == server.entry.zone
-        return first.entry.cell == server.entry.cell
+            return first.listed.zone == server.listed.zone
+        return first.listed.cell == server.listed.cell
 
     def send(self, request: Request, server: Server) -> None:
         """Send an attempt of a request to a server."""
         if self.warmth(server) < 1.0:
             self.pace_cold(server, 1.0)
-        server.used += 1
-        pool = server.pool
+        server.in_flight += 1
+        pool = server.group
         pool.credit = max(0.0, pool.credit - 1.0)
         faded = math.exp((pool.rated_us - self.now_us) / RATE_MEMORY_US)
         pool.rate, pool.rated_us = pool.rate * faded + 1_000_000 / RATE_MEMORY_US, self.now_us
@@ -441,10 +447,10 @@
         self.reissues.count(first=request.attempts_made() == 0)
         attempt = Attempt(server, request.event.class_index, self.now_us)
         request.attempts.append(attempt)
-        server.out.append(attempt)
+        server.attempts.append(attempt)
         silent_us = self.now_us + self.silent_after_us(attempt.class_index)
         self.wake(silent_us, "silence", request.event.request, len(request.attempts) - 1)
-        self.actions.append(Send(request.event.request, server.entry.id, self.timeout_us(request)))
+        self.actions.append(Send(request.event.request, server.listed.id, self.timeout_us(request)))
         if self.settings.hedging and self.class_of(request).effect != "at_most_once":
             index = request.event.class_index  # soon enough to be back in time, late enough to be seldom
             after_us = min(int(2 * self.mean_us[index]), self.half_aim_us(index))
@@ -462,16 +468,20 @@
         of it only after many usual answer times. So the upstream is drawn less for that class, and only now
         and then once it left some in a row unanswered; this holds for one that says nothing at all, too. It
         could do harm where a class is slow by nature and seldom: its late answers then send it elsewhere."""
-        server, index = attempt.server, attempt.class_index
-        if attempt.ended is not None or self.settings.classes[index].stream:
+        server, index = attempt.endpoint, attempt.class_index
+        if attempt.outcome is not None or self.settings.classes[index].stream:
             return
-        attempt.silent = True
-        server.silence[index] += (1.0 - server.silence[index]) / SILENCE_MEMORY
-        if not attempt.passed:
-            server.mute[index] = min(server.mute[index] + 1, LONGEST_MUTE)
-            if server.mute[index] >= MUTE:
+        attempt.no_response = True
+        server.no_response_rate[index] += (1.0 - server.no_response_rate[index]) / SILENCE_MEMORY
+        if not attempt.overtaken_in_class:
+            server.consecutive_no_response[index] = min(
+                server.consecutive_no_response[index] + 1, LONGEST_MUTE
+            )
+            if server.consecutive_no_response[index] >= MUTE:
                 usual_us = self.silent_after_us(index) * (0.5 + self.random.random())
-                server.mute_until_us[index] = self.now_us + int(usual_us * 2 ** (server.mute[index] - 1))
+                server.excluded_until_us[index] = self.now_us + int(
+                    usual_us * 2 ** (server.consecutive_no_response[index] - 1)
+                )
         self.give_up_slot(attempt)
 
     def give_up_slot(self, attempt: Attempt) -> None:
@@ -482,13 +492,17 @@
         have one lost on suspicion while others answer fast. A slow or silent one, or fleet, frees no more.
         It could do harm where an upstream serves by priority or shares out its time, and really has in work
         what was overtaken: it then gets up to twice the slots."""
-        server = attempt.server
-        proven = attempt.overtaken >= OVERTAKEN
-        lost = [other for other in server.out if other.lost]
-        suspected = server.pool.load < FULL_LOAD and all(other.overtaken >= OVERTAKEN for other in lost)
-        if attempt.silent and (proven or suspected) and len(lost) < max(1, int(server.window)):
-            attempt.lost = True
-            server.used -= 1
+        server = attempt.endpoint
+        proven = attempt.overtaken_by >= OVERTAKEN
+        lost = [other for other in server.attempts if other.slot_released]
+        suspected = server.group.load < FULL_LOAD and all(other.overtaken_by >= OVERTAKEN for other in lost)
+        if (
+            attempt.no_response
+            and (proven or suspected)
+            and len(lost) < max(1, int(server.concurrency_limit))
+        ):
+            attempt.slot_released = True
+            server.in_flight -= 1
 
     def timeout_us(self, request: Request) -> int:
         """As long as an answer is of use; where a repeat may follow, what the class usually takes."""
@@ -503,42 +517,42 @@
         """The first runs on. Never in a shortage: copies would take the slots of requests that have none."""
         if request.out() == 1 and self.buffer is None:
             server = self.draw(request)
-            if server is not None and server is not request.attempts[-1].server:
+            if server is not None and server is not request.attempts[-1].endpoint:
                 self.send(request, server)
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
         """An attempt has ended: learn from it, and answer its request or try again."""
         request = self.requests.get(event.request)
         attempts = request.attempts[event.attempt : event.attempt + 1] if request is not None else []
-        if request is None or not attempts or attempts[0].ended is not None:
+        if request is None or not attempts or attempts[0].outcome is not None:
             return
         attempt = attempts[0]
-        attempt.ended = event.outcome
-        server = attempt.server
-        server.used -= int(not attempt.lost)
-        earlier = server.out[: server.out.index(attempt)]
-        server.out.remove(attempt)
+        attempt.outcome = event.outcome
+        server = attempt.endpoint
+        server.in_flight -= int(not attempt.slot_released)
+        earlier = server.attempts[: server.attempts.index(attempt)]
+        server.attempts.remove(attempt)
         # hazard: what others overtook tells nothing of the load; judged by it, an upstream that leaves some
         # unanswered would be cut to one slot, and its time would be that of no answer
-        lost = (attempt.lost or attempt.overtaken > 0) and event.outcome is Outcome.TIMEOUT
+        lost = (attempt.slot_released or attempt.overtaken_by > 0) and event.outcome is Outcome.TIMEOUT
         if not lost:
             self.judge(attempt, event.elapsed_us, request.event.class_index)
         if event.outcome in ANSWERED:
-            server.pool.served += 1.0
+            server.group.served += 1.0
             index = attempt.class_index
-            server.silence[index] -= server.silence[index] / SILENCE_MEMORY
-            server.mute[index] = server.mute_until_us[index] = 0
+            server.no_response_rate[index] -= server.no_response_rate[index] / SILENCE_MEMORY
+            server.consecutive_no_response[index] = server.excluded_until_us[index] = 0
             for other in earlier:
-                other.overtaken += 1
-                other.passed |= other.class_index == index
-                if not other.lost:
+                other.overtaken_by += 1
+                other.overtaken_in_class |= other.class_index == index
+                if not other.slot_released:
                     self.give_up_slot(other)
         if event.outcome in (*ANSWERED, Outcome.TIMEOUT) and not lost:
             # time-outs count too: else a slow fleet would go on being judged by its few quick answers
             index, mean_us = request.event.class_index, self.mean_us[request.event.class_index]
             elapsed_us = min(event.elapsed_us, 2 * self.half_aim_us(index))
             self.mean_us[index] = max(1.0, mean_us + (elapsed_us - mean_us) / 8)
-        if event.final or request.done:
+        if event.final or request.is_closed:
             self.close(request)
         elif request.out() == 0:
             # hazard: when all upstreams are slow at once, time-outs double the load that keeps them slow
@@ -568,15 +582,15 @@
             away = self.settings.cross_zone_fee > 0 and entry.zone != self.settings.zone
             pool = self.pools[int(away)]
             server = self.servers.setdefault(entry.id, Server(entry, pool, len(self.mean_us)))
-            server.slow_start |= event.kind is ListKind.CACHED
-            if server.entry.started_us != entry.started_us or server.next_cold == 0:
+            server.fast_growth |= event.kind is ListKind.CACHED
+            if server.listed.started_us != entry.started_us or server.next_warm_up_send == 0:
                 restarted.append(server)
-            server.entry = entry
+            server.listed = entry
         for server in restarted:
             if self.warmth(server) < 1.0:  # all sidecars hear of it within moments: no burst of first sends
                 self.pace_cold(server, self.random.random())
         for pool in self.pools:
-            pool.in_use = [server for server in pool.in_use if self.servers.get(server.entry.id) is server]
+            pool.in_use = [server for server in pool.in_use if self.servers.get(server.listed.id) is server]
 
     def ask_list_at(self, at_us: int) -> None:
         """Have the list asked for at a time, where lists come on request only."""
@@ -599,7 +613,7 @@
         times = [self.wakeups[0][0]] if self.wakeups else []
         if self.buffer is not None:  # a resting slot opens by time, not by an event
             index = self.buffer.event.class_index
-            rests = [max(s.rest_until_us, s.mute_until_us[index]) for s in self.servers.values()]
+            rests = [max(s.ejected_until_us, s.excluded_until_us[index]) for s in self.servers.values()]
             times.extend([until_us for until_us in rests if until_us > self.now_us])
         if times and (self.armed_us == 0 or min(times) < self.armed_us):
             self.armed_us = min(times)
--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -98,9 +98,12 @@
         await until(lambda: len(members(daemon)) == count)
         await asyncio.sleep(1.0)
         rng = random.Random(1)
-        for server in daemon.pools["main"].pool.balancer.servers.values():
+        for server in daemon.pools["main"].pool.balancer.endpoints.values():
             if rng.random() < 0.5:
-                server.window, server.pace = 3.0, 0.7  # something to tell of half of them
+                server.concurrency_limit, server.relative_latency = (
+                    3.0,
+                    0.7,
+                )  # something to tell of half of them
         worst_ms = await stands_still(daemon, seconds, rng)
         work = daemon.background.status().get("state", {})
         await daemon.stop()
--- a/fakes/balancers_model.py
+++ b/fakes/balancers_model.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from plovertrail.decisions.actions import CloseIdle, Fail, Reject, Send, SetTimer
-from plovertrail.decisions.balance import Balancer
+from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import (
     AttemptEnded,
     Endpoint,
@@ -97,7 +97,7 @@
             overload_duration_us=SECOND_US,
         )
         self.now_us = START_US
-        self.balancers = [Balancer(self.settings, number, START_US) for number in range(sidecars)]
+        self.balancers = [LoadBalancer(self.settings, number, START_US) for number in range(sidecars)]
         self.servers = {
             number: Server(Endpoint(number, zone=number % 3), table) for number in range(1, servers + 1)
         }
@@ -241,7 +241,7 @@
 
     def restart(self, sidecar: int) -> None:
         """It dies and begins anew with the list alone; what it had open is its clients' to repeat."""
-        self.balancers[sidecar] = Balancer(self.settings, self.random.randrange(2**30), self.now_us)
+        self.balancers[sidecar] = LoadBalancer(self.settings, self.random.randrange(2**30), self.now_us)
         self.owed = {request: owed for request, owed in self.owed.items() if owed[0] != sidecar}
         self.due = [due for due in self.due if due[2] != sidecar]
         heapq.heapify(self.due)
--- a/plovertrail/daemon/status.py
+++ b/plovertrail/daemon/status.py
@@ -13,7 +13,7 @@
 def pool_status(running: RunningPool) -> dict[str, Any]:
     """One pool: its lists, its part of the servers, its tenants and its servers."""
     state = running.registry.state
-    used = {number: server.used for number, server in running.pool.balancer.servers.items()}
+    used = {number: server.in_flight for number, server in running.pool.balancer.endpoints.items()}
     return {
         "generation": state.generation,
         "drained_by_hand": sorted(state.by_hand),
--- a/plovertrail/decisions/balance.py
+++ b/plovertrail/decisions/balance.py
@@ -5,9 +5,7 @@
 """
 
 import heapq
-import math
 import random
-from array import array
 from collections import deque
 from collections.abc import Callable
 
@@ -35,19 +33,22 @@
     longest_gap_us,
     retry_within_us,
 )
+from plovertrail.decisions.load_balancing.attempt_state import AttemptState
+from plovertrail.decisions.load_balancing.endpoint_group import EndpointGroup
+from plovertrail.decisions.load_balancing.endpoint_state import EndpointState
+from plovertrail.decisions.load_balancing.outcomes import (
+    FAULTS,
+    LOAD_SIGNALS,
+    RESPONDED,
+    RETRYABLE,
+    TIMED,
+)
+from plovertrail.decisions.load_balancing.request_state import RequestState
+from plovertrail.decisions.load_balancing.retry_budget import RetryBudget
+from plovertrail.decisions.load_balancing.weighted_sampler import WeightedSampler
 from plovertrail.decisions.settings import RequestClass, Settings
-from plovertrail.decisions.weighted import WeightedDraw
 
 MOST_SLOTS = 8  # no upstream gets more from one sidecar, however quick its answers
-NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-INSTANT_FAULTS = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET)
-TIMED_OUT, TURNED_AWAY, SPOILT = Outcome.TIMEOUT, Outcome.REJECTED, Outcome.MALFORMED
-ANSWERED = (Outcome.OK, SPOILT)  # it has done the work, and its time tells of its load
-# time-outs count too: else a slow fleet would go on being judged by its few quick answers
-TIMED = (*ANSWERED, TIMED_OUT)
-TELL_OF_LOAD = (*TIMED, TURNED_AWAY)
-# hazard: an upstream failing a part would lose them all
-REISSUED = (*INSTANT_FAULTS, SPOILT, TIMED_OUT)
 FAULT_MEMORY = 4  # attempts that make up an upstream's share of faults, and the distrust of it
 FAULT_SHARE = 0.35  # two faults in three attempts: more than what strikes all upstreams alike does by chance
 DISTRUST_BORNE = 0.1  # at this it is drawn a quarter as often: one fault makes it a twelfth
@@ -77,219 +78,38 @@
 LEAST_ADMITTED = 0.1  # hazard: where service itself has slowed, letting in less mends nothing
 STALE_BORNE = 16  # stale entries that the heap of cold waits may hold besides two for each cold upstream
 DRAWS = 12  # tries at random before all are gone through: most draws need one
-RATE_MEMORY_US = 5_000_000
-MOST_KEPT = 0.999  # of the most answers a second, at each answer: it outlasts a shortage of a minute
-SHORTAGE_US = 1_000_000  # between two looks at the pace of what is served
-RETRY_SHARE = 0.2  # reissues a first send earns: enough for a fifth of the fleet to fail every attempt
-MOST_RETRIES = 5.0  # reissues in hand after a calm spell
 LOG_GAP_US = 1_000_000  # a line a second at most, however many upstreams change
 NEVER_US = 2**62  # later than any clock says
 
 
-class PerSecond:
-    """How often something has happened a second, of late."""
-
-    __slots__ = ("rate", "at_us")
-
-    def __init__(self, now_us: int) -> None:
-        self.rate = 0.0
-        self.at_us = now_us
-
-    def count(self, now_us: int) -> None:
-        faded = math.exp((self.at_us - now_us) / RATE_MEMORY_US)
-        self.rate, self.at_us = self.rate * faded + 1_000_000 / RATE_MEMORY_US, now_us
-
-
-class Pool:
-    """Upstreams thinned together: all, or, where crossing zones costs, this zone's and the others'."""
-
-    __slots__ = (
-        "admitted",
-        "credit",
-        "load",
-        "served",
-        "in_use",
-        "others",
-        "cold",
-        "groups",
-        "cold_waits",
-        "size",
-        "sends",
-        "judged_us",
-        "answers",
-        "most_answers",
-        "kept",
-        "kept_us",
-    )
-
-    def __init__(self, now_us: int) -> None:
-        self.admitted = 1.0  # part of the draws that may take a slot: falls while answers are slow all over
-        self.credit = 1.0  # draws admitted and not yet used
-        self.load = 0.0  # its answers' times of late: 1 = half the aim
-        self.served = 0.0  # answers so far, and a tenth of what was admitted
-        # by their numbers, with their free slots, which count less where it is slow: upstreams whose slots
-        # are open, the others, whose stay closed till needed, and cold ones, which have one at their turns
-        self.in_use = WeightedDraw()
-        self.others = WeightedDraw()
-        self.cold = WeightedDraw()
-        self.groups = self.cold, self.in_use, self.others
-        self.cold_waits: list[tuple[float, int]] = []  # (next_cold, number) of cold ones; a heap
-        self.size = 0.0  # of all its upstreams, as listed
-        self.sends = PerSecond(now_us)
-        self.judged_us = now_us  # when an answer last moved what is admitted
-        self.answers = PerSecond(now_us)
-        self.most_answers = 0.0  # a second; it fades
-        self.kept, self.kept_us = 0.0, now_us  # `served` when its pace was last looked at in a shortage
-
-    def answered(self, now_us: int) -> None:
-        """A request was served."""
-        self.served += 1.0
-        self.answers.count(now_us)
-        self.most_answers = max(self.most_answers * MOST_KEPT, self.answers.rate)
-
-    def turned_away(self, now_us: int) -> None:
-        """A request was refused with no attempt made: `served`, by which cold upstreams have their turns,
-        goes on as fast as it did at best. Hazard: warm ones that choke serve less, and cold ones beside them
-        would have fewer turns the more they are needed. It is never faster than what has been served in fact,
-        however much is asked; by the second, as in shorter times answers come in lumps."""
-        gap_us = now_us - self.kept_us
-        if gap_us < SHORTAGE_US:
-            return
-        if gap_us < 2 * SHORTAGE_US:
-            self.served = max(self.served, self.kept + self.most_answers * gap_us / 1e6)
-        self.kept, self.kept_us = self.served, now_us
-
-
-class Reissues:
-    """The budget of reissues; several pools of one program may share one."""
-
-    def __init__(self) -> None:
-        self.in_hand = MOST_RETRIES
-
-    def count(self, first: bool) -> None:
-        """A send: a first one earns a part of a reissue, a further one is a reissue."""
-        self.in_hand = min(MOST_RETRIES, self.in_hand + (RETRY_SHARE if first else -1.0))
-
-
-class Server:
-    """What this sidecar knows of one upstream."""
-
-    __slots__ = (
-        "entry",
-        "pool",
-        "used",
-        "out",
-        "silence",
-        "mute",
-        "mute_until_us",
-        "muted",
-        "window",
-        "rest_until_us",
-        "next_cold",
-        "pace",
-        "slow_start",
-        "faults",
-        "distrust",
-        "rests",
-        "hearsay",
-    )
-
-    def __init__(self, entry: Endpoint, pool: Pool, classes: int) -> None:
-        self.entry = entry
-        self.pool = pool
-        self.used = 0  # slots taken by this sidecar's sends
-        self.out: list[Attempt] = []  # its attempts that have not ended, in the order of their sends
-        # by class, as an upstream may be well for all but some: the share of attempts that had no answer in
-        # time, smoothed; how many of late in a row; and till when the class rests there
-        # hazard: lists of all these, for 10,000 upstreams, would have the collector stop all for 50 ms
-        self.silence = array("d", [0.0] * classes)
-        self.mute = array("b", [0] * classes)
-        self.mute_until_us = array("q", [0] * classes)
-        self.muted = array("b", [0] * classes)  # as counted
-        self.window = 1.0  # slots open while it is well; below 1 the one slot rests between sends
-        self.rest_until_us = 0
-        self.next_cold = 0.0  # while it is cold, it waits till this sidecar has seen so many served
-        self.pace = 1.0  # time of its answers beside those of the others, smoothed
-        self.slow_start = False  # its slots open fast until its first slow answer or fault
-        self.faults = 0.0  # share of its attempts that failed at once or spoilt, smoothed
-        self.distrust = 0.0  # the same, counted only while few upstreams fault
-        self.rests = False  # as last logged
-        self.hearsay: dict[int, float] | None = None  # by class, how wrong other instances find it
-
-
-class Attempt:
-    __slots__ = (
-        "server",
-        "entry",
-        "class_index",
-        "sent_us",
-        "overtaken",
-        "passed",
-        "silent",
-        "lost",
-        "ended",
-    )
-
-    def __init__(self, server: Server, class_index: int, now_us: int) -> None:
-        self.server = server
-        self.entry = server.entry  # as it was listed then
-        self.class_index = class_index
-        self.sent_us = now_us
-        self.overtaken = 0  # answers of its upstream to what was sent later
-        self.passed = False  # one of these was to its own class
-        self.silent = False  # it has had no answer for longer than one takes
-        self.lost = False  # and holds no slot any more
-        self.ended: Outcome | None = None  # None while it is out
-
-
-class Request:
-    __slots__ = ("event", "useful_until_us", "attempts", "out", "done", "streaming")
-
-    def __init__(self, event: RequestArrived, kind: RequestClass, now_us: int) -> None:
-        self.event = event
-        # when an answer stops being worth anything
-        late_us = now_us + (kind.deadline_us if kind.late_weight > 0 else kind.latency_objective_us)
-        self.useful_until_us = late_us if late_us < event.due_us else event.due_us
-        self.attempts: list[Attempt] = []
-        self.out = 0  # attempts that have not ended
-        self.done = self.streaming = False
-
-    def attempts_made(self) -> int:
-        return self.event.earlier_attempts + len(self.attempts)
-
-    def first_that_may_have_run(self) -> Attempt | None:
-        for attempt in self.attempts:
-            if attempt.ended not in NEVER_RAN:
-                return attempt
-        return None
-
-
-class Balancer:
-    def __init__(self, settings: Settings, seed: int, now_us: int, reissues: Reissues | None = None) -> None:
+class LoadBalancer:
+    def __init__(
+        self, settings: Settings, seed: int, now_us: int, retry_budget: RetryBudget | None = None
+    ) -> None:
         self.settings = settings
         self.random = random.Random(seed)
         self.now_us = now_us
         self.actions: list[Action] = []
-        self.servers: dict[int, Server] = {}  # the ready ones, in the order listed
+        self.endpoints: dict[int, EndpointState] = {}  # the ready ones, in the order listed
         # what was known of a new one before a restart (remembered.py); here nothing is
-        self.recall: Callable[[Server], object] = lambda server: None
-        self.mates: dict[tuple[str, int], dict[int, Server]] = {}  # of each zone and cell
+        self.recall: Callable[[EndpointState], object] = lambda server: None
+        self.mates: dict[tuple[str, int], dict[int, EndpointState]] = {}  # of each zone and cell
         self.muted = [0 for _ in settings.classes]  # how many rest for each class
         self.mutes: list[list[tuple[int, int]]] = [[] for _ in settings.classes]  # (until, number); heaps
         self.hearsay: set[int] = set()  # upstreams that other instances find wrong
         # called with each attempt that has had no answer for longer than one takes
-        self.silent: Callable[[Server, int], None] = lambda server, class_index: None
+        self.silent: Callable[[EndpointState, int], None] = lambda server, class_index: None
         self.rests: list[tuple[int, int]] = []  # (until, number), of rests and of warm-ups; a heap
         self.distrusted: dict[int, int] = {}  # by number, when to look again
         self.doubts: list[tuple[int, int]] = []  # (when, number); a heap
-        self.requests: dict[int, Request] = {}
-        self.buffer: Request | None = None
+        self.requests: dict[int, RequestState] = {}
+        self.buffer: RequestState | None = None
         self.mean_us = [
             c.latency_objective_us / 4 for c in settings.classes
         ]  # of each class's answers; at first a guess
         # drawn from in this order; a second one where crossing zones costs
-        self.pools = [Pool(now_us) for _ in range(2 if settings.cross_zone_fee > 0 else 1)]
-        self.reissues = reissues or Reissues()
+        self.groups = [EndpointGroup(now_us) for _ in range(2 if settings.cross_zone_fee > 0 else 1)]
+        self.retry_budget = retry_budget or RetryBudget()
         self.short_us = 0  # when a request last found no free slot
         self.allowed_per_s = max(1.0, sum(t.allowance_per_s for t in settings.tenants))
         self.tenant_seen = [0.0 for _ in settings.tenants]  # arrivals of each, the old ones fading
@@ -298,7 +118,7 @@
         self.next_log_us = now_us
         self.wakeups: list[tuple[int, str, int]] = []  # (when, what, request); a heap
         # by class, the attempts that are not silent yet, in the order of their sends and so of their times
-        self.unheard: list[deque[Attempt]] = [deque() for _ in settings.classes]
+        self.unheard: list[deque[AttemptState]] = [deque() for _ in settings.classes]
         self.wanted_us = self.armed_us = NEVER_US  # when something is due next; the next timer asked for
         self.list_failures = 0
         self.ask_list_us = 0  # when the list is asked for next; 0 = not, as it is subscribed to
@@ -319,7 +139,7 @@
         elif isinstance(event, RequestCancelled) and event.request in self.requests:
             self.close(self.requests[event.request])
         elif isinstance(event, StreamStarted) and event.request in self.requests:
-            self.requests[event.request].streaming = True
+            self.requests[event.request].is_streaming = True
         elif isinstance(event, EndpointsUpdated):
             self.on_list(event)
         elif isinstance(event, PeerHealthUpdated):
@@ -336,7 +156,9 @@
         Hazard: slots open only where they were short, and what waits elsewhere must count for that."""
         self.now_us = now_us
         self.open_rested()
-        if self.buffer is None and any(group.whole > 0.0 for pool in self.pools for group in pool.groups):
+        if self.buffer is None and any(
+            group.total_weight > 0.0 for pool in self.groups for group in pool.samplers
+        ):
             return True
         self.short_us = now_us
         return False
@@ -348,7 +170,7 @@
     def on_arrival(self, event: RequestArrived) -> None:
         if event.request in self.requests:
             return
-        request = self.requests[event.request] = Request(
+        request = self.requests[event.request] = RequestState(
             event, self.settings.classes[event.class_index], self.now_us
         )
         if event.tenant < len(self.tenant_seen):
@@ -367,17 +189,22 @@
         self.actions.append(Log(text))
         return True
 
-    def place(self, request: Request) -> None:
+    def place(self, request: RequestState) -> None:
         """Through a free slot, else into the buffer, else refused."""
         if self.now_us >= self.latest_start_us(request):
             self.finish(request)
             return
-        for pool in self.pools:
-            if pool.admitted < 1.0 and self.now_us - pool.judged_us > LONGEST_GAP_US:
+        for pool in self.groups:
+            if pool.admission_probability < 1.0 and self.now_us - pool.last_signal_us > LONGEST_GAP_US:
                 # hazard: with little traffic the answers that would end the thinning come too seldom
-                pool.admitted, pool.judged_us = min(1.0, pool.admitted * EASE), self.now_us
-            pool.credit = min(2.0, pool.credit + pool.admitted)
-            pool.served += 0.1 * pool.admitted  # if all are cold, nothing else would open their slots
+                pool.admission_probability, pool.last_signal_us = (
+                    min(1.0, pool.admission_probability * EASE),
+                    self.now_us,
+                )
+            pool.admission_credit = min(2.0, pool.admission_credit + pool.admission_probability)
+            pool.served += (
+                0.1 * pool.admission_probability
+            )  # if all are cold, nothing else would open their slots
         server = self.draw(request)
         if server is not None:
             self.send(request, server)
@@ -393,7 +220,7 @@
         else:
             self.finish(request)
 
-    def value(self, request: Request) -> float:
+    def value(self, request: RequestState) -> float:
         """The worth of a slot's time given to this request; what is beyond its tenant's share counts less.
         The share is judged among the tenants seen here, unless the fleet's is told: of total rates a sidecar
         knows nothing."""
@@ -408,14 +235,14 @@
             worth *= s.over_share_weight + (1.0 - s.over_share_weight) * min(1.0, allowed / seen)
         return worth
 
-    def class_of(self, request: Request) -> RequestClass:
+    def class_of(self, request: RequestState) -> RequestClass:
         return self.settings.classes[request.event.class_index]
 
     def half_aim_us(self, class_index: int) -> int:
         """The delay threshold, and the time of a slow answer: the other half is left for a new try."""
         return self.settings.classes[class_index].latency_objective_us // 2
 
-    def latest_start_us(self, request: Request) -> int:
+    def latest_start_us(self, request: RequestState) -> int:
         """An attempt that starts later is not expected back in time to be of use. Hazard: after an outage
         that every answer outlasted, nothing would be tried again; so at most half the aim is left for it."""
         answer_us = min(self.mean_us[request.event.class_index], self.half_aim_us(request.event.class_index))
@@ -428,7 +255,7 @@
             self.buffer = None
             self.send(request, server)
 
-    def finish(self, request: Request) -> None:
+    def finish(self, request: RequestState) -> None:
         """Rule 1 and 2, the one place of final answers: one each; refused only if nothing may have run."""
         kind = self.class_of(request)
         harmless = (
@@ -437,8 +264,8 @@
             or (kind.effect == "deduplicated" and kind.dedup_scope == "all")
         )
         if not request.attempts:
-            for pool in self.pools:
-                pool.turned_away(self.now_us)
+            for pool in self.groups:
+                pool.record_rejection(self.now_us)
         self.close(request)
         ident, after_us = request.event.request, self.mean_us[request.event.class_index]
         # about one answer's time, spread lest refused clients return together
@@ -446,102 +273,104 @@
         advice_us = int(after_us) if self.settings.retry_after else 0
         self.actions.append(Reject(ident, advice_us) if harmless else Fail(ident))
 
-    def close(self, request: Request) -> None:
-        request.done = True
+    def close(self, request: RequestState) -> None:
+        request.is_closed = True
         if self.buffer is request:
             self.buffer = None
-        if request.out == 0:
+        if request.in_flight == 0:
             self.requests.pop(request.event.request, None)
 
-    def open_slots(self, server: Server) -> int:
+    def open_slots(self, server: EndpointState) -> int:
         """How many of this sidecar's sends an upstream may have now; the one place where health lives."""
-        if self.now_us < server.rest_until_us:
+        if self.now_us < server.ejected_until_us:
             return 0
-        if server.entry.started_us != 0 and self.warmth(server) < 1.0:
-            return int(server.pool.served >= server.next_cold)
-        return int(server.window) or 1
+        if server.listed.started_us != 0 and self.warmth(server) < 1.0:
+            return int(server.group.served >= server.next_warm_up_send)
+        return int(server.concurrency_limit) or 1
 
-    def judge(self, attempt: Attempt, elapsed_us: int, class_index: int) -> None:
+    def judge(self, attempt: AttemptState, elapsed_us: int, class_index: int) -> None:
         """How an attempt's end opens or closes its upstream's slots."""
-        server, pool, outcome = attempt.server, attempt.server.pool, attempt.ended
+        server, pool, outcome = attempt.endpoint, attempt.endpoint.group, attempt.outcome
         slow_us = self.half_aim_us(class_index)
         # hazard: what spoils answers and breaks connections may do so on all upstreams alike, and one such
         # fault would shut each of them; only turning work away tells at once of the upstream itself
-        fault = outcome in INSTANT_FAULTS or outcome is SPOILT
-        server.faults += (fault - server.faults) / FAULT_MEMORY
-        if fault or server.distrust:
+        fault = outcome in FAULTS
+        server.fault_rate += (fault - server.fault_rate) / FAULT_MEMORY
+        if fault or server.failure_penalty:
             self.distrust(server, fault)
-        faulty = outcome is TURNED_AWAY or (fault and server.faults > FAULT_SHARE)
-        if fault and not faulty and outcome is not SPOILT:
+        faulty = outcome is Outcome.REJECTED or (fault and server.fault_rate > FAULT_SHARE)
+        if fault and not faulty and outcome is not Outcome.MALFORMED:
             return  # and its time tells nothing
-        load = min(2.0, elapsed_us / slow_us) if outcome in ANSWERED else 2.0
+        load = min(2.0, elapsed_us / slow_us) if outcome in RESPONDED else 2.0
         pace = SLOWEST_PACE if faulty else elapsed_us / self.mean_us[class_index]
-        server.pace += (min(max(pace, 0.1), SLOWEST_PACE) - server.pace) / PACE_MEMORY
+        server.relative_latency += (min(max(pace, 0.1), SLOWEST_PACE) - server.relative_latency) / PACE_MEMORY
         # hazard: cold ones answer fast beside warm ones that choke, and would end the thinning these need
-        if outcome in TELL_OF_LOAD and server.entry.id not in pool.cold:
+        if outcome in LOAD_SIGNALS and server.listed.id not in pool.warming:
             # hazard: a light sidecar never fills its slots; they hold nothing back when all are slow; draws
             # are thinned, at once as queues stay for seconds, but not for one slow answer among quick ones
             pool.load += (load - pool.load) / 8
             # hazard: by the sends of the last seconds alone, a sidecar with little traffic that thins it to a
             # tenth would learn too slowly that the jam is over; so an answer after a gap counts for the gap.
             # Slow ones count for no more than that: those that come in a bunch tell of one moment
-            gap_us = min(self.now_us - pool.judged_us, LONGEST_GAP_US)
-            pool.judged_us = self.now_us
+            gap_us = min(self.now_us - pool.last_signal_us, LONGEST_GAP_US)
+            pool.last_signal_us = self.now_us
             gain = ADMIT_GAIN * gap_us / 1e6
             if load < FULL_LOAD:
-                gain = max(gain, ADMIT_GAIN / max(1.0, pool.sends.rate))
+                gain = max(gain, ADMIT_GAIN / max(1.0, pool.send_rate.per_second))
             elif pool.load <= 0.5:
                 gain = 0.0
-            pool.admitted *= max(0.3, 1.0 + gain * (FULL_LOAD - load))
-            pool.admitted = min(1.0, max(pool.admitted, LEAST_ADMITTED))
+            pool.admission_probability *= max(0.3, 1.0 + gain * (FULL_LOAD - load))
+            pool.admission_probability = min(1.0, max(pool.admission_probability, LEAST_ADMITTED))
         # hazard: a heavy request is slow by itself; many answers are judged together, each for a little
-        step = GROWTH * (FULL_LOAD - load) / max(server.window, 1.0)
-        server.slow_start = server.slow_start and step > 0.0 and not faulty
-        if server.slow_start:
+        step = GROWTH * (FULL_LOAD - load) / max(server.concurrency_limit, 1.0)
+        server.fast_growth = server.fast_growth and step > 0.0 and not faulty
+        if server.fast_growth:
             # hazard: at GROWTH a sidecar that starts in a busy hour would refuse a third of the first ones
             step = 1.0 - load / FULL_LOAD
         if faulty:
             # hazard: what fails at once frees its slot at once and so would draw ever more
-            server.window /= 2
+            server.concurrency_limit /= 2
         elif step < 0.0:
             # hazard: after an outage all would rest for long, so slow answers leave the one slot
-            server.window = max(server.window * (1.0 + step), min(server.window, 1.0))
+            server.concurrency_limit = max(
+                server.concurrency_limit * (1.0 + step), min(server.concurrency_limit, 1.0)
+            )
         # hazard: slots opened without need (none for two aims), by many sidecars above all, choke bursts
-        elif server.window < 1.0 or attempt.sent_us <= self.short_us + 4 * slow_us:
-            server.window += min(server.window, step)
-        server.window = min(max(server.window, SMALLEST_WINDOW), float(MOST_SLOTS))
-        if server.window < 1.0:
+        elif server.concurrency_limit < 1.0 or attempt.sent_at_us <= self.short_us + 4 * slow_us:
+            server.concurrency_limit += min(server.concurrency_limit, step)
+        server.concurrency_limit = min(max(server.concurrency_limit, SMALLEST_WINDOW), float(MOST_SLOTS))
+        if server.concurrency_limit < 1.0:
             # hazard: beside answers of seconds, short rests leave a choked upstream crowded
             self.rest(server, max(min(self.mean_us[class_index], slow_us), min(elapsed_us, 2 * slow_us)))
         # another takes its place; it may come back when its rest is over
-        if server.window < 0.5 and self.use(server, False):
-            self.actions.append(CloseIdle(server.entry.id))
-        rests = server.window < (1.0 if server.rests else 0.25)
+        if server.concurrency_limit < 0.5 and self.use(server, False):
+            self.actions.append(CloseIdle(server.listed.id))
+        rests = server.concurrency_limit < (1.0 if server.logged_as_ejected else 0.25)
         change = "rests" if rests else "is back"
-        if rests != server.rests and self.log(f"upstream {server.entry.id} {change}"):
-            server.rests = rests
+        if rests != server.logged_as_ejected and self.log(f"upstream {server.listed.id} {change}"):
+            server.logged_as_ejected = rests
 
-    def rest(self, server: Server, busy_us: float) -> None:
+    def rest(self, server: EndpointState, busy_us: float) -> None:
         """Its one slot stays closed for a while, by the time that it is busy with a request."""
-        rest_us = busy_us * (1.0 / server.window - 1.0) * (0.5 + self.random.random())
-        server.rest_until_us = self.now_us + int(rest_us)
-        heapq.heappush(self.rests, (server.rest_until_us, server.entry.id))
+        rest_us = busy_us * (1.0 / server.concurrency_limit - 1.0) * (0.5 + self.random.random())
+        server.ejected_until_us = self.now_us + int(rest_us)
+        heapq.heappush(self.rests, (server.ejected_until_us, server.listed.id))
 
-    def distrust(self, server: Server, fault: bool) -> None:
+    def distrust(self, server: EndpointState, fault: bool) -> None:
         """Hazard: an upstream that fails a part at once takes the requests that may not be repeated; beside
         many upstreams a sidecar with little traffic sees each of them too seldom to learn it from a share. So
         the first fault counts, by the draw alone, as long as few upstreams have any."""
-        if self.servers.get(server.entry.id) is not server:
+        if self.endpoints.get(server.listed.id) is not server:
             return  # hazard: what ended at one that has gone and come back would be booked to the other
-        if not fault or len(self.distrusted) < MOST_DISTRUSTED * len(self.servers):
-            server.distrust += (fault - server.distrust) / FAULT_MEMORY
+        if not fault or len(self.distrusted) < MOST_DISTRUSTED * len(self.endpoints):
+            server.failure_penalty += (fault - server.failure_penalty) / FAULT_MEMORY
             self.keep_distrust(server, self.now_us)
 
-    def keep_distrust(self, server: Server, since_us: int) -> None:
+    def keep_distrust(self, server: EndpointState, since_us: int) -> None:
         """Among the distrusted, till the next look, or not any more."""
-        number = server.entry.id
-        if server.distrust < LEAST_DISTRUST:
-            server.distrust = 0.0
+        number = server.listed.id
+        if server.failure_penalty < LEAST_DISTRUST:
+            server.failure_penalty = 0.0
             self.distrusted.pop(number, None)
         elif number not in self.distrusted:
             self.distrusted[number] = since_us + DISTRUST_HALF_US
@@ -552,16 +381,16 @@
         while self.doubts and self.doubts[0][0] <= self.now_us:
             until_us, number = heapq.heappop(self.doubts)
             if self.distrusted.get(number) == until_us:
-                server = self.servers[number]
-                server.distrust /= 2.0
+                server = self.endpoints[number]
+                server.failure_penalty /= 2.0
                 del self.distrusted[number]
                 self.keep_distrust(server, until_us)  # hazard: after a long calm, one step for all of it
                 self.weigh(server)
 
-    def warmth(self, server: Server) -> float:
+    def warmth(self, server: EndpointState) -> float:
         """Rule 4: the share of its capacity that an upstream surely has. Hazard: calling it warm any sooner
         lets in all sidecars at one moment, and together they push it over."""
-        started_us = server.entry.started_us
+        started_us = server.listed.started_us
         if started_us == 0:
             return 1.0
         s, age_us = self.settings, self.now_us - started_us
@@ -569,26 +398,26 @@
             return 1.0
         return s.warm_up_initial_capacity + (1.0 - s.warm_up_initial_capacity) * max(0, age_us) / s.warm_up_us
 
-    def pace_cold(self, server: Server, part: float) -> None:
+    def pace_cold(self, server: EndpointState, part: float) -> None:
         """Rule 4: a cold upstream gets its part, by warmth and size, of what this sidecar sees served by its
         pool, times what it bears of it; and the fleet serves no more than it can, however much is asked of
         it."""
-        pool = server.pool
-        cold = [self.servers[number] for number in pool.cold]
-        whole = pool.size - sum((1.0 - self.warmth(other)) * self.size(other.entry) for other in cold)
+        pool = server.group
+        cold = [self.endpoints[number] for number in pool.warming]
+        whole = pool.capacity - sum((1.0 - self.warmth(other)) * self.size(other.listed) for other in cold)
         # hazard: beside no warm one at all no answer would tell that help is needed
-        calm_part = CALM_PART if len(pool.in_use) + len(pool.others) > 0 else 1.0
+        calm_part = CALM_PART if len(pool.active) + len(pool.standby) > 0 else 1.0
         burden = min(1.0, max(calm_part, pool.load / HELP_LOAD))
         borne = min(1.0, self.warmth(server) * COLD_PART * self.settings.overload_factor * burden)
-        borne *= min(1.0, server.window)  # hazard: one that turns work away may be about to fall
-        server.next_cold = pool.served + part * whole / (borne * self.size(server.entry))
-        heapq.heappush(pool.cold_waits, (server.next_cold, server.entry.id))
-        if len(pool.cold_waits) > 2 * len(cold) + STALE_BORNE:
+        borne *= min(1.0, server.concurrency_limit)  # hazard: one that turns work away may be about to fall
+        server.next_warm_up_send = pool.served + part * whole / (borne * self.size(server.listed))
+        heapq.heappush(pool.warm_up_queue, (server.next_warm_up_send, server.listed.id))
+        if len(pool.warm_up_queue) > 2 * len(cold) + STALE_BORNE:
             # hazard: with servers that restart and next to no traffic, stale entries would pile up
-            pool.cold_waits = sorted((other.next_cold, other.entry.id) for other in cold)
+            pool.warm_up_queue = sorted((other.next_warm_up_send, other.listed.id) for other in cold)
         self.weigh(server)
 
-    def draw(self, request: Request) -> Server | None:
+    def draw(self, request: RequestState) -> EndpointState | None:
         """A random free slot, at a cold upstream whose turn has come, at one of the few that this sidecar's
         traffic needs, else at any; a busy zone spills over only what it can't take: a request thinned or
         without a slot there. Hazard: turns of cold upstreams that others' free slots outbid are lost, and the
@@ -596,55 +425,59 @@
         if not self.may_send(request):
             return None
         self.open_rested()
-        some_rest = self.muted[request.event.class_index] <= MOST_MUTE * len(self.servers)
+        some_rest = self.muted[request.event.class_index] <= MOST_MUTE * len(self.endpoints)
         server = self.preferred(request, some_rest) if request.event.preferred else None
         if server is not None:
             return server
-        held: Server | None = None  # taken where there is no other
-        for pool in self.pools:
-            while pool.cold_waits and pool.cold_waits[0][0] <= pool.served:
-                self.weigh(self.servers.get(heapq.heappop(pool.cold_waits)[1]))
-            groups: tuple[WeightedDraw, ...] = pool.groups
+        held: EndpointState | None = None  # taken where there is no other
+        for pool in self.groups:
+            while pool.warm_up_queue and pool.warm_up_queue[0][0] <= pool.served:
+                self.weigh(self.endpoints.get(heapq.heappop(pool.warm_up_queue)[1]))
+            groups: tuple[WeightedSampler, ...] = pool.samplers
             # hazard: each sidecar connected to each upstream fills their tables of connections
-            few = len(pool.in_use) < FEWEST_IN_USE + int(pool.sends.rate / A_SECOND_EACH)
-            if pool.credit < 1.0:
-                groups = (pool.cold,)  # they have their turns, and are not what is slow
-            elif few and pool.others.whole > 0.0:
-                groups = pool.cold, pool.others, pool.in_use
+            few = len(pool.active) < FEWEST_IN_USE + int(pool.send_rate.per_second / A_SECOND_EACH)
+            if pool.admission_credit < 1.0:
+                groups = (pool.warming,)  # they have their turns, and are not what is slow
+            elif few and pool.standby.total_weight > 0.0:
+                groups = pool.warming, pool.standby, pool.active
             for group in groups:
-                server = self.pick(request, group, some_rest) if group.whole > 0.0 else None
+                server = self.pick(request, group, some_rest) if group.total_weight > 0.0 else None
                 if server is None:
                     continue
                 # hazard: a group of one that others find wrong has it drawn whatever they say
-                if server.hearsay and held is None and request.event.class_index in server.hearsay:
+                if (
+                    server.peer_penalties
+                    and held is None
+                    and request.event.class_index in server.peer_penalties
+                ):
                     held = server
                     continue
                 return server
         return held
 
-    def preferred(self, request: Request, some_rest: bool) -> Server | None:
+    def preferred(self, request: RequestState, some_rest: bool) -> EndpointState | None:
         """A first attempt's own choice, if it could take it by chance as well. Hazard: one that fails must
         not get the repeats too."""
         for number in request.event.preferred if not request.attempts else ():
-            server = self.servers.get(number)
-            if server is not None and server.pool.credit >= 1.0 and self.share(server) > 0.0:
+            server = self.endpoints.get(number)
+            if server is not None and server.group.admission_credit >= 1.0 and self.share(server) > 0.0:
                 heard = self.doubtful(server, request.event.class_index) < SILENCE_BORNE
                 if heard and self.fits(request, server, some_rest):
                     return server
         return None
 
-    def pick(self, request: Request, group: WeightedDraw, some_rest: bool) -> Server | None:
+    def pick(self, request: RequestState, group: WeightedSampler, some_rest: bool) -> EndpointState | None:
         """One of a group, in proportion to its free slots: drawn by what holds for all requests, and taken
         with the part that is left of it for this one. Few draws miss; then all are gone through."""
         index, first = request.event.class_index, request.first_that_may_have_run()
-        tried = [attempt.server for attempt in request.attempts] if request.attempts else ()
+        tried = [attempt.endpoint for attempt in request.attempts] if request.attempts else ()
         kind = self.settings.classes[index]
         grouped = first is not None and kind.effect == "deduplicated" and kind.dedup_scope != "all"
         for _ in range(0 if grouped else DRAWS):
-            number = group.draw(self.random.random())
+            number = group.sample(self.random.random())
             if number is None:
                 return None
-            server = self.servers[number]
+            server = self.endpoints[number]
             if server not in tried and self.fits(request, server, some_rest):
                 silence = self.doubtful(server, index)
                 if silence <= 0.0 or self.random.random() * (1.0 + silence / SILENCE_BORNE) ** 2 < 1.0:
@@ -653,7 +486,7 @@
         for server in (
             self.drops_repeats(kind, first, group)
             if first is not None and grouped
-            else [self.servers[number] for number in group]
+            else [self.endpoints[number] for number in group]
         ):
             share = self.share(server)
             if share > 0.0 and self.fits(request, server, some_rest):
@@ -661,48 +494,54 @@
         found = [pair for pair in found if pair[0] not in tried] or found
         return self.random.choices(found, [share for _, share in found])[0][0] if found else None
 
-    def doubtful(self, server: Server, class_index: int) -> float:
+    def doubtful(self, server: EndpointState, class_index: int) -> float:
         """How much less an upstream is drawn for a class: by what it left unanswered here, and by hearsay."""
-        heard = server.hearsay.get(class_index, 0.0) if server.hearsay else 0.0
-        return server.silence[class_index] + heard
+        heard = server.peer_penalties.get(class_index, 0.0) if server.peer_penalties else 0.0
+        return server.no_response_rate[class_index] + heard
 
-    def fits(self, request: Request, server: Server, some_rest: bool) -> bool:
+    def fits(self, request: RequestState, server: EndpointState, some_rest: bool) -> bool:
         """Whether an upstream with a free slot may have this request now."""
-        resting = some_rest and self.now_us < server.mute_until_us[request.event.class_index]
-        return not resting and server.entry.id not in request.event.excluded
+        resting = some_rest and self.now_us < server.excluded_until_us[request.event.class_index]
+        return not resting and server.listed.id not in request.event.excluded
 
-    def drops_repeats(self, kind: RequestClass, first: Attempt, group: WeightedDraw) -> list[Server]:
+    def drops_repeats(
+        self, kind: RequestClass, first: AttemptState, group: WeightedSampler
+    ) -> list[EndpointState]:
         """Rule 2: after a keyed attempt that may have run, only upstreams that drop its repeats."""
-        place = first.entry.zone if kind.dedup_scope == "zone" else first.entry.cell
+        place = first.listed.zone if kind.dedup_scope == "zone" else first.listed.cell
         mates = self.mates.get((kind.dedup_scope, place), {})
         return [server for number, server in mates.items() if number in group]
 
-    def share(self, server: Server) -> float:
+    def share(self, server: EndpointState) -> float:
         """The weight of an upstream in the draw: its free slots, which count less where it is slow."""
-        slots = self.open_slots(server) - server.used
+        slots = self.open_slots(server) - server.in_flight
         if slots <= 0:
             return 0.0
-        size = server.entry.weight if self.settings.select_by_weight else 1.0
-        return slots * size / (server.pace * (1.0 + server.distrust / DISTRUST_BORNE)) ** 2
+        size = server.listed.weight if self.settings.select_by_weight else 1.0
+        return slots * size / (server.relative_latency * (1.0 + server.failure_penalty / DISTRUST_BORNE)) ** 2
 
     def size(self, entry: Endpoint) -> float:
         """What an upstream does beside the others once it is warm, as far as the list tells."""
         return entry.weight if self.settings.weighted else 1.0
 
-    def weigh(self, server: Server | None) -> None:
+    def weigh(self, server: EndpointState | None) -> None:
         """Its weight follows what has changed."""
-        if server is not None and self.servers.get(server.entry.id) is server:
-            pool, number, share = server.pool, server.entry.id, self.share(server)
-            if not pool.cold.change(number, share) and not pool.in_use.change(number, share):
-                pool.others.set(number, share)
+        if server is not None and self.endpoints.get(server.listed.id) is server:
+            pool, number, share = server.group, server.listed.id, self.share(server)
+            if not pool.warming.change(number, share) and not pool.active.change(number, share):
+                pool.standby.set(number, share)
 
-    def use(self, server: Server, use: bool) -> bool:
+    def use(self, server: EndpointState, use: bool) -> bool:
         """Its slots open, or close till they are needed; whether that is a change. Hazard: one that has gone
         and come back is another server under the same number."""
-        pool, number = server.pool, server.entry.id
-        if self.servers.get(number) is not server or number in pool.cold or (number in pool.in_use) == use:
+        pool, number = server.group, server.listed.id
+        if (
+            self.endpoints.get(number) is not server
+            or number in pool.warming
+            or (number in pool.active) == use
+        ):
             return False
-        come, go = (pool.in_use, pool.others) if use else (pool.others, pool.in_use)
+        come, go = (pool.active, pool.standby) if use else (pool.standby, pool.active)
         go.discard(number)
         come.set(number, self.share(server))
         return True
@@ -712,58 +551,60 @@
         if self.doubts:
             self.fade_distrust()
         while self.rests and self.rests[0][0] <= self.now_us:
-            server = self.servers.get(heapq.heappop(self.rests)[1])
+            server = self.endpoints.get(heapq.heappop(self.rests)[1])
             if server is not None:
-                if self.warmth(server) >= 1.0 and server.entry.id in server.pool.cold:
-                    server.pool.cold.discard(server.entry.id)
+                if self.warmth(server) >= 1.0 and server.listed.id in server.group.warming:
+                    server.group.warming.discard(server.listed.id)
                     # hazard: with half of a fleet new all sidecars would crowd the old ones, each known to it
                     # and slow but with a slot free, and what it saw the new ones answer faster would be lost
-                    if server.pace < 1.0:
+                    if server.relative_latency < 1.0:
                         self.use(server, True)
                 self.weigh(server)
         for index, heap in enumerate(self.mutes):
             while heap and heap[0][0] <= self.now_us:
-                server = self.servers.get(heapq.heappop(heap)[1])
-                if server is not None and server.mute_until_us[index] <= self.now_us:
+                server = self.endpoints.get(heapq.heappop(heap)[1])
+                if server is not None and server.excluded_until_us[index] <= self.now_us:
                     self.mute(server, index, 0)
 
-    def mute(self, server: Server, index: int, until_us: int) -> None:
+    def mute(self, server: EndpointState, index: int, until_us: int) -> None:
         """It rests for a class until then; 0 ends that."""
-        server.mute_until_us[index] = until_us
-        if self.servers.get(server.entry.id) is server:
-            self.muted[index] += (until_us > 0) - server.muted[index]
-            server.muted[index] = until_us > 0
+        server.excluded_until_us[index] = until_us
+        if self.endpoints.get(server.listed.id) is server:
+            self.muted[index] += (until_us > 0) - server.counted_as_excluded[index]
+            server.counted_as_excluded[index] = until_us > 0
             if until_us > 0:
-                heapq.heappush(self.mutes[index], (until_us, server.entry.id))
+                heapq.heappush(self.mutes[index], (until_us, server.listed.id))
 
     def forget(self, number: int) -> None:
         """Rule 3: forgotten the moment we are told."""
-        server = self.servers.pop(number, None)
+        server = self.endpoints.pop(number, None)
         if server is not None:
-            pool = server.pool
-            for group in pool.groups:
+            pool = server.group
+            for group in pool.samplers:
                 group.discard(number)
-            pool.size -= self.size(server.entry)
+            pool.capacity -= self.size(server.listed)
             self.distrusted.pop(number, None)
-            self.muted = [count - muted for count, muted in zip(self.muted, server.muted, strict=True)]
+            self.muted = [
+                count - muted for count, muted in zip(self.muted, server.counted_as_excluded, strict=True)
+            ]
             self.leave_mates(server)
 
-    def leave_mates(self, server: Server) -> None:
-        for place in (("zone", server.entry.zone), ("cell", server.entry.cell)):
+    def leave_mates(self, server: EndpointState) -> None:
+        for place in (("zone", server.listed.zone), ("cell", server.listed.cell)):
             mates = self.mates.get(place, {})
-            mates.pop(server.entry.id, None)
+            mates.pop(server.listed.id, None)
             if not mates:
                 self.mates.pop(place, None)
 
-    def may_send(self, request: Request) -> bool:
+    def may_send(self, request: RequestState) -> bool:
         """Rules 1 and 2 as far as they don't depend on the upstream."""
         event = request.event
-        if request.done or request.streaming or self.now_us >= event.due_us:
+        if request.is_closed or request.is_streaming or self.now_us >= event.due_us:
             return False
         left = self.settings.max_attempts if event.attempts_left is None else event.attempts_left
         if len(request.attempts) >= left:
             return False
-        if request.out > 0 and not self.settings.hedging:
+        if request.in_flight > 0 and not self.settings.hedging:
             return False
         if not request.attempts:
             return True
@@ -771,23 +612,26 @@
         kind = self.settings.classes[event.class_index]
         if first is None or kind.effect == "idempotent":
             return True
-        return kind.effect == "deduplicated" and self.now_us - first.sent_us < kind.dedup_window_us
+        return kind.effect == "deduplicated" and self.now_us - first.sent_at_us < kind.dedup_window_us
 
-    def send(self, request: Request, server: Server) -> None:
+    def send(self, request: RequestState, server: EndpointState) -> None:
         if self.warmth(server) < 1.0:
             self.pace_cold(server, 1.0)
-        server.used += 1
-        pool = server.pool
-        pool.credit = pool.credit - 1.0 if pool.credit > 1.0 else 0.0
-        pool.sends.count(self.now_us)
-        if server.entry.id not in pool.in_use:
+        server.in_flight += 1
+        pool = server.group
+        pool.admission_credit = pool.admission_credit - 1.0 if pool.admission_credit > 1.0 else 0.0
+        pool.send_rate.record(self.now_us)
+        if server.listed.id not in pool.active:
             self.use(server, True)
         self.weigh(server)
-        self.reissues.count(first=request.attempts_made() == 0)
-        attempt = Attempt(server, request.event.class_index, self.now_us)
+        if request.total_attempts() == 0:
+            self.retry_budget.record_first_attempt()
+        else:
+            self.retry_budget.record_retry()
+        attempt = AttemptState(server, server.listed, request.event.class_index, self.now_us)
         request.attempts.append(attempt)
-        request.out += 1
-        server.out.append(attempt)
+        request.in_flight += 1
+        server.attempts.append(attempt)
         index = attempt.class_index
         if not self.settings.classes[index].stream:
             self.unheard[index].append(attempt)
@@ -797,7 +641,7 @@
         self.actions.append(
             Send(
                 request.event.request,
-                server.entry.id,
+                server.listed.id,
                 self.timeout_us(request),
                 self.repeat_within_us(request),
             )
@@ -812,25 +656,31 @@
         an overload makes slow would be taken for lost."""
         return self.settings.classes[class_index].latency_objective_us
 
-    def on_silence(self, attempt: Attempt) -> None:
+    def on_silence(self, attempt: AttemptState) -> None:
         """It has had no answer for longer than one takes. Hazard: an upstream, or what lies before it, may
         never answer a part of the requests (dropped, stuck on a lock, bound for a dead shard) or all of a
         class and be well for the others: one that may not be repeated is lost there, and the time-out tells
         of it only after many usual answer times. So the upstream is drawn less for that class, and only now
         and then once it left some in a row unanswered; this holds for one that says nothing at all, too. It
         could do harm where a class is slow by nature and seldom: its late answers then send it elsewhere."""
-        server, index = attempt.server, attempt.class_index
-        attempt.silent = True
+        server, index = attempt.endpoint, attempt.class_index
+        attempt.no_response = True
         self.silent(server, index)
-        server.silence[index] += (1.0 - server.silence[index]) / SILENCE_MEMORY
-        if not attempt.passed:
-            server.mute[index] = min(server.mute[index] + 1, LONGEST_MUTE)
-            if server.mute[index] >= MUTE:
+        server.no_response_rate[index] += (1.0 - server.no_response_rate[index]) / SILENCE_MEMORY
+        if not attempt.overtaken_in_class:
+            server.consecutive_no_response[index] = min(
+                server.consecutive_no_response[index] + 1, LONGEST_MUTE
+            )
+            if server.consecutive_no_response[index] >= MUTE:
                 usual_us = self.silent_after_us(index) * (0.5 + self.random.random())
-                self.mute(server, index, self.now_us + int(usual_us * 2 ** (server.mute[index] - 1)))
+                self.mute(
+                    server,
+                    index,
+                    self.now_us + int(usual_us * 2 ** (server.consecutive_no_response[index] - 1)),
+                )
         self.give_up_slot(attempt)
 
-    def give_up_slot(self, attempt: Attempt) -> None:
+    def give_up_slot(self, attempt: AttemptState) -> None:
         """Frees the slot of a silent attempt that is lost: its upstream answers what was sent later. Hazard:
         each of the few that are never answered would hold a slot to its deadline, many usual answer times,
         till all slots are held and all else is refused. The attempt itself stays out, as its answer may still
@@ -838,79 +688,79 @@
         have one lost on suspicion while others answer fast. A slow or silent one, or fleet, frees no more.
         It could do harm where an upstream serves by priority or shares out its time, and really has in work
         what was overtaken: it then gets up to twice the slots."""
-        server = attempt.server
-        proven = attempt.overtaken >= OVERTAKEN
-        lost = [other for other in server.out if other.lost]
-        suspected = server.pool.load < FULL_LOAD and all(other.overtaken >= OVERTAKEN for other in lost)
-        if (proven or suspected) and len(lost) < max(1, int(server.window)):
-            attempt.lost = True
-            server.used -= 1
+        server = attempt.endpoint
+        proven = attempt.overtaken_by >= OVERTAKEN
+        lost = [other for other in server.attempts if other.slot_released]
+        suspected = server.group.load < FULL_LOAD and all(other.overtaken_by >= OVERTAKEN for other in lost)
+        if (proven or suspected) and len(lost) < max(1, int(server.concurrency_limit)):
+            attempt.slot_released = True
+            server.in_flight -= 1
             self.weigh(server)
 
-    def timeout_us(self, request: Request) -> int:
+    def timeout_us(self, request: RequestState) -> int:
         """As long as an answer is of use; where a repeat may follow, what the class usually takes."""
         left_us = max(1, request.useful_until_us - self.now_us)
         once = self.class_of(request).effect == "at_most_once"
-        if self.settings.hedging or once or self.reissues.in_hand < 1.0:
+        if self.settings.hedging or once or self.retry_budget.balance < 1.0:
             return left_us
         index, known_us = request.event.class_index, request.event.cost_us
         return min(left_us, max(int(4 * self.mean_us[index]), self.half_aim_us(index), 4 * known_us))
 
-    def repeat_within_us(self, request: Request) -> int:
+    def repeat_within_us(self, request: RequestState) -> int:
         """Rule 2: for how long the attempt that begins now would be dropped as a repeat; 0: it needs not be.
         Hazard: its connection may take so long to come up that the group has forgotten the first."""
         kind, first = self.class_of(request), request.first_that_may_have_run()
         if kind.effect != "deduplicated" or first is None or first is request.attempts[-1]:
             return 0
-        return max(1, first.sent_us + kind.dedup_window_us - self.now_us)
+        return max(1, first.sent_at_us + kind.dedup_window_us - self.now_us)
 
-    def send_copy(self, request: Request) -> None:
+    def send_copy(self, request: RequestState) -> None:
         """The first runs on. Never in a shortage: copies would take the slots of requests that have none."""
-        if request.out == 1 and self.buffer is None:
+        if request.in_flight == 1 and self.buffer is None:
             server = self.draw(request)
-            if server is not None and server is not request.attempts[-1].server:
+            if server is not None and server is not request.attempts[-1].endpoint:
                 self.send(request, server)
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
         request = self.requests.get(event.request)
         attempts = request.attempts[event.attempt : event.attempt + 1] if request is not None else []
-        if request is None or not attempts or attempts[0].ended is not None:
+        if request is None or not attempts or attempts[0].outcome is not None:
             return
         attempt = attempts[0]
-        attempt.ended = event.outcome
-        request.out -= 1
-        server = attempt.server
-        server.used -= int(not attempt.lost)
-        place = server.out.index(attempt)
-        earlier = server.out[:place]
-        del server.out[place]
+        attempt.outcome = event.outcome
+        request.in_flight -= 1
+        server = attempt.endpoint
+        server.in_flight -= int(not attempt.slot_released)
+        place = server.attempts.index(attempt)
+        earlier = server.attempts[:place]
+        del server.attempts[place]
         # hazard: what others overtook tells nothing of the load; judged by it, an upstream that leaves some
         # unanswered would be cut to one slot, and its time would be that of no answer
-        lost = (attempt.lost or attempt.overtaken > 0) and event.outcome is TIMED_OUT
+        lost = (attempt.slot_released or attempt.overtaken_by > 0) and event.outcome is Outcome.TIMEOUT
         if not lost:
             self.judge(attempt, event.elapsed_us, request.event.class_index)
         self.weigh(server)
-        if event.outcome in ANSWERED:
-            server.pool.answered(self.now_us)
+        if event.outcome in RESPONDED:
+            server.group.record_response(self.now_us)
             index = attempt.class_index
-            server.silence[index] -= server.silence[index] / SILENCE_MEMORY
-            server.mute[index] = 0
-            if server.mute_until_us[index]:
+            server.no_response_rate[index] -= server.no_response_rate[index] / SILENCE_MEMORY
+            server.consecutive_no_response[index] = 0
+            if server.excluded_until_us[index]:
                 self.mute(server, index, 0)
             for other in earlier:
-                other.overtaken += 1
-                other.passed |= other.class_index == index
-                if other.silent and not other.lost:
+                other.overtaken_by += 1
+                other.overtaken_in_class |= other.class_index == index
+                if other.no_response and not other.slot_released:
                     self.give_up_slot(other)
         if event.outcome in TIMED and not lost:
             index, mean_us = request.event.class_index, self.mean_us[request.event.class_index]
             elapsed_us = min(event.elapsed_us, 2 * self.half_aim_us(index))
             self.mean_us[index] = max(1.0, mean_us + (elapsed_us - mean_us) / 8)
-        if event.final or request.done:
+        if event.final or request.is_closed:
             self.close(request)
-        elif request.out == 0:
+        elif request.in_flight == 0:
             # hazard: when all upstreams are slow at once, time-outs double the load that keeps them slow
-            if event.outcome in REISSUED and self.may_send(request) and self.reissues.in_hand >= 1.0:
+            if event.outcome in RETRYABLE and self.may_send(request) and self.retry_budget.balance >= 1.0:
                 self.place(request)
             else:
                 self.finish(request)
@@ -929,7 +779,7 @@
         if event.kind is not ListKind.CACHED:
             self.list_failures = self.ask_list_us = 0
         if event.kind is not ListKind.DELTA and not event.partial:
-            for number in self.servers.keys() - {entry.id for entry in event.endpoints}:
+            for number in self.endpoints.keys() - {entry.id for entry in event.endpoints}:
                 self.forget(number)
         self.open_rested()  # hazard: without a draw nothing else would take off what is over
         new, restarted = [], []
@@ -938,28 +788,28 @@
                 self.forget(entry.id)
                 continue
             away = self.settings.cross_zone_fee > 0 and entry.zone != self.settings.zone
-            pool = self.pools[int(away)]
-            server = self.servers.get(entry.id)
+            pool = self.groups[int(away)]
+            server = self.endpoints.get(entry.id)
             if server is None:
-                server = self.servers[entry.id] = Server(entry, pool, len(self.mean_us))
+                server = self.endpoints[entry.id] = EndpointState(entry, pool, len(self.mean_us))
                 new.append(server)
             else:
-                server.pool.size -= self.size(server.entry)
-            server.pool.size += self.size(entry)
-            server.slow_start |= event.kind is ListKind.CACHED
-            if server.entry.started_us != entry.started_us or server.next_cold == 0:
+                server.group.capacity -= self.size(server.listed)
+            server.group.capacity += self.size(entry)
+            server.fast_growth |= event.kind is ListKind.CACHED
+            if server.listed.started_us != entry.started_us or server.next_warm_up_send == 0:
                 restarted.append(server)
             self.leave_mates(server)
-            server.entry = entry
+            server.listed = entry
             for place in (("zone", entry.zone), ("cell", entry.cell)):
                 self.mates.setdefault(place, {})[entry.id] = server
             if self.warmth(server) < 1.0:
-                for group in (server.pool.in_use, server.pool.others):
+                for group in (server.group.active, server.group.standby):
                     group.discard(entry.id)
-                server.pool.cold.set(entry.id, 0.0)
+                server.group.warming.set(entry.id, 0.0)
                 heapq.heappush(self.rests, (entry.started_us + self.settings.warm_up_us, entry.id))
             else:
-                server.pool.cold.discard(entry.id)
+                server.group.warming.discard(entry.id)
             self.weigh(server)
         for server in restarted:
             if self.warmth(server) < 1.0:  # all sidecars hear of it within moments: no burst of first sends
@@ -971,16 +821,16 @@
         """Other instances find upstreams wrong: these are drawn less, and never shut. Hazard: whatever they
         say, it may be wrong; so of each class no more than a third is drawn less, the worst ones."""
         for number in self.hearsay:
-            if number in self.servers:
-                self.servers[number].hearsay = None
+            if number in self.endpoints:
+                self.endpoints[number].peer_penalties = None
         self.hearsay = set()
-        most = int(MOST_DISTRUSTED * len(self.servers))
+        most = int(MOST_DISTRUSTED * len(self.endpoints))
         left = [most] * len(self.settings.classes)
         for (number, index), part in sorted(event.penalties.items(), key=lambda each: -each[1]):
-            server = self.servers.get(number)
+            server = self.endpoints.get(number)
             if server is not None and index < len(left) and left[index] > 0 and part > 0.0:
                 left[index] -= 1
-                server.hearsay = (server.hearsay or {}) | {index: min(1.0, part)}
+                server.peer_penalties = (server.peer_penalties or {}) | {index: min(1.0, part)}
                 self.hearsay.add(number)
 
     def list_backoff_us(self, longest_us: int) -> int:
@@ -1033,9 +883,11 @@
         self.wanted_us = self.wakeups[0][0] if self.wakeups else NEVER_US
         for index, unheard in enumerate(self.unheard):
             after_us = self.silent_after_us(index)
-            while unheard and (unheard[0].ended is not None or unheard[0].sent_us + after_us <= self.now_us):
+            while unheard and (
+                unheard[0].outcome is not None or unheard[0].sent_at_us + after_us <= self.now_us
+            ):
                 attempt = unheard.popleft()
-                if attempt.ended is None:
+                if attempt.outcome is None:
                     self.on_silence(attempt)
             if unheard:
-                self.wanted_us = min(self.wanted_us, unheard[0].sent_us + after_us)
+                self.wanted_us = min(self.wanted_us, unheard[0].sent_at_us + after_us)
--- a/plovertrail/decisions/failover.py
+++ b/plovertrail/decisions/failover.py
@@ -5,8 +5,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from plovertrail.decisions.balance import NEVER_RAN, Reissues
 from plovertrail.decisions.events import Outcome
+from plovertrail.decisions.load_balancing.outcomes import NEVER_RAN
+from plovertrail.decisions.load_balancing.retry_budget import RetryBudget
 
 
 @dataclass(slots=True)
@@ -31,14 +32,14 @@
 
 
 def next_pool(
-    standing: Standing, serving: Sequence[bool], most_attempts: int, reissues: Reissues, now_us: int
+    standing: Standing, serving: Sequence[bool], most_attempts: int, reissues: RetryBudget, now_us: int
 ) -> int | None:
     """The number of the next pool to ask, None if the request ends here; `serving` tells which have a server.
     Hazard: a request that goes on from pool to pool multiplies the load just when servers turn it away; so
     attempts and reissues are counted over all pools together."""
     if standing.may_have_run or standing.out or now_us >= standing.due_us:
         return None
-    if standing.attempts and (standing.attempts >= most_attempts or reissues.in_hand < 1.0):
+    if standing.attempts and (standing.attempts >= most_attempts or reissues.balance < 1.0):
         return None
     return next((number for number in range(standing.asked, len(serving)) if serving[number]), None)
 
--- a/plovertrail/decisions/remembered.py
+++ b/plovertrail/decisions/remembered.py
@@ -10,7 +10,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field, replace
 
-from plovertrail.decisions.balance import MUTE, Balancer, Server
+from plovertrail.decisions.balance import MUTE, LoadBalancer
+from plovertrail.decisions.load_balancing.endpoint_state import EndpointState
 
 HALF_LIFE_US = 30_000_000  # an outage's judgements should not outlive it by more than a minute or two
 OLDEST_US = 600_000_000  # less than a millionth would be left of anything older
@@ -51,23 +52,23 @@
     means_us: Mapping[str, float] = field(default_factory=dict)
 
 
-def judgement(balancer: Balancer, server: Server) -> Judgement | None:
+def judgement(balancer: LoadBalancer, server: EndpointState) -> Judgement | None:
     """What is worth remembering of a server; None: nothing. Hazard: a cold one is judged by little work, and
     beside what it will do once it is warm."""
     if balancer.warmth(server) < 1.0:
         return None
     found = Judgement(
-        round(server.window, 2),
-        round(server.pace, 2),
-        round(server.faults, 2),
-        round(server.distrust, 2),
-        tuple(round(part, 2) for part in server.silence),
-        tuple(server.mute),
+        round(server.concurrency_limit, 2),
+        round(server.relative_latency, 2),
+        round(server.fault_rate, 2),
+        round(server.failure_penalty, 2),
+        tuple(round(part, 2) for part in server.no_response_rate),
+        tuple(server.consecutive_no_response),
     )
     return None if found.plain else found
 
 
-def means(balancer: Balancer) -> dict[str, float]:
+def means(balancer: LoadBalancer) -> dict[str, float]:
     """The usual time of each class, in us."""
     return {
         kind.name: round(mean_us)
@@ -93,18 +94,21 @@
     )
 
 
-def recall_server(balancer: Balancer, server: Server, old: Judgement, age_us: int) -> bool:
+def recall_server(balancer: LoadBalancer, server: EndpointState, old: Judgement, age_us: int) -> bool:
     """Judge a server that has just been listed as it was before; whether that is of use still. What was
     judged under other classes is not."""
     new = faded(old, age_us)
     classes = len(balancer.settings.classes)
     if new is None or len(new.silence) != classes or len(new.mute) != classes:
         return False
-    server.window, server.pace, server.faults = new.window, new.pace, new.faults
+    server.concurrency_limit, server.relative_latency, server.fault_rate = new.window, new.pace, new.faults
     for index in range(classes):
-        server.silence[index], server.mute[index] = new.silence[index], new.mute[index]
+        server.no_response_rate[index], server.consecutive_no_response[index] = (
+            new.silence[index],
+            new.mute[index],
+        )
     if new.distrust:
-        server.distrust = new.distrust
+        server.failure_penalty = new.distrust
         balancer.keep_distrust(server, balancer.now_us)
     if new.window < 1.0:
         # hazard: after a restart of all instances each would try a bad one at once
@@ -113,7 +117,7 @@
     return True
 
 
-def recall_means(balancer: Balancer, memory: Memory, now_us: int) -> None:
+def recall_means(balancer: LoadBalancer, memory: Memory, now_us: int) -> None:
     """Begin with the usual times as they were, faded towards the guess that is made of them otherwise."""
     age_us = now_us - memory.at_us
     if not 0 <= age_us < OLDEST_US:
@@ -128,12 +132,12 @@
 
 
 def sweep(
-    balancer: Balancer, servers: Iterable[tuple[int, tuple[str, str]]]
+    balancer: LoadBalancer, servers: Iterable[tuple[int, tuple[str, str]]]
 ) -> dict[tuple[str, str], Judgement]:
     """The judgements on some servers, given by their numbers and by what they are called over restarts."""
     found = {}
     for number, called in servers:
-        server = balancer.servers.get(number)
+        server = balancer.endpoints.get(number)
         told = judgement(balancer, server) if server is not None else None
         if told is not None:
             found[called] = told
--- a/plovertrail/dispatch/dispatcher.py
+++ b/plovertrail/dispatch/dispatcher.py
@@ -1,7 +1,7 @@
 """Hosts the decision modules: what happens becomes their events, and their actions are carried out.
 
-A server pool has a Balancer of its own; a request asks the pools that it was given in their order. Nothing is
-decided here. Each request gets its final answer in `Host._answer` and each attempt its
+A server pool has a LoadBalancer of its own; a request asks the pools that it was given in their order.
+Nothing is decided here. Each request gets its final answer in `Host._answer` and each attempt its
 outcome in `Host._end_attempt`, the only places for either, exactly once.
 """
 
@@ -29,7 +29,7 @@
     SetTimer,
     Subscribe,
 )
-from plovertrail.decisions.balance import Balancer, Reissues
+from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import (
     AttemptEnded,
     Endpoint,
@@ -44,6 +44,7 @@
     TimerFired,
 )
 from plovertrail.decisions.failover import Standing, attempts_left, next_pool
+from plovertrail.decisions.load_balancing.retry_budget import RetryBudget
 from plovertrail.decisions.settings import Settings
 from plovertrail.dispatch.types import Answer, Call, Flight, Handshake, Result, Upstreams, Verdict
 
@@ -84,15 +85,15 @@
 
 
 class ServerPool:
-    """Servers under one Balancer: what is listed, and the connections that carry its attempts."""
+    """Servers under one LoadBalancer: what is listed, and the connections that carry its attempts."""
 
     def __init__(
-        self, name: str, settings: Settings, seed: int, upstreams: Upstreams, reissues: Reissues
+        self, name: str, settings: Settings, seed: int, upstreams: Upstreams, reissues: RetryBudget
     ) -> None:
         self.name = name
         self.settings = settings
         self.upstreams = upstreams
-        self.balancer = Balancer(settings, seed, clock_us(), reissues)
+        self.balancer = LoadBalancer(settings, seed, clock_us(), reissues)
         self.addresses: dict[int, Address] = {}
         self.serving: set[int] = set()  # the servers that new requests may go to
         self.subset: EndpointSubset | None = None  # None: this instance uses all servers
@@ -253,7 +254,7 @@
         self.subscribe: Callable[[bool], None] = lambda active: None
         self.tenant_use: TenantUse | None = None  # where instances count together
         self.servers_changed: Callable[[ServerPool, EndpointsUpdated], None] = lambda pool, event: None
-        self.reissues = Reissues()  # one budget for all pools
+        self.reissues = RetryBudget()  # one budget for all pools
         # called with each attempt that has ended, where instances tell one another of servers
         self.attempt_over: Callable[[ServerPool, int, int, Outcome, int], None] | None = None
         self.pools: list[ServerPool] = []
--- a/plovertrail/health_reporter.py
+++ b/plovertrail/health_reporter.py
@@ -14,11 +14,11 @@
 from plovertrail.background import Runner
 from plovertrail.clock import clock_us
 from plovertrail.decisions.background import Priority, Work
-from plovertrail.decisions.balance import Server
 from plovertrail.decisions.counts import key_of
 from plovertrail.decisions.endpoint_list import State
 from plovertrail.decisions.events import Outcome
 from plovertrail.decisions.health_evidence import AttemptResult, AttemptWindow, EvidenceKey
+from plovertrail.decisions.load_balancing.endpoint_state import EndpointState
 from plovertrail.decisions.outlier_detection import (
     EndpointHealth,
     OutlierDetector,
@@ -121,9 +121,9 @@
         if result is not None and not recorded:
             self._record(pool, endpoint_id, class_index, result)
 
-    def no_response(self, pool: ServerPool, server: Server, class_index: int) -> None:
+    def no_response(self, pool: ServerPool, server: EndpointState, class_index: int) -> None:
         """Record an attempt that has had no response for longer than one takes."""
-        self._record(pool, server.entry.id, class_index, AttemptResult.TIMEOUT)
+        self._record(pool, server.listed.id, class_index, AttemptResult.TIMEOUT)
 
     def _record(self, pool: ServerPool, endpoint_id: int, class_index: int, result: AttemptResult) -> None:
         detector = self.exchange.outlier_detector
@@ -218,5 +218,5 @@
         }
 
 
-def _ignore(_server: Server, _class_index: int) -> None:
+def _ignore(_server: EndpointState, _class_index: int) -> None:
     """Take the load balancer's reports where no evidence is exchanged."""
--- a/plovertrail/simulation/instances.py
+++ b/plovertrail/simulation/instances.py
@@ -10,7 +10,7 @@
 from plovertrail.decisions import connect_rate, fleet_limits, remembered, subsetting
 from plovertrail.decisions.actions import Fail, Reject, Send, SetTimer
 from plovertrail.decisions.admission import Admission
-from plovertrail.decisions.balance import Balancer
+from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import (
     AttemptEnded,
     Endpoint,
@@ -82,7 +82,7 @@
         self.up = True
         self.idle, self.open, self.met = {}, Counter(), set()
         self.owed, self.attempts = {}, {}
-        self.balancer = Balancer(around.settings, self.rng.getrandbits(32), now_us)
+        self.balancer = LoadBalancer(around.settings, self.rng.getrandbits(32), now_us)
         self.subset = subsetting.EndpointSubset(
             self.fleet.number, around.bounds.subset_size or len(around.servers)
         )
@@ -97,8 +97,8 @@
         if with_state:
             age_us = now_us - self.kept_us
             self.balancer.recall = lambda server: (
-                server.entry.id in self.memory
-                and remembered.recall_server(self.balancer, server, self.memory[server.entry.id], age_us)
+                server.listed.id in self.memory
+                and remembered.recall_server(self.balancer, server, self.memory[server.listed.id], age_us)
             )
         entries = [Endpoint(one.number, started_us=one.started_us) for one in around.servers.values()]
         self.listed(ListKind.CACHED, entries)
@@ -117,7 +117,7 @@
 
     def keep(self) -> None:
         """What a state file would hold now."""
-        called = [(number, ("", str(number))) for number in self.balancer.servers]
+        called = [(number, ("", str(number))) for number in self.balancer.endpoints]
         found = remembered.sweep(self.balancer, called)
         self.memory = {int(name): judgement for (_, name), judgement in found.items()}
         self.kept_us = self.around.clock.now_us
@@ -145,7 +145,7 @@
         """A request has come."""
         now_us = self.around.clock.now_us
         if self.admission is not None:
-            self.admission.reckon(len(self.balancer.servers))
+            self.admission.reckon(len(self.balancer.endpoints))
             if not self.admission.may(len(self.owed), now_us):
                 reply(False, self.admission.back_after_us())
                 return
--- a/plovertrail/store/memory.py
+++ b/plovertrail/store/memory.py
@@ -10,10 +10,10 @@
 from plovertrail.background import Runner
 from plovertrail.clock import clock_us
 from plovertrail.decisions.background import Priority, Work
-from plovertrail.decisions.balance import Server
 from plovertrail.decisions.counts import Counts, Former
 from plovertrail.decisions.endpoint_list import State
 from plovertrail.decisions.limits import Limiter, Remembered
+from plovertrail.decisions.load_balancing.endpoint_state import EndpointState
 from plovertrail.decisions.remembered import Judgement, Memory, means, recall_means, recall_server, sweep
 from plovertrail.dispatch.dispatcher import ServerPool
 from plovertrail.store.keeper import StoreKeeper
@@ -100,8 +100,8 @@
             and member.came_us <= memory.at_us
         }
 
-        def recall(server: Server) -> None:
-            judged = old.pop(server.entry.id, None)
+        def recall(server: EndpointState) -> None:
+            judged = old.pop(server.listed.id, None)
             if judged is not None:
                 age_us = pool.balancer.now_us - memory.at_us
                 self.taken["servers"] += recall_server(pool.balancer, server, judged, age_us)
--- a/simulator/adapter.py
+++ b/simulator/adapter.py
@@ -5,7 +5,7 @@
 import sys
 from typing import BinaryIO
 
-from plovertrail.decisions.balance import Balancer
+from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import RequestArrived
 from simulator import wire
 
@@ -26,7 +26,7 @@
 
     def __init__(self) -> None:
         self.decoder = wire.Decoder()
-        self.instances: dict[int, Balancer] = {}
+        self.instances: dict[int, LoadBalancer] = {}
 
     def batch(self, now_us: int, count: int, body: bytes) -> bytes:
         """Apply one batch of `count` event records and return the encoded reply with the actions.
@@ -38,7 +38,7 @@
         for instance, event in self.decoder.batch(body, count):
             if isinstance(event, wire.InstanceStarted):
                 settings = wire.parse_settings(event.options)
-                self.instances[instance] = Balancer(settings, event.seed, now_us)
+                self.instances[instance] = LoadBalancer(settings, event.seed, now_us)
             elif isinstance(event, wire.InstanceStopped):
                 self.instances.pop(instance, None)
             elif instance in self.instances:
--- a/tests/benchmarks/test_capacity_page.py
+++ b/tests/benchmarks/test_capacity_page.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from plovertrail.decisions.balance import MOST_SLOTS, Balancer
+from plovertrail.decisions.balance import MOST_SLOTS, LoadBalancer
 from plovertrail.decisions.events import (
     AttemptEnded,
     Endpoint,
@@ -49,7 +49,7 @@
 
 def test_no_upstream_has_more_slots_than_the_bound() -> None:
     kind = RequestClass("x", latency_objective_us=SECOND_US, deadline_us=2 * SECOND_US)
-    balancer = Balancer(Settings([kind]), 1, 0)
+    balancer = LoadBalancer(Settings([kind]), 1, 0)
     balancer.handle(0, EndpointsUpdated(ListKind.FULL, [Endpoint(1)]))
     for number in range(1, 200):
         balancer.handle(number * 1_000, RequestArrived(number, SECOND_US))
@@ -59,8 +59,8 @@
         for more in range(20):  # it is short of slots at each answer
             ident = 1_000 * number + more
             balancer.handle(200_000 + number, RequestArrived(ident, 2 * SECOND_US))
-    assert balancer.servers[1].used <= MOST_SLOTS
-    assert balancer.open_slots(balancer.servers[1]) <= MOST_SLOTS
+    assert balancer.endpoints[1].in_flight <= MOST_SLOTS
+    assert balancer.open_slots(balancer.endpoints[1]) <= MOST_SLOTS
 
 
 def test_a_list_of_more_servers_than_the_bound_is_refused() -> None:
--- a/tests/benchmarks/test_retry_chain.py
+++ b/tests/benchmarks/test_retry_chain.py
@@ -13,8 +13,9 @@
 from benchmarks.capacity.retry_chain import ALONE, BUSY, SCENARIOS, Job, Load, RetryChain, Scenario, play
 from benchmarks.capacity.retry_model import Model, Plan
 from benchmarks.capacity.slopes import Unit
-from plovertrail.decisions.balance import MOST_RETRIES, REISSUED, RETRY_SHARE, Reissues
 from plovertrail.decisions.events import Outcome
+from plovertrail.decisions.load_balancing.outcomes import RETRYABLE
+from plovertrail.decisions.load_balancing.retry_budget import MAX_RETRY_BALANCE, RETRY_SHARE, RetryBudget
 
 
 def brute_force(factors: Sequence[int]) -> list[int]:
@@ -35,16 +36,19 @@
 def brute_force_with_budgets(factors: Sequence[int], servers: int) -> list[int]:
     """The same with real budgets, each attempt at the next server in turn."""
     counts = [0] * len(factors)
-    budgets = [[Reissues() for _ in range(servers if depth else 1)] for depth in range(len(factors))]
+    budgets = [[RetryBudget() for _ in range(servers if depth else 1)] for depth in range(len(factors))]
 
     def call(depth: int, sidecar: int) -> None:
         if depth == len(factors):
             return
         budget = budgets[depth][sidecar]
         for number in range(factors[depth]):
-            if number and budget.in_hand < 1.0:
+            if number and budget.balance < 1.0:
                 return
-            budget.count(first=number == 0)
+            if number:
+                budget.record_retry()
+            else:
+                budget.record_first_attempt()
             counts[depth] += 1
             call(depth + 1, counts[depth] % servers)
 
@@ -94,7 +98,7 @@
 
 
 def test_an_outcome_that_is_not_reissued_has_one_attempt() -> None:
-    for outcome in set(Outcome) - set(REISSUED):
+    for outcome in set(Outcome) - set(RETRYABLE):
         assert retry_bound.attempts_of_one_call(Effect.SAFE, outcome, 3) == 1
 
 
@@ -112,7 +116,7 @@
 def test_the_long_run_goes_by_the_share_of_reissues() -> None:
     assert retry_bound.sustained([3] * 24)[-1] == pytest.approx((1 + RETRY_SHARE) ** 24)
     assert retry_bound.sustained([1] * 24)[-1] == 1.0
-    assert retry_bound.most_reissues(0, 1) == MOST_RETRIES
+    assert retry_bound.most_reissues(0, 1) == MAX_RETRY_BALANCE
 
 
 @pytest.mark.parametrize("load", [ALONE, BUSY], ids=["alone", "busy"])
--- a/tests/decisions/test_weighted.py
+++ b/tests/decisions/load_balancing/test_weighted_sampler.py
@@ -8,14 +8,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from plovertrail.decisions.weighted import WeightedDraw
+from plovertrail.decisions.load_balancing.weighted_sampler import WeightedSampler
 
 CHANGES = st.lists(st.tuples(st.integers(0, 40), st.one_of(st.none(), st.floats(0, 100))), max_size=200)
 
 
 @given(CHANGES, st.floats(0, 1, exclude_max=True))
 def test_a_draw_falls_where_the_sums_say(changes: list[tuple[int, float | None]], uniform: float) -> None:
-    made, plain = WeightedDraw(), dict[int, float]()
+    made, plain = WeightedSampler(), dict[int, float]()
     for member, weight in changes:
         if weight is None:
             made.discard(member)
@@ -25,7 +25,7 @@
             plain[member] = weight
     assert set(made) == set(plain) and len(made) == len(plain)
     assert all((member in made) == (member in plain) for member in range(41))
-    drawn = made.draw(uniform)
+    drawn = made.sample(uniform)
     if drawn is None:
         assert not any(plain.values())
     else:
@@ -33,7 +33,7 @@
 
 
 def test_each_member_is_drawn_as_often_as_its_weight_says() -> None:
-    made, rng = WeightedDraw(), random.Random(5)
+    made, rng = WeightedSampler(), random.Random(5)
     weights = {number: float(1 + number % 7) for number in range(100)}
     for number, weight in weights.items():
         made.set(number, weight * 3)
@@ -42,7 +42,7 @@
         made.discard(number)
         del weights[number]
     count = 40_000
-    drawn = Counter(made.draw(rng.random()) for _ in range(count))
+    drawn = Counter(made.sample(rng.random()) for _ in range(count))
     whole = sum(weights.values())
     chi_square = sum(
         (drawn[number] - count * weight / whole) ** 2 / (count * weight / whole)
@@ -52,9 +52,9 @@
 
 
 def test_nothing_is_drawn_from_nothing() -> None:
-    made = WeightedDraw()
-    assert made.draw(0.5) is None
+    made = WeightedSampler()
+    assert made.sample(0.5) is None
     made.set(1, 0.0)
-    assert made.draw(0.5) is None
+    assert made.sample(0.5) is None
     made.set(2, 1e-300)
-    assert made.draw(0.999) == 2
+    assert made.sample(0.999) == 2
--- a/tests/decisions/test_affinity.py
+++ b/tests/decisions/test_affinity.py
@@ -9,7 +9,7 @@
 
 from plovertrail.decisions.actions import Send
 from plovertrail.decisions.affinity import Affinity, AffinitySource, Ring
-from plovertrail.decisions.balance import NEVER_RAN, Balancer
+from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import (
     AttemptEnded,
     Endpoint,
@@ -20,6 +20,7 @@
     Outcome,
     RequestArrived,
 )
+from plovertrail.decisions.load_balancing.outcomes import NEVER_RAN
 from plovertrail.decisions.settings import RequestClass, Settings
 
 SECOND = 1_000_000
@@ -83,18 +84,18 @@
     assert Affinity(AffinitySource.HEADER, b"x-none").key_of(*given) == b""
 
 
-def balancer(servers: int = 3, **more: object) -> Balancer:
+def balancer(servers: int = 3, **more: object) -> LoadBalancer:
     kinds = [
         RequestClass("read", SECOND, 4 * SECOND),
         RequestClass("buy", SECOND, 4 * SECOND, effect="at_most_once"),
     ]
-    made = Balancer(Settings(kinds, max_attempts=3, **more), 1, SECOND)  # type: ignore[arg-type]
+    made = LoadBalancer(Settings(kinds, max_attempts=3, **more), 1, SECOND)  # type: ignore[arg-type]
     listed = [Endpoint(number) for number in range(1, servers + 1)]
     made.handle(SECOND, EndpointsUpdated(ListKind.FULL, listed))
     return made
 
 
-def sent(made: Balancer, now_us: int, event: Event) -> list[int]:
+def sent(made: LoadBalancer, now_us: int, event: Event) -> list[int]:
     return [action.endpoint_id for action in made.handle(now_us, event) if isinstance(action, Send)]
 
 
--- a/tests/decisions/test_calm.py
+++ b/tests/decisions/test_calm.py
@@ -5,7 +5,7 @@
 import pytest
 
 from plovertrail.decisions.actions import Fail
-from plovertrail.decisions.balance import Balancer
+from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import (
     AttemptEnded,
     EndpointsUpdated,
@@ -69,7 +69,7 @@
 
 
 def test_the_same_events_and_seed_give_the_same_actions() -> None:
-    first, second, other = (Balancer(settings(), seed, START_US) for seed in (5, 5, 6))
+    first, second, other = (LoadBalancer(settings(), seed, START_US) for seed in (5, 5, 6))
     told = []
     for balancer in (first, second, other):
         actions = balancer.handle(START_US, EndpointsUpdated(Kind.FULL, upstreams(9)))
--- a/tests/decisions/test_draw.py
+++ b/tests/decisions/test_draw.py
@@ -17,9 +17,7 @@
     FEWEST_IN_USE,
     MOST_MUTE,
     STALE_BORNE,
-    Balancer,
-    Request,
-    Server,
+    LoadBalancer,
 )
 from plovertrail.decisions.events import (
     Endpoint,
@@ -29,6 +27,8 @@
     RequestArrived,
     TimerFired,
 )
+from plovertrail.decisions.load_balancing.endpoint_state import EndpointState
+from plovertrail.decisions.load_balancing.request_state import RequestState
 from tests.decisions import world
 from tests.decisions.world import World, upstreams
 
@@ -45,22 +45,22 @@
 STEP = st.tuples(st.sampled_from(["arrive", "arrive", "end", "time", "list", "quit"]), st.integers(0, 2**16))
 
 
-def choices(balancer: Balancer, request: Request) -> dict[int, float]:
+def choices(balancer: LoadBalancer, request: RequestState) -> dict[int, float]:
     """The servers that the reference would draw from, with their weights, in this module's state."""
     old = object.__new__(reference_balance.Balancer)
     old.settings, old.now_us = balancer.settings, balancer.now_us
-    servers = list(balancer.servers.values())
+    servers = list(balancer.endpoints.values())
     index = request.event.class_index
-    resting = sum(1 for server in servers if balancer.now_us < server.mute_until_us[index])
+    resting = sum(1 for server in servers if balancer.now_us < server.excluded_until_us[index])
     some_rest = resting <= MOST_MUTE * len(servers)
-    for pool in balancer.pools if balancer.may_send(request) else []:
-        if pool.credit >= 1.0:
-            mine = [server for server in servers if server.pool is pool]
+    for pool in balancer.groups if balancer.may_send(request) else []:
+        if pool.admission_credit >= 1.0:
+            mine = [server for server in servers if server.group is pool]
             cold, best, others = (
-                free_slots(old, request, [server for server in mine if server.entry.id in group], some_rest)
-                for group in (pool.cold, pool.in_use, pool.others)
+                free_slots(old, request, [server for server in mine if server.listed.id in group], some_rest)
+                for group in (pool.warming, pool.active, pool.standby)
             )
-            if len(pool.in_use) < FEWEST_IN_USE + int(pool.sends.rate / A_SECOND_EACH):
+            if len(pool.active) < FEWEST_IN_USE + int(pool.send_rate.per_second / A_SECOND_EACH):
                 best, others = others, best
             found = cold or best or others
             if found:
@@ -69,31 +69,35 @@
 
 
 def free_slots(
-    old: reference_balance.Balancer, request: Request, servers: list[Server], some_rest: bool
+    old: reference_balance.Balancer, request: RequestState, servers: list[EndpointState], some_rest: bool
 ) -> dict[int, float]:
     found = old.free_slots(request, servers, some_rest)  # type: ignore[arg-type]
     return {
-        server.entry.id: share / (1.0 + server.distrust / DISTRUST_BORNE) ** 2  # type: ignore[attr-defined]
+        server.listed.id: share / (1.0 + server.failure_penalty / DISTRUST_BORNE) ** 2  # type: ignore[attr-defined]
         for server, share in found
     }
 
 
-def check_books(balancer: Balancer) -> None:
+def check_books(balancer: LoadBalancer) -> None:
     """What is kept is what going through all would find."""
     balancer.open_rested()
-    assert set(balancer.distrusted) == {n for n, server in balancer.servers.items() if server.distrust}
+    assert set(balancer.distrusted) == {
+        n for n, server in balancer.endpoints.items() if server.failure_penalty
+    }
     for index, count in enumerate(balancer.muted):
-        assert count == sum(1 for s in balancer.servers.values() if balancer.now_us < s.mute_until_us[index])
-    for pool in balancer.pools:
-        mine = {number for number, server in balancer.servers.items() if server.pool is pool}
-        groups = [set(pool.in_use), set(pool.others), set(pool.cold)]
+        assert count == sum(
+            1 for s in balancer.endpoints.values() if balancer.now_us < s.excluded_until_us[index]
+        )
+    for pool in balancer.groups:
+        mine = {number for number, server in balancer.endpoints.items() if server.group is pool}
+        groups = [set(pool.active), set(pool.standby), set(pool.warming)]
         assert set().union(*groups) == mine and sum(map(len, groups)) == len(mine)
-        assert pool.size == pytest.approx(sum(balancer.size(balancer.servers[n].entry) for n in mine))
-        assert set(pool.cold) == {n for n in mine if balancer.warmth(balancer.servers[n]) < 1.0}
+        assert pool.capacity == pytest.approx(sum(balancer.size(balancer.endpoints[n].listed) for n in mine))
+        assert set(pool.warming) == {n for n in mine if balancer.warmth(balancer.endpoints[n]) < 1.0}
     for kind in ("zone", "cell"):
-        for number, server in balancer.servers.items():
-            assert balancer.mates[kind, getattr(server.entry, kind)][number] is server
-    assert sum(map(len, balancer.mates.values())) == 2 * len(balancer.servers)
+        for number, server in balancer.endpoints.items():
+            assert balancer.mates[kind, getattr(server.listed, kind)][number] is server
+    assert sum(map(len, balancer.mates.values())) == 2 * len(balancer.endpoints)
 
 
 def play(steps: list[tuple[str, int]], seed: int) -> World:
@@ -135,10 +139,10 @@
             played.tell_list([entry], ListKind.DELTA)
         check_books(played.balancer)
         for request in played.balancer.requests.values():
-            if request.out == 0 and not request.done:
+            if request.in_flight == 0 and not request.is_closed:
                 expected = choices(played.balancer, request)
                 drawn = played.balancer.draw(request)
-                assert (drawn is None) == (not expected) and (drawn is None or drawn.entry.id in expected)
+                assert (drawn is None) == (not expected) and (drawn is None or drawn.listed.id in expected)
     return played
 
 
@@ -157,14 +161,14 @@
     played = play([(rng.choice(kinds), rng.randrange(2**16)) for _ in range(150)], seed)
     balancer = played.balancer
     played.advance(100_000)
-    for pool in balancer.pools:
-        pool.credit = 2.0
+    for pool in balancer.groups:
+        pool.admission_credit = 2.0
     for class_index in range(3):
         event = RequestArrived(9_999, balancer.now_us + 1_000_000, class_index)
-        request = Request(event, balancer.settings.classes[class_index], balancer.now_us)
+        request = RequestState(event, balancer.settings.classes[class_index], balancer.now_us)
         expected = choices(balancer, request)
         count = 4_000
-        drawn = Counter(server.entry.id for _ in range(count) if (server := balancer.draw(request)))
+        drawn = Counter(server.listed.id for _ in range(count) if (server := balancer.draw(request)))
         assert set(drawn) <= set(expected) and sum(drawn.values()) == (count if expected else 0)
         whole = sum(expected.values())
         for number, share in expected.items():
@@ -181,7 +185,7 @@
     assert {send.endpoint_id for ident in idents for send in played.sends(ident)} == {101}
     balancer = played.balancer
     event = RequestArrived(9_999, balancer.now_us + 1_000_000, excluded=frozenset((100, 101, 102)))
-    request = Request(event, balancer.settings.classes[0], balancer.now_us)
+    request = RequestState(event, balancer.settings.classes[0], balancer.now_us)
     assert [balancer.draw(request) for _ in range(50)] == [None] * 50
 
 
@@ -190,9 +194,9 @@
     played.tell_list(upstreams(4))
     balancer = played.balancer
     for number in (100, 101, 102):
-        balancer.mute(balancer.servers[number], 0, played.now_us + 1_000 * number)
-    balancer.mute(balancer.servers[100], 0, played.now_us + 500_000)  # for longer
-    balancer.mute(balancer.servers[101], 0, 0)
+        balancer.mute(balancer.endpoints[number], 0, played.now_us + 1_000 * number)
+    balancer.mute(balancer.endpoints[100], 0, played.now_us + 500_000)  # for longer
+    balancer.mute(balancer.endpoints[101], 0, 0)
     check_books(balancer)
     assert balancer.muted[0] == 2
     played.tell_list([Endpoint(102, EndpointStatus.REMOVED)], ListKind.DELTA)
@@ -224,11 +228,11 @@
     played.tell_list(upstreams(1), ListKind.DELTA)
     played.arrive(0)
     balancer = played.balancer
-    assert 100 in balancer.pools[0].in_use and balancer.servers[100].used == 1
+    assert 100 in balancer.groups[0].active and balancer.endpoints[100].in_flight == 1
     before = len(played.log)
-    balancer.requests[old].attempts[0].server.window = 0.01
+    balancer.requests[old].attempts[0].endpoint.concurrency_limit = 0.01
     played.end(old, 0, Outcome.REJECTED)
-    assert 100 in balancer.pools[0].in_use
+    assert 100 in balancer.groups[0].active
     assert not [action for action in played.log[before:] if isinstance(action, CloseIdle)]
     check_books(balancer)
 
@@ -238,8 +242,8 @@
     for _ in range(300):
         played.tell_list(upstreams(4, started_us=played.now_us))
         played.advance(600_000)
-    pool = played.balancer.pools[0]
-    assert len(pool.cold_waits) <= 2 * 4 + STALE_BORNE and len(played.balancer.rests) <= 12
+    pool = played.balancer.groups[0]
+    assert len(pool.warm_up_queue) <= 2 * 4 + STALE_BORNE and len(played.balancer.rests) <= 12
     check_books(played.balancer)
     for _ in range(20):
         played.advance(100_000)
--- a/tests/decisions/test_failover.py
+++ b/tests/decisions/test_failover.py
@@ -5,7 +5,7 @@
 import pytest
 
 from plovertrail.decisions.actions import Send
-from plovertrail.decisions.balance import MOST_RETRIES, NEVER_RAN, Balancer, Reissues
+from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import (
     AttemptEnded,
     Endpoint,
@@ -15,13 +15,15 @@
     RequestArrived,
 )
 from plovertrail.decisions.failover import Standing, attempts_left, next_pool
+from plovertrail.decisions.load_balancing.outcomes import NEVER_RAN
+from plovertrail.decisions.load_balancing.retry_budget import MAX_RETRY_BALANCE, RetryBudget
 from plovertrail.decisions.settings import RequestClass, Settings
 
 
 def ask(
-    standing: Standing, *serving: bool, most: int = 3, reissues: Reissues | None = None, now_us: int = 0
+    standing: Standing, *serving: bool, most: int = 3, reissues: RetryBudget | None = None, now_us: int = 0
 ) -> int | None:
-    return next_pool(standing, serving, most, reissues or Reissues(), now_us)
+    return next_pool(standing, serving, most, reissues or RetryBudget(), now_us)
 
 
 def tried(*outcomes: Outcome, asked: int = 1) -> Standing:
@@ -57,23 +59,23 @@
     two = tried(Outcome.REJECTED, Outcome.REJECTED)
     assert ask(two, True, True, most=3) == 1 and ask(two, True, True, most=2) is None
     assert ask(two, True, True, now_us=100) is None
-    spent = Reissues()
-    spent.in_hand = 0.9
+    spent = RetryBudget()
+    spent.balance = 0.9
     assert ask(two, True, True, reissues=spent) is None
     assert ask(tried(), True, True, reissues=spent) == 1  # the first attempt is no reissue
 
 
 def test_two_balancers_share_one_budget_and_one_count_of_attempts() -> None:
-    reissues = Reissues()
+    reissues = RetryBudget()
     settings = Settings(
         classes=[RequestClass("buy", 100_000, 1_000_000, effect="at_most_once", late_weight=1)],
         max_attempts=3,
     )
-    first, second = (Balancer(settings, seed, 0, reissues) for seed in (1, 2))
+    first, second = (LoadBalancer(settings, seed, 0, reissues) for seed in (1, 2))
     for balancer in (first, second):
         balancer.handle(0, EndpointsUpdated(ListKind.FULL, [Endpoint(1), Endpoint(2), Endpoint(3)]))
 
-    def sends(balancer: Balancer, earlier: int) -> int:
+    def sends(balancer: LoadBalancer, earlier: int) -> int:
         """How often a request is sent that every server turns away."""
         event = RequestArrived(9, 900_000, earlier_attempts=earlier, attempts_left=3 - earlier)
         actions = balancer.handle(1, event)
@@ -85,9 +87,9 @@
         return count
 
     assert sends(first, earlier=0) == 3
-    after = reissues.in_hand
-    assert after == MOST_RETRIES - 2
-    assert sends(second, earlier=2) == 1 and reissues.in_hand == after - 1
+    after = reissues.balance
+    assert after == MAX_RETRY_BALANCE - 2
+    assert sends(second, earlier=2) == 1 and reissues.balance == after - 1
 
 
 def test_a_pool_leaves_an_attempt_to_each_pool_behind_it() -> None:
@@ -105,7 +107,7 @@
     """The first pool's figure is four, and three attempts were made: a pool of one or of six has one left."""
     for own in (1, 6):
         settings = Settings([RequestClass("read", 100_000, 1_000_000)], max_attempts=own)
-        balancer = Balancer(settings, 1, 0)
+        balancer = LoadBalancer(settings, 1, 0)
         balancer.handle(0, EndpointsUpdated(ListKind.FULL, [Endpoint(1), Endpoint(2), Endpoint(3)]))
         actions = balancer.handle(1, RequestArrived(9, 900_000, earlier_attempts=3, attempts_left=1))
         sends = [action for action in actions if isinstance(action, Send)]
--- a/tests/decisions/test_fairness.py
+++ b/tests/decisions/test_fairness.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from fakes.door_model import DoorModel, Load
-from plovertrail.decisions.balance import Balancer
+from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import (
     AttemptEnded,
     Endpoint,
@@ -292,7 +292,7 @@
 
     def window(asked: bool) -> float:
         kinds = [RequestClass("read", 300_000, 1_500_000)]
-        balancer = Balancer(Settings(kinds, max_attempts=3), 1, SECOND)
+        balancer = LoadBalancer(Settings(kinds, max_attempts=3), 1, SECOND)
         balancer.handle(SECOND, EndpointsUpdated(ListKind.FULL, [Endpoint(7)]))
         now_us = 2 * SECOND
         for ident in range(1, 60):
@@ -305,6 +305,6 @@
             now_us += 20_000
             for request in list(balancer.requests):
                 balancer.handle(now_us, AttemptEnded(request, 0, 7, Outcome.OK, 20_000, True))
-        return balancer.servers[7].window
+        return balancer.endpoints[7].concurrency_limit
 
     assert window(False) == 1.0 < 2.0 < window(True)
--- a/tests/decisions/test_list.py
+++ b/tests/decisions/test_list.py
@@ -8,7 +8,7 @@
 import pytest
 
 from plovertrail.decisions.actions import Send, SetTimer, Subscribe
-from plovertrail.decisions.balance import Balancer
+from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import (
     AttemptEnded,
     Endpoint,
@@ -72,7 +72,7 @@
             drain_grace_us=2_000_000,
             instances=instances,
         )
-        balancer = Balancer(found, seed, START_US)
+        balancer = LoadBalancer(found, seed, START_US)
         balancer.handle(START_US, EndpointsUpdated(ListKind.FULL, upstreams(4), 1))
         now_us = START_US + 30_000_000
         actions = balancer.handle(now_us, EndpointsUpdated(ListKind.FAILED, watch_stalled=True))
@@ -89,7 +89,7 @@
 def test_where_it_is_known_what_discovery_bears_even_silent_subscriptions_keep_to_it() -> None:
     calls: Counter[int] = Counter()
     for seed in range(5_000):
-        balancer = Balancer(
+        balancer = LoadBalancer(
             settings(
                 endpoints_on_request=True,
                 max_poll_interval_us=60_000_000,
@@ -172,7 +172,7 @@
     would call again at one moment, and most be turned away over and over."""
     max_poll_interval_us = 10_000_000
     config = settings(instances=40, endpoints_on_request=True, max_poll_interval_us=max_poll_interval_us)
-    balancers = [Balancer(config, seed, START_US) for seed in range(40)]
+    balancers = [LoadBalancer(config, seed, START_US) for seed in range(40)]
     due = dict.fromkeys(range(40), START_US)
     asked = dict.fromkeys(range(40), START_US)
     told: dict[int, int] = {}
@@ -206,7 +206,7 @@
 
 def test_one_started_at_once_uses_the_list_it_knows_until_one_comes() -> None:
     config = settings(instances=40, endpoints_on_request=True, max_poll_interval_us=10_000_000)
-    balancer = Balancer(config, 1, START_US)
+    balancer = LoadBalancer(config, 1, START_US)
     balancer.handle(START_US, EndpointsUpdated(ListKind.CACHED, [Endpoint(7), Endpoint(8)]))
     balancer.handle(START_US, EndpointsUpdated(ListKind.FAILED))
     actions = balancer.handle(START_US, RequestArrived(1, START_US + 400_000))
@@ -250,7 +250,7 @@
     config = settings(
         instances=40, endpoints_on_request=True, max_poll_interval_us=6_600_000, drain_grace_us=2_000_000
     )
-    balancers = [Balancer(config, seed, START_US) for seed in range(40)]
+    balancers = [LoadBalancer(config, seed, START_US) for seed in range(40)]
     discovery = WorksInTurn(each_us)
     due: list[tuple[int, int, int]] = [(START_US, number, 0) for number in range(40)]
     told: dict[int, int] = {}
--- a/tests/decisions/test_list_calls.py
+++ b/tests/decisions/test_list_calls.py
@@ -9,7 +9,7 @@
 import pytest
 
 from plovertrail.decisions.actions import Action, SetTimer, Subscribe
-from plovertrail.decisions.balance import Balancer
+from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import Endpoint, EndpointsUpdated, ListKind, TimerFired
 from plovertrail.decisions.list_calls import (
     ANSWER_US,
@@ -63,7 +63,7 @@
 
 def told_at(config: Settings, discovery: Discovery, seed: int) -> int:
     """When an instance has the list after discovery's return."""
-    balancer = Balancer(config, seed, START_US)
+    balancer = LoadBalancer(config, seed, START_US)
     due: list[tuple[int, int, EndpointsUpdated | TimerFired]] = [(START_US, 0, TimerFired(0))]
     number = 0
     while due:
@@ -112,7 +112,7 @@
     for seed in range(60):
         rng = random.Random(seed)
         config = asked(grace_us, instances=rng.choice([1, 40, 200]))
-        balancer = Balancer(config, seed, START_US)
+        balancer = LoadBalancer(config, seed, START_US)
         balancer.handle(START_US, EndpointsUpdated(ListKind.FULL, [Endpoint(1)], 1))
         heard_us = START_US + 30_000_000
         now_us = heard_us + SILENT_US
@@ -129,7 +129,7 @@
     calls: list[int] = []
     config = asked(2_000_000, instances=200)
     for seed in range(200):
-        balancer = Balancer(config, seed, START_US)
+        balancer = LoadBalancer(config, seed, START_US)
         now_us, made = START_US, 0
         while made < 2:
             actions = balancer.handle(now_us, TimerFired(0))
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -12,7 +12,7 @@
 
 from fakes.membership_model import MembershipModel
 from plovertrail.decisions.actions import Send
-from plovertrail.decisions.balance import Balancer
+from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import EndpointsUpdated, ListKind, PeerHealthUpdated, RequestArrived
 from plovertrail.decisions.health_evidence import (
     FAILURE_HALF_LIFE_US,
@@ -264,7 +264,7 @@
     """How often each of eight endpoints gets one of 1,000 first requests of class 0."""
     sent = dict.fromkeys(range(100, 108), 0)
     for seed in range(250):
-        balancer = Balancer(module_settings(hedging=False), seed, START_US)
+        balancer = LoadBalancer(module_settings(hedging=False), seed, START_US)
         balancer.handle(START_US, EndpointsUpdated(ListKind.FULL, upstreams(8)))
         balancer.handle(START_US, PeerHealthUpdated(penalties))
         for request in range(4):
@@ -290,9 +290,9 @@
     """With little traffic unused endpoints are selected first, and it may be the only one of them."""
     sent = []
     for seed in range(40):
-        balancer = Balancer(module_settings(hedging=False), seed, START_US)
+        balancer = LoadBalancer(module_settings(hedging=False), seed, START_US)
         balancer.handle(START_US, EndpointsUpdated(ListKind.FULL, upstreams(4)))
-        for server in list(balancer.servers.values())[1:]:
+        for server in list(balancer.endpoints.values())[1:]:
             balancer.use(server, True)
         balancer.handle(START_US, PeerHealthUpdated({(100, 0): 0.4}))
         for request in range(4):
@@ -303,15 +303,15 @@
 
 
 def test_penalties_replace_earlier_ones_and_apply_to_listed_endpoints_only() -> None:
-    balancer = Balancer(module_settings(), 1, START_US)
+    balancer = LoadBalancer(module_settings(), 1, START_US)
     balancer.handle(START_US, EndpointsUpdated(ListKind.FULL, upstreams(8)))
     balancer.handle(START_US, PeerHealthUpdated({(100, 0): 0.5, (999, 0): 1.0, (101, 77): 1.0}))
-    assert balancer.servers[100].hearsay == {0: 0.5}
+    assert balancer.endpoints[100].peer_penalties == {0: 0.5}
     assert balancer.hearsay == {100}
     balancer.handle(START_US, EndpointsUpdated(ListKind.FULL, upstreams(8)[1:]))
     balancer.handle(START_US, PeerHealthUpdated({(102, 0): 0.5}))
     assert balancer.hearsay == {102}
-    assert balancer.servers[101].hearsay is None
+    assert balancer.endpoints[101].peer_penalties is None
     keys = PoolKeys({100: 7, 101: 8}, (READ, BUY))
     detector = new_detector()
     for reporter in (1, 2, 3):
--- a/tests/decisions/test_remembered.py
+++ b/tests/decisions/test_remembered.py
@@ -7,7 +7,7 @@
 import pytest
 
 from plovertrail.decisions.actions import Send
-from plovertrail.decisions.balance import MUTE, Balancer
+from plovertrail.decisions.balance import MUTE, LoadBalancer
 from plovertrail.decisions.events import Endpoint, EndpointsUpdated, ListKind, RequestArrived
 from plovertrail.decisions.remembered import (
     HALF_LIFE_US,
@@ -26,9 +26,9 @@
 BAD = Judgement(0.1, 3.0, 0.8, 0.6, (0.4, 0.0), (5, 1))
 
 
-def balancer_with(judged: dict[int, Judgement], age_us: int = 0, seed: int = 1) -> Balancer:
+def balancer_with(judged: dict[int, Judgement], age_us: int = 0, seed: int = 1) -> LoadBalancer:
     """A module that has just been told of eight servers and remembers some."""
-    made = Balancer(settings(hedging=False), seed, START_US)
+    made = LoadBalancer(settings(hedging=False), seed, START_US)
     classes = len(made.settings.classes)
 
     def fit(old: Judgement) -> Judgement:
@@ -39,7 +39,7 @@
         )
 
     made.recall = lambda server: (
-        server.entry.id in judged and recall_server(made, server, fit(judged[server.entry.id]), age_us)
+        server.listed.id in judged and recall_server(made, server, fit(judged[server.listed.id]), age_us)
     )
     made.handle(START_US, EndpointsUpdated(ListKind.CACHED, upstreams(8)))
     return made
@@ -60,7 +60,7 @@
 def test_what_is_too_old_or_from_the_future_is_no_news(age_us: int) -> None:
     assert faded(BAD, age_us) is None
     balancer = balancer_with({100: BAD}, age_us)
-    assert balancer.servers[100].window == 1.0 and not balancer.distrusted
+    assert balancer.endpoints[100].concurrency_limit == 1.0 and not balancer.distrusted
 
 
 def test_a_bad_server_gets_less_from_a_fleet_that_restarts_than_an_unknown_one() -> None:
@@ -81,18 +81,18 @@
     balancer = balancer_with({100: BAD, 101: GOOD})
     cold = Endpoint(200, started_us=START_US - 1)
     balancer.handle(START_US, EndpointsUpdated(ListKind.DELTA, [cold]))
-    balancer.servers[200].window = 0.1
-    assert judgement(balancer, balancer.servers[200]) is None
-    assert judgement(balancer, balancer.servers[102]) is None
-    found = sweep(balancer, [(number, (str(number), "a")) for number in (*balancer.servers, 999)])
+    balancer.endpoints[200].concurrency_limit = 0.1
+    assert judgement(balancer, balancer.endpoints[200]) is None
+    assert judgement(balancer, balancer.endpoints[102]) is None
+    found = sweep(balancer, [(number, (str(number), "a")) for number in (*balancer.endpoints, 999)])
     assert set(found) == {("100", "a"), ("101", "a")}
 
 
 def test_a_judgement_under_other_classes_is_not_taken() -> None:
     balancer = balancer_with({})
     old = Judgement(0.1, 3.0, 0.0, 0.0, (0.0,) * 9, (0,) * 9)
-    assert not recall_server(balancer, balancer.servers[100], old, 0)
-    assert balancer.servers[100].window == 1.0
+    assert not recall_server(balancer, balancer.endpoints[100], old, 0)
+    assert balancer.endpoints[100].concurrency_limit == 1.0
 
 
 def test_usual_times_are_begun_with_and_fade_to_the_guess() -> None:
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from plovertrail.decisions.actions import Send
-from plovertrail.decisions.balance import Balancer
+from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import (
     AttemptEnded,
     Endpoint,
@@ -156,7 +156,7 @@
     requests take 40 ms of a warm one. Each sidecar gets `skew` requests a tick of 4 ms: up to 26 times what
     the nine can do."""
     config = settings(instances=len(skew), classes=[RequestClass("read", 300_000, 1_500_000)])
-    balancers = [Balancer(config, n, START_US) for n in range(len(skew))]
+    balancers = [LoadBalancer(config, n, START_US) for n in range(len(skew))]
     listed = [Endpoint(1, started_us=START_US), *[Endpoint(n) for n in range(2, 11)]]
 
     def warmth(at_us: int) -> float:
--- a/tests/decisions/test_slots.py
+++ b/tests/decisions/test_slots.py
@@ -250,10 +250,12 @@
     world.tell_list(upstreams(1), ListKind.DELTA)
     new = world.arrive(PAY)
     world.end(new, 0, Outcome.ERROR)
-    assert list(world.balancer.distrusted) == [100] and world.balancer.servers[100].distrust > 0
-    before = world.balancer.servers[100].distrust
+    assert list(world.balancer.distrusted) == [100] and world.balancer.endpoints[100].failure_penalty > 0
+    before = world.balancer.endpoints[100].failure_penalty
     world.end(old, 0, Outcome.ERROR)
-    assert list(world.balancer.distrusted) == [100] and world.balancer.servers[100].distrust == before
+    assert (
+        list(world.balancer.distrusted) == [100] and world.balancer.endpoints[100].failure_penalty == before
+    )
 
 
 def after_a_jam(each_us: int, calm_us: int) -> float:
@@ -273,7 +275,7 @@
             for attempt in owed.out():
                 if world.now_us >= owed.tries[attempt].sent_us + took_us:
                     world.end(ident, attempt, Outcome.OK)
-    return world.balancer.pools[0].admitted
+    return world.balancer.groups[0].admission_probability
 
 
 @pytest.mark.parametrize("each_us", [10_000, 50_000, 150_000, 300_000])
@@ -287,12 +289,12 @@
 def test_where_no_answer_comes_a_little_more_is_let_in_each_second() -> None:
     world = World(settings(instances=40))
     world.tell_list([])  # nothing can be sent, so nothing is learned
-    pool = world.balancer.pools[0]
-    pool.admitted, seen = 0.1, []
+    pool = world.balancer.groups[0]
+    pool.admission_probability, seen = 0.1, []
     for _ in range(20):
         world.arrive(PAY)
         world.advance(500_000)
-        seen.append(pool.admitted)
+        seen.append(pool.admission_probability)
     assert seen == sorted(seen) and seen[4] < 0.3 and seen[-1] == 1.0
 
 
@@ -543,7 +545,7 @@
         world.tell_list([Endpoint(1000 + n)], ListKind.DELTA)
         churn(world, 5)
         world.tell_list([Endpoint(1000 + n, EndpointStatus.REMOVED)], ListKind.DELTA)
-    assert len(world.balancer.servers) == 4 and len(world.balancer.pools[0].in_use) <= 4
+    assert len(world.balancer.endpoints) == 4 and len(world.balancer.groups[0].active) <= 4
 
 
 def busy_world() -> World:
@@ -574,7 +576,7 @@
 def test_without_need_no_second_slot_opens() -> None:
     world = ready_world(40, instances=24)
     churn(world, 400)
-    assert all(server.window <= 1 for server in world.balancer.servers.values())
+    assert all(server.concurrency_limit <= 1 for server in world.balancer.endpoints.values())
 
 
 def test_slots_go_on_opening_for_two_aims_after_a_shortage_and_no_longer() -> None:
@@ -586,9 +588,9 @@
         for request in (taken[0], taken[-1]):
             world.end(request, 0, Outcome.OK)
         world.advance(pause_us)
-        before = world.balancer.servers[100].window
+        before = world.balancer.endpoints[100].concurrency_limit
         churn(world, 3)
-        windows.append(world.balancer.servers[100].window - before)
+        windows.append(world.balancer.endpoints[100].concurrency_limit - before)
     assert windows[0] > 0 and windows[1] == 0
 
 
--- a/tests/decisions/world.py
+++ b/tests/decisions/world.py
@@ -1,4 +1,4 @@
-"""A stand-in for the sidecar around a Balancer: carries out its actions and checks the contract.
+"""A stand-in for the sidecar around a LoadBalancer: carries out its actions and checks the contract.
 
 It is no simulator: tests say what happens and when. Every action is checked against the four rules as
 the contract words them, from records kept here and not from the module's own.
@@ -22,7 +22,7 @@
     SetTimer,
     Subscribe,
 )
-from plovertrail.decisions.balance import Balancer
+from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import (
     AttemptEnded,
     Endpoint,
@@ -94,7 +94,7 @@
     def __init__(self, config: Settings | None = None, seed: int = 7) -> None:
         self.settings = config or settings()
         self.now_us = START_US
-        self.balancer = Balancer(self.settings, seed, self.now_us)
+        self.balancer = LoadBalancer(self.settings, seed, self.now_us)
         self.owed: dict[int, Owed] = {}
         self.known: dict[int, Endpoint] = {}
         self.refused_us: dict[int, int] = {}  # upstreams told draining or gone: since when
--- a/tests/peers/test_membership_transport.py
+++ b/tests/peers/test_membership_transport.py
@@ -69,9 +69,9 @@
                 for _ in range(30):
                     await it.ask(message("GET /"))
             balancer = third.daemon.pools["main"].pool.balancer
-            bad = next(iter(balancer.servers.values()))
-            await until(lambda: bool(bad.hearsay) and held_back(third) > 0.1)
-            assert bad.distrust == 0.0 and bad.faults == 0.0  # it has seen nothing itself
+            bad = next(iter(balancer.endpoints.values()))
+            await until(lambda: bool(bad.peer_penalties) and held_back(third) > 0.1)
+            assert bad.failure_penalty == 0.0 and bad.fault_rate == 0.0  # it has seen nothing itself
             before = servers[0].count
             for _ in range(20):
                 assert (await third.ask(message("GET /"))).status == 200
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -21,7 +21,7 @@
     SetTimer,
     Subscribe,
 )
-from plovertrail.decisions.balance import Balancer
+from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import (
     AttemptEnded,
     Endpoint,
@@ -216,7 +216,7 @@
     def broken(*_: object) -> list[Action]:
         raise IndexError("index out of range")
 
-    monkeypatch.setattr(Balancer, "handle", broken)
+    monkeypatch.setattr(LoadBalancer, "handle", broken)
     told = serve(batch([power_on()]) + batch([bytes.fromhex("32 0300 4d000000")]))
     assert b"IndexError: index out of range" in told
 
--- a/tests/store/test_gathering.py
+++ b/tests/store/test_gathering.py
@@ -13,7 +13,7 @@
 from plovertrail.clock import clock_us
 from plovertrail.config.operator import load
 from plovertrail.daemon.process import Daemon
-from plovertrail.decisions.balance import Balancer
+from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.remembered import Judgement, sweep
 from plovertrail.store import memory
 from tests.daemons import Running, message, run, site
@@ -34,12 +34,12 @@
 
 
 class CountedSweeps:
-    """Stands in for `sweep`, and counts by Balancer how often it was asked."""
+    """Stands in for `sweep`, and counts by LoadBalancer how often it was asked."""
 
     def __init__(self) -> None:
-        self.balancers: list[Balancer] = []
+        self.balancers: list[LoadBalancer] = []
 
-    def __call__(self, balancer: Balancer, servers: Iterable[Called]) -> dict[tuple[str, str], Judgement]:
+    def __call__(self, balancer: LoadBalancer, servers: Iterable[Called]) -> dict[tuple[str, str], Judgement]:
         self.balancers.append(balancer)
         return sweep(balancer, servers)
 
--- a/tests/store/test_restart.py
+++ b/tests/store/test_restart.py
@@ -49,8 +49,8 @@
         async with started(here, servers) as it:
             for _ in range(80):
                 await it.ask(message("GET /"))
-            bad = next(iter(it.daemon.pools["main"].pool.balancer.servers.values()))
-            before = round(bad.distrust, 2)  # as it is kept
+            bad = next(iter(it.daemon.pools["main"].pool.balancer.endpoints.values()))
+            before = round(bad.failure_penalty, 2)  # as it is kept
             assert before > 0.2
             it.daemon.background.hurry("state")
             await until(lambda: bool(it.daemon.keeper.other_image))
@@ -59,13 +59,15 @@
             balancer = it.daemon.pools["main"].pool.balancer
             kept = it.daemon.status()["kept"]
             assert kept["taken_back"]["servers"] >= 1 and kept["problems"] == []
-            assert 0.5 * before < next(iter(balancer.servers.values())).distrust <= before
-            assert all(1.0 <= server.window <= 4.5 for server in list(balancer.servers.values())[1:])
+            assert 0.5 * before < next(iter(balancer.endpoints.values())).failure_penalty <= before
+            assert all(
+                1.0 <= server.concurrency_limit <= 4.5 for server in list(balancer.endpoints.values())[1:]
+            )
             assert balancer.mean_us[0] < 250_000  # the guess for a class that nothing is known of
         (killed / "state").unlink()
         async with started(killed, servers) as it:
-            known = it.daemon.pools["main"].pool.balancer.servers.values()
-            assert len(known) == 6 and all(not server.distrust for server in known)
+            known = it.daemon.pools["main"].pool.balancer.endpoints.values()
+            assert len(known) == 6 and all(not server.failure_penalty for server in known)
         for server in servers:
             server.stop()
 
--- a/tests/store/test_stored_data.py
+++ b/tests/store/test_stored_data.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from plovertrail.decisions.balance import Balancer
+from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.counts import Counts, Window, key_of
 from plovertrail.decisions.endpoint_list import State
 from plovertrail.decisions.events import Endpoint, EndpointsUpdated, ListKind
@@ -117,17 +117,17 @@
     }
 
 
-def balancer_with(memory: Memory, now_us: int) -> tuple[Balancer, dict[int, tuple[str, str]]]:
+def balancer_with(memory: Memory, now_us: int) -> tuple[LoadBalancer, dict[int, tuple[str, str]]]:
     """A load balancer whose endpoints begin with their histories, and what each endpoint id is called."""
     classes = [
         RequestClass("read", 250_000, 2 * S),
         RequestClass("buy", 400_000, 5 * S, effect="at_most_once"),
     ]
-    balancer = Balancer(Settings(classes=classes, warm_up_us=0), 1, now_us)
+    balancer = LoadBalancer(Settings(classes=classes, warm_up_us=0), 1, now_us)
     recall_means(balancer, memory, now_us)
     called = dict(enumerate(sorted(memory.servers), 1))
     balancer.recall = lambda server: recall_server(
-        balancer, server, memory.servers[called[server.entry.id]], now_us - memory.at_us
+        balancer, server, memory.servers[called[server.listed.id]], now_us - memory.at_us
     )
     endpoints = [Endpoint(endpoint_id) for endpoint_id in called]
     balancer.handle(now_us, EndpointsUpdated(ListKind.CACHED, endpoints))
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -273,7 +273,7 @@
         await joins.start()
         async with running(tmp_path, {"main": [stays, drains, goes]}) as it:
             balancer = it.daemon.pools["main"].pool.balancer
-            assert {server.entry.started_us for server in balancer.servers.values()} == {0}
+            assert {server.listed.started_us for server in balancer.endpoints.values()} == {0}
             for _ in range(30):
                 assert (await it.ask(message("GET /"))).status == 200
             assert min(server.count for server in (stays, drains, goes)) > 0
@@ -285,11 +285,11 @@
             for _ in range(30):
                 assert (await it.ask(message("GET /"))).status == 200
             assert (drains.count, goes.count) == before
-            cold = [server for server in balancer.servers.values() if server.entry.started_us]
+            cold = [server for server in balancer.endpoints.values() if server.listed.started_us]
             assert len(cold) == 1 and balancer.warmth(cold[0]) < 1.0
             assert await it.change(text.replace(", drain = true", ""))
-            assert len(balancer.servers) == 3  # and it is not cold, as it ran on
-            assert sum(1 for server in balancer.servers.values() if server.entry.started_us) == 1
+            assert len(balancer.endpoints) == 3  # and it is not cold, as it ran on
+            assert sum(1 for server in balancer.endpoints.values() if server.listed.started_us) == 1
         joins.stop()
 
     run(test)
@@ -320,7 +320,7 @@
             assert await it.change(it.path.read_text().replace('aim = "1s"', 'aim = "900ms"', 1))
             after = it.daemon.pools["main"]
             assert after is not before
-            assert {server.entry.started_us for server in after.pool.balancer.servers.values()} == {0}
+            assert {server.listed.started_us for server in after.pool.balancer.endpoints.values()} == {0}
             let_go.set()
             assert (await task).status == 200 and (await it.ask(message("GET /"))).status == 200
             await until(lambda: not before.connections.connections)
--- a/tests/test_endpoint_registry.py
+++ b/tests/test_endpoint_registry.py
@@ -302,17 +302,21 @@
             await it.ask(message("GET /"))
         running = it.daemon.pools["main"]
         old = running.registry.state.members["a"].number
-        learnt = running.pool.balancer.servers[old]
-        assert server.connections > 0 and learnt.pace != 1.0
+        learnt = running.pool.balancer.endpoints[old]
+        assert server.connections > 0 and learnt.relative_latency != 1.0
         write_list(path, {"b": other})
         await until(lambda: set(members(it)) == {"b"})
-        assert old not in running.pool.balancer.servers and old not in running.connections.connections
+        assert old not in running.pool.balancer.endpoints and old not in running.connections.connections
         write_list(path, {ident: server, "b": other})
         await until(lambda: set(members(it)) == {ident, "b"})
         back = running.registry.state.members[ident]
         assert back.number != old and 0 < back.came_us <= clock_us()
-        fresh = running.pool.balancer.servers[back.number]
-        assert fresh is not learnt and fresh.pace == 1.0 and running.pool.balancer.warmth(fresh) < 1.0
+        fresh = running.pool.balancer.endpoints[back.number]
+        assert (
+            fresh is not learnt
+            and fresh.relative_latency == 1.0
+            and running.pool.balancer.warmth(fresh) < 1.0
+        )
         before = server.connections
         for _ in range(200):
             await it.ask(message("GET /"))
--- a/tests/test_share.py
+++ b/tests/test_share.py
@@ -285,9 +285,9 @@
         told = Told()
         entries = [Endpoint(number) for number in range(1, 1_101)]
         told.tell(ListKind.CACHED, entries)
-        assert len(told.pool.balancer.servers) == SLICE
+        assert len(told.pool.balancer.endpoints) == SLICE
         await asyncio.sleep(0)
-        assert len(told.pool.balancer.servers) == 2 * SLICE
+        assert len(told.pool.balancer.endpoints) == 2 * SLICE
         # before the rest has been told: one that is known drains, one that isn't yet goes, another changes
         told.tell(
             ListKind.DELTA,
@@ -297,13 +297,13 @@
                 Endpoint(1_001, weight=7.0),
             ],
         )
-        assert 1 not in told.pool.balancer.servers and 1 not in told.pool.serving
+        assert 1 not in told.pool.balancer.endpoints and 1 not in told.pool.serving
         await told.settle()
-        servers = told.pool.balancer.servers
-        assert servers.keys() == set(range(2, 1_101)) - {1_000} and servers[1_001].entry.weight == 7.0
+        servers = told.pool.balancer.endpoints
+        assert servers.keys() == set(range(2, 1_101)) - {1_000} and servers[1_001].listed.weight == 7.0
         assert told.pool.serving == servers.keys() == told.pool.addresses.keys()
         assert all(len(event.endpoints) <= SLICE for event in told.lists)
-        assert all(server.slow_start for server in servers.values() if server.entry.id != 1_001)
+        assert all(server.fast_growth for server in servers.values() if server.listed.id != 1_001)
 
         # a whole list without half of them: these go before anything else is told
         told.tell(ListKind.FULL, entries[10:600])
@@ -311,13 +311,13 @@
         gone = [entry for event in told.lists[-2:] for entry in event.endpoints]
         assert len(gone) == 2 * SLICE and {entry.state for entry in gone} == {EndpointStatus.REMOVED}
         await told.settle()
-        assert told.pool.serving == set(range(11, 601)) == told.pool.balancer.servers.keys()
+        assert told.pool.serving == set(range(11, 601)) == told.pool.balancer.endpoints.keys()
         told.tell(ListKind.FULL, entries[:3])
         await told.settle()
-        assert told.pool.balancer.servers.keys() == {1, 2, 3} == told.pool.serving
+        assert told.pool.balancer.endpoints.keys() == {1, 2, 3} == told.pool.serving
         assert all(len(event.endpoints) <= SLICE for event in told.lists)
         told.host.retire(told.pool)
-        assert not told.pool.balancer.servers and not told.pool.serving
+        assert not told.pool.balancer.endpoints and not told.pool.serving
 
     run(test)
 
@@ -328,7 +328,7 @@
         told.tell(ListKind.FULL, [Endpoint(number) for number in range(1, 1_001)])
         told.tell(ListKind.FULL, [Endpoint(number) for number in range(701, 1_001)])
         await told.settle()
-        assert told.pool.balancer.servers.keys() == set(range(701, 1_001)) == told.pool.serving
+        assert told.pool.balancer.endpoints.keys() == set(range(701, 1_001)) == told.pool.serving
         assert told.pool.listed.keys() == told.pool.serving
 
     run(test)
@@ -340,7 +340,7 @@
         told.tell(ListKind.FULL, [Endpoint(number) for number in range(1, 1_001)])
         told.tell(ListKind.FAILED, [])
         await told.settle()
-        assert len(told.pool.balancer.servers) == 1_000 == len(told.pool.serving)
+        assert len(told.pool.balancer.endpoints) == 1_000 == len(told.pool.serving)
         kinds = [event.kind for event in told.lists]
         assert kinds == [ListKind.FULL, ListKind.FAILED] + [ListKind.FULL] * 3
 
@@ -357,7 +357,7 @@
         await told.settle()
         whole = EndpointSubset(5, 4)
         whole.update(entries, where(entries))
-        assert told.pool.serving == whole.selected.keys() == told.pool.balancer.servers.keys()
+        assert told.pool.serving == whole.selected.keys() == told.pool.balancer.endpoints.keys()
         drained = min(whole.selected)
         told.tell(ListKind.DELTA, [Endpoint(drained, EndpointStatus.DRAINING)])
         assert drained not in told.pool.serving and len(told.pool.serving) == 4
@@ -376,6 +376,6 @@
         told.host.retire(told.pool)
         for _ in range(5):
             await asyncio.sleep(0)
-        assert not told.pool.balancer.servers and not told.pool.serving
+        assert not told.pool.balancer.endpoints and not told.pool.serving
 
     run(test)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from plovertrail.decisions.balance import MOST_SLOTS, Balancer
+from plovertrail.decisions.balance import MOST_SLOTS, LoadBalancer
 from plovertrail.decisions.events import AttemptEnded, EndpointsUpdated, Event, ListKind, Outcome
 from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.dispatch.dispatcher import Host
@@ -150,16 +150,16 @@
 def test_a_module_that_stumbles_or_forgets_leaves_nobody_without_an_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    handle = Balancer.handle
+    handle = LoadBalancer.handle
 
-    def stumbling(self: Balancer, now_us: int, event: Event) -> list[Any]:
+    def stumbling(self: LoadBalancer, now_us: int, event: Event) -> list[Any]:
         if getattr(event, "key", 0):
             raise RuntimeError("stumbled")
         if getattr(event, "retried", False):
             return []
         return handle(self, now_us, event)
 
-    monkeypatch.setattr(Balancer, "handle", stumbling)
+    monkeypatch.setattr(LoadBalancer, "handle", stumbling)
 
     async def test() -> None:
         async with sidecar(Upstream(answering(OK))) as it:
@@ -334,16 +334,16 @@
 def test_a_spoilt_answer_may_have_run_and_shuts_nothing(first: bytes) -> None:
     async def test() -> None:
         outcomes = list[Outcome]()
-        handle = Balancer.handle
+        handle = LoadBalancer.handle
 
-        def watched(self: Balancer, now_us: int, event: Event) -> list[Any]:
+        def watched(self: LoadBalancer, now_us: int, event: Event) -> list[Any]:
             if isinstance(event, AttemptEnded):
                 outcomes.append(event.outcome)
             return handle(self, now_us, event)
 
         upstream = Upstream(answering(first, OK))
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(Balancer, "handle", watched)
+            patch.setattr(LoadBalancer, "handle", watched)
             async with sidecar(upstream) as it:
                 assert status(await it.ask(request("pay"))) == 500
                 assert status(await it.ask(request("pay"))) == 200
--- a/tests/test_slices.py
+++ b/tests/test_slices.py
@@ -55,13 +55,13 @@
                 assert told.pool.untold_ends or told.pool.serving.isdisjoint(ends)
         await told.settle()
         ready = {n: e for n, e in truth.items() if e.state is READY}
-        servers = told.pool.balancer.servers
+        servers = told.pool.balancer.endpoints
         assert servers.keys() == told.pool.serving == told.pool.addresses.keys()
         if subset:
             assert servers.keys() <= ready.keys() and len(servers) >= min(4, len(ready))
         else:
             assert servers.keys() == ready.keys()
-        assert all(servers[number].entry.weight == ready[number].weight for number in servers)
+        assert all(servers[number].listed.weight == ready[number].weight for number in servers)
         assert told.pool.listed == where([e for e in truth.values() if e.state is not GONE])
         told.host.retire(told.pool)
 
