--- a/benchmarks/fair_door.py
+++ b/benchmarks/fair_queue.py
@@ -1,11 +1,11 @@
-"""Small tenants beside a flood: `python -m benchmarks.fair_door`.
+"""Small tenants beside a flood: `python -m benchmarks.fair_queue`.
 
 `plovertrail serve` without `fair` and with it, one after the other, before servers of a fixed speed: twenty
 small tenants that ask for half of what there is, and one whose clients ask again at once and come back when
-they are told to. Then a door alone, under a million made-up names. Bars: the worst small tenant's service at
-most five points under what it asks for; the sum of service at least 0.97 of the run without; of the flood's
-clients that came back when told, at least four in five served; state flat over the names; nothing late,
-nothing unanswered.
+they are told to. Then a fair queue alone, under a million made-up names. Bars: the worst small tenant's
+service at most five points under what it asks for; the sum of service at least 0.97 of the run without; of
+the flood's clients that came back when told, at least four in five served; state flat over the names;
+nothing late, nothing unanswered.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from benchmarks.report import Bar, close, table
 from fakes.ports import free_port
 from fakes.web import OK, Arrival, Line, WebServer
-from plovertrail.decisions.fairness import Door, DoorSettings
+from plovertrail.decisions.fair_queue import FairQueue, FairQueueRequest, FairQueueSettings
 
 SERVERS, LANES, WORK_S = 4, 2, 0.04  # 200 requests a second
 SMALL, SMALL_A_SECOND = 20, 5.0
@@ -173,18 +173,22 @@
 
 
 def state_bytes(names: int) -> tuple[int, int]:
-    """Bytes that a door holds after a fifth of so many made-up names, and after all of them."""
+    """Bytes that a fair queue holds after a fifth of so many made-up names, and after all of them."""
     tracemalloc.start()
-    door = Door(DoorSettings(), 0, random.Random(1).random)
+    queue = FairQueue(FairQueueSettings(), 0, random.Random(1).random)
     first = 0
     for number in range(names):
         now_us = number * 100
         for_us = now_us + 1_000_000
-        door.arrived(number, f"name{number}", f"client{number}", 1.0, for_us, now_us, len(door.out) < 8)
-        door.expired(now_us)
-        if len(door.out) >= 8 and number % 20 == 0:
-            door.ended(next(iter(door.out)), 16_000, now_us)
-            door.next(now_us)
+        queue.arrived(
+            FairQueueRequest(number, f"name{number}", f"client{number}", 1.0, for_us),
+            now_us,
+            len(queue.in_flight) < 8,
+        )
+        queue.expired(now_us)
+        if len(queue.in_flight) >= 8 and number % 20 == 0:
+            queue.ended(next(iter(queue.in_flight)), 16_000, now_us)
+            queue.next(now_us)
         if number == int(names * SETTLED):
             first = tracemalloc.get_traced_memory()[0]
     last = tracemalloc.get_traced_memory()[0]
@@ -232,7 +236,7 @@
         Bar("state at the end beside a fifth of the way", last / first, 1.1),
     ]
     figures: dict[str, object] = {str(row[0]): row[1:] for row in rows}
-    return close("fair_door", figures | {"state": [first, last]}, bars)
+    return close("fair_queue", figures | {"state": [first, last]}, bars)
 
 
 if __name__ == "__main__":
--- a/plovertrail/config/pools.py
+++ b/plovertrail/config/pools.py
@@ -27,7 +27,7 @@
 from plovertrail.config.tables import duration_us, key_path, read_table
 from plovertrail.decisions.affinity import Affinity, AffinitySource
 from plovertrail.decisions.endpoint_list import Entry, Guards
-from plovertrail.decisions.fairness import DoorSettings
+from plovertrail.decisions.fair_queue import FairQueueSettings
 from plovertrail.decisions.fleet_limits import FleetLimits
 from plovertrail.decisions.settings import RequestClass, Settings, Tenant
 
@@ -149,14 +149,14 @@
         )
         return Affinity(source, header) if source is not None else None
 
-    def _door(self, table: PoolTable, place: str, max_retry_after_us: int) -> DoorSettings | None:
+    def _door(self, table: PoolTable, place: str, max_retry_after_us: int) -> FairQueueSettings | None:
         """How a pool's slots are shared among tenants."""
         if table.fair is None:
             return None
         place = f"{place}.fair"
         fair = read_table(FairTable, table.fair, place, self.problems) or FairTable()
         wait_us = duration_us(fair.max_wait, f"{place}.max_wait", self.problems)
-        return DoorSettings(
+        return FairQueueSettings(
             self.context.weights, fair.default_weight, fair.max_waiting, wait_us, max_retry_after_us
         )
 
--- a/plovertrail/daemon/status.py
+++ b/plovertrail/daemon/status.py
@@ -6,7 +6,7 @@
 
 from plovertrail.daemon.running_pool import RunningPool
 from plovertrail.decisions.admission import Admission
-from plovertrail.decisions.fairness import Door
+from plovertrail.decisions.fair_queue import FairQueue
 from plovertrail.decisions.limits import Limiter
 
 
@@ -52,7 +52,7 @@
     return {"window": int(admission.window), "servers": admission.servers, "refused": admission.refused}
 
 
-def door_status(door: Door | None) -> dict[str, Any]:
+def door_status(door: FairQueue | None) -> dict[str, Any]:
     """What a pool's tenants have had; nothing where it has no door."""
     if door is None:
         return {}
@@ -60,14 +60,14 @@
         name or "(others)": {
             "weight": each.weight,
             "admitted": each.admitted,
-            "refused": each.refused,
+            "refused": each.rejected,
             "waiting": each.waiting,
-            "at_work": each.out,
-            "work_s": round(each.work_done_us / 1e6, 3),
-            "work_ms": round(each.work_us / 1e3, 2),
-            "wait_ms": round(each.waited_us / 1e3, 2),
+            "at_work": each.in_flight,
+            "work_s": round(each.total_work_us / 1e6, 3),
+            "work_ms": round(each.mean_work_us / 1e3, 2),
+            "wait_ms": round(each.mean_wait_us / 1e3, 2),
         }
-        for name, each in door.shares.items()
+        for name, each in door.tenants.items()
     }
 
 
--- a/plovertrail/dispatch/dispatcher.py
+++ b/plovertrail/dispatch/dispatcher.py
@@ -60,8 +60,7 @@
     from plovertrail.decisions.admission import Admission
     from plovertrail.decisions.affinity import Affinity, Ring
     from plovertrail.decisions.counts import TenantUse
-    from plovertrail.decisions.fairness import Action as DoorAction
-    from plovertrail.decisions.fairness import Door, DoorSettings
+    from plovertrail.decisions.fair_queue import FairQueue, FairQueueAction, FairQueueSettings
     from plovertrail.decisions.limits import Limiter, Permit
     from plovertrail.decisions.subsetting import EndpointSubset
 
@@ -114,7 +113,7 @@
         self.dial_timer: asyncio.TimerHandle | None = None
         self.affinity: Affinity | None = None  # None: requests prefer no server
         self.ring: Ring | None = None
-        self.door: Door | None = None  # None: requests go to the module as they come
+        self.door: FairQueue | None = None  # None: requests go to the module as they come
         self.door_timer: asyncio.TimerHandle | None = None
         self.door_due_us = 0  # when that fires
         self.admission: Admission | None = None  # None: all may come in that finds a slot
@@ -408,15 +407,17 @@
         """This instance uses a part of a pool's servers from now on. Before the first list."""
         pool.subset = subset
 
-    def use_door(self, pool: ServerPool, settings: DoorSettings | None, rng: Callable[[], float]) -> None:
+    def use_door(
+        self, pool: ServerPool, settings: FairQueueSettings | None, rng: Callable[[], float]
+    ) -> None:
         """A pool has a door, another one, or none, from now on; who waits at it goes on waiting, or is let
         through."""
         if settings is not None and pool.door is not None:
             pool.door.configure(settings)
         elif settings is not None:
-            from plovertrail.decisions.fairness import Door
+            from plovertrail.decisions.fair_queue import FairQueue
 
-            pool.door = Door(settings, clock_us(), rng)
+            pool.door = FairQueue(settings, clock_us(), rng)
         elif pool.door is not None:
             waiting, pool.door = list(pool.door.waiting), None
             for ident in waiting:
@@ -598,17 +599,21 @@
 
     # Doors
 
-    def _to_door(self, pool: ServerPool, door: Door, request: Request) -> None:
+    def _to_door(self, pool: ServerPool, door: FairQueue, request: Request) -> None:
         """A request comes to a pool's door. Hazard: what has been let through and not been told yet will take
         slots that still look free."""
+        from plovertrail.decisions.fair_queue import FairQueueRequest
+
         call, now_us = request.call, clock_us()
         room = not self.events and pool.balancer.has_room(now_us) and pool.lets_in()
         actions = door.arrived(
-            request.ident,
-            call.tenant_name,
-            call.client,
-            pool.settings.classes[call.class_index].priority_weight,
-            request.due_us,
+            FairQueueRequest(
+                request.ident,
+                call.tenant_name,
+                call.client,
+                pool.settings.classes[call.class_index].priority_weight,
+                request.due_us,
+            ),
             now_us,
             room,
         )
@@ -618,15 +623,15 @@
             if pool.subset is not None:
                 self._changed_subset(pool, pool.subset.widen(now_us))
 
-    def _from_door(self, pool: ServerPool, actions: Sequence[DoorAction]) -> None:
-        from plovertrail.decisions.fairness import Admitted
+    def _from_door(self, pool: ServerPool, actions: Sequence[FairQueueAction]) -> None:
+        from plovertrail.decisions.fair_queue import Admitted
 
         for action in actions:
             if isinstance(action, Admitted):
-                self._let_through(pool, action.ident)
+                self._let_through(pool, action.request_id)
             else:
                 after_us = action.retry_after_us if pool.settings.retry_after else 0
-                self._gave_up(pool, action.ident, ProxyResponse(ResponseKind.REJECTED, after_us))
+                self._gave_up(pool, action.request_id, ProxyResponse(ResponseKind.REJECTED, after_us))
 
     def _let_through(self, pool: ServerPool, ident: int) -> None:
         request = self.requests.get(ident)
@@ -642,12 +647,12 @@
             if door is not None and door.waiting and pool.balancer.has_room(clock_us()) and pool.lets_in():
                 admitted = door.next(clock_us())
                 if admitted is not None:
-                    self._let_through(pool, admitted.ident)
+                    self._let_through(pool, admitted.request_id)
                     return  # its event is in the queue now, and the doors are looked at again after it
 
-    def _mind_door(self, pool: ServerPool, door: Door) -> None:
+    def _mind_door(self, pool: ServerPool, door: FairQueue) -> None:
         """Hazard: a slot that opens by time, or a wait that ends, has no event to wake the door."""
-        expiry_us = door.next_expiry_us()
+        expiry_us = door.next_expiration_us()
         if expiry_us is None:
             return
         at_us = max(min(expiry_us, pool.balancer.next_rested_us()), clock_us() + LEAST_PAUSE_US)
@@ -669,7 +674,7 @@
         """A pool's door is rid of a request: it waits no more, or what it let through is over."""
         pool, request.asks = request.pool, None
         if pool is not None and pool.door is not None:
-            pool.door.gone(request.ident, clock_us())
+            pool.door.cancelled(request.ident, clock_us())
             pool.door.ended(request.ident, request.work_us, clock_us())
         request.work_us = 0
 
--- a/tests/test_doors.py
+++ b/tests/test_doors.py
@@ -104,8 +104,10 @@
             first = await begin(it, "big")
             await until(lambda: len(held.order) == 1)
             reply = await it.ask(message("POST /buy", "X-Tenant: big", body=b"coins"))
-            assert reply.status == 503 and 1 <= int(reply.all("Retry-After")[0]) <= 2
-            assert held.order == ["big"] and waiting(it)["big"] == 0
+            assert reply.status == 503
+            assert 1 <= int(reply.all("Retry-After")[0]) <= 2
+            assert held.order == ["big"]
+            assert waiting(it)["big"] == 0
             held.release.release()
             assert (await first.reply()).status == 200
             first.close()
@@ -122,7 +124,8 @@
             clients = await crowded(it, held, 1)
             hasty = message("POST /buy", "X-Tenant: small", "X-Deadline-Ms: 400", body=b"coins")
             assert (await it.ask(hasty)).status == 503
-            assert waiting(it) == {"big": 1, "small": 0, "(others)": 0} and held.order == ["big"]
+            assert waiting(it) == {"big": 1, "small": 0, "(others)": 0}
+            assert held.order == ["big"]
             for _ in range(2):
                 held.release.release()
             for client in clients:
@@ -139,7 +142,8 @@
         async with site(tmp_path, held, extra, spare=spare) as it:
             clients = await crowded(it, held, 2)
             reply = await it.ask(message("POST /buy", "X-Tenant: big", body=b"coins"))
-            assert reply.status == 200 and spare.count == 1  # it never ran in the first pool
+            assert reply.status == 200
+            assert spare.count == 1
             small = await begin(it, "small")
             await until(lambda: spare.count == 2)  # one of the big tenant's made room
             assert waiting(it) == {"big": 1, "small": 1, "(others)": 0}
@@ -230,11 +234,15 @@
         held.server.script = always(NOT_RUN)
         async with site(tmp_path, held, spare=spare) as it:
             reply = await it.ask(message("POST /buy", "X-Tenant: big", body=b"coins"))
-            assert reply.status == 200 and spare.count == 1
+            assert reply.status == 200
+            assert spare.count == 1
             found = it.daemon.status()["pools"]["main"]["fair"]["big"]
-            assert found["admitted"] == 1 and found["at_work"] == 0
+            assert found["admitted"] == 1
+            assert found["at_work"] == 0
             door = it.daemon.pools["main"].pool.door
-            assert door is not None and not door.out and not door.active
+            assert door is not None
+            assert not door.in_flight
+            assert not door.active
 
     run(test)
 
@@ -249,8 +257,10 @@
             found = await asyncio.gather(*(client.ask_socket("/") for client in clients))
             assert found == [101] * 20
             door = it.daemon.pools["main"].pool.door
-            assert door is not None and door.shares[""].admitted == 20
-            assert not door.out and not door.waiting
+            assert door is not None
+            assert door.tenants[""].admitted == 20
+            assert not door.in_flight
+            assert not door.waiting
             for client in clients:
                 client.close()
 
