--- a/benchmarks/capacity/evidence_load.py
+++ b/benchmarks/capacity/evidence_load.py
@@ -9,7 +9,7 @@
 from benchmarks.capacity.event_queue import SECOND_US
 from benchmarks.capacity.member_crowd import MemberCrowd
 from benchmarks.capacity.target import TARGET
-from plovertrail.decisions.background import Background
+from plovertrail.decisions.background import BackgroundScheduler
 from plovertrail.decisions.health_evidence import AttemptResult
 from plovertrail.decisions.outlier_detection import OutlierDetector, PoolKeys, penalties_for_pool
 from plovertrail.health_reporter import EVALUATION, class_key, endpoint_key
@@ -70,7 +70,7 @@
         self.pools = sizes.endpoint_keys
         self.keys = [(server, CLASS_KEY) for pool in self.pools for server in pool]
         self.pool_keys = [PoolKeys(dict(enumerate(pool)), (CLASS_KEY,)) for pool in self.pools]
-        self.background = Background(crowd.local_us)
+        self.background = BackgroundScheduler(crowd.local_us)
         self.background.add(EVALUATION, crowd.local_us, EVALUATION.every_us)
         self.next_pool = 0
         self.looks = 0
--- a/plovertrail/background.py
+++ b/plovertrail/background.py
@@ -8,25 +8,25 @@
 from typing import Any
 
 from plovertrail.clock import clock_us
-from plovertrail.decisions.background import Background, Work
+from plovertrail.decisions.background import BackgroundScheduler, BackgroundTask
 
 log = logging.getLogger(__name__)
 Begin = Callable[[], Iterator[None]]  # one run: what lies between two yields is a slice
 
 
-class Runner:
+class BackgroundRunner:
     """All background work of one daemon."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.background = Background(clock_us())
+        self.background = BackgroundScheduler(clock_us())
         self.begins: dict[str, Begin] = {}
         self.under_way: dict[str, Iterator[None]] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.wanted_us = 0  # when that should fire
         self.stopped = False
 
-    def add(self, work: Work, begin: Begin, first_us: int = 0) -> None:
+    def add(self, work: BackgroundTask, begin: Begin, first_us: int = 0) -> None:
         """Work that is done again and again; a run that is under way goes on."""
         self.begins[work.name] = begin
         self.background.add(work, clock_us(), first_us)
--- a/plovertrail/daemon/fleet_tracker.py
+++ b/plovertrail/daemon/fleet_tracker.py
@@ -11,7 +11,7 @@
 from plovertrail.decisions.endpoint_list import Candidate, Entry
 from plovertrail.decisions.fleet_limits import Fleet
 from plovertrail.decisions.list_versions import SourceKey
-from plovertrail.decisions.turns import Place, place
+from plovertrail.decisions.pacing import InstanceRank, place
 from plovertrail.sources.first_read import FirstRead
 from plovertrail.sources.instances import InstanceList
 from plovertrail.sources.list_reader import ListReader
@@ -25,7 +25,7 @@
     def __init__(self, changed: Callable[[], None], lists: ListReader) -> None:
         self.changed = changed
         self.fleet = Fleet()
-        self.place = Place()  # among those that the list names
+        self.place = InstanceRank()  # among those that the list names
         self.name = ""
         self.list = InstanceList("instances", self._listed, lists)
 
@@ -37,7 +37,7 @@
         if setup.list_path and not another:
             self.fleet = replace(setup.fleet, size=self.fleet.size)
             return
-        self.fleet, self.place = setup.fleet, Place()
+        self.fleet, self.place = setup.fleet, InstanceRank()
         found = fresh.get(SourceKey(setup.list_path, False))
         if isinstance(found, Candidate) and found.entries:
             self._count(found.entries)
--- a/plovertrail/daemon/running_pool.py
+++ b/plovertrail/daemon/running_pool.py
@@ -8,9 +8,9 @@
 from plovertrail.clock import clock_us
 from plovertrail.config.setup import PoolSetup
 from plovertrail.decisions import fleet_limits, subsetting
-from plovertrail.decisions.admission import Admission
 from plovertrail.decisions.endpoint_list import Address
-from plovertrail.decisions.turns import Place
+from plovertrail.decisions.pacing import InstanceRank
+from plovertrail.decisions.startup_admission import StartupAdmission
 from plovertrail.dispatch.dispatcher import Dispatcher
 from plovertrail.endpoint_registry import EndpointRegistry
 from plovertrail.upstreams.connections import AnswerRules, ConnectionPool
@@ -75,7 +75,7 @@
         """Share the slots as configured now."""
         host.use_door(self.pool, self.config.door, random.Random(seed).random)
 
-    def take_part(self, fleet: fleet_limits.Fleet, place: Place, slow_start: bool) -> None:
+    def take_part(self, fleet: fleet_limits.Fleet, place: InstanceRank, slow_start: bool) -> None:
         """Keep to this instance's part of what the servers that are listed bear from the whole fleet; its
         turn is by its place there."""
         if not self.begun:
@@ -93,9 +93,9 @@
     def begin_slowly(self, fleet: fleet_limits.Fleet, slow_start: bool) -> None:
         """Many instances may come to life, or wake, at this moment: let in more as answers come."""
         slowly = slow_start and fleet.size > 1
-        self.pool.admission = Admission(fleet.size, clock_us(), self.draw) if slowly else None
+        self.pool.admission = StartupAdmission(fleet.size, clock_us(), self.draw) if slowly else None
 
-    def stood_still(self, fleet: fleet_limits.Fleet, place: Place, slow_start: bool) -> None:
+    def stood_still(self, fleet: fleet_limits.Fleet, place: InstanceRank, slow_start: bool) -> None:
         """The process did nothing for a while, and perhaps all others of its host as well."""
         self.connections.stood_still(place.part(self.draw()))
         self.begin_slowly(fleet, slow_start)
--- a/plovertrail/daemon/status.py
+++ b/plovertrail/daemon/status.py
@@ -5,9 +5,9 @@
 from typing import Any
 
 from plovertrail.daemon.running_pool import RunningPool
-from plovertrail.decisions.admission import Admission
 from plovertrail.decisions.fair_queue import FairQueue
 from plovertrail.decisions.limits import Limiter
+from plovertrail.decisions.startup_admission import StartupAdmission
 
 
 def pool_status(running: RunningPool) -> dict[str, Any]:
@@ -45,7 +45,7 @@
     }
 
 
-def admission_status(admission: Admission | None) -> dict[str, Any]:
+def admission_status(admission: StartupAdmission | None) -> dict[str, Any]:
     """How much is let in at once after a start or a gap; nothing where all may come in."""
     if admission is None or admission.over:
         return {}
--- a/plovertrail/decisions/background.py
+++ b/plovertrail/decisions/background.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class BackgroundTask:
     """One kind of work. `every_us` counts from the end of one run to the next one's due time."""
 
     name: str
@@ -40,10 +40,10 @@
 
 
 @dataclass(slots=True)
-class Standing:
+class TaskState:
     """How far a work is, and what it has taken since it was added."""
 
-    work: Work
+    work: BackgroundTask
     due_us: int
     running: bool = False  # a run has begun and is not over
     next_us: int = 0  # its share lets no slice out before
@@ -60,7 +60,7 @@
         return now_us - max(self.due_us, self.waits_since_us) >= self.work.latest_us
 
 
-class Background:
+class BackgroundScheduler:
     """All work of one loop."""
 
     def __init__(self, now_us: int, share: float = ALL_SHARE) -> None:
@@ -68,17 +68,17 @@
         self.in_hand_us = float(MOST_IN_HAND_US)
         self.at_us = now_us
         self.paused_until_us = now_us
-        self.works: dict[str, Standing] = {}
+        self.works: dict[str, TaskState] = {}
         self.since_us = now_us
 
-    def add(self, work: Work, now_us: int, first_us: int = 0) -> None:
+    def add(self, work: BackgroundTask, now_us: int, first_us: int = 0) -> None:
         """Its first run is due after `first_us`; one of the same name goes on under the new figures."""
         old = self.works.get(work.name)
         if old is not None:
             old.work = work
             old.due_us = min(old.due_us, now_us + work.every_us)
         else:
-            self.works[work.name] = Standing(work, now_us + first_us, waits_since_us=now_us + first_us)
+            self.works[work.name] = TaskState(work, now_us + first_us, waits_since_us=now_us + first_us)
 
     def remove(self, name: str) -> None:
         """Forget a work by its name; nothing happens if there is none."""
--- a/plovertrail/decisions/turns.py
+++ b/plovertrail/decisions/pacing.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class InstanceRank:
     """Where an instance stands among all. `rank` None: it isn't known."""
 
     rank: int | None = None
@@ -26,9 +26,9 @@
         return (self.rank + draw) / self.size
 
 
-def place(name: str, names: Sequence[str]) -> Place:
+def place(name: str, names: Sequence[str]) -> InstanceRank:
     """The place of `name` among the instances that a list names, in whatever order; one that is not in it has
     none, and takes turns at random."""
     sorted_names = sorted(set(names))
     size = max(1, len(sorted_names))
-    return Place(sorted_names.index(name), size) if name in sorted_names else Place(None, size)
+    return InstanceRank(sorted_names.index(name), size) if name in sorted_names else InstanceRank(None, size)
--- a/plovertrail/decisions/admission.py
+++ b/plovertrail/decisions/startup_admission.py
@@ -22,7 +22,7 @@
 ADVICE_US = 3_000_000
 
 
-class Admission:
+class StartupAdmission:
     """`size`: instances of the fleet. With one alone it lets in one for each server, as the module does, and
     is never in the way."""
 
--- a/plovertrail/decisions/remembered.py
+++ b/plovertrail/decisions/warm_state.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judgement:
+class EndpointHistory:
     """What one instance thinks of one server. Shares from 0 to 1; by class in the order of the settings."""
 
     window: float  # slots; below 1 it rests between sends
@@ -44,20 +44,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Memory:
+class PoolHistory:
     """A pool's judgements by server, by the server's name and address, and the usual time of each class."""
 
     at_us: int  # when they were judged
-    servers: Mapping[tuple[str, str], Judgement] = field(default_factory=dict)
+    servers: Mapping[tuple[str, str], EndpointHistory] = field(default_factory=dict)
     means_us: Mapping[str, float] = field(default_factory=dict)
 
 
-def judgement(balancer: LoadBalancer, server: EndpointState) -> Judgement | None:
+def judgement(balancer: LoadBalancer, server: EndpointState) -> EndpointHistory | None:
     """What is worth remembering of a server; None: nothing. Hazard: a cold one is judged by little work, and
     beside what it will do once it is warm."""
     if balancer.warmth(server) < 1.0:
         return None
-    found = Judgement(
+    found = EndpointHistory(
         round(server.concurrency_limit, 2),
         round(server.relative_latency, 2),
         round(server.fault_rate, 2),
@@ -76,7 +76,7 @@
     }
 
 
-def faded(old: Judgement, age_us: int) -> Judgement | None:
+def faded(old: EndpointHistory, age_us: int) -> EndpointHistory | None:
     """A judgement as it counts after so long; None: not any more. One from the future is of no known age."""
     if not 0 <= age_us < OLDEST_US:
         return None
@@ -94,7 +94,7 @@
     )
 
 
-def recall_server(balancer: LoadBalancer, server: EndpointState, old: Judgement, age_us: int) -> bool:
+def recall_server(balancer: LoadBalancer, server: EndpointState, old: EndpointHistory, age_us: int) -> bool:
     """Judge a server that has just been listed as it was before; whether that is of use still. What was
     judged under other classes is not."""
     new = faded(old, age_us)
@@ -117,7 +117,7 @@
     return True
 
 
-def recall_means(balancer: LoadBalancer, memory: Memory, now_us: int) -> None:
+def recall_means(balancer: LoadBalancer, memory: PoolHistory, now_us: int) -> None:
     """Begin with the usual times as they were, faded towards the guess that is made of them otherwise."""
     age_us = now_us - memory.at_us
     if not 0 <= age_us < OLDEST_US:
@@ -133,7 +133,7 @@
 
 def sweep(
     balancer: LoadBalancer, servers: Iterable[tuple[int, tuple[str, str]]]
-) -> dict[tuple[str, str], Judgement]:
+) -> dict[tuple[str, str], EndpointHistory]:
     """The judgements on some servers, given by their numbers and by what they are called over restarts."""
     found = {}
     for number, called in servers:
--- a/plovertrail/dispatch/dispatcher.py
+++ b/plovertrail/dispatch/dispatcher.py
@@ -57,11 +57,11 @@
 )
 
 if TYPE_CHECKING:  # brought in where they are asked for: the platform's start has none of them
-    from plovertrail.decisions.admission import Admission
     from plovertrail.decisions.affinity import Affinity, Ring
     from plovertrail.decisions.counts import TenantUse
     from plovertrail.decisions.fair_queue import FairQueue, FairQueueAction, FairQueueSettings
     from plovertrail.decisions.limits import Limiter, Permit
+    from plovertrail.decisions.startup_admission import StartupAdmission
     from plovertrail.decisions.subsetting import EndpointSubset
 
 log = logging.getLogger(__name__)
@@ -116,7 +116,7 @@
         self.door: FairQueue | None = None  # None: requests go to the module as they come
         self.door_timer: asyncio.TimerHandle | None = None
         self.door_due_us = 0  # when that fires
-        self.admission: Admission | None = None  # None: all may come in that finds a slot
+        self.admission: StartupAdmission | None = None  # None: all may come in that finds a slot
 
     def forget(self, ident: int) -> None:
         """Nothing new goes to a server, or to its old address."""
--- a/plovertrail/health_reporter.py
+++ b/plovertrail/health_reporter.py
@@ -11,9 +11,9 @@
 from functools import lru_cache, partial
 from typing import Any, Protocol
 
-from plovertrail.background import Runner
+from plovertrail.background import BackgroundRunner
 from plovertrail.clock import clock_us
-from plovertrail.decisions.background import Priority, Work
+from plovertrail.decisions.background import BackgroundTask, Priority
 from plovertrail.decisions.counts import key_of
 from plovertrail.decisions.endpoint_list import State
 from plovertrail.decisions.events import Outcome
@@ -29,7 +29,7 @@
 from plovertrail.endpoint_registry import EndpointRegistry
 
 # Evidence is gossiped five times a second as a rule, so health is evaluated as often.
-EVALUATION = Work("opinions", Priority.PEERS, every_us=200_000, latest_us=1_000_000, share=0.02)
+EVALUATION = BackgroundTask("opinions", Priority.PEERS, every_us=200_000, latest_us=1_000_000, share=0.02)
 RESULTS = {
     Outcome.OK: AttemptResult.SUCCESS,
     Outcome.ERROR: AttemptResult.FAILURE,
@@ -72,13 +72,13 @@
         self.host = host
         self.registries = registries
         self.exchange = exchange
-        self.runner: Runner | None = None
+        self.runner: BackgroundRunner | None = None
         self.health: dict[EvidenceKey, EndpointHealth] = {}  # as last evaluated
         self._registry_of: dict[ServerPool, EndpointRegistry] = {}
         self._keys: dict[ServerPool, tuple[State, PoolKeys]] = {}  # of this state of the pool's list
         self._penalties: dict[ServerPool, Mapping[tuple[int, int], float]] = {}  # as last passed on
 
-    def apply(self, runner: Runner) -> None:
+    def apply(self, runner: BackgroundRunner) -> None:
         """Apply the pools and settings of a new configuration."""
         registries = self.registries().values()
         self._registry_of = {each.pool: each for each in registries if each.pool is not None}
--- a/plovertrail/simulation/fleet.py
+++ b/plovertrail/simulation/fleet.py
@@ -9,8 +9,8 @@
 
 from plovertrail.decisions import fleet_limits
 from plovertrail.decisions.events import Endpoint, EndpointStatus
+from plovertrail.decisions.pacing import InstanceRank
 from plovertrail.decisions.settings import RequestClass, Settings
-from plovertrail.decisions.turns import Place
 from plovertrail.simulation.clients import BIN_US, ClientPlan, Clients
 from plovertrail.simulation.clock import SECOND_US, START_US, Clock
 from plovertrail.simulation.instances import Around, Instance
@@ -65,7 +65,9 @@
             self.clock, settings, self.servers, plan.bounds, plan.network_us, plan.admits, plan.by_list
         )
         self.instances = [
-            Instance(around, fleet_limits.Fleet(size, number), Place(number, plan.instances), self._random())
+            Instance(
+                around, fleet_limits.Fleet(size, number), InstanceRank(number, plan.instances), self._random()
+            )
             for number in range(plan.instances)
         ]
         for instance in self.instances:
--- a/plovertrail/simulation/instances.py
+++ b/plovertrail/simulation/instances.py
@@ -7,9 +7,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from plovertrail.decisions import connect_rate, fleet_limits, remembered, subsetting
+from plovertrail.decisions import connect_rate, fleet_limits, subsetting, warm_state
 from plovertrail.decisions.actions import Fail, Reject, Send, SetTimer
-from plovertrail.decisions.admission import Admission
 from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import (
     AttemptEnded,
@@ -22,8 +21,9 @@
     RequestArrived,
     TimerFired,
 )
+from plovertrail.decisions.pacing import InstanceRank
 from plovertrail.decisions.settings import Settings
-from plovertrail.decisions.turns import Place
+from plovertrail.decisions.startup_admission import StartupAdmission
 from plovertrail.simulation.clock import Clock
 from plovertrail.simulation.servers import Server
 
@@ -58,14 +58,16 @@
 class Instance:
     """Killed and started again; what it keeps is what it remembers of servers."""
 
-    def __init__(self, around: Around, fleet: fleet_limits.Fleet, place: Place, rng: random.Random) -> None:
+    def __init__(
+        self, around: Around, fleet: fleet_limits.Fleet, place: InstanceRank, rng: random.Random
+    ) -> None:
         self.around = around
         self.fleet = fleet
         self.place = place
         self.rng = rng
         self.life = 0  # of its process; what belongs to an earlier one is void
         self.up = False
-        self.memory: dict[int, remembered.Judgement] = {}
+        self.memory: dict[int, warm_state.EndpointHistory] = {}
         self.kept_us = 0
         self.idle: dict[int, int] = {}
         self.open: Counter[int] = Counter()
@@ -93,12 +95,12 @@
             if self.budget.connect_interval_us
             else None
         )
-        self.admission = Admission(self.fleet.size, now_us, self.rng.random) if around.admits else None
+        self.admission = StartupAdmission(self.fleet.size, now_us, self.rng.random) if around.admits else None
         if with_state:
             age_us = now_us - self.kept_us
             self.balancer.recall = lambda server: (
                 server.listed.id in self.memory
-                and remembered.recall_server(self.balancer, server, self.memory[server.listed.id], age_us)
+                and warm_state.recall_server(self.balancer, server, self.memory[server.listed.id], age_us)
             )
         entries = [Endpoint(one.number, started_us=one.started_us) for one in around.servers.values()]
         self.listed(ListKind.CACHED, entries)
@@ -118,7 +120,7 @@
     def keep(self) -> None:
         """What a state file would hold now."""
         called = [(number, ("", str(number))) for number in self.balancer.endpoints]
-        found = remembered.sweep(self.balancer, called)
+        found = warm_state.sweep(self.balancer, called)
         self.memory = {int(name): judgement for (_, name), judgement in found.items()}
         self.kept_us = self.around.clock.now_us
 
--- a/plovertrail/store/records.py
+++ b/plovertrail/store/records.py
@@ -21,7 +21,7 @@
     reduce,
 )
 from plovertrail.decisions.limits import Remembered
-from plovertrail.decisions.remembered import Judgement, Memory
+from plovertrail.decisions.warm_state import EndpointHistory, PoolHistory
 
 Key = tuple[str, ...]
 Record = tuple[Key, Any]
@@ -39,7 +39,7 @@
     """All that is kept, as the loop hands it over: values that nobody changes any more."""
 
     states: Mapping[str, State] = field(default_factory=dict)
-    memories: Mapping[str, Memory] = field(default_factory=dict)  # by pool
+    memories: Mapping[str, PoolHistory] = field(default_factory=dict)  # by pool
     limits: Mapping[str, Remembered] = field(default_factory=dict)  # by limiter
     counts: Former | None = None
 
@@ -215,7 +215,7 @@
     """What is kept beside lists. What makes no sense is left out: it is learnt anew."""
     at: dict[str, int] = {}
     means: dict[str, dict[str, float]] = {}
-    judged: dict[str, dict[tuple[str, str], Judgement]] = {}
+    judged: dict[str, dict[tuple[str, str], EndpointHistory]] = {}
     salts: dict[str, bytes] = {}
     buckets: dict[str, dict[int, float]] = {}
     rows: dict[int, tuple[int, tuple[int, ...]]] = {}
@@ -227,7 +227,7 @@
                     means[name] = {str(each): float(mean_us) for each, mean_us in value[1].items()}
                 case (kind, name, ident, address) if kind == JUDGED:
                     window, pace, faults, distrust, silence, mute = value
-                    judged.setdefault(name, {})[ident, address] = Judgement(
+                    judged.setdefault(name, {})[ident, address] = EndpointHistory(
                         float(window),
                         float(pace),
                         float(faults),
@@ -250,7 +250,9 @@
             former = Former(str(name), int(start_us) - ahead, int(span_us), int(count), rows)
     except (ValueError, TypeError):
         former = None
-    memories = {name: Memory(at[name], judged.get(name, {}), means[name]) for name in means if name in at}
+    memories = {
+        name: PoolHistory(at[name], judged.get(name, {}), means[name]) for name in means if name in at
+    }
     return Kept(
         {}, memories, {name: Remembered(salt, buckets.get(name, {})) for name, salt in salts.items()}, former
     )
--- a/plovertrail/store/keeper.py
+++ b/plovertrail/store/service.py
@@ -32,7 +32,7 @@
         return ""
 
 
-class StoreKeeper:
+class StoreService:
     """Writes what is kept, one write at a time. Without a path it does nothing. `instance` names the daemon:
     what is this instance's own is not taken from the store of another."""
 
--- a/plovertrail/store/memory.py
+++ b/plovertrail/store/warm_state.py
@@ -7,21 +7,28 @@
 from itertools import islice
 from typing import Any
 
-from plovertrail.background import Runner
+from plovertrail.background import BackgroundRunner
 from plovertrail.clock import clock_us
-from plovertrail.decisions.background import Priority, Work
+from plovertrail.decisions.background import BackgroundTask, Priority
 from plovertrail.decisions.counts import Counts, Former
 from plovertrail.decisions.endpoint_list import State
 from plovertrail.decisions.limits import Limiter, Remembered
 from plovertrail.decisions.load_balancing.endpoint_state import EndpointState
-from plovertrail.decisions.remembered import Judgement, Memory, means, recall_means, recall_server, sweep
+from plovertrail.decisions.warm_state import (
+    EndpointHistory,
+    PoolHistory,
+    means,
+    recall_means,
+    recall_server,
+    sweep,
+)
 from plovertrail.dispatch.dispatcher import ServerPool
-from plovertrail.store.keeper import StoreKeeper
 from plovertrail.store.records import Kept
+from plovertrail.store.service import StoreService
 
 SLICE = 200  # servers or keys in one turn of the loop: under a millisecond
 # once a second where there is little; of 10,000 servers as often as half a hundredth of the loop allows
-GATHER = Work("state", Priority.STATE, every_us=1_000_000, latest_us=10_000_000, share=0.005)
+GATHER = BackgroundTask("state", Priority.STATE, every_us=1_000_000, latest_us=10_000_000, share=0.005)
 MOST_UNCHANGED_POOLS = 200  # that are passed over in one turn of the loop
 Pools = Callable[[], Mapping[str, tuple[ServerPool, State]]]
 
@@ -33,7 +40,7 @@
     pool: ServerPool
     state: State
     last_event_us: int  # of the pool's module
-    memory: Memory
+    memory: PoolHistory
 
     def holds(self, pool: ServerPool, state: State) -> bool:
         """Whether nothing has happened to the pool since: what no event changes fades by its age alone.
@@ -52,13 +59,13 @@
     return f"{address[0]}:{address[1]}"
 
 
-class MemoryKeeper:
+class WarmStateManager:
     """What was kept at the start, of which each part is taken once, and what is to be kept now. What is
     looked at may change between two slices: each server and key is as it was at some moment of the run."""
 
     def __init__(
         self,
-        keeper: StoreKeeper,
+        keeper: StoreService,
         pools: Pools,
         limiters: Callable[[], Mapping[str, Limiter]],
         counts: Callable[[], Counts | None],
@@ -75,7 +82,7 @@
         self.gathered: dict[str, GatheredPool] = {}
         self.taken: dict[str, int] = {"servers": 0, "limits": 0, "counts": 0}  # of what was kept, by kind
 
-    def follow(self, runner: Runner) -> None:
+    def follow(self, runner: BackgroundRunner) -> None:
         """A setup has come into force."""
         if self.keeper.path:
             runner.add(GATHER, self.run, GATHER.every_us)
@@ -168,7 +175,7 @@
     def _gather_pool(self, name: str, pool: ServerPool, state: State) -> Iterator[None]:
         """Gather one pool; a yield after each slice of its servers."""
         at_us, last_event_us = clock_us(), pool.balancer.now_us
-        servers: dict[tuple[str, str], Judgement] = {}
+        servers: dict[tuple[str, str], EndpointHistory] = {}
         called = (
             (member.number, (ident, address_text(member.entry.address)))
             for ident, member in state.members.items()
@@ -176,7 +183,7 @@
         while part := list(islice(called, SLICE)):
             servers |= sweep(pool.balancer, part)
             yield
-        memory = Memory(at_us, servers, means(pool.balancer))
+        memory = PoolHistory(at_us, servers, means(pool.balancer))
         self.gathered[name] = GatheredPool(pool, state, last_event_us, memory)
 
     def status(self) -> dict[str, Any]:
--- a/tests/decisions/test_background.py
+++ b/tests/decisions/test_background.py
@@ -5,20 +5,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from plovertrail.decisions.background import MOST_IN_HAND_US, Background, Priority, Work
+from plovertrail.decisions.background import MOST_IN_HAND_US, BackgroundScheduler, BackgroundTask, Priority
 
 S = 1_000_000
-LISTS = Work("lists", Priority.LISTS, 250_000, 500_000, 0.02)
-STATE = Work("state", Priority.STATE, 1 * S, 10 * S, 0.005)
-REPORTS = Work("reports", Priority.REPORTS, 10 * S, 60 * S, 0.01)
+LISTS = BackgroundTask("lists", Priority.LISTS, 250_000, 500_000, 0.02)
+STATE = BackgroundTask("state", Priority.STATE, 1 * S, 10 * S, 0.005)
+REPORTS = BackgroundTask("reports", Priority.REPORTS, 10 * S, 60 * S, 0.01)
 
 
 class Loop:
     """A loop whose turns come when asked for; slices take what `took` says."""
 
-    def __init__(self, *works: Work, took: dict[str, list[int]] | None = None, lag_us: int = 0) -> None:
+    def __init__(
+        self, *works: BackgroundTask, took: dict[str, list[int]] | None = None, lag_us: int = 0
+    ) -> None:
         self.now_us = 0
-        self.background = Background(0)
+        self.background = BackgroundScheduler(0)
         self.took = took or {}
         self.lag_us = lag_us
         self.ran: list[tuple[int, str]] = []
@@ -77,7 +79,7 @@
 
 
 def test_after_a_stop_of_the_process_what_is_due_comes_out_one_by_one_with_turns_between() -> None:
-    works = [Work(f"w{n}", Priority.STATE, S, S, 0.01) for n in range(30)]
+    works = [BackgroundTask(f"w{n}", Priority.STATE, S, S, 0.01) for n in range(30)]
     loop = Loop(*works)
     loop.now_us = 60 * S  # it stood still; all are due, and overdue
     loop.until(60 * S + 200_000)
@@ -87,10 +89,10 @@
 
 
 def test_new_figures_and_haste_move_what_is_due() -> None:
-    background = Background(0)
+    background = BackgroundScheduler(0)
     background.add(REPORTS, 0, first_us=9 * S)
     assert background.next(S) is None and background.look_us(S) == 9 * S
-    background.add(Work("reports", Priority.REPORTS, 2 * S, S, 0.01), S)
+    background.add(BackgroundTask("reports", Priority.REPORTS, 2 * S, S, 0.01), S)
     assert background.look_us(S) == 3 * S
     background.hurry("reports", 2 * S)
     assert background.next(2 * S) == "reports"
@@ -118,7 +120,7 @@
     drawn: list[tuple[Priority, int, int, float, list[int]]], lag_us: int
 ) -> None:
     works = [
-        Work(f"w{n}", priority, every, latest, share)
+        BackgroundTask(f"w{n}", priority, every, latest, share)
         for n, (priority, every, latest, share, _) in enumerate(drawn)
     ]
     loop = Loop(*works, took={f"w{n}": took for n, (*_, took) in enumerate(drawn)}, lag_us=lag_us)
--- a/tests/decisions/test_turns.py
+++ b/tests/decisions/test_pacing.py
@@ -4,7 +4,7 @@
 
 import random
 
-from plovertrail.decisions.turns import Place, place
+from plovertrail.decisions.pacing import InstanceRank, place
 
 
 def test_those_in_a_list_come_one_in_each_part_of_a_span() -> None:
@@ -16,16 +16,16 @@
 
 
 def test_the_order_of_a_list_and_names_said_twice_make_no_difference() -> None:
-    assert place("b", ["c", "a", "b"]) == place("b", ["b", "a", "c", "a"]) == Place(1, 3)
+    assert place("b", ["c", "a", "b"]) == place("b", ["b", "a", "c", "a"]) == InstanceRank(1, 3)
 
 
 def test_one_that_is_not_in_the_list_takes_random_turns() -> None:
-    assert place("x", ["a", "b"]) == Place(None, 2)
+    assert place("x", ["a", "b"]) == InstanceRank(None, 2)
     assert place("x", ["a", "b"]).part(0.7) == 0.7
-    assert place("x", []) == Place(None, 1)
+    assert place("x", []) == InstanceRank(None, 1)
 
 
 def test_two_under_one_name_do_not_come_at_one_moment() -> None:
-    one, other = Place(3, 10), Place(3, 10)
+    one, other = InstanceRank(3, 10), InstanceRank(3, 10)
     assert one.part(0.2) != other.part(0.9)
     assert all(0.3 <= one.part(draw) < 0.4 for draw in (0.0, 0.5, 0.999))
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_startup_admission.py
@@ -7,19 +7,21 @@
 
 import pytest
 
-from plovertrail.decisions.admission import ADVICE_US, CALM_US, Admission
 from plovertrail.decisions.events import Outcome
+from plovertrail.decisions.startup_admission import ADVICE_US, CALM_US, StartupAdmission
 
 AIM_US = 300_000
 
 
-def began(size: int, servers: int, seed: int = 1) -> Admission:
-    it = Admission(size, 0, random.Random(seed).random)
+def began(size: int, servers: int, seed: int = 1) -> StartupAdmission:
+    it = StartupAdmission(size, 0, random.Random(seed).random)
     it.reckon(servers)
     return it
 
 
-def answer(it: Admission, outcome: Outcome = Outcome.OK, elapsed_us: int = 20_000, now_us: int = 1) -> None:
+def answer(
+    it: StartupAdmission, outcome: Outcome = Outcome.OK, elapsed_us: int = 20_000, now_us: int = 1
+) -> None:
     it.ended(outcome, elapsed_us, AIM_US, now_us)
 
 
@@ -96,7 +98,7 @@
 
 
 def test_before_any_server_is_known_it_neither_holds_back_nor_ends() -> None:
-    it = Admission(24, 0, random.Random(1).random)
+    it = StartupAdmission(24, 0, random.Random(1).random)
     assert it.may(50, 0) and not it.over
     it.reckon(8)
     assert not it.may(2, 0)
--- a/tests/decisions/test_remembered.py
+++ b/tests/decisions/test_warm_state.py
@@ -9,11 +9,11 @@
 from plovertrail.decisions.actions import Send
 from plovertrail.decisions.balance import MUTE, LoadBalancer
 from plovertrail.decisions.events import Endpoint, EndpointsUpdated, ListKind, RequestArrived
-from plovertrail.decisions.remembered import (
+from plovertrail.decisions.warm_state import (
     HALF_LIFE_US,
     OLDEST_US,
-    Judgement,
-    Memory,
+    EndpointHistory,
+    PoolHistory,
     faded,
     judgement,
     recall_means,
@@ -22,16 +22,16 @@
 )
 from tests.decisions.world import START_US, settings, upstreams
 
-GOOD = Judgement(5.0, 0.5, 0.0, 0.0, (0.0, 0.0), (0, 0))
-BAD = Judgement(0.1, 3.0, 0.8, 0.6, (0.4, 0.0), (5, 1))
+GOOD = EndpointHistory(5.0, 0.5, 0.0, 0.0, (0.0, 0.0), (0, 0))
+BAD = EndpointHistory(0.1, 3.0, 0.8, 0.6, (0.4, 0.0), (5, 1))
 
 
-def balancer_with(judged: dict[int, Judgement], age_us: int = 0, seed: int = 1) -> LoadBalancer:
+def balancer_with(judged: dict[int, EndpointHistory], age_us: int = 0, seed: int = 1) -> LoadBalancer:
     """A module that has just been told of eight servers and remembers some."""
     made = LoadBalancer(settings(hedging=False), seed, START_US)
     classes = len(made.settings.classes)
 
-    def fit(old: Judgement) -> Judgement:
+    def fit(old: EndpointHistory) -> EndpointHistory:
         return replace(
             old,
             silence=(*old.silence, *[0.0] * classes)[:classes],
@@ -90,7 +90,7 @@
 
 def test_a_judgement_under_other_classes_is_not_taken() -> None:
     balancer = balancer_with({})
-    old = Judgement(0.1, 3.0, 0.0, 0.0, (0.0,) * 9, (0,) * 9)
+    old = EndpointHistory(0.1, 3.0, 0.0, 0.0, (0.0,) * 9, (0,) * 9)
     assert not recall_server(balancer, balancer.endpoints[100], old, 0)
     assert balancer.endpoints[100].concurrency_limit == 1.0
 
@@ -100,5 +100,5 @@
     for age_us, part in ((0, 1.0), (HALF_LIFE_US, 0.5), (OLDEST_US, 0.0), (-5, 0.0)):
         balancer = balancer_with({})
         guess_us = balancer.mean_us[0]
-        recall_means(balancer, Memory(START_US - age_us, {}, {name: 2 * guess_us}), START_US)
+        recall_means(balancer, PoolHistory(START_US - age_us, {}, {name: 2 * guess_us}), START_US)
         assert balancer.mean_us[0] == pytest.approx(guess_us * (1 + part))
--- a/tests/store/test_files.py
+++ b/tests/store/test_files.py
@@ -19,7 +19,7 @@
 from plovertrail.decisions.counts import Former
 from plovertrail.decisions.endpoint_list import Candidate, Entry, Guards, State, drained_by_hand, reduce
 from plovertrail.decisions.limits import Remembered
-from plovertrail.decisions.remembered import Judgement, Memory
+from plovertrail.decisions.warm_state import EndpointHistory, PoolHistory
 from plovertrail.store.files import OTHERS, Clocks, Disk, Files, Found, replace_file
 from plovertrail.store.records import Kept, Record, list_changes, other_records
 
@@ -35,11 +35,11 @@
     return drained_by_hand(state, "s0", True, came_us, Guards())[0]
 
 
-BAD = Judgement(0.25, 2.0, 0.5, 0.4, (0.3, 0.0), (2, 0))
+BAD = EndpointHistory(0.25, 2.0, 0.5, 0.4, (0.3, 0.0), (2, 0))
 COUNTED = Former("n1", 1 * S, 10 * S, 10, {5: (3, (2, 0, 1))})
 OTHER = Kept(
     {},
-    {"main": Memory(6 * S, {("s1", "127.0.0.1:9001"): BAD}, {"read": 9000.0})},
+    {"main": PoolHistory(6 * S, {("s1", "127.0.0.1:9001"): BAD}, {"read": 9000.0})},
     {"each": Remembered(b"salt", {7: 9.0 * S})},
     COUNTED,
 )
--- a/tests/store/test_restart.py
+++ b/tests/store/test_restart.py
@@ -15,7 +15,7 @@
 from plovertrail.config.operator import load
 from plovertrail.daemon.process import Daemon
 from plovertrail.decisions.endpoint_list import Candidate, Entry, Guards, State, reduce
-from plovertrail.store import keeper
+from plovertrail.store import service
 from tests.daemons import LIMITED, Running, message, run, site
 from tests.net import until
 
@@ -91,12 +91,12 @@
 def test_a_write_that_fails_in_any_way_is_told_and_the_next_one_is_whole(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(keeper, "RETRY_S", 0.01)
+    monkeypatch.setattr(service, "RETRY_S", 0.01)
     lists = [Candidate("file:x", (Entry(f"s{n}", ("127.0.0.1", n)),)) for n in (1, 2)]
     states = [reduce(State(started=True), listed, 1, Guards())[0] for listed in lists]
 
     async def test() -> None:
-        it = keeper.StoreKeeper(str(tmp_path / "state"))
+        it = service.StoreService(str(tmp_path / "state"))
         it.read()
         it.keep(lambda: {"main": states[0]})
         await until(lambda: it.writer is not None and it.writer.done())
@@ -108,14 +108,14 @@
             raise ValueError("no bytes for this")
 
         append, it.files.append = it.files.append, broken  # type: ignore[method-assign, assignment]
-        monkeypatch.setattr(keeper.log, "error", lambda text, *arguments: told.append(text % arguments))
+        monkeypatch.setattr(service.log, "error", lambda text, *arguments: told.append(text % arguments))
         it.keep(lambda: {"main": states[1]})
         await until(lambda: bool(told) and it.writer is not None and it.writer.done())
         assert "no bytes for this" in told[0] and it.problem == "" and it.files.snapshots == 2
         await it.close()
 
     run(test)
-    assert set(keeper.StoreKeeper(str(tmp_path / "state")).read().states["main"].members) == {"s2"}
+    assert set(service.StoreService(str(tmp_path / "state")).read().states["main"].members) == {"s2"}
 
 
 def test_work_of_the_daemon_has_a_place_in_its_status(tmp_path: Path) -> None:
--- a/tests/store/test_stored_data.py
+++ b/tests/store/test_stored_data.py
@@ -19,8 +19,8 @@
 from plovertrail.decisions.endpoint_list import State
 from plovertrail.decisions.events import Endpoint, EndpointsUpdated, ListKind
 from plovertrail.decisions.limits import Allowance, KeyedBy, Limiter, LimiterSettings, OverLimit, admit
-from plovertrail.decisions.remembered import Memory, recall_means, recall_server, sweep
 from plovertrail.decisions.settings import RequestClass, Settings
+from plovertrail.decisions.warm_state import PoolHistory, recall_means, recall_server, sweep
 from plovertrail.store.files import Clocks, Files, Found
 from plovertrail.store.records import Kept, list_changes, other_records
 
@@ -85,7 +85,7 @@
     }
 
 
-def histories_in(memory: Memory) -> dict[str, Any]:
+def histories_in(memory: PoolHistory) -> dict[str, Any]:
     return {
         "at_us": memory.at_us,
         "mean_latency_us": dict(memory.means_us),
@@ -117,7 +117,7 @@
     }
 
 
-def balancer_with(memory: Memory, now_us: int) -> tuple[LoadBalancer, dict[int, tuple[str, str]]]:
+def balancer_with(memory: PoolHistory, now_us: int) -> tuple[LoadBalancer, dict[int, tuple[str, str]]]:
     """A load balancer whose endpoints begin with their histories, and what each endpoint id is called."""
     classes = [
         RequestClass("read", 250_000, 2 * S),
--- a/tests/store/test_gathering.py
+++ b/tests/store/test_warm_state.py
@@ -14,8 +14,8 @@
 from plovertrail.config.operator import load
 from plovertrail.daemon.process import Daemon
 from plovertrail.decisions.balance import LoadBalancer
-from plovertrail.decisions.remembered import Judgement, sweep
-from plovertrail.store import memory
+from plovertrail.decisions.warm_state import EndpointHistory, sweep
+from plovertrail.store import warm_state
 from tests.daemons import Running, message, run, site
 from tests.net import until
 
@@ -39,7 +39,9 @@
     def __init__(self) -> None:
         self.balancers: list[LoadBalancer] = []
 
-    def __call__(self, balancer: LoadBalancer, servers: Iterable[Called]) -> dict[tuple[str, str], Judgement]:
+    def __call__(
+        self, balancer: LoadBalancer, servers: Iterable[Called]
+    ) -> dict[tuple[str, str], EndpointHistory]:
         self.balancers.append(balancer)
         return sweep(balancer, servers)
 
@@ -66,7 +68,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     counted = CountedSweeps()
-    monkeypatch.setattr(memory, "sweep", counted)
+    monkeypatch.setattr(warm_state, "sweep", counted)
 
     async def test() -> None:
         servers = [WebServer(always(ERROR)), WebServer(always(OK))]
@@ -102,7 +104,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     counted = CountedSweeps()
-    monkeypatch.setattr(memory, "sweep", counted)
+    monkeypatch.setattr(warm_state, "sweep", counted)
 
     async def test() -> None:
         servers = [WebServer(), WebServer()]
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -117,7 +117,7 @@
         "plovertrail/decisions/cluster_members",
         "plovertrail/decisions/health_evidence",
         "plovertrail/decisions/outlier_detection",
-        "plovertrail/decisions/remembered",
+        "plovertrail/decisions/warm_state",
         "plovertrail/decisions/recovery",
     )
     assert not [file for file in loaded if file.startswith(off)]
--- a/tests/test_many_lists.py
+++ b/tests/test_many_lists.py
@@ -28,7 +28,7 @@
 from plovertrail.daemon.running_pool import ElsewhereKnown, RunningPool
 from plovertrail.decisions.fleet_limits import Fleet
 from plovertrail.decisions.list_versions import SourceKey
-from plovertrail.decisions.turns import Place
+from plovertrail.decisions.pacing import InstanceRank
 from plovertrail.resource_limits import default_pool_connections, raise_descriptor_limit
 from plovertrail.sources.first_read import FIRST_READ_S
 from plovertrail.sources.list_reader import ListReader
@@ -300,7 +300,7 @@
             touched: list[str] = []
             take_part = RunningPool.take_part
 
-            def noted(pool: RunningPool, fleet: Fleet, place: Place, slow_start: bool) -> None:
+            def noted(pool: RunningPool, fleet: Fleet, place: InstanceRank, slow_start: bool) -> None:
                 touched.append(pool.config.name)
                 take_part(pool, fleet, place, slow_start)
 
--- a/tests/test_share.py
+++ b/tests/test_share.py
@@ -16,9 +16,9 @@
 from plovertrail.decisions.actions import Action
 from plovertrail.decisions.connect_rate import BURST
 from plovertrail.decisions.events import Endpoint, EndpointStatus, EndpointsUpdated, Event, ListKind
+from plovertrail.decisions.pacing import InstanceRank
 from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.decisions.subsetting import EndpointSubset
-from plovertrail.decisions.turns import Place
 from plovertrail.dispatch.dispatcher import SLICE, Dispatcher, ServerPool
 from plovertrail.upstreams.connections import ConnectionPool
 from tests.daemons import Client, message, run, running, site
@@ -183,7 +183,7 @@
             head=head,
         ) as it:
             assert it.daemon.instances.fleet.size == 50, "before anything is sent"
-            assert it.daemon.instances.place == Place(None, 50), "it has no name in the list"
+            assert it.daemon.instances.place == InstanceRank(None, 50), "it has no name in the list"
             more = it.daemon.pools["main"].budget.connections
             path.write_text("".join(f"127.0.0.1:{9000 + n} id=app-{n}\n" for n in range(500)))
             await until(lambda: it.daemon.instances.fleet.size == 500)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from fakes.web import WebServer
-from plovertrail.decisions.turns import Place
+from plovertrail.decisions.pacing import InstanceRank
 from tests.daemons import Client, Held, Running, message, run, running
 from tests.net import until
 
@@ -153,9 +153,9 @@
         path.write_text("".join(f"127.0.0.1:{9000 + n} id=app-{n}\n" for n in range(4)))
         head = f'[fleet]\nname = "app-2"\ninstances_from = "{path}"\n'
         async with running(tmp_path, {"main": [WebServer()]}, routes=ROUTE, head=head) as it:
-            assert it.daemon.instances.place == Place(2, 4) and it.daemon.instances.fleet.size == 4
+            assert it.daemon.instances.place == InstanceRank(2, 4) and it.daemon.instances.fleet.size == 4
             path.write_text("".join(f"127.0.0.1:{9000 + n} id=app-{n}\n" for n in range(1, 3)))
-            await until(lambda: it.daemon.instances.place == Place(1, 2))
+            await until(lambda: it.daemon.instances.place == InstanceRank(1, 2))
 
     run(test)
 
