--- a/benchmarks/capacity/list_calls_role.py
+++ b/benchmarks/capacity/list_calls_role.py
@@ -13,8 +13,8 @@
 from benchmarks.capacity.slopes import Axis, Sample, Situation, Slope, Unit
 from benchmarks.capacity.target import BUDGET, TARGET
 from plovertrail.decisions.actions import Subscribe
-from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import TimerFired
+from plovertrail.decisions.load_balancing.balancer import LoadBalancer
 from plovertrail.decisions.settings import RequestClass, Settings
 
 SIDECARS, SHORT_SIDECARS = (50, 200, 600, 1_800, 3_600), (50, 100, 200, 400)
@@ -85,7 +85,7 @@
 
 def _first_call_us(balancer: LoadBalancer, meter: CpuMeter) -> int:
     """When it asks for its list, from its start on."""
-    due_us = balancer.ask_list_us
+    due_us = balancer.polls.next_poll_us
     actions = meter.call(balancer.handle, due_us, TimerFired(0))
     assert any(isinstance(action, Subscribe) for action in actions)
     return due_us - START_US
--- a/benchmarks/capacity/lost_watches.py
+++ b/benchmarks/capacity/lost_watches.py
@@ -17,9 +17,9 @@
 from benchmarks.capacity.target import TARGET
 from benchmarks.report import Bar, close, table
 from plovertrail.decisions.actions import Subscribe
-from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import Endpoint, EndpointsUpdated, ListKind, TimerFired
-from plovertrail.decisions.list_calls import BORNE_PER_S
+from plovertrail.decisions.load_balancing.balancer import LoadBalancer
+from plovertrail.decisions.load_balancing.poll_schedule import DEFAULT_DISCOVERY_RATE_PER_S
 from plovertrail.decisions.settings import RequestClass, Settings
 
 SIZES = (450, 900, TARGET.sidecars, 2 * TARGET.sidecars, 5 * TARGET.sidecars)
@@ -65,7 +65,7 @@
     balancer.handle(1_000, EndpointsUpdated(ListKind.FULL, [Endpoint(1)]))
     balancer.handle(BREAKS_AT_US, EndpointsUpdated(ListKind.FAILED, watch_stalled=case.silent))
     while True:
-        at_us = max(BREAKS_AT_US + 1, balancer.armed_us)
+        at_us = max(BREAKS_AT_US + 1, balancer.timers.armed_us)
         actions = balancer.handle(at_us, TimerFired(0))
         if any(isinstance(action, Subscribe) for action in actions):
             return at_us - BREAKS_AT_US
@@ -113,7 +113,7 @@
 
 def borne_per_s(case: Case) -> float:
     """Calls a second that all machines of discovery bear together, as far as it is said."""
-    return case.calls_per_s or BORNE_PER_S * TARGET.control_machines
+    return case.calls_per_s or DEFAULT_DISCOVERY_RATE_PER_S * TARGET.control_machines
 
 
 def main() -> int:
--- a/benchmarks/capacity/retry_model.py
+++ b/benchmarks/capacity/retry_model.py
@@ -9,7 +9,6 @@
 
 from benchmarks.capacity.retry_bound import Chain, Effect, Failure, Propagation
 from plovertrail.decisions.actions import Fail, Reject, Send, SetTimer
-from plovertrail.decisions.balance import NEVER_US, LoadBalancer
 from plovertrail.decisions.events import (
     AttemptEnded,
     Endpoint,
@@ -21,6 +20,8 @@
     RequestCancelled,
     TimerFired,
 )
+from plovertrail.decisions.load_balancing.balancer import LoadBalancer
+from plovertrail.decisions.load_balancing.timers import NEVER_US
 from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.simulation.clock import SECOND_US, Clock
 
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -1,6 +1,6 @@
 """What a request costs the decision module as lists grow: `python -m benchmarks.decision_cost`.
 
-A Balancer on a virtual clock, with 15 to 10,000 servers: requests arrive, are sent, and answered after a
+A load balancer on a virtual clock, with 15 to 10,000 servers: requests arrive, are sent, and answered after a
 drawn time; its timers fire when they are due. Calm: 60 a second, answered in 40 ms. Busy: 2,000 a second, so
 that it has a use for many servers at once. Short: every server is resting or full, so that most are refused.
 In turns with the module as it was when each request went through all servers (reference_balance.py), in one
@@ -22,7 +22,6 @@
 
 from benchmarks import reference_balance
 from benchmarks.report import Bar, close, table
-from plovertrail.decisions import balance
 from plovertrail.decisions.actions import Action, Send, SetTimer
 from plovertrail.decisions.events import (
     AttemptEnded,
@@ -34,6 +33,7 @@
     RequestArrived,
     TimerFired,
 )
+from plovertrail.decisions.load_balancing.balancer import LoadBalancer
 from plovertrail.decisions.settings import RequestClass, Settings
 
 SIZES = (15, 150, 1_500, 10_000)
@@ -46,14 +46,14 @@
 
 
 class Module(Protocol):
-    """A Balancer, today's or the reference."""
+    """A load balancer, today's or the reference."""
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
         """Take an event at a time in us, and return the actions."""
 
 
 Make = Callable[[Settings, int, int], Module]
-MODULES: dict[str, Make] = {"module": balance.LoadBalancer, "reference": reference_balance.Balancer}
+MODULES: dict[str, Make] = {"module": LoadBalancer, "reference": reference_balance.Balancer}
 
 
 class Run:
--- a/fakes/balancers_model.py
+++ b/fakes/balancers_model.py
@@ -13,7 +13,6 @@
 from dataclasses import dataclass, field
 
 from plovertrail.decisions.actions import CloseIdle, Fail, Reject, Send, SetTimer
-from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import (
     AttemptEnded,
     Endpoint,
@@ -25,6 +24,7 @@
     RequestArrived,
     TimerFired,
 )
+from plovertrail.decisions.load_balancing.balancer import LoadBalancer
 from plovertrail.decisions.settings import RequestClass, Settings
 
 START_US = 1_000_000_000
--- /dev/null
+++ b/plovertrail/decisions/load_balancing/balancer.py
@@ -0,0 +1,315 @@
+"""The event handler of one pool's load balancing: events in, actions out (docs/design.md).
+
+A request takes a free slot of a random endpoint, waits in the one buffer if none is free, is rejected if that
+is taken, and is retried through a slot. This module says in which order the others are asked.
+"""
+
+from __future__ import annotations
+
+import random
+
+from plovertrail.decisions.actions import Action, Send, SetTimer, Subscribe
+from plovertrail.decisions.events import (
+    AttemptEnded,
+    EndpointsUpdated,
+    Event,
+    ListKind,
+    PeerHealthUpdated,
+    RequestArrived,
+    RequestCancelled,
+    StreamStarted,
+    TimerFired,
+)
+from plovertrail.decisions.load_balancing.attempt_state import AttemptState
+from plovertrail.decisions.load_balancing.class_exclusions import ClassExclusions
+from plovertrail.decisions.load_balancing.concurrency_limits import ConcurrencyLimiter
+from plovertrail.decisions.load_balancing.endpoint_health import EndpointHealth
+from plovertrail.decisions.load_balancing.endpoint_selection import EndpointSelector
+from plovertrail.decisions.load_balancing.endpoint_state import EndpointState
+from plovertrail.decisions.load_balancing.endpoint_table import EndpointTable
+from plovertrail.decisions.load_balancing.endpoint_updates import (
+    EndpointRestorer,
+    EndpointUpdates,
+    PeerPenalties,
+)
+from plovertrail.decisions.load_balancing.latency_estimates import LatencyEstimates
+from plovertrail.decisions.load_balancing.outcome_recording import OutcomeRecorder
+from plovertrail.decisions.load_balancing.outcomes import RETRYABLE
+from plovertrail.decisions.load_balancing.outlier_ejection import FailurePenalties, OutlierEjector
+from plovertrail.decisions.load_balancing.overload_monitor import OverloadMonitor
+from plovertrail.decisions.load_balancing.pending_actions import PendingActions
+from plovertrail.decisions.load_balancing.poll_schedule import PollSchedule
+from plovertrail.decisions.load_balancing.request_buffer import RequestBuffer, TenantUsage
+from plovertrail.decisions.load_balancing.request_state import RequestState
+from plovertrail.decisions.load_balancing.response_tracking import NoResponseListener, ResponseTracker
+from plovertrail.decisions.load_balancing.retry_budget import RetryBudget
+from plovertrail.decisions.load_balancing.retry_policy import RetryPolicy
+from plovertrail.decisions.load_balancing.slot_reopening import SlotReopener
+from plovertrail.decisions.load_balancing.timers import RecheckQueue, TimerKind, TimerQueue
+from plovertrail.decisions.load_balancing.warm_up_scheduler import WarmUpScheduler
+from plovertrail.decisions.settings import Settings
+
+IDLE_PROGRESS = (
+    0.1  # of an admitted request: while all endpoints warm up, nothing else would open their slots
+)
+
+
+class LoadBalancer:
+    """Selects an endpoint for each request and ends each request with one final answer.
+
+    All state is owned by the modules it is made of. `retry_budget` may be shared with other load balancers of
+    the process; the generator that `seed` starts is shared by the modules, so its draws have one order.
+    """
+
+    def __init__(
+        self, settings: Settings, seed: int, now_us: int, retry_budget: RetryBudget | None = None
+    ) -> None:
+        self.settings = settings
+        self.now_us = now_us  # of the last event
+        self.requests: dict[int, RequestState] = {}
+        self.latencies = LatencyEstimates(settings.classes)
+        self.table = EndpointTable(settings, now_us)
+        self.retry_budget = retry_budget or RetryBudget()
+        self.timers = TimerQueue()
+        self.rechecks = RecheckQueue()
+        self.exclusions = ClassExclusions(self.table)
+        self.penalties = FailurePenalties(self.table)
+        self.peer_penalties = PeerPenalties(self.table)
+        self.limiter = ConcurrencyLimiter(self.latencies)
+        self.tenants = TenantUsage(settings)
+        self.buffer = RequestBuffer(settings, self.latencies, self.tenants)
+        self.retries = RetryPolicy(settings, self.latencies, self.retry_budget)
+        self.reopener = SlotReopener(self.table, self.rechecks, self.penalties, self.exclusions)
+        self.random = random.Random(seed)
+        self.polls = PollSchedule(settings, self.timers, self.random, now_us)
+        self.warm_ups = WarmUpScheduler(self.table, self.random)
+        self.updates = EndpointUpdates(self.table, self.warm_ups, self.reopener)
+        self.selector = EndpointSelector(self.table, self.exclusions, self.random)
+        self.ejector = OutlierEjector(self.penalties, self.rechecks, self.random)
+        self.tracker = ResponseTracker(self.table, self.exclusions, self.random)
+        self._actions = PendingActions(now_us)
+        self._overload = OverloadMonitor()
+        health = EndpointHealth(self.latencies, self.limiter, self.ejector)
+        self._recorder = OutcomeRecorder(self.table, self.latencies, health, self.tracker, self._actions)
+
+    @property
+    def endpoints(self) -> dict[int, EndpointState]:
+        """The ready endpoints by id, in the order in which they were listed."""
+        return self.table.by_id
+
+    def restore_endpoints_with(self, restorer: EndpointRestorer) -> None:
+        """Have each endpoint that is added from now on restored to what was known of it before a restart."""
+        self.updates.restorer = restorer
+
+    def report_no_response_to(self, listener: NoResponseListener | None) -> None:
+        """Tell a listener of each attempt that has had no response for longer than one takes."""
+        self.tracker.listener = listener
+
+    def handle(self, now_us: int, event: Event) -> list[Action]:
+        """Handle an event and return the actions to carry out, in their order."""
+        self.now_us = now_us
+        if isinstance(event, AttemptEnded):
+            self._on_attempt_ended(event)
+        elif isinstance(event, RequestArrived):
+            self._on_request_arrived(event)
+        elif isinstance(event, TimerFired):
+            self.timers.fired(now_us)
+            self._run_due_timers()
+        else:
+            self._handle_other(event)
+        if self.buffer.waiting is not None:
+            self._dispatch_buffered(self.buffer.waiting)
+        if self.buffer.waiting is not None or self.timers.next_due_us < self.timers.armed_us:
+            self._arm_timer()
+        return self._actions.take()
+
+    def has_capacity(self, now_us: int) -> bool:
+        """Whether a request would find a free slot; for a queue that admits requests to this pool.
+
+        Limits grow only where slots were short, and what waits in such a queue must count as a shortage.
+        """
+        self.now_us = now_us
+        self.reopener.reopen_due(now_us)
+        if self.buffer.waiting is None and any(
+            sampler.total_weight > 0.0 for group in self.table.groups for sampler in group.samplers
+        ):
+            return True
+        self.limiter.last_shortage_us = now_us
+        return False
+
+    def next_slot_opening_us(self) -> int:
+        """Return when the next slot may open by time and not by an event."""
+        return self.rechecks.next_due_us()
+
+    def apply_restored_state(self, endpoint: EndpointState) -> None:
+        """Take the state that was restored to an endpoint into account."""
+        if endpoint.failure_penalty:
+            self.penalties.track(endpoint, self.now_us)
+        if endpoint.concurrency_limit < 1.0:
+            # After a restart of all instances, each of them would try a failing endpoint at once.
+            mean_us = sum(self.latencies.mean_us) / len(self.latencies.mean_us)
+            self.ejector.eject(endpoint, mean_us, self.now_us)
+        self.table.update_selection_weight(endpoint, self.now_us)
+
+    def _handle_other(self, event: Event) -> None:
+        """Handle an event that comes less often than those on requests, attempts and timers."""
+        if isinstance(event, RequestCancelled):
+            if event.request in self.requests:
+                self._close(self.requests[event.request])
+        elif isinstance(event, StreamStarted):
+            if event.request in self.requests:
+                self.requests[event.request].is_streaming = True
+        elif isinstance(event, EndpointsUpdated):
+            self._on_endpoints_updated(event)
+        elif isinstance(event, PeerHealthUpdated):
+            self.peer_penalties.apply(event.penalties)
+
+    def _on_request_arrived(self, event: RequestArrived) -> None:
+        if event.request in self.requests:
+            return
+        request_class = self.settings.classes[event.class_index]
+        request = RequestState(event, request_class, self.now_us)
+        self.requests[event.request] = request
+        self.tenants.record_arrival(event.tenant)
+        self._dispatch(request)
+        self._overload.record_arrival(bool(request.attempts), self._actions, self.now_us)
+
+    def _dispatch(self, request: RequestState) -> None:
+        """Send a request through a free slot, else buffer it, else reject it."""
+        now_us = self.now_us
+        latest_us = self.retries.latest_start_us(request)
+        if now_us >= latest_us:
+            self._answer(request)
+            return
+        for group in self.table.groups:
+            group.admission.replenish(now_us)
+            group.warm_up.progress += IDLE_PROGRESS * group.admission.probability
+        endpoint = self._select_endpoint(request)
+        if endpoint is not None:
+            self._send(request, endpoint)
+            return
+        self.limiter.last_shortage_us = now_us
+        if not self.retries.may_send(request, now_us) or not self.buffer.accepts(request):
+            self._answer(request)
+            return
+        if self.buffer.waiting is not None:
+            self._answer(self.buffer.waiting)
+        self.buffer.waiting = request
+        until_us = now_us + self.latencies.slow_us[request.event.class_index]
+        self.timers.schedule(min(until_us, latest_us), TimerKind.BUFFER_EXPIRY, request.event.request, now_us)
+
+    def _dispatch_buffered(self, request: RequestState) -> None:
+        endpoint = self._select_endpoint(request)
+        if endpoint is not None:
+            self.buffer.waiting = None
+            self._send(request, endpoint)
+
+    def _select_endpoint(self, request: RequestState) -> EndpointState | None:
+        if not self.retries.may_send(request, self.now_us):
+            return None
+        self.reopener.reopen_due(self.now_us)
+        return self.selector.select_endpoint(request, self.now_us)
+
+    def _send(self, request: RequestState, endpoint: EndpointState) -> None:
+        """Send an attempt of a request to an endpoint."""
+        now_us = self.now_us
+        event = request.event
+        if self.table.warm_up_fraction(endpoint, now_us) < 1.0:
+            self.warm_ups.schedule_send(endpoint, 1.0, now_us)
+        endpoint.in_flight += 1
+        endpoint.group.admission.record_send(now_us)
+        if endpoint.listed.id not in endpoint.group.active:
+            self.table.set_active(endpoint, True, now_us)
+        self.table.update_selection_weight(endpoint, now_us)
+        if request.total_attempts() == 0:
+            self.retry_budget.record_first_attempt()
+        else:
+            self.retry_budget.record_retry()
+        attempt = AttemptState(endpoint, endpoint.listed, event.class_index, now_us)
+        request.attempts.append(attempt)
+        request.in_flight += 1
+        endpoint.attempts.append(attempt)
+        if not self.settings.classes[event.class_index].stream:
+            self.timers.require_by(self.tracker.track(attempt))
+        timeout_us = self.retries.attempt_timeout_us(request, now_us)
+        start_within_us = self.retries.start_within_us(request, now_us)
+        self._actions.pending.append(Send(event.request, endpoint.listed.id, timeout_us, start_within_us))
+        hedge_delay_us = self.retries.hedge_delay_us(request)
+        if hedge_delay_us is not None:
+            self.timers.schedule(now_us + hedge_delay_us, TimerKind.HEDGE, event.request, now_us)
+
+    def _send_hedge(self, request: RequestState) -> None:
+        """Send a second attempt while the first runs on.
+
+        Never in a shortage: hedges would take the slots of requests that have none.
+        """
+        if request.in_flight == 1 and self.buffer.waiting is None:
+            endpoint = self._select_endpoint(request)
+            if endpoint is not None and endpoint is not request.attempts[-1].endpoint:
+                self._send(request, endpoint)
+
+    def _on_attempt_ended(self, event: AttemptEnded) -> None:
+        request = self.requests.get(event.request)
+        if request is None or not 0 <= event.attempt < len(request.attempts):
+            return
+        attempt = request.attempts[event.attempt]
+        if attempt.outcome is not None:
+            return
+        attempt.outcome = event.outcome
+        request.in_flight -= 1
+        self._recorder.record(attempt, event.outcome, event.elapsed_us, self.now_us)
+        if event.final or request.is_closed:
+            self._close(request)
+        elif request.in_flight == 0:
+            is_retryable = event.outcome in RETRYABLE and self.retries.may_send(request, self.now_us)
+            # Without a budget, timeouts would double the load that keeps a slow fleet slow.
+            if is_retryable and self.retry_budget.allows_retry():
+                self._dispatch(request)
+            else:
+                self._answer(request)
+
+    def _on_endpoints_updated(self, event: EndpointsUpdated) -> None:
+        if event.kind is ListKind.FAILED:
+            self.polls.record_failure(event.watch_stalled, self.now_us)
+            return
+        if event.kind is not ListKind.CACHED:
+            self.polls.record_list()
+        self.updates.apply(event, self.now_us)
+
+    def _answer(self, request: RequestState) -> None:
+        """Give the final answer; the only place of one, so that rules 1 and 2 of the contract hold."""
+        if not request.attempts:
+            for group in self.table.groups:
+                group.warm_up.record_rejection(self.now_us)
+        self._close(request)
+        self._actions.pending.append(self.retries.final_answer(request, self.random.random()))
+
+    def _close(self, request: RequestState) -> None:
+        request.is_closed = True
+        self.buffer.discard(request)
+        if request.in_flight == 0:
+            self.requests.pop(request.event.request, None)
+
+    def _run_due_timers(self) -> None:
+        timers = self.timers
+        while (due := timers.pop_due(self.now_us)) is not None:
+            kind, request_id = due
+            if kind is TimerKind.POLL:
+                if self.polls.poll_is_due(self.now_us):
+                    self._actions.pending.append(Subscribe(True))
+            elif kind is TimerKind.HEDGE:
+                if request_id in self.requests:
+                    self._send_hedge(self.requests[request_id])
+            elif self.buffer.waiting is not None and self.buffer.waiting.event.request == request_id:
+                self._answer(self.buffer.waiting)
+        timers.all_due_popped()
+        timers.require_by(self.tracker.check_overdue(self.now_us))
+
+    def _arm_timer(self) -> None:
+        at_us = self.timers.next_due_us
+        if self.buffer.waiting is not None:
+            # What waits for a slot that opens by time has no event to wake it.
+            self.reopener.reopen_due(self.now_us)
+            at_us = min(at_us, self.reopener.next_opening_us(self.buffer.waiting.event.class_index))
+        if self.timers.arm(at_us):
+            self._actions.pending.append(SetTimer(at_us, 0))
--- /dev/null
+++ b/plovertrail/decisions/load_balancing/endpoint_selection.py
@@ -0,0 +1,163 @@
+"""Which endpoint an attempt goes to: weighted sampling, affinity, exclusions and dedup groups."""
+
+from __future__ import annotations
+
+import random
+
+from plovertrail.decisions.load_balancing.class_exclusions import ClassExclusions
+from plovertrail.decisions.load_balancing.endpoint_group import EndpointGroup
+from plovertrail.decisions.load_balancing.endpoint_state import EndpointState
+from plovertrail.decisions.load_balancing.endpoint_table import EndpointTable
+from plovertrail.decisions.load_balancing.request_state import RequestState
+from plovertrail.decisions.load_balancing.weighted_sampler import WeightedSampler
+
+MIN_ACTIVE = 4  # endpoints in regular use by an instance with next to no traffic
+SENDS_PER_S_PER_ACTIVE = 1.5  # sends a second that call for one more: fewer show nothing, more crowd it
+NO_RESPONSE_SCALE = 0.1  # a selection penalty of this much quarters the probability: far more than by chance
+MAX_SAMPLES = 12  # tries at random before all endpoints are gone through; most selections need one
+
+
+class EndpointSelector:
+    """Selects a free slot at random.
+
+    It takes the turn of an endpoint that warms up, else one of the few active endpoints that the traffic of
+    this instance needs, else any. Turns that others' free slots outbid would be lost, and the warm endpoints
+    choke beside them. A busy zone spills over what it cannot take: a request not admitted, or without a slot.
+    """
+
+    __slots__ = ("_table", "_exclusions", "_random")
+
+    def __init__(self, table: EndpointTable, exclusions: ClassExclusions, rng: random.Random) -> None:
+        self._table = table
+        self._exclusions = exclusions
+        self._random = rng
+
+    def select_endpoint(self, request: RequestState, now_us: int) -> EndpointState | None:
+        """Return an endpoint with a free slot for a request; None if there is none."""
+        if request.event.preferred and not request.attempts:
+            endpoint = self._preferred(request, now_us)
+            if endpoint is not None:
+                return endpoint
+        class_index = request.event.class_index
+        penalized: EndpointState | None = None  # used if there is no other
+        for group in self._table.groups:
+            self._open_turns(group, now_us)
+            for sampler in self._samplers(group):
+                if sampler.total_weight <= 0.0:
+                    continue
+                endpoint = self._sample(request, sampler, now_us)
+                if endpoint is None:
+                    continue
+                # In a sampler of one, an endpoint that peers find unhealthy would be selected regardless.
+                penalties = endpoint.peer_penalties
+                if penalties and penalized is None and class_index in penalties:
+                    penalized = endpoint
+                    continue
+                return endpoint
+        return penalized
+
+    def _open_turns(self, group: EndpointGroup, now_us: int) -> None:
+        """Update the weights of the endpoints that warm up and whose turns have come."""
+        while (endpoint_id := group.warm_up.pop_due()) is not None:
+            self._table.update_selection_weight(self._table.by_id.get(endpoint_id), now_us)
+
+    @staticmethod
+    def _samplers(group: EndpointGroup) -> tuple[WeightedSampler, ...]:
+        """Return the samplers of a group in the order in which they are tried."""
+        admission = group.admission
+        if not admission.admits():
+            return (group.warming,)  # these have their turns, and are not what is slow
+        needed = MIN_ACTIVE + int(admission.send_rate.per_second / SENDS_PER_S_PER_ACTIVE)
+        if len(group.active) < needed and group.standby.total_weight > 0.0:
+            return (group.warming, group.standby, group.active)
+        # Instances that are connected to each endpoint would fill their tables of connections.
+        return group.samplers
+
+    def _preferred(self, request: RequestState, now_us: int) -> EndpointState | None:
+        """Return the preferred endpoint of a first attempt, if it could also be selected at random.
+
+        Retries have no preference: an endpoint that fails must not get them too.
+        """
+        for endpoint_id in request.event.preferred:
+            endpoint = self._table.by_id.get(endpoint_id)
+            if endpoint is None or not endpoint.group.admission.admits():
+                continue
+            if self._table.selection_weight(endpoint, now_us) <= 0.0:
+                continue
+            is_trusted = self._selection_penalty(endpoint, request.event.class_index) < NO_RESPONSE_SCALE
+            if is_trusted and self._may_take(request, endpoint, now_us):
+                return endpoint
+        return None
+
+    def _sample(self, request: RequestState, sampler: WeightedSampler, now_us: int) -> EndpointState | None:
+        """Return an endpoint of a sampler in proportion to the weights that hold for this request.
+
+        Endpoints are sampled by the weights that hold for all requests, and accepted with the fraction that
+        is left for this one. Few samples miss; after some misses all endpoints are gone through.
+        """
+        peers = self._dedup_peers(request, sampler)
+        if peers is not None:
+            return self._choose(request, peers, now_us)
+        class_index = request.event.class_index
+        tried = [attempt.endpoint for attempt in request.attempts] if request.attempts else ()
+        for _ in range(MAX_SAMPLES):
+            endpoint_id = sampler.sample(self._random.random())
+            if endpoint_id is None:
+                return None
+            endpoint = self._table.by_id[endpoint_id]
+            if endpoint not in tried and self._may_take(request, endpoint, now_us):
+                penalty = self._selection_penalty(endpoint, class_index)
+                if penalty <= 0.0 or self._accepts(penalty):
+                    return endpoint
+        everyone = [self._table.by_id[endpoint_id] for endpoint_id in sampler]
+        return self._choose(request, everyone, now_us)
+
+    def _accepts(self, penalty: float) -> bool:
+        return self._random.random() * (1.0 + penalty / NO_RESPONSE_SCALE) ** 2 < 1.0
+
+    def _choose(
+        self, request: RequestState, endpoints: list[EndpointState], now_us: int
+    ) -> EndpointState | None:
+        """Choose among some endpoints by their weights; those tried before are used if there is no other."""
+        class_index = request.event.class_index
+        found = []
+        for endpoint in endpoints:
+            weight = self._table.selection_weight(endpoint, now_us)
+            if weight > 0.0 and self._may_take(request, endpoint, now_us):
+                penalty = self._selection_penalty(endpoint, class_index)
+                found.append((endpoint, weight / (1.0 + penalty / NO_RESPONSE_SCALE) ** 2))
+        tried = [attempt.endpoint for attempt in request.attempts]
+        found = [pair for pair in found if pair[0] not in tried] or found
+        if not found:
+            return None
+        return self._random.choices(found, [weight for _, weight in found])[0][0]
+
+    @staticmethod
+    def _selection_penalty(endpoint: EndpointState, class_index: int) -> float:
+        """Return how much less an endpoint is selected for a class, by own attempts and peers' reports."""
+        reported = endpoint.peer_penalties.get(class_index, 0.0) if endpoint.peer_penalties else 0.0
+        return endpoint.no_response_rate[class_index] + reported
+
+    def _may_take(self, request: RequestState, endpoint: EndpointState, now_us: int) -> bool:
+        """Whether an endpoint with a free slot may have this request now."""
+        class_index = request.event.class_index
+        is_excluded = now_us < endpoint.excluded_until_us[class_index]
+        if is_excluded and self._exclusions.are_effective(class_index):
+            return False
+        return endpoint.listed.id not in request.event.excluded
+
+    def _dedup_peers(self, request: RequestState, sampler: WeightedSampler) -> list[EndpointState] | None:
+        """Return the endpoints that drop duplicates of a request; None if it may go to any.
+
+        Rule 2 of the contract: once an attempt with an idempotency key may have run, it is retried only where
+        its key is known.
+        """
+        request_class = self._table.settings.classes[request.event.class_index]
+        if request_class.effect != "deduplicated" or request_class.dedup_scope == "all":
+            return None
+        first = request.first_that_may_have_run()
+        if first is None:
+            return None
+        place = first.listed.zone if request_class.dedup_scope == "zone" else first.listed.cell
+        peers = self._table.dedup_peers(request_class.dedup_scope, place)
+        return [endpoint for endpoint in peers if endpoint.listed.id in sampler]
--- a/plovertrail/decisions/load_balancing/endpoint_state.py
+++ b/plovertrail/decisions/load_balancing/endpoint_state.py
@@ -58,3 +58,12 @@
         self.failure_penalty = 0.0  # the same, counted only while few endpoints have faults
         self.logged_as_ejected = False
         self.peer_penalties: dict[int, float] | None = None  # by class, from the reports of other instances
+
+    def end_attempt(self, attempt: AttemptState) -> list[AttemptState]:
+        """Free the slot of an attempt; returns the attempts in flight that were sent before it."""
+        if not attempt.slot_released:
+            self.in_flight -= 1
+        index = self.attempts.index(attempt)
+        earlier = self.attempts[:index]
+        del self.attempts[index]
+        return earlier
--- /dev/null
+++ b/plovertrail/decisions/load_balancing/endpoint_table.py
@@ -0,0 +1,132 @@
+"""The ready endpoints, with the weights by which they are selected and the groups that share dedup state."""
+
+from __future__ import annotations
+
+from collections.abc import Collection, Mapping
+
+from plovertrail.decisions.events import Endpoint
+from plovertrail.decisions.load_balancing.endpoint_group import EndpointGroup
+from plovertrail.decisions.load_balancing.endpoint_state import EndpointState
+from plovertrail.decisions.load_balancing.slow_start import warm_up_fraction
+from plovertrail.decisions.settings import Settings
+
+PENALTY_SCALE = 0.1  # a failure penalty of this much quarters the weight: one failure makes it a twelfth
+NO_PEERS: Mapping[int, EndpointState] = {}
+
+
+class EndpointTable:
+    """Owns the endpoints by id, their groups, and the weight of each in the sampler that holds it."""
+
+    __slots__ = ("settings", "by_id", "groups", "dedup_groups")
+
+    def __init__(self, settings: Settings, now_us: int) -> None:
+        self.settings = settings
+        self.by_id: dict[int, EndpointState] = {}  # in the order in which they were listed
+        # Selected from in this order; the second one holds the other zones where crossing zones costs.
+        self.groups = [EndpointGroup(now_us) for _ in range(2 if settings.cross_zone_fee > 0 else 1)]
+        self.dedup_groups: dict[tuple[str, int], dict[int, EndpointState]] = {}  # by zone and by cell
+
+    def is_current(self, endpoint: EndpointState) -> bool:
+        """Whether an endpoint is still listed: one that was removed and came back is another one."""
+        return self.by_id.get(endpoint.listed.id) is endpoint
+
+    def warm_up_fraction(self, endpoint: EndpointState, now_us: int) -> float:
+        """Return the fraction of its capacity that an endpoint is certain to have."""
+        return warm_up_fraction(self.settings, endpoint.listed, now_us)
+
+    def relative_capacity(self, listed: Endpoint) -> float:
+        """Return what a warm endpoint can do beside the others, as far as the list tells."""
+        return listed.weight if self.settings.weighted else 1.0
+
+    def open_slots(self, endpoint: EndpointState, now_us: int) -> int:
+        """Return how many attempts of this instance an endpoint may have in flight now."""
+        if now_us < endpoint.ejected_until_us:
+            return 0
+        if endpoint.listed.started_us != 0 and self.warm_up_fraction(endpoint, now_us) < 1.0:
+            return int(endpoint.group.warm_up.progress >= endpoint.next_warm_up_send)
+        return int(endpoint.concurrency_limit) or 1
+
+    def selection_weight(self, endpoint: EndpointState, now_us: int) -> float:
+        """Return the weight of an endpoint: its free slots, which count less where it is slow or failing."""
+        free_slots = self.open_slots(endpoint, now_us) - endpoint.in_flight
+        if free_slots <= 0:
+            return 0.0
+        weight = endpoint.listed.weight if self.settings.select_by_weight else 1.0
+        penalty = 1.0 + endpoint.failure_penalty / PENALTY_SCALE
+        return free_slots * weight / (endpoint.relative_latency * penalty) ** 2
+
+    def update_selection_weight(self, endpoint: EndpointState | None, now_us: int) -> None:
+        """Bring the weight of an endpoint up to date after anything it depends on has changed."""
+        if endpoint is None:
+            return
+        endpoint_id = endpoint.listed.id
+        if self.by_id.get(endpoint_id) is not endpoint:
+            return
+        group = endpoint.group
+        weight = self.selection_weight(endpoint, now_us)
+        if not group.warming.change(endpoint_id, weight) and not group.active.change(endpoint_id, weight):
+            group.standby.set(endpoint_id, weight)
+
+    def set_active(self, endpoint: EndpointState, active: bool, now_us: int) -> bool:
+        """Move an endpoint between active and standby; returns whether it has moved."""
+        group = endpoint.group
+        endpoint_id = endpoint.listed.id
+        if not self.is_current(endpoint) or endpoint_id in group.warming:
+            return False
+        if (endpoint_id in group.active) == active:
+            return False
+        source, target = (group.standby, group.active) if active else (group.active, group.standby)
+        source.discard(endpoint_id)
+        target.set(endpoint_id, self.selection_weight(endpoint, now_us))
+        return True
+
+    def add(self, listed: Endpoint) -> EndpointState:
+        """Add an endpoint that was not listed before; `relist` puts it into a sampler."""
+        is_remote = self.settings.cross_zone_fee > 0 and listed.zone != self.settings.zone
+        group = self.groups[int(is_remote)]
+        endpoint = self.by_id[listed.id] = EndpointState(listed, group, len(self.settings.classes))
+        group.capacity += self.relative_capacity(listed)
+        return endpoint
+
+    def adjust_capacity(self, endpoint: EndpointState, listed: Endpoint) -> None:
+        """Bring the capacity of its group up to date before a known endpoint is listed anew."""
+        endpoint.group.capacity -= self.relative_capacity(endpoint.listed)
+        endpoint.group.capacity += self.relative_capacity(listed)
+
+    def relist(self, endpoint: EndpointState, listed: Endpoint, now_us: int) -> bool:
+        """Take over what the list says of an endpoint; returns whether it is warming up."""
+        group = endpoint.group
+        self._leave_dedup_groups(endpoint)
+        endpoint.listed = listed
+        for place in (("zone", listed.zone), ("cell", listed.cell)):
+            self.dedup_groups.setdefault(place, {})[listed.id] = endpoint
+        is_warming = self.warm_up_fraction(endpoint, now_us) < 1.0
+        if is_warming:
+            group.active.discard(listed.id)
+            group.standby.discard(listed.id)
+            group.warming.set(listed.id, 0.0)
+        else:
+            group.warming.discard(listed.id)
+        self.update_selection_weight(endpoint, now_us)
+        return is_warming
+
+    def remove(self, endpoint_id: int) -> EndpointState | None:
+        """Remove an endpoint at once; attempts that are in flight there end as they do."""
+        endpoint = self.by_id.pop(endpoint_id, None)
+        if endpoint is not None:
+            for sampler in endpoint.group.samplers:
+                sampler.discard(endpoint_id)
+            endpoint.group.capacity -= self.relative_capacity(endpoint.listed)
+            self._leave_dedup_groups(endpoint)
+        return endpoint
+
+    def dedup_peers(self, scope: str, place: int) -> Collection[EndpointState]:
+        """Return the endpoints that drop each other's duplicates: those of one zone or cell."""
+        return self.dedup_groups.get((scope, place), NO_PEERS).values()
+
+    def _leave_dedup_groups(self, endpoint: EndpointState) -> None:
+        for place in (("zone", endpoint.listed.zone), ("cell", endpoint.listed.cell)):
+            peers = self.dedup_groups.get(place, {})
+            peers.pop(endpoint.listed.id, None)
+            if not peers:
+                self.dedup_groups.pop(place, None)
--- /dev/null
+++ b/plovertrail/decisions/load_balancing/outcome_recording.py
@@ -0,0 +1,70 @@
+"""Passes the end of an attempt to the modules that learn from it."""
+
+from __future__ import annotations
+
+from plovertrail.decisions.actions import CloseIdle
+from plovertrail.decisions.events import Outcome
+from plovertrail.decisions.load_balancing.attempt_state import AttemptState
+from plovertrail.decisions.load_balancing.endpoint_health import EndpointHealth
+from plovertrail.decisions.load_balancing.endpoint_state import EndpointState
+from plovertrail.decisions.load_balancing.endpoint_table import EndpointTable
+from plovertrail.decisions.load_balancing.latency_estimates import LatencyEstimates
+from plovertrail.decisions.load_balancing.outcomes import RESPONDED, TIMED
+from plovertrail.decisions.load_balancing.pending_actions import PendingActions
+from plovertrail.decisions.load_balancing.response_tracking import ResponseTracker
+
+STANDBY_BELOW = 0.5  # slots: an endpoint with a lower limit is no longer in regular use
+LOG_EJECTED_BELOW = 0.25  # slots
+LOG_RESTORED_FROM = 1.0
+
+
+class OutcomeRecorder:
+    """Records the attempts that end."""
+
+    __slots__ = ("_table", "_latencies", "_health", "_tracker", "_actions")
+
+    def __init__(
+        self,
+        table: EndpointTable,
+        latencies: LatencyEstimates,
+        health: EndpointHealth,
+        tracker: ResponseTracker,
+        actions: PendingActions,
+    ) -> None:
+        self._table = table
+        self._latencies = latencies
+        self._health = health
+        self._tracker = tracker
+        self._actions = actions
+
+    def record(self, attempt: AttemptState, outcome: Outcome, elapsed_us: int, now_us: int) -> None:
+        """Record an attempt that has just ended."""
+        endpoint = attempt.endpoint
+        earlier = endpoint.end_attempt(attempt)
+        # A timeout that later sends overtook says nothing of the load. Judged by it, an endpoint that leaves
+        # some attempts without a response would be cut to one slot, and its latency would be that of none.
+        was_overtaken = attempt.slot_released or attempt.overtaken_by > 0
+        counts = not (was_overtaken and outcome is Outcome.TIMEOUT)
+        if counts and self._health.update(attempt, outcome, elapsed_us, now_us):
+            self._retire_if_failing(endpoint, now_us)
+            self._log_ejection(endpoint, now_us)
+        self._table.update_selection_weight(endpoint, now_us)
+        if outcome in RESPONDED:
+            endpoint.group.warm_up.record_response(now_us)
+            self._tracker.record_response(attempt, earlier, now_us)
+        if counts and outcome in TIMED:
+            self._latencies.record(attempt.class_index, elapsed_us)
+
+    def _retire_if_failing(self, endpoint: EndpointState, now_us: int) -> None:
+        """Let another endpoint take the place of one that fails; it may come back after its cool-down."""
+        if endpoint.concurrency_limit < STANDBY_BELOW and self._table.set_active(endpoint, False, now_us):
+            self._actions.pending.append(CloseIdle(endpoint.listed.id))
+
+    def _log_ejection(self, endpoint: EndpointState, now_us: int) -> None:
+        limit = LOG_RESTORED_FROM if endpoint.logged_as_ejected else LOG_EJECTED_BELOW
+        is_ejected = endpoint.concurrency_limit < limit
+        if is_ejected == endpoint.logged_as_ejected:
+            return
+        event = "endpoint ejected" if is_ejected else "endpoint restored"
+        if self._actions.log(f"{event} endpoint={endpoint.listed.id}", now_us):
+            endpoint.logged_as_ejected = is_ejected
--- /dev/null
+++ b/plovertrail/decisions/load_balancing/outlier_ejection.py
@@ -0,0 +1,99 @@
+"""Ejection of endpoints that fail: a cool-down between sends, and a selection penalty from the first fault.
+
+What corrupts responses or breaks connections may do so at all endpoints alike, and one such fault would then
+eject each of them. So only a rejection tells of the endpoint itself at once; other faults count from two in
+three attempts on.
+"""
+
+from __future__ import annotations
+
+import heapq
+import random
+
+from plovertrail.decisions.events import Outcome
+from plovertrail.decisions.load_balancing.endpoint_state import EndpointState
+from plovertrail.decisions.load_balancing.endpoint_table import EndpointTable
+from plovertrail.decisions.load_balancing.timers import RecheckQueue
+
+FAULT_WINDOW = 4  # attempts over which the fault rate and the failure penalty are averaged
+MAX_FAULT_RATE = 0.35  # two faults in three attempts are above it
+PENALTY_HALF_LIFE_US = 10_000_000  # with next to no traffic, no response would ever end a penalty
+MIN_PENALTY = 0.02  # less is none
+MAX_PENALIZED_SHARE = 1 / 3  # with more endpoints than this, the faults strike all alike
+
+
+class FailurePenalties:
+    """Owns the failure penalties: which endpoints have one, and when each is halved.
+
+    An endpoint that fails a part of its attempts at once takes the requests that must not be repeated, and
+    beside many endpoints an instance with little traffic sees each of them too seldom to learn a rate. So the
+    first fault counts, in the selection alone, as long as few endpoints have any.
+    """
+
+    __slots__ = ("decay_at_us", "_table", "_decays")
+
+    def __init__(self, table: EndpointTable) -> None:
+        self.decay_at_us: dict[int, int] = {}  # by the id of each penalized endpoint
+        self._table = table
+        self._decays: list[tuple[int, int]] = []  # (time, endpoint id); a heap, with stale entries
+
+    def record(self, endpoint: EndpointState, is_fault: bool, now_us: int) -> None:
+        """Record an attempt of an endpoint that is penalized or has just failed."""
+        if not self._table.is_current(endpoint):
+            return  # it would be booked to the endpoint that came back under its id
+        if not is_fault or len(self.decay_at_us) < MAX_PENALIZED_SHARE * len(self._table.by_id):
+            endpoint.failure_penalty += (is_fault - endpoint.failure_penalty) / FAULT_WINDOW
+            self.track(endpoint, now_us)
+
+    def track(self, endpoint: EndpointState, since_us: int) -> None:
+        """Schedule the decay of a penalty, or lift it once it is negligible."""
+        endpoint_id = endpoint.listed.id
+        if endpoint.failure_penalty < MIN_PENALTY:
+            endpoint.failure_penalty = 0.0
+            self.decay_at_us.pop(endpoint_id, None)
+        elif endpoint_id not in self.decay_at_us:
+            at_us = self.decay_at_us[endpoint_id] = since_us + PENALTY_HALF_LIFE_US
+            heapq.heappush(self._decays, (at_us, endpoint_id))
+
+    def decay_due(self, now_us: int) -> None:
+        """Halve the penalties whose time has come, whether or not there was a response to learn from."""
+        while self._decays and self._decays[0][0] <= now_us:
+            at_us, endpoint_id = heapq.heappop(self._decays)
+            if self.decay_at_us.get(endpoint_id) == at_us:
+                endpoint = self._table.by_id[endpoint_id]
+                endpoint.failure_penalty /= 2.0
+                del self.decay_at_us[endpoint_id]
+                self.track(endpoint, at_us)  # from when it was due: a long calm takes all its steps at once
+                self._table.update_selection_weight(endpoint, now_us)
+
+    def forget(self, endpoint_id: int) -> None:
+        """Drop the penalty of an endpoint that was removed."""
+        self.decay_at_us.pop(endpoint_id, None)
+
+    def __len__(self) -> int:
+        """The number of scheduled decays."""
+        return len(self._decays)
+
+
+class OutlierEjector:
+    """Detects outliers by their faults, and ejects endpoints whose limit has fallen below one slot."""
+
+    __slots__ = ("penalties", "_rechecks", "_random")
+
+    def __init__(self, penalties: FailurePenalties, rechecks: RecheckQueue, rng: random.Random) -> None:
+        self.penalties = penalties
+        self._rechecks = rechecks
+        self._random = rng
+
+    def record_attempt(self, endpoint: EndpointState, outcome: Outcome, is_fault: bool, now_us: int) -> bool:
+        """Record an attempt; returns whether its fault makes the endpoint an outlier."""
+        endpoint.fault_rate += (is_fault - endpoint.fault_rate) / FAULT_WINDOW
+        if is_fault or endpoint.failure_penalty:
+            self.penalties.record(endpoint, is_fault, now_us)
+        return outcome is Outcome.REJECTED or (is_fault and endpoint.fault_rate > MAX_FAULT_RATE)
+
+    def eject(self, endpoint: EndpointState, busy_us: float, now_us: int) -> None:
+        """Keep the one slot of an endpoint closed for a cool-down, by the time a request keeps it busy."""
+        cool_down_us = busy_us * (1.0 / endpoint.concurrency_limit - 1.0) * (0.5 + self._random.random())
+        endpoint.ejected_until_us = now_us + int(cool_down_us)
+        self._rechecks.schedule(endpoint.ejected_until_us, endpoint.listed.id)
--- /dev/null
+++ b/plovertrail/decisions/load_balancing/retry_policy.py
@@ -0,0 +1,105 @@
+"""Whether and within what time an attempt may be made, and how a request ends that gets no further attempt.
+
+Rules 1 and 2 of the contract, as far as they do not depend on the endpoint: each request gets one final
+answer, and is rejected or retried only where that cannot execute it twice.
+"""
+
+from __future__ import annotations
+
+from plovertrail.decisions.actions import Fail, Reject
+from plovertrail.decisions.load_balancing.latency_estimates import LatencyEstimates
+from plovertrail.decisions.load_balancing.request_state import RequestState
+from plovertrail.decisions.load_balancing.retry_budget import RetryBudget
+from plovertrail.decisions.settings import RequestClass, Settings
+
+
+class RetryPolicy:
+    """Decides by the class of a request, its earlier attempts, the time left and the retry budget."""
+
+    __slots__ = ("_settings", "_latencies", "_budget")
+
+    def __init__(self, settings: Settings, latencies: LatencyEstimates, budget: RetryBudget) -> None:
+        self._settings = settings
+        self._latencies = latencies
+        self._budget = budget
+
+    def may_send(self, request: RequestState, now_us: int) -> bool:
+        """Whether any endpoint may be sent this request now."""
+        event = request.event
+        if request.is_closed or request.is_streaming or now_us >= event.due_us:
+            return False
+        left = self._settings.max_attempts if event.attempts_left is None else event.attempts_left
+        if len(request.attempts) >= left:
+            return False
+        if request.in_flight > 0 and not self._settings.hedging:
+            return False
+        if not request.attempts:
+            return True
+        first = request.first_that_may_have_run()
+        kind = self._settings.classes[event.class_index]
+        if first is None or kind.effect == "idempotent":
+            return True
+        return kind.effect == "deduplicated" and now_us - first.sent_at_us < kind.dedup_window_us
+
+    def latest_start_us(self, request: RequestState) -> int:
+        """Return after when an attempt is not expected to be back in time to be of use.
+
+        The expected time is half the objective at most: after an outage that outlasted every response,
+        nothing would be tried again otherwise.
+        """
+        class_index = request.event.class_index
+        response_us = min(self._latencies.mean_us[class_index], self._latencies.slow_us[class_index])
+        return request.useful_until_us - int(response_us)
+
+    def attempt_timeout_us(self, request: RequestState, now_us: int) -> int:
+        """Return how long a response is waited for: while it is of use, or as usual if a retry may follow."""
+        left_us = max(1, request.useful_until_us - now_us)
+        may_retry = not self._settings.hedging and self._class_of(request).effect != "at_most_once"
+        if not may_retry or not self._budget.allows_retry():
+            return left_us
+        index = request.event.class_index
+        usual_us = max(int(4 * self._latencies.mean_us[index]), self._latencies.slow_us[index])
+        return min(left_us, max(usual_us, 4 * request.event.cost_us))
+
+    def start_within_us(self, request: RequestState, now_us: int) -> int:
+        """Return within what time the newest attempt must be written to be dropped as a duplicate; 0 = any.
+
+        Its connection may take so long to come up that the endpoints have forgotten the first attempt.
+        """
+        request_class = self._class_of(request)
+        if request_class.effect != "deduplicated":
+            return 0
+        first = request.first_that_may_have_run()
+        if first is None or first is request.attempts[-1]:
+            return 0
+        return max(1, first.sent_at_us + request_class.dedup_window_us - now_us)
+
+    def hedge_delay_us(self, request: RequestState) -> int | None:
+        """Return after what time a hedge may follow: soon enough to be of use, late enough to be rare."""
+        if not self._settings.hedging or self._class_of(request).effect == "at_most_once":
+            return None
+        index = request.event.class_index
+        return min(int(2 * self._latencies.mean_us[index]), self._latencies.slow_us[index])
+
+    def final_answer(self, request: RequestState, uniform: float) -> Reject | Fail:
+        """Return how a request ends without a response; `uniform` is a random number from 0 to 1.
+
+        The advice is about one response time, spread so that rejected clients do not come back together.
+        """
+        if not self._may_reject(request):
+            return Fail(request.event.request)
+        after_us = self._latencies.mean_us[request.event.class_index] * (0.5 + uniform)
+        after_us = min(after_us, self._settings.max_retry_after_us)
+        return Reject(request.event.request, int(after_us) if self._settings.retry_after else 0)
+
+    def _may_reject(self, request: RequestState) -> bool:
+        """Whether a retry by the client would be harmless; otherwise the request has failed."""
+        kind = self._class_of(request)
+        return (
+            kind.effect == "idempotent"
+            or request.first_that_may_have_run() is None
+            or (kind.effect == "deduplicated" and kind.dedup_scope == "all")
+        )
+
+    def _class_of(self, request: RequestState) -> RequestClass:
+        return self._settings.classes[request.event.class_index]
--- /dev/null
+++ b/plovertrail/decisions/load_balancing/slot_reopening.py
@@ -0,0 +1,56 @@
+"""Slots that open by time and not by an event: the ends of cool-downs, warm-ups, exclusions and penalties."""
+
+from __future__ import annotations
+
+from plovertrail.decisions.load_balancing.class_exclusions import ClassExclusions
+from plovertrail.decisions.load_balancing.endpoint_state import EndpointState
+from plovertrail.decisions.load_balancing.endpoint_table import EndpointTable
+from plovertrail.decisions.load_balancing.outlier_ejection import FailurePenalties
+from plovertrail.decisions.load_balancing.timers import RecheckQueue
+
+
+class SlotReopener:
+    """Brings the selection weights up to date with the time."""
+
+    __slots__ = ("rechecks", "_table", "_penalties", "_exclusions")
+
+    def __init__(
+        self,
+        table: EndpointTable,
+        rechecks: RecheckQueue,
+        penalties: FailurePenalties,
+        exclusions: ClassExclusions,
+    ) -> None:
+        self.rechecks = rechecks
+        self._table = table
+        self._penalties = penalties
+        self._exclusions = exclusions
+
+    def reopen_due(self, now_us: int) -> None:
+        """Apply everything that is over by now."""
+        self._penalties.decay_due(now_us)
+        while (endpoint_id := self.rechecks.pop_due(now_us)) is not None:
+            endpoint = self._table.by_id.get(endpoint_id)
+            if endpoint is not None:
+                self._recheck(endpoint, now_us)
+        self._exclusions.end_due(now_us)
+
+    def next_opening_us(self, class_index: int) -> int:
+        """Return when the next slot may open by time for a request of this class."""
+        return min(self.rechecks.next_due_us(), self._exclusions.next_end_us(class_index))
+
+    def forget(self, endpoint: EndpointState) -> None:
+        """Drop what is kept of an endpoint that was removed."""
+        self._penalties.forget(endpoint.listed.id)
+        self._exclusions.forget(endpoint)
+
+    def _recheck(self, endpoint: EndpointState, now_us: int) -> None:
+        warming = endpoint.group.warming
+        is_warm = self._table.warm_up_fraction(endpoint, now_us) >= 1.0
+        if is_warm and endpoint.listed.id in warming:
+            warming.discard(endpoint.listed.id)
+            # With half of a fleet new, all instances would crowd the old endpoints, which each of them knows
+            # and finds slow but with a slot free, and their fast responses from the new ones would be lost.
+            if endpoint.relative_latency < 1.0:
+                self._table.set_active(endpoint, True, now_us)
+        self._table.update_selection_weight(endpoint, now_us)
--- /dev/null
+++ b/plovertrail/decisions/load_balancing/slow_start.py
@@ -0,0 +1,88 @@
+"""Slow start: how far an endpoint has warmed up, and the turns of those that warm up in one group.
+
+Capacity grows linearly over `Settings.warm_up_us`. Turns are counted in what the group serves rather than in
+time, so that they follow the traffic.
+"""
+
+from __future__ import annotations
+
+import heapq
+from collections.abc import Iterable
+
+from plovertrail.decisions.events import Endpoint
+from plovertrail.decisions.load_balancing.event_rate import EventRate
+from plovertrail.decisions.settings import Settings
+
+PEAK_DECAY = 0.999  # of the peak response rate at each response; it outlasts a shortage of a minute
+SHORTAGE_INTERVAL_US = 1_000_000  # responses come in bursts within shorter intervals
+STALE_ENTRIES = 16  # tolerated in the queue besides two for each endpoint that warms up
+
+
+def warm_up_fraction(settings: Settings, listed: Endpoint, now_us: int) -> float:
+    """Return the fraction of its capacity that an endpoint is certain to have.
+
+    Treating it as warm any sooner would let all instances in at one moment, and together they would push it
+    over.
+    """
+    if listed.started_us == 0:
+        return 1.0
+    age_us = now_us - listed.started_us
+    if age_us >= settings.warm_up_us:
+        return 1.0
+    initial = settings.warm_up_initial_capacity
+    return initial + (1.0 - initial) * max(0, age_us) / settings.warm_up_us
+
+
+class WarmUpQueue:
+    """The turns of the endpoints of one group that warm up, by the group's progress."""
+
+    __slots__ = ("progress", "_turns", "_response_rate", "_peak_rate", "_mark", "_mark_us")
+
+    def __init__(self, now_us: int) -> None:
+        self.progress = 0.0  # responses so far, and a tenth of the requests admitted
+        self._turns: list[tuple[float, int]] = []  # (progress, endpoint id); a heap, with stale entries
+        self._response_rate = EventRate(now_us)
+        self._peak_rate = 0.0  # responses a second at best; it decays
+        self._mark = 0.0  # the progress at the end of the last interval of a shortage
+        self._mark_us = now_us
+
+    def __len__(self) -> int:
+        return len(self._turns)
+
+    def schedule(self, progress: float, endpoint_id: int) -> None:
+        """Give an endpoint a turn once the group has come so far."""
+        heapq.heappush(self._turns, (progress, endpoint_id))
+
+    def drop_stale(self, current: Iterable[tuple[float, int]], count: int) -> None:
+        """Keep the current turns alone if too many entries are stale; `count` endpoints warm up.
+
+        With endpoints that restart and next to no traffic, stale entries would accumulate.
+        """
+        if len(self._turns) > 2 * count + STALE_ENTRIES:
+            self._turns = sorted(current)
+
+    def pop_due(self) -> int | None:
+        """Remove and return the next endpoint id whose turn has come; None if there is none."""
+        if not self._turns or self._turns[0][0] > self.progress:
+            return None
+        return heapq.heappop(self._turns)[1]
+
+    def record_response(self, now_us: int) -> None:
+        """Count a request that was served."""
+        self.progress += 1.0
+        self._response_rate.record(now_us)
+        self._peak_rate = max(self._peak_rate * PEAK_DECAY, self._response_rate.per_second)
+
+    def record_rejection(self, now_us: int) -> None:
+        """Let the progress go on at its peak rate while requests are rejected without any attempt.
+
+        Warm endpoints that choke serve less, and those that warm up beside them would have fewer turns the
+        more they are needed. However much is asked, the progress is never faster than what was served.
+        """
+        gap_us = now_us - self._mark_us
+        if gap_us < SHORTAGE_INTERVAL_US:
+            return
+        if gap_us < 2 * SHORTAGE_INTERVAL_US:
+            self.progress = max(self.progress, self._mark + self._peak_rate * gap_us / 1e6)
+        self._mark = self.progress
+        self._mark_us = now_us
--- a/plovertrail/decisions/warm_state.py
+++ b/plovertrail/decisions/warm_state.py
@@ -10,8 +10,9 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field, replace
 
-from plovertrail.decisions.balance import MUTE, LoadBalancer
+from plovertrail.decisions.load_balancing.balancer import LoadBalancer
 from plovertrail.decisions.load_balancing.endpoint_state import EndpointState
+from plovertrail.decisions.load_balancing.response_tracking import EXCLUDE_AFTER
 
 HALF_LIFE_US = 30_000_000  # an outage's judgements should not outlive it by more than a minute or two
 OLDEST_US = 600_000_000  # less than a millionth would be left of anything older
@@ -55,7 +56,7 @@
 def judgement(balancer: LoadBalancer, server: EndpointState) -> EndpointHistory | None:
     """What is worth remembering of a server; None: nothing. Hazard: a cold one is judged by little work, and
     beside what it will do once it is warm."""
-    if balancer.warmth(server) < 1.0:
+    if balancer.table.warm_up_fraction(server, balancer.now_us) < 1.0:
         return None
     found = EndpointHistory(
         round(server.concurrency_limit, 2),
@@ -72,7 +73,7 @@
     """The usual time of each class, in us."""
     return {
         kind.name: round(mean_us)
-        for kind, mean_us in zip(balancer.settings.classes, balancer.mean_us, strict=True)
+        for kind, mean_us in zip(balancer.settings.classes, balancer.latencies.mean_us, strict=True)
     }
 
 
@@ -90,7 +91,7 @@
         distrust=old.distrust * left,
         silence=tuple(part * left for part in old.silence),
         # hazard: one that was muted would be for good, as nothing is sent there that could end it
-        mute=tuple(min(MUTE - 1, int(count * left)) for count in old.mute),
+        mute=tuple(min(EXCLUDE_AFTER - 1, int(count * left)) for count in old.mute),
     )
 
 
@@ -109,11 +110,7 @@
         )
     if new.distrust:
         server.failure_penalty = new.distrust
-        balancer.keep_distrust(server, balancer.now_us)
-    if new.window < 1.0:
-        # hazard: after a restart of all instances each would try a bad one at once
-        balancer.rest(server, sum(balancer.mean_us) / classes)
-    balancer.weigh(server)
+    balancer.apply_restored_state(server)
     return True
 
 
@@ -124,9 +121,9 @@
         return
     left = math.exp2(-age_us / HALF_LIFE_US)
     for index, kind in enumerate(balancer.settings.classes):
-        guess_us = balancer.mean_us[index]
+        guess_us = balancer.latencies.mean_us[index]
         known_us = memory.means_us.get(kind.name, guess_us)
-        balancer.mean_us[index] = max(
+        balancer.latencies.mean_us[index] = max(
             1.0, guess_us + (min(known_us, kind.latency_objective_us) - guess_us) * left
         )
 
--- a/plovertrail/dispatch/dispatcher.py
+++ b/plovertrail/dispatch/dispatcher.py
@@ -29,7 +29,6 @@
     SetTimer,
     Subscribe,
 )
-from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import (
     AttemptEnded,
     Endpoint,
@@ -44,6 +43,7 @@
     TimerFired,
 )
 from plovertrail.decisions.failover import Standing, attempts_left, next_pool
+from plovertrail.decisions.load_balancing.balancer import LoadBalancer
 from plovertrail.decisions.load_balancing.retry_budget import RetryBudget
 from plovertrail.decisions.settings import Settings
 from plovertrail.dispatch.types import (
@@ -605,7 +605,7 @@
         from plovertrail.decisions.fair_queue import FairQueueRequest
 
         call, now_us = request.call, clock_us()
-        room = not self.events and pool.balancer.has_room(now_us) and pool.lets_in()
+        room = not self.events and pool.balancer.has_capacity(now_us) and pool.lets_in()
         actions = door.arrived(
             FairQueueRequest(
                 request.ident,
@@ -644,7 +644,12 @@
         """The next one is let through where there is room, one at a time, as each takes a slot."""
         for pool in self.pools:
             door = pool.door
-            if door is not None and door.waiting and pool.balancer.has_room(clock_us()) and pool.lets_in():
+            if (
+                door is not None
+                and door.waiting
+                and pool.balancer.has_capacity(clock_us())
+                and pool.lets_in()
+            ):
                 admitted = door.next(clock_us())
                 if admitted is not None:
                     self._let_through(pool, admitted.request_id)
@@ -655,7 +660,7 @@
         expiry_us = door.next_expiration_us()
         if expiry_us is None:
             return
-        at_us = max(min(expiry_us, pool.balancer.next_rested_us()), clock_us() + LEAST_PAUSE_US)
+        at_us = max(min(expiry_us, pool.balancer.next_slot_opening_us()), clock_us() + LEAST_PAUSE_US)
         if pool.door_timer is not None:
             if pool.door_due_us <= at_us:
                 return
--- a/plovertrail/health_reporter.py
+++ b/plovertrail/health_reporter.py
@@ -90,7 +90,7 @@
         enabled = self.exchange.outlier_detector is not None
         self.host.attempt_over = self.attempt_ended if enabled else None
         for pool in self._registry_of:
-            pool.balancer.silent = partial(self.no_response, pool) if enabled else _ignore
+            pool.balancer.report_no_response_to(partial(self.no_response, pool) if enabled else None)
         if enabled:
             runner.add(EVALUATION, self.evaluate, EVALUATION.every_us)
             self.exchange.report_urgently(self.evaluate_soon)
@@ -216,7 +216,3 @@
             },
             "everywhere": round(health.baseline_failure_rate, 3),
         }
-
-
-def _ignore(_server: EndpointState, _class_index: int) -> None:
-    """Take the load balancer's reports where no evidence is exchanged."""
--- a/plovertrail/simulation/instances.py
+++ b/plovertrail/simulation/instances.py
@@ -9,7 +9,6 @@
 
 from plovertrail.decisions import connect_rate, fleet_limits, subsetting, warm_state
 from plovertrail.decisions.actions import Fail, Reject, Send, SetTimer
-from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import (
     AttemptEnded,
     Endpoint,
@@ -21,6 +20,7 @@
     RequestArrived,
     TimerFired,
 )
+from plovertrail.decisions.load_balancing.balancer import LoadBalancer
 from plovertrail.decisions.pacing import InstanceRank
 from plovertrail.decisions.settings import Settings
 from plovertrail.decisions.startup_admission import StartupAdmission
@@ -98,9 +98,11 @@
         self.admission = StartupAdmission(self.fleet.size, now_us, self.rng.random) if around.admits else None
         if with_state:
             age_us = now_us - self.kept_us
-            self.balancer.recall = lambda server: (
-                server.listed.id in self.memory
-                and warm_state.recall_server(self.balancer, server, self.memory[server.listed.id], age_us)
+            self.balancer.restore_endpoints_with(
+                lambda server: (
+                    server.listed.id in self.memory
+                    and warm_state.recall_server(self.balancer, server, self.memory[server.listed.id], age_us)
+                )
             )
         entries = [Endpoint(one.number, started_us=one.started_us) for one in around.servers.values()]
         self.listed(ListKind.CACHED, entries)
--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -20,12 +20,12 @@
 from plovertrail.config.platform import parse_address
 from plovertrail.decisions.endpoint_list import UNGUARDED, Candidate, Change, Entry, Kind, State, reduce
 from plovertrail.decisions.events import Endpoint, EndpointStatus, EndpointsUpdated, ListKind
-from plovertrail.decisions.list_calls import SILENT_US, UNANSWERED_US
+from plovertrail.decisions.load_balancing.poll_schedule import POLL_TIMEOUT_US, WATCH_TIMEOUT_US
 
 log = logging.getLogger(__name__)
 
-UNANSWERED_S = UNANSWERED_US / 1e6
-SILENCE_S = SILENT_US / 1e6
+UNANSWERED_S = POLL_TIMEOUT_US / 1e6
+SILENCE_S = WATCH_TIMEOUT_US / 1e6
 REOPEN_S = 0.1  # a call to an agent on this machine costs nothing, and what it has counts as told, at once
 LONGEST_LINE = 4 * 1024 * 1024  # about 25,000 servers
 SHORT_LINE = 64 * 1024  # hazard: a longer one, or a change among more servers, holds up the loop for too
--- a/plovertrail/store/warm_state.py
+++ b/plovertrail/store/warm_state.py
@@ -113,7 +113,7 @@
                 age_us = pool.balancer.now_us - memory.at_us
                 self.taken["servers"] += recall_server(pool.balancer, server, judged, age_us)
 
-        pool.balancer.recall = recall
+        pool.balancer.restore_endpoints_with(recall)
 
     def recall_limiter(self, name: str, limiter: Limiter) -> None:
         """Give a new limiter the levels that were stored under its name. A store is recalled once."""
--- a/simulator/adapter.py
+++ b/simulator/adapter.py
@@ -5,8 +5,8 @@
 import sys
 from typing import BinaryIO
 
-from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import RequestArrived
+from plovertrail.decisions.load_balancing.balancer import LoadBalancer
 from simulator import wire
 
 
--- a/tests/decisions/test_affinity.py
+++ b/tests/decisions/test_affinity.py
@@ -9,7 +9,6 @@
 
 from plovertrail.decisions.actions import Send
 from plovertrail.decisions.affinity import Affinity, AffinitySource, Ring
-from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import (
     AttemptEnded,
     Endpoint,
@@ -20,6 +19,7 @@
     Outcome,
     RequestArrived,
 )
+from plovertrail.decisions.load_balancing.balancer import LoadBalancer
 from plovertrail.decisions.load_balancing.outcomes import NEVER_RAN
 from plovertrail.decisions.settings import RequestClass, Settings
 
--- a/tests/decisions/test_calm.py
+++ b/tests/decisions/test_calm.py
@@ -5,7 +5,6 @@
 import pytest
 
 from plovertrail.decisions.actions import Fail
-from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import (
     AttemptEnded,
     EndpointsUpdated,
@@ -18,6 +17,7 @@
     TimerFired,
 )
 from plovertrail.decisions.events import ListKind as Kind
+from plovertrail.decisions.load_balancing.balancer import LoadBalancer
 from plovertrail.decisions.settings import RequestClass, Tenant
 from tests.decisions.world import START_US, World, settings, upstreams
 
--- a/tests/decisions/test_failover.py
+++ b/tests/decisions/test_failover.py
@@ -5,7 +5,6 @@
 import pytest
 
 from plovertrail.decisions.actions import Send
-from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import (
     AttemptEnded,
     Endpoint,
@@ -15,6 +14,7 @@
     RequestArrived,
 )
 from plovertrail.decisions.failover import Standing, attempts_left, next_pool
+from plovertrail.decisions.load_balancing.balancer import LoadBalancer
 from plovertrail.decisions.load_balancing.outcomes import NEVER_RAN
 from plovertrail.decisions.load_balancing.retry_budget import MAX_RETRY_BALANCE, RetryBudget
 from plovertrail.decisions.settings import RequestClass, Settings
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -9,7 +9,6 @@
 from hypothesis import strategies as st
 
 from plovertrail.decisions.actions import Send
-from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import (
     AttemptEnded,
     Endpoint,
@@ -20,6 +19,7 @@
     RequestArrived,
     TimerFired,
 )
+from plovertrail.decisions.load_balancing.balancer import LoadBalancer
 from plovertrail.decisions.settings import RequestClass
 from tests.decisions.world import START_US, World, classes, settings, upstreams
 
--- a/tests/decisions/world.py
+++ b/tests/decisions/world.py
@@ -22,7 +22,6 @@
     SetTimer,
     Subscribe,
 )
-from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import (
     AttemptEnded,
     Endpoint,
@@ -36,6 +35,7 @@
     StreamStarted,
     TimerFired,
 )
+from plovertrail.decisions.load_balancing.balancer import LoadBalancer
 from plovertrail.decisions.settings import Settings
 
 NEVER_RAN = {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -21,7 +21,6 @@
     SetTimer,
     Subscribe,
 )
-from plovertrail.decisions.balance import LoadBalancer
 from plovertrail.decisions.events import (
     AttemptEnded,
     Endpoint,
@@ -35,6 +34,7 @@
     StreamStarted,
     TimerFired,
 )
+from plovertrail.decisions.load_balancing.balancer import LoadBalancer
 from simulator import adapter, wire
 from tests.simulator.options import OPTIONS
 
--- a/tests/store/test_warm_state.py
+++ b/tests/store/test_warm_state.py
@@ -13,7 +13,7 @@
 from plovertrail.clock import clock_us
 from plovertrail.config.operator import load
 from plovertrail.daemon.process import Daemon
-from plovertrail.decisions.balance import LoadBalancer
+from plovertrail.decisions.load_balancing.balancer import LoadBalancer
 from plovertrail.decisions.warm_state import EndpointHistory, sweep
 from plovertrail.store import warm_state
 from tests.daemons import Running, message, run, site
