--- a/benchmarks/limits_cost.py
+++ b/benchmarks/rate_limits_cost.py
@@ -1,4 +1,4 @@
-"""Limits by key, alone: `python -m benchmarks.limits_cost`.
+"""Limits by key, alone: `python -m benchmarks.rate_limits_cost`.
 
 Time a request under none, one and five limiters, and over a limit; bytes that a full table holds; state after
 a fifth of so many made-up names and after all of them. Bars: the state flat; no more keys than the table has;
@@ -16,20 +16,27 @@
 import tracemalloc
 
 from benchmarks.report import Bar, close, table
-from plovertrail.decisions.limits import Allowance, KeyedBy, Limiter, LimiterSettings, OverLimit, admit
+from plovertrail.decisions.rate_limits import (
+    Allowance,
+    KeyedBy,
+    LimitExceeded,
+    RateLimiter,
+    RateLimiterSettings,
+    admit,
+)
 
 ROUNDS = 7
 HONEST = 1000  # clients that ask once a second, at half their rate
 SETTLED = 0.2
 
 
-def limiter(rate: float, by: KeyedBy = KeyedBy.CLIENT, keys: int = 4096) -> Limiter:
+def limiter(rate: float, by: KeyedBy = KeyedBy.CLIENT, keys: int = 4096) -> RateLimiter:
     """A limiter with `rate` requests a second, and a burst of one second."""
-    settings = LimiterSettings("it", by, Allowance(rate, max(1, int(rate)), 1000), most_keys=keys)
-    return Limiter(settings, random.Random(1).random)
+    settings = RateLimiterSettings("it", by, Allowance(rate, max(1, int(rate)), 1000), max_keys=keys)
+    return RateLimiter(settings, random.Random(1).random)
 
 
-def cost_us(limiters: list[Limiter], requests: int) -> float:
+def cost_us(limiters: list[RateLimiter], requests: int) -> float:
     """CPU of one request, its permits given back: the median of the rounds."""
     found = []
     clients = [f"192.0.2.{number}" for number in range(250)]
@@ -39,7 +46,7 @@
         for number in range(requests):
             now_us = next(clock)
             permits = admit(limiters, "", clients[number % 250], now_us)
-            if not isinstance(permits, OverLimit):
+            if not isinstance(permits, LimitExceeded):
                 for permit in permits:
                     permit.limiter.ended(permit, now_us)
         found.append((time.process_time() - began) / requests * 1e6)
@@ -55,7 +62,7 @@
         admit([limit], "", f"client{number}", 0)
     held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    assert len(limit.entries) == keys
+    assert len(limit.keys) == keys
     return held / keys
 
 
@@ -68,12 +75,12 @@
     for number in range(names):
         now_us = number * 1_000_000 // flood_per_s
         admitted = admit([limit], "", f"made up {number}", now_us)
-        if not isinstance(admitted, OverLimit):
+        if not isinstance(admitted, LimitExceeded):
             limit.ended(admitted[0], now_us)
         if number % (flood_per_s // HONEST) == 0:
             found = admit([limit], "", f"honest {honest % HONEST}", now_us)
             honest += 1
-            if isinstance(found, OverLimit):
+            if isinstance(found, LimitExceeded):
                 refused += 1
             else:
                 limit.ended(found[0], now_us)
@@ -81,7 +88,7 @@
             first = tracemalloc.get_traced_memory()[0]
     last = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return first, last, len(limit.entries), refused / max(1, honest)
+    return first, last, len(limit.keys), refused / max(1, honest)
 
 
 def main() -> int:
@@ -111,7 +118,7 @@
     bars.append(Bar("honest refused, percent, 5000 names/s", 100 * floods[5_000][3], 0))
     bars += [Bar(f"keys, {rate} names/s", found[2], 4096) for rate, found in floods.items()]
     refused = {str(rate): found[3] for rate, found in floods.items()}
-    return close("limits_cost", {"us": costs, "bytes_a_key": each, "honest_refused": refused}, bars)
+    return close("rate_limits_cost", {"us": costs, "bytes_a_key": each, "honest_refused": refused}, bars)
 
 
 if __name__ == "__main__":
--- a/benchmarks/shared_counts.py
+++ b/benchmarks/shared_counts.py
@@ -29,7 +29,14 @@
 from plovertrail.config.peers import PeersSetup
 from plovertrail.decisions.counts import Window, key_of
 from plovertrail.decisions.counts_bound import Talk, bound
-from plovertrail.decisions.limits import Allowance, KeyedBy, Limiter, LimiterSettings, Permit, admit
+from plovertrail.decisions.rate_limits import (
+    Allowance,
+    KeyedBy,
+    Permit,
+    RateLimiter,
+    RateLimiterSettings,
+    admit,
+)
 from plovertrail.peers.talk import PeerTalk, bind
 
 TALK = Talk(size=20, period_s=0.1, fan_out=8, window_s=10.0, bucket_s=0.5, loss=0.3, delay_s=0.2)
@@ -248,8 +255,8 @@
         for number, gossip in enumerate(self.model.gossips):
             rate = LIMIT_PER_S / TALK.size if way == "share" else LIMIT_PER_S
             allowance = Allowance(rate, max(1, int(rate)))
-            made = Limiter(
-                LimiterSettings("it", KeyedBy.ALL, allowance, fleet_wide=way == "counts"),
+            made = RateLimiter(
+                RateLimiterSettings("it", KeyedBy.ALL, allowance, fleet_wide=way == "counts"),
                 random.Random(number).random,
             )
             made.counts = gossip.counts if way == "counts" else None
--- a/fakes/fair_queue_model.py
+++ b/fakes/fair_queue_model.py
@@ -50,8 +50,10 @@
 
 
 class FairQueueModel:
-    """One fair queue in front of `slots` slots; without `fair` slots go by arrival, as in a pool without a
-    queue."""
+    """One fair queue in front of `slots` slots.
+
+    Without `fair`, slots go by arrival, as in a pool without a queue.
+    """
 
     def __init__(
         self, settings: FairQueueSettings, slots: int, loads: list[Load], seed: int, fair: bool = True
--- a/plovertrail/config/limiters.py
+++ b/plovertrail/config/limiters.py
@@ -10,7 +10,7 @@
 
 from plovertrail.config.problems import Problem, did_you_mean
 from plovertrail.config.tables import duration_us, key_path, read_table
-from plovertrail.decisions.limits import Allowance, KeyedBy, LimiterSettings
+from plovertrail.decisions.rate_limits import Allowance, KeyedBy, RateLimiterSettings
 
 MOST_LIMITERS = 32
 MOST_A_ROUTE = 8
@@ -45,7 +45,7 @@
 
 def read_limiters(
     raw: Mapping[str, object], tenants: Iterable[str], talks: bool, problems: list[Problem]
-) -> dict[str, LimiterSettings]:
+) -> dict[str, RateLimiterSettings]:
     """All limiters of a file; `tenants` are those that it lists, `talks` whether instances count together."""
     listed = frozenset(tenants)
     if len(raw) > MOST_LIMITERS:
@@ -61,7 +61,7 @@
 
 def _limiter(
     name: str, raw: object, listed: frozenset[str], talks: bool, problems: list[Problem]
-) -> LimiterSettings | None:
+) -> RateLimiterSettings | None:
     place = key_path("limiters", name)
     known = len(problems)
     table = read_table(LimiterTable, raw, place, problems)
@@ -112,7 +112,7 @@
     retry_us = duration_us(table.retry_after, f"{place}.retry_after", problems)
     if len(problems) > known:
         return None
-    return LimiterSettings(
+    return RateLimiterSettings(
         name,
         keyed_by,
         allowance,
--- a/plovertrail/daemon/status.py
+++ b/plovertrail/daemon/status.py
@@ -6,7 +6,7 @@
 
 from plovertrail.daemon.running_pool import RunningPool
 from plovertrail.decisions.fair_queue import FairQueue
-from plovertrail.decisions.limits import Limiter
+from plovertrail.decisions.rate_limits import RateLimiter
 from plovertrail.decisions.startup_admission import StartupAdmission
 
 
@@ -71,12 +71,12 @@
     }
 
 
-def limiter_status(limiter: Limiter) -> dict[str, int]:
+def limiter_status(limiter: RateLimiter) -> dict[str, int]:
     """What a limit has done since it was made, and its keys."""
     return {
-        "let_in": limiter.let_in,
-        "over_rate": limiter.over_rate,
-        "over_concurrent": limiter.over_at_once,
-        "keys": len(limiter.entries),
-        "without_place": limiter.without_place,
+        "let_in": limiter.admitted,
+        "over_rate": limiter.rejected_by_rate,
+        "over_concurrent": limiter.rejected_by_concurrency,
+        "keys": len(limiter.keys),
+        "without_place": limiter.counted_as_shared,
     }
--- a/plovertrail/dispatch/dispatcher.py
+++ b/plovertrail/dispatch/dispatcher.py
@@ -60,7 +60,7 @@
     from plovertrail.decisions.affinity import Affinity, Ring
     from plovertrail.decisions.counts import TenantUse
     from plovertrail.decisions.fair_queue import FairQueue, FairQueueAction, FairQueueSettings
-    from plovertrail.decisions.limits import Limiter, Permit
+    from plovertrail.decisions.rate_limits import Permit, RateLimiter
     from plovertrail.decisions.startup_admission import StartupAdmission
     from plovertrail.decisions.subsetting import EndpointSubset
 
@@ -308,7 +308,7 @@
         call: ProxyRequest,
         reply: Callable[[ProxyResponse], None],
         pools: Sequence[ServerPool],
-        limiters: Sequence[Limiter] = (),
+        limiters: Sequence[RateLimiter] = (),
     ) -> int:
         """A request has been taken; `reply` is called once with its answer unless the client goes first."""
         self.last_ident += 1
@@ -320,10 +320,10 @@
         if self.tenant_use is not None:
             self.tenant_use.came(call.tenant, clock_us())
         if limiters:
-            from plovertrail.decisions.limits import OverLimit, admit
+            from plovertrail.decisions.rate_limits import LimitExceeded, admit
 
             found = admit(limiters, call.tenant_name, call.client, clock_us())
-            if isinstance(found, OverLimit):
+            if isinstance(found, LimitExceeded):
                 self._answer(
                     request.ident, ProxyResponse(ResponseKind.REJECTED, found.retry_after_us, over=found)
                 )
--- a/plovertrail/dispatch/types.py
+++ b/plovertrail/dispatch/types.py
@@ -11,7 +11,7 @@
 from plovertrail.decisions.events import Outcome
 
 if TYPE_CHECKING:
-    from plovertrail.decisions.limits import OverLimit
+    from plovertrail.decisions.rate_limits import LimitExceeded
 
 
 class WebSocketHandshake(Protocol):
@@ -85,7 +85,7 @@
     verdict: ResponseKind
     retry_after_us: int = 0
     result: TransportResult | None = None  # of the last attempt, if there was one
-    over: OverLimit | None = None  # the limit that refused it
+    over: LimitExceeded | None = None  # the limit that refused it
 
 
 @dataclass(slots=True)
--- a/plovertrail/generation.py
+++ b/plovertrail/generation.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from plovertrail.config.setup import ListenerSetup, Setup, WebSocketSetup
-from plovertrail.decisions.limits import Limiter
+from plovertrail.decisions.rate_limits import RateLimiter
 from plovertrail.decisions.routes import Route
 from plovertrail.decisions.settings import RequestClass
 from plovertrail.decisions.templates import Template
@@ -34,7 +34,7 @@
     filled_headers: tuple[tuple[bytes, Template], ...]
     filled_host: Template | None  # in place of set_host
     websocket: WebSocketSetup | None = None
-    limiters: tuple[Limiter, ...] = ()
+    limiters: tuple[RateLimiter, ...] = ()
     chain: Chain | None = None  # its hooks
     chosen: Mapping[str, Plan] = field(default_factory=dict)  # as its hooks may have it, by class
 
@@ -69,7 +69,7 @@
     setup: Setup,
     pools: Mapping[str, ServerPool],
     hooks: Mapping[str, Hook],
-    limiters: Mapping[str, Limiter],
+    limiters: Mapping[str, RateLimiter],
 ) -> Generation:
     """Lay out a setup for requests; `pools`, `hooks` and `limiters` have one for each of its own."""
     plans = {}
--- a/plovertrail/listeners/ordinary.py
+++ b/plovertrail/listeners/ordinary.py
@@ -11,7 +11,7 @@
 from plovertrail.clock import clock_us
 from plovertrail.config.setup import ListenerSetup
 from plovertrail.decisions.events import Outcome
-from plovertrail.decisions.limits import OverLimit, limit_header, policy_header
+from plovertrail.decisions.rate_limits import LimitExceeded, limit_header, policy_header
 from plovertrail.decisions.requests import (
     IDENT,
     RequestRejectedError,
@@ -57,11 +57,11 @@
     return [(b"Retry-After", b"%d" % -(-after_us // 1_000_000))] if after_us else []
 
 
-def over_limit(over: OverLimit) -> Headers:
+def over_limit(over: LimitExceeded) -> Headers:
     """When to come back, and which limit it was, where its operator tells that."""
     named = (
         [(b"RateLimit-Policy", policy_header(over).encode()), (b"RateLimit", limit_header(over).encode())]
-        if over.limiter.told
+        if over.limiter.send_headers
         else []
     )
     return retry_after(over.retry_after_us) + named
--- a/plovertrail/scenario_tests/peers.py
+++ b/plovertrail/scenario_tests/peers.py
@@ -35,7 +35,7 @@
         if not others.limiter:
             return key_of("tenant", others.tenant)
         limiter = self.daemon.limiters.get(others.limiter)
-        return limiter.shared_key(others.tenant, others.client) if limiter is not None else None
+        return limiter.fleet_key(others.tenant, others.client) if limiter is not None else None
 
     def speak(self) -> None:
         """Count the requests that are due by now and tell the daemon the sum, as a peer does once a round."""
--- a/plovertrail/store/records.py
+++ b/plovertrail/store/records.py
@@ -20,7 +20,7 @@
     State,
     reduce,
 )
-from plovertrail.decisions.limits import Remembered
+from plovertrail.decisions.rate_limits import RateLimiterState
 from plovertrail.decisions.warm_state import EndpointHistory, PoolHistory
 
 Key = tuple[str, ...]
@@ -40,7 +40,7 @@
 
     states: Mapping[str, State] = field(default_factory=dict)
     memories: Mapping[str, PoolHistory] = field(default_factory=dict)  # by pool
-    limits: Mapping[str, Remembered] = field(default_factory=dict)  # by limiter
+    limits: Mapping[str, RateLimiterState] = field(default_factory=dict)  # by limiter
     counts: Former | None = None
 
 
@@ -201,7 +201,7 @@
             ]
     for name, limit in kept.limits.items():
         found[LIMIT, name] = [limit.salt.hex()]
-        for number, free_us in limit.free_us.items():
+        for number, free_us in limit.theoretical_arrivals_us.items():
             found[BUCKET, name, f"{number:x}"] = int(free_us) + ahead
     if kept.counts is not None:
         former = kept.counts
@@ -254,5 +254,8 @@
         name: PoolHistory(at[name], judged.get(name, {}), means[name]) for name in means if name in at
     }
     return Kept(
-        {}, memories, {name: Remembered(salt, buckets.get(name, {})) for name, salt in salts.items()}, former
+        {},
+        memories,
+        {name: RateLimiterState(salt, buckets.get(name, {})) for name, salt in salts.items()},
+        former,
     )
--- a/plovertrail/store/warm_state.py
+++ b/plovertrail/store/warm_state.py
@@ -12,8 +12,8 @@
 from plovertrail.decisions.background import BackgroundTask, Priority
 from plovertrail.decisions.counts import Counts, Former
 from plovertrail.decisions.endpoint_list import State
-from plovertrail.decisions.limits import Limiter, Remembered
 from plovertrail.decisions.load_balancing.endpoint_state import EndpointState
+from plovertrail.decisions.rate_limits import RateLimiter, RateLimiterState
 from plovertrail.decisions.warm_state import (
     EndpointHistory,
     PoolHistory,
@@ -67,7 +67,7 @@
         self,
         keeper: StoreService,
         pools: Pools,
-        limiters: Callable[[], Mapping[str, Limiter]],
+        limiters: Callable[[], Mapping[str, RateLimiter]],
         counts: Callable[[], Counts | None],
     ) -> None:
         self.keeper = keeper
@@ -115,12 +115,12 @@
 
         pool.balancer.restore_endpoints_with(recall)
 
-    def recall_limiter(self, name: str, limiter: Limiter) -> None:
+    def recall_limiter(self, name: str, limiter: RateLimiter) -> None:
         """Give a new limiter the levels that were stored under its name. A store is recalled once."""
         old = self.limits.pop(name, None)
         if old is not None:
-            limiter.recall(old, clock_us())
-            self.taken["limits"] += len(limiter.entries)
+            limiter.restore(old, clock_us())
+            self.taken["limits"] += len(limiter.keys)
 
     def recall_counts(self, counts: Counts) -> None:
         """Give new counts those that were stored, if they are of the same window."""
@@ -139,14 +139,14 @@
     def run(self) -> Iterator[None]:
         """One run over all there is; a yield after each slice."""
         yield from self._gather_pools()
-        limits: dict[str, Remembered] = {}
+        limits: dict[str, RateLimiterState] = {}
         for name, limiter in list(self.limiters().items()):
             free_us: dict[int, float] = {}
-            keys = iter(list(limiter.entries))
+            keys = iter(list(limiter.keys))
             while some := list(islice(keys, SLICE)):
-                free_us |= limiter.owing(some, clock_us())
+                free_us |= limiter.pending_arrivals(some, clock_us())
                 yield
-            limits[name] = Remembered(limiter.salt, free_us)
+            limits[name] = RateLimiterState(limiter.salt, free_us)
         counts, former = self.counts(), None
         if counts is not None:
             rows: dict[int, tuple[int, tuple[int, ...]]] = {}
--- a/tests/nginx/test_import.py
+++ b/tests/nginx/test_import.py
@@ -281,10 +281,10 @@
     names = setup.limited[route.name]
     made = [setup.limiters[name] for name in names]
     assert [
-        (each.keyed_by.value, each.allowance.rate_per_s, each.allowance.burst, each.allowance.at_once)
+        (each.keyed_by.value, each.allowance.rate_per_s, each.allowance.burst, each.allowance.concurrent)
         for each in made
     ] == [("client", 0.5, 6, 0), ("tenant", 5.0, 1, 0), ("all", 0.0, 1, 10)]
-    assert route.tenant_header == b"x-user" and made[1].unlisted_each
+    assert route.tenant_header == b"x-user" and made[1].unlisted_have_keys
 
 
 def test_websockets_need_the_upgrade_header(tmp_path: Path) -> None:
--- a/tests/peers/test_talk.py
+++ b/tests/peers/test_talk.py
@@ -126,7 +126,7 @@
             assert statuses == [200] * let_in + [429] * (6 - let_in)
             counts = it.daemon.peers.talk.counts if it.daemon.peers.talk is not None else None
             assert counts is not None and heard(it) == 0
-            key = it.daemon.limiters["it"].shared_key("acme", "")
+            key = it.daemon.limiters["it"].fleet_key("acme", "")
             part, _ = counts.parts_of(key, 6, counts.start_us)
             assert part == pytest.approx(1 / 3 if alone == "share" else 1.0)
 
--- a/tests/store/test_files.py
+++ b/tests/store/test_files.py
@@ -18,7 +18,7 @@
 
 from plovertrail.decisions.counts import Former
 from plovertrail.decisions.endpoint_list import Candidate, Entry, Guards, State, drained_by_hand, reduce
-from plovertrail.decisions.limits import Remembered
+from plovertrail.decisions.rate_limits import RateLimiterState
 from plovertrail.decisions.warm_state import EndpointHistory, PoolHistory
 from plovertrail.store.files import OTHERS, Clocks, Disk, Files, Found, replace_file
 from plovertrail.store.records import Kept, Record, list_changes, other_records
@@ -40,7 +40,7 @@
 OTHER = Kept(
     {},
     {"main": PoolHistory(6 * S, {("s1", "127.0.0.1:9001"): BAD}, {"read": 9000.0})},
-    {"each": Remembered(b"salt", {7: 9.0 * S})},
+    {"each": RateLimiterState(b"salt", {7: 9.0 * S})},
     COUNTED,
 )
 
@@ -78,7 +78,7 @@
     assert joined.members["new"].number not in {member.number for member, _ in back.leaving.values()}
     moved = 6 * S - (1 * S - 10 * S)
     assert found.kept.memories["main"] == replace(OTHER.memories["main"], at_us=6 * S - moved)
-    assert found.kept.limits["each"] == Remembered(b"salt", {7: 9.0 * S - moved})
+    assert found.kept.limits["each"] == RateLimiterState(b"salt", {7: 9.0 * S - moved})
     assert found.kept.counts == replace(COUNTED, start_us=1 * S - moved)
 
 
@@ -87,7 +87,10 @@
     snapshot(Files(str(tmp_path / "state"), "n1"), {"main": state_of(2)})
     found = found_in(tmp_path, Clocks(8 * S, 50 * DAY + 2 * S + stepped, "a"))
     assert {member.came_us for member in found.kept.states["main"].members.values()} == {5 * S}
-    assert found.kept.limits["each"].free_us == {7: 9.0 * S} and found.kept.memories["main"].at_us == 6 * S
+    assert (
+        found.kept.limits["each"].theoretical_arrivals_us == {7: 9.0 * S}
+        and found.kept.memories["main"].at_us == 6 * S
+    )
 
 
 @pytest.mark.parametrize(("stepped", "came_us"), [(-DAY, 9 * S), (0, 6 * S), (DAY, 6 * S - DAY)])
--- a/tests/store/test_stored_data.py
+++ b/tests/store/test_stored_data.py
@@ -17,8 +17,15 @@
 from plovertrail.decisions.counts import Counts, Window, key_of
 from plovertrail.decisions.endpoint_list import State
 from plovertrail.decisions.events import Endpoint, EndpointsUpdated, ListKind
-from plovertrail.decisions.limits import Allowance, KeyedBy, Limiter, LimiterSettings, OverLimit, admit
 from plovertrail.decisions.load_balancing.balancer import LoadBalancer
+from plovertrail.decisions.rate_limits import (
+    Allowance,
+    KeyedBy,
+    LimitExceeded,
+    RateLimiter,
+    RateLimiterSettings,
+    admit,
+)
 from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.decisions.warm_state import PoolHistory, recall_means, recall_server, sweep
 from plovertrail.store.files import Clocks, Files, Found
@@ -31,14 +38,14 @@
 TENANTS = ("ann", "bob", "carol", "dora")
 WINDOW = Window(60 * S, 6)
 LIMITERS = (
-    LimiterSettings(
+    RateLimiterSettings(
         "by-client", KeyedBy.CLIENT, Allowance(rate_per_s=0.1, burst=3), max_retry_after_us=60 * S
     ),
-    LimiterSettings(
+    RateLimiterSettings(
         "each",
         KeyedBy.TENANT,
         Allowance(rate_per_s=0.5, burst=8),
-        unlisted_each=True,
+        unlisted_have_keys=True,
         max_retry_after_us=60 * S,
     ),
 )
@@ -101,7 +108,7 @@
         "limits": {
             name: {
                 "salt": limit.salt.hex(),
-                "free_us": {f"{key:x}": free_us for key, free_us in limit.free_us.items()},
+                "free_us": {f"{key:x}": free_us for key, free_us in limit.theoretical_arrivals_us.items()},
             }
             for name, limit in kept.limits.items()
         },
@@ -136,12 +143,12 @@
     return balancer, called
 
 
-def admitted_by(limiter: Limiter, now_us: int) -> dict[str, Any]:
+def admitted_by(limiter: RateLimiter, now_us: int) -> dict[str, Any]:
     """How many of a tenant's ten requests are admitted, and the first Retry-After of the others."""
     found = {}
     for tenant in TENANTS:
         results = [admit([limiter], tenant, f"10.9.0.{len(tenant)}", now_us) for _ in range(10)]
-        over = [result.retry_after_us for result in results if isinstance(result, OverLimit)]
+        over = [result.retry_after_us for result in results if isinstance(result, LimitExceeded)]
         found[tenant] = {"admitted": 10 - len(over), "retry_after_us": over[:1]}
     return found
 
@@ -186,11 +193,11 @@
 @pytest.mark.parametrize("settings", LIMITERS, ids=lambda settings: settings.name)
 @pytest.mark.parametrize("case", WITH_HISTORIES)
 def test_limits_go_on_from_what_an_earlier_version_admitted(
-    tmp_path: Path, case: str, settings: LimiterSettings
+    tmp_path: Path, case: str, settings: RateLimiterSettings
 ) -> None:
     recorded = ANSWERS[case]
-    limiter = Limiter(settings, random.Random(3).random)
-    limiter.recall(read(tmp_path, recorded).kept.limits[settings.name], recorded["now_us"])
+    limiter = RateLimiter(settings, random.Random(3).random)
+    limiter.restore(read(tmp_path, recorded).kept.limits[settings.name], recorded["now_us"])
     assert admitted_by(limiter, recorded["now_us"]) == recorded["in_use"]["admitted"][settings.name]
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -42,7 +42,8 @@
             over = found[2]
             assert over.all("RateLimit-Policy") == ['"it";q=2;w=200']
             assert over.all("RateLimit") == [f'"it";r=0;t={over.all("Retry-After")[0]}']
-            assert 60 < int(over.all("Retry-After")[0]) <= 90 and b"nothing has run" in over.body
+            assert 60 < int(over.all("Retry-After")[0]) <= 90
+            assert b"nothing has run" in over.body
             assert server.count == 2
             client.close()
             figures = it.daemon.status()["limiters"]["it"]
@@ -64,7 +65,9 @@
         async with running(tmp_path, {"main": [WebServer()]}, routes=routes(), head=head) as it:
             assert (await it.ask(buy())).status == 200
             over = await it.ask(buy())
-            assert over.status == 429 and over.all("Retry-After") and not over.all("RateLimit")
+            assert over.status == 429
+            assert over.all("Retry-After")
+            assert not over.all("RateLimit")
             assert not over.all("RateLimit-Policy")
 
     run(test)
@@ -114,8 +117,8 @@
     async def test() -> None:
         async with one_open(tmp_path) as (it, held, first):
             first.close()
-            entries = it.daemon.limiters["it"].entries
-            await until(lambda: all(entry.at_once == 0 for entry in entries.values()))
+            entries = it.daemon.limiters["it"].keys
+            await until(lambda: all(entry.concurrent == 0 for entry in entries.values()))
             held.release.release()
             held.release.release()
             assert (await it.ask(buy())).status == 200
@@ -132,7 +135,7 @@
         ) as it:
             for _ in range(3):
                 assert (await it.ask(buy())).status == 503
-            assert [entry.at_once for entry in it.daemon.limiters["it"].entries.values()] == [0]
+            assert [entry.concurrent for entry in it.daemon.limiters["it"].keys.values()] == [0]
 
     run(test)
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -400,7 +400,7 @@
         "plovertrail.decisions.verdicts",
         "plovertrail.decisions.breaker",
         "plovertrail.decisions.fair_queue",
-        "plovertrail.decisions.limits",
+        "plovertrail.decisions.rate_limits",
         "plovertrail.decisions.affinity",
         "plovertrail.decisions.templates",
     )
