--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -33,8 +33,10 @@
 from plovertrail.decisions.endpoint_list import Candidate, Entry, Guards, State, reduce
 from plovertrail.sources.list_reader import ListReader
 from plovertrail.sources.lists import parse, sealed
-from plovertrail.store.files import Clocks, encode, replace_file
-from plovertrail.store.records import list_changes
+from plovertrail.store.clock_reading import ClockReading
+from plovertrail.store.disk import replace_file
+from plovertrail.store.endpoint_list_records import changed_records
+from plovertrail.store.snapshot_format import encode_snapshot
 
 SIZES = (100, 1_000, 10_000)
 FILE = """\
@@ -259,7 +261,9 @@
     """The state file's bytes, with one pool of so many servers from one source."""
     entries = tuple(Entry(f"s{n}", ("127.0.0.1", 1000 + n)) for n in range(count))
     state = reduce(State(started=True), Candidate(source, entries), clock_us(), Guards())[0]
-    return encode({"main": list_changes("main", State(), state, 0)}, "", 0, Clocks(0, 0), bytes(8))
+    return encode_snapshot(
+        {"main": changed_records("main", State(), state, 0)}, "", 0, ClockReading(0, 0), bytes(8)
+    )
 
 
 def write_for_ever(path: str) -> None:
@@ -286,7 +290,7 @@
         process.send_signal(signal.SIGKILL)
         process.communicate()
         daemon, _ = daemon_in(folder)
-        wrong += bool(daemon.keeper.problem) or len(members(daemon)) not in (20, 2_000)
+        wrong += bool(daemon.store.problem) or len(members(daemon)) not in (20, 2_000)
         await daemon.stop()
     return count, wrong
 
--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -26,8 +26,10 @@
 from plovertrail.clock import clock_us
 from plovertrail.daemon.process import Daemon
 from plovertrail.decisions.endpoint_list import Candidate, Entry, Guards, State, drained_by_hand, reduce
-from plovertrail.store.files import Clocks, Files, replace_file
-from plovertrail.store.records import list_changes
+from plovertrail.store.clock_reading import ClockReading
+from plovertrail.store.disk import replace_file
+from plovertrail.store.endpoint_list_records import changed_records
+from plovertrail.store.state_files import StateFiles
 
 MOST_MS, MOST_SHARE = 5.0, 0.01
 
@@ -40,12 +42,12 @@
 
 def drains(count: int, steps: int, folder: Path) -> dict[str, tuple[float, int]]:
     """The median ms, and the bytes written, of one drain among so many servers, by three ways to keep it."""
-    clocks, states = Clocks(clock_us(), time.time_ns() // 1000), [servers(count)]
+    clocks, states = ClockReading(clock_us(), time.time_ns() // 1000), [servers(count)]
     for number in range(steps):
         states.append(drained_by_hand(states[-1], f"s{number}", True, 1, Guards())[0])
     found: dict[str, list[float]] = {"journal": [], "whole file": [], "sqlite": []}
-    files = Files(str(folder / "state"))
-    files.snapshot({"main": list_changes("main", State(), states[0], 0)}, 0, clocks)
+    files = StateFiles(str(folder / "state"))
+    files.write_snapshot({"main": changed_records("main", State(), states[0], 0)}, 0, clocks)
     base = sqlite3.connect(folder / "base", isolation_level=None)
     base.execute("pragma journal_mode=wal")
     base.execute("pragma synchronous=full")
@@ -57,10 +59,10 @@
     sizes = {"journal": 0, "whole file": 0, "sqlite": 4096}
     for number, (before, after) in enumerate(zip(states, states[1:], strict=False)):
         began = time.perf_counter()
-        written = files.written
-        files.append(list_changes("main", before, after, 0), sync=True)
+        written = files.journal_bytes
+        files.append(changed_records("main", before, after, 0), sync=True)
         found["journal"].append(time.perf_counter() - began)
-        sizes["journal"] = files.written - written
+        sizes["journal"] = files.journal_bytes - written
         began = time.perf_counter()
         whole = json.dumps(
             [[ident, *member.entry.address, member.entry.drain] for ident, member in after.members.items()]
@@ -93,7 +95,7 @@
         put(Path(folder) / "servers.json", many(count))
         daemon, _ = daemon_in(Path(folder), damping=False)
         if not kept:
-            daemon.keeper.files = None
+            daemon.store.files = None
             daemon.background.remove("state")
         await until(lambda: len(members(daemon)) == count)
         await asyncio.sleep(1.0)
--- a/plovertrail/cli/seal.py
+++ b/plovertrail/cli/seal.py
@@ -9,7 +9,7 @@
 
 from plovertrail.sources.file_reading import read_bounded
 from plovertrail.sources.lists import InvalidListError, sealed
-from plovertrail.store.files import replace_file
+from plovertrail.store.disk import replace_file
 
 
 @click.command()
--- a/plovertrail/decisions/warm_state.py
+++ b/plovertrail/decisions/warm_state.py
@@ -1,7 +1,7 @@
-"""What is remembered of a pool's servers over a restart: judgements with their age, taken back safely.
+"""What a load balancer learnt about its endpoints, over a restart: histories that fade by their age.
 
-Bad news is taken back as it was and fades; good news counts for half, as all instances may come back at one
-moment, and the servers they come back to may be others by then in all but name. Pure.
+A bad history is restored as it was, and fades. A good one counts for half: all instances may restart at one
+moment, and the endpoints that they come back to may behave differently by then.
 """
 
 from __future__ import annotations
@@ -14,128 +14,148 @@
 from plovertrail.decisions.load_balancing.endpoint_state import EndpointState
 from plovertrail.decisions.load_balancing.response_tracking import EXCLUDE_AFTER
 
-HALF_LIFE_US = 30_000_000  # an outage's judgements should not outlive it by more than a minute or two
-OLDEST_US = 600_000_000  # less than a millionth would be left of anything older
-KEPT_OF_GOOD = 0.5  # of the slots above one: with all instances back at once no server gets more than before
-PLAIN = 0.05  # what differs by less from a server that is not known tells nothing
+HALF_LIFE_US = 30_000_000  # a history should not outlive the outage that it tells of by much
+MAX_AGE_US = 600_000_000  # less than a millionth would be left of anything older
+RESTORED_GROWTH = 0.5  # fraction of a limit above one: a restart of all instances must not raise their sum
+UNINFORMATIVE = 0.05  # a value that differs by less from an unknown endpoint's tells nothing
+
+EndpointKey = tuple[str, str]  # name and address: what an endpoint is known by over restarts
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointHistory:
-    """What one instance thinks of one server. Shares from 0 to 1; by class in the order of the settings."""
+    """What one instance learnt about one endpoint; values by class are in the order of the settings."""
 
-    window: float  # slots; below 1 it rests between sends
-    pace: float  # time of its answers beside those of the others
-    faults: float
-    distrust: float
-    silence: tuple[float, ...]
-    mute: tuple[int, ...]  # unanswered in a row
+    concurrency_limit: float  # slots; below 1 it cools down between sends
+    relative_latency: float  # its response times over those of the others
+    fault_rate: float  # 0 to 1
+    failure_penalty: float  # 0 to 1
+    no_response_rate: tuple[float, ...]  # 0 to 1, by class
+    consecutive_no_response: tuple[int, ...]  # by class
 
     @property
-    def plain(self) -> bool:
-        """Whether it says no more than that the server is not known."""
+    def is_uninformative(self) -> bool:
+        """Whether it says no more than that the endpoint is not known."""
         return (
-            abs(self.window - 1.0) < PLAIN
-            and abs(self.pace - 1.0) < PLAIN
-            and self.faults < PLAIN
-            and self.distrust < PLAIN
-            and all(part < PLAIN for part in self.silence)
-            and not any(self.mute)
+            abs(self.concurrency_limit - 1.0) < UNINFORMATIVE
+            and abs(self.relative_latency - 1.0) < UNINFORMATIVE
+            and self.fault_rate < UNINFORMATIVE
+            and self.failure_penalty < UNINFORMATIVE
+            and all(rate < UNINFORMATIVE for rate in self.no_response_rate)
+            and not any(self.consecutive_no_response)
         )
 
 
 @dataclass(frozen=True, slots=True)
 class PoolHistory:
-    """A pool's judgements by server, by the server's name and address, and the usual time of each class."""
+    """The histories of a pool's endpoints, and the mean latency of each class."""
+
+    recorded_at_us: int
+    endpoints: Mapping[EndpointKey, EndpointHistory] = field(default_factory=dict)
+    mean_latency_us: Mapping[str, float] = field(default_factory=dict)
 
-    at_us: int  # when they were judged
-    servers: Mapping[tuple[str, str], EndpointHistory] = field(default_factory=dict)
-    means_us: Mapping[str, float] = field(default_factory=dict)
 
+def history_of(balancer: LoadBalancer, endpoint: EndpointState) -> EndpointHistory | None:
+    """Record what is worth restoring of an endpoint; None: nothing.
 
-def judgement(balancer: LoadBalancer, server: EndpointState) -> EndpointHistory | None:
-    """What is worth remembering of a server; None: nothing. Hazard: a cold one is judged by little work, and
-    beside what it will do once it is warm."""
-    if balancer.table.warm_up_fraction(server, balancer.now_us) < 1.0:
+    While an endpoint warms up it has no history: it is judged by little work, and will behave differently.
+    """
+    if balancer.table.warm_up_fraction(endpoint, balancer.now_us) < 1.0:
         return None
-    found = EndpointHistory(
-        round(server.concurrency_limit, 2),
-        round(server.relative_latency, 2),
-        round(server.fault_rate, 2),
-        round(server.failure_penalty, 2),
-        tuple(round(part, 2) for part in server.no_response_rate),
-        tuple(server.consecutive_no_response),
+    history = EndpointHistory(
+        round(endpoint.concurrency_limit, 2),
+        round(endpoint.relative_latency, 2),
+        round(endpoint.fault_rate, 2),
+        round(endpoint.failure_penalty, 2),
+        tuple(round(rate, 2) for rate in endpoint.no_response_rate),
+        tuple(endpoint.consecutive_no_response),
     )
-    return None if found.plain else found
+    return None if history.is_uninformative else history
 
 
-def means(balancer: LoadBalancer) -> dict[str, float]:
-    """The usual time of each class, in us."""
+def mean_latencies(balancer: LoadBalancer) -> dict[str, float]:
+    """Record the mean latency of each class, in microseconds."""
     return {
         kind.name: round(mean_us)
         for kind, mean_us in zip(balancer.settings.classes, balancer.latencies.mean_us, strict=True)
     }
 
 
-def faded(old: EndpointHistory, age_us: int) -> EndpointHistory | None:
-    """A judgement as it counts after so long; None: not any more. One from the future is of no known age."""
-    if not 0 <= age_us < OLDEST_US:
+def _remaining_fraction(age_us: int) -> float | None:
+    """Compute what is left of a history of this age; None: nothing.
+
+    A negative age is that of a history from the future, after a clock was set: it is not known.
+    """
+    if not 0 <= age_us < MAX_AGE_US:
+        return None
+    return math.exp2(-age_us / HALF_LIFE_US)
+
+
+def decayed(history: EndpointHistory, age_us: int) -> EndpointHistory | None:
+    """Compute what a history of this age still says; None: nothing."""
+    remaining = _remaining_fraction(age_us)
+    if remaining is None:
         return None
-    left = math.exp2(-age_us / HALF_LIFE_US)
-    good = KEPT_OF_GOOD if old.window > 1.0 else 1.0
+    growth = RESTORED_GROWTH if history.concurrency_limit > 1.0 else 1.0
     return replace(
-        old,
-        window=1.0 + (old.window - 1.0) * left * good,
-        pace=1.0 + (old.pace - 1.0) * left,
-        faults=old.faults * left,
-        distrust=old.distrust * left,
-        silence=tuple(part * left for part in old.silence),
-        # hazard: one that was muted would be for good, as nothing is sent there that could end it
-        mute=tuple(min(EXCLUDE_AFTER - 1, int(count * left)) for count in old.mute),
+        history,
+        concurrency_limit=1.0 + (history.concurrency_limit - 1.0) * remaining * growth,
+        relative_latency=1.0 + (history.relative_latency - 1.0) * remaining,
+        fault_rate=history.fault_rate * remaining,
+        failure_penalty=history.failure_penalty * remaining,
+        no_response_rate=tuple(rate * remaining for rate in history.no_response_rate),
+        # An endpoint restored as excluded would stay so, as nothing is sent there that could end it.
+        consecutive_no_response=tuple(
+            min(EXCLUDE_AFTER - 1, int(count * remaining)) for count in history.consecutive_no_response
+        ),
     )
 
 
-def recall_server(balancer: LoadBalancer, server: EndpointState, old: EndpointHistory, age_us: int) -> bool:
-    """Judge a server that has just been listed as it was before; whether that is of use still. What was
-    judged under other classes is not."""
-    new = faded(old, age_us)
-    classes = len(balancer.settings.classes)
-    if new is None or len(new.silence) != classes or len(new.mute) != classes:
+def restore_endpoint(
+    balancer: LoadBalancer, endpoint: EndpointState, history: EndpointHistory, age_us: int
+) -> bool:
+    """Apply a history to an endpoint that has just been listed; returns whether it was of use.
+
+    A history with another number of classes than the settings have is ignored.
+    """
+    restored = decayed(history, age_us)
+    class_count = len(balancer.settings.classes)
+    if restored is None or len(restored.no_response_rate) != class_count:
         return False
-    server.concurrency_limit, server.relative_latency, server.fault_rate = new.window, new.pace, new.faults
-    for index in range(classes):
-        server.no_response_rate[index], server.consecutive_no_response[index] = (
-            new.silence[index],
-            new.mute[index],
-        )
-    if new.distrust:
-        server.failure_penalty = new.distrust
-    balancer.apply_restored_state(server)
+    if len(restored.consecutive_no_response) != class_count:
+        return False
+    endpoint.concurrency_limit = restored.concurrency_limit
+    endpoint.relative_latency = restored.relative_latency
+    endpoint.fault_rate = restored.fault_rate
+    for index in range(class_count):
+        endpoint.no_response_rate[index] = restored.no_response_rate[index]
+        endpoint.consecutive_no_response[index] = restored.consecutive_no_response[index]
+    if restored.failure_penalty:
+        endpoint.failure_penalty = restored.failure_penalty
+    balancer.apply_restored_state(endpoint)
     return True
 
 
-def recall_means(balancer: LoadBalancer, memory: PoolHistory, now_us: int) -> None:
-    """Begin with the usual times as they were, faded towards the guess that is made of them otherwise."""
-    age_us = now_us - memory.at_us
-    if not 0 <= age_us < OLDEST_US:
+def restore_mean_latencies(balancer: LoadBalancer, history: PoolHistory, now_us: int) -> None:
+    """Begin with the mean latencies of each class as they were, fading towards the initial estimate."""
+    remaining = _remaining_fraction(now_us - history.recorded_at_us)
+    if remaining is None:
         return
-    left = math.exp2(-age_us / HALF_LIFE_US)
     for index, kind in enumerate(balancer.settings.classes):
-        guess_us = balancer.latencies.mean_us[index]
-        known_us = memory.means_us.get(kind.name, guess_us)
-        balancer.latencies.mean_us[index] = max(
-            1.0, guess_us + (min(known_us, kind.latency_objective_us) - guess_us) * left
-        )
-
-
-def sweep(
-    balancer: LoadBalancer, servers: Iterable[tuple[int, tuple[str, str]]]
-) -> dict[tuple[str, str], EndpointHistory]:
-    """The judgements on some servers, given by their numbers and by what they are called over restarts."""
-    found = {}
-    for number, called in servers:
-        server = balancer.endpoints.get(number)
-        told = judgement(balancer, server) if server is not None else None
-        if told is not None:
-            found[called] = told
-    return found
+        estimate_us = balancer.latencies.mean_us[index]
+        known_us = history.mean_latency_us.get(kind.name, estimate_us)
+        excess_us = min(known_us, kind.latency_objective_us) - estimate_us
+        balancer.latencies.mean_us[index] = max(1.0, estimate_us + excess_us * remaining)
+
+
+def collect_histories(
+    balancer: LoadBalancer, endpoints: Iterable[tuple[int, EndpointKey]]
+) -> dict[EndpointKey, EndpointHistory]:
+    """Record the histories of some endpoints, given by their ids and by what they are known by."""
+    histories: dict[EndpointKey, EndpointHistory] = {}
+    for endpoint_id, key in endpoints:
+        endpoint = balancer.endpoints.get(endpoint_id)
+        history = history_of(balancer, endpoint) if endpoint is not None else None
+        if history is not None:
+            histories[key] = history
+    return histories
--- a/plovertrail/simulation/instances.py
+++ b/plovertrail/simulation/instances.py
@@ -101,7 +101,9 @@
             self.balancer.restore_endpoints_with(
                 lambda server: (
                     server.listed.id in self.memory
-                    and warm_state.recall_server(self.balancer, server, self.memory[server.listed.id], age_us)
+                    and warm_state.restore_endpoint(
+                        self.balancer, server, self.memory[server.listed.id], age_us
+                    )
                 )
             )
         entries = [Endpoint(one.number, started_us=one.started_us) for one in around.servers.values()]
@@ -122,8 +124,8 @@
     def keep(self) -> None:
         """What a state file would hold now."""
         called = [(number, ("", str(number))) for number in self.balancer.endpoints]
-        found = warm_state.sweep(self.balancer, called)
-        self.memory = {int(name): judgement for (_, name), judgement in found.items()}
+        found = warm_state.collect_histories(self.balancer, called)
+        self.memory = {int(name): history_of for (_, name), history_of in found.items()}
         self.kept_us = self.around.clock.now_us
 
     # Lists
--- /dev/null
+++ b/plovertrail/store/endpoint_list_records.py
@@ -0,0 +1,207 @@
+"""Records of a pool's endpoint lists: what changed between two states, and a state from its records."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Iterator, Mapping
+from dataclasses import dataclass, field
+from typing import Any
+
+from plovertrail.decisions.endpoint_list import (
+    LONGEST_HOLD_US,
+    Candidate,
+    Entry,
+    Guards,
+    Member,
+    State,
+    reduce,
+)
+from plovertrail.store.errors import InvalidRecordsError
+from plovertrail.store.records import ENDPOINT, JOIN_HELD, POOL, REMOVED, STARTED, Key, Record
+
+
+def _endpoint_value(entry: Entry) -> list[Any]:
+    return [*entry.address, entry.zone, entry.cell, entry.weight, entry.drain]
+
+
+def _endpoint(name: str, value: Any) -> Entry:
+    host, port, zone, cell, weight, drain = value
+    return Entry(str(name), (str(host), int(port)), str(zone), str(cell), float(weight), bool(drain))
+
+
+def _pool_value(state: State) -> list[Any]:
+    return [
+        state.generation,
+        sorted(state.by_hand),
+        [[layer.source, layer.version, layer.by_operator] for layer in state.layers],
+    ]
+
+
+def changed_records(pool: str, before: State, after: State, clock_offset_us: int) -> list[Record]:
+    """List the records that lead from one state of a pool to another.
+
+    What both states have in common is found by identity, so that one change among 10,000 endpoints costs one
+    comparison of references for each of them.
+    """
+    if before is after:
+        return []
+    records: list[Record] = []
+    if _pool_value(before) != _pool_value(after):
+        records.append(((POOL, pool), _pool_value(after)))
+    records += _source_changes(pool, before, after)
+    records += _start_changes(pool, before, after, clock_offset_us)
+    records += _removal_changes(pool, before, after, clock_offset_us)
+    records += _hold_changes(pool, before, after, clock_offset_us)
+    return records
+
+
+def _source_changes(pool: str, before: State, after: State) -> Iterator[Record]:
+    """Yield what changed in the lists of each source."""
+    old_layers = {layer.source: layer for layer in before.layers}
+    for layer in after.layers:
+        old_layer = old_layers.pop(layer.source, None)
+        if old_layer is layer:
+            continue
+        unseen = {entry.id: entry for entry in old_layer.entries} if old_layer is not None else {}
+        for entry in layer.entries:
+            old_entry = unseen.pop(entry.id, None)
+            if old_entry is not entry and old_entry != entry:
+                yield (ENDPOINT, pool, layer.source, entry.id), _endpoint_value(entry)
+        for name in unseen:
+            yield (ENDPOINT, pool, layer.source, name), None
+    for layer in old_layers.values():
+        for entry in layer.entries:
+            yield (ENDPOINT, pool, layer.source, entry.id), None
+
+
+def _start_changes(pool: str, before: State, after: State, clock_offset_us: int) -> Iterator[Record]:
+    """Yield the start times that changed; 0 stands for an endpoint that was always there."""
+    for name, member in after.members.items():
+        old_member = before.members.get(name)
+        if old_member is member:
+            continue
+        old_started_us = old_member.came_us if old_member is not None else 0
+        if member.came_us != old_started_us:
+            yield (STARTED, pool, name), member.came_us + clock_offset_us if member.came_us else None
+    for name, member in before.members.items():
+        if member.came_us and name not in after.members:
+            yield (STARTED, pool, name), None
+
+
+def _removal_changes(pool: str, before: State, after: State, clock_offset_us: int) -> Iterator[Record]:
+    """Yield the removed endpoints that changed, by their id: a name that was removed twice is there twice."""
+    for endpoint_id, (member, since_us) in after.leaving.items():
+        if endpoint_id not in before.leaving:
+            value = [member.entry.id, _endpoint_value(member.entry), since_us + clock_offset_us]
+            yield (REMOVED, pool, str(endpoint_id)), value
+    for endpoint_id in before.leaving:
+        if endpoint_id not in after.leaving:
+            yield (REMOVED, pool, str(endpoint_id)), None
+
+
+def _hold_changes(pool: str, before: State, after: State, clock_offset_us: int) -> Iterator[Record]:
+    """Yield the joins held back that changed."""
+    for name, until_us in after.held.items():
+        if before.held.get(name) != until_us:
+            yield (JOIN_HELD, pool, name), until_us + clock_offset_us
+    for name in before.held:
+        if name not in after.held:
+            yield (JOIN_HELD, pool, name), None
+
+
+def removal_records(pool: str, before: State, clock_offset_us: int) -> list[Record]:
+    """List the records that forget a pool.
+
+    Without them a pool of the same name that is configured later would begin with outdated lists.
+    """
+    removed: list[Record] = [
+        (key, None) for key, _ in changed_records(pool, State(), before, clock_offset_us)
+    ]
+    return [*removed, ((POOL, pool), None)]
+
+
+@dataclass(slots=True)
+class _PoolRecords:
+    """One pool's records, by kind."""
+
+    endpoints: dict[str, list[Entry]]  # by source
+    started_us: dict[str, int] = field(default_factory=dict)
+    held_until_us: dict[str, int] = field(default_factory=dict)
+    removed: list[tuple[int, Entry, int]] = field(default_factory=list)  # former id, endpoint, since_us
+
+    def add(self, key: Key, value: Any, clock_offset_us: int, now_us: int) -> None:
+        """Take one record over; raises KeyError, ValueError, TypeError or IndexError.
+
+        By a clock that was set back some times lie in the future. They count as now, or as the longest hold.
+        """
+        kind = key[0]
+        if kind == ENDPOINT:
+            self.endpoints[key[2]].append(_endpoint(key[3], value))
+        elif kind == STARTED:
+            self.started_us[key[2]] = min(now_us, int(value) - clock_offset_us)
+        elif kind == JOIN_HELD:
+            self.held_until_us[key[2]] = min(now_us + LONGEST_HOLD_US, int(value) - clock_offset_us)
+        elif kind == REMOVED:
+            name, endpoint, since_us = value
+            since_us = min(now_us, int(since_us) - clock_offset_us)
+            self.removed.append((int(key[2]), _endpoint(name, endpoint), since_us))
+
+    def removed_in_order(self) -> list[tuple[Entry, int]]:
+        """List the removed endpoints in the order of their former ids."""
+        in_order = sorted(self.removed, key=lambda each: each[0])
+        return [(entry, since_us) for _, entry, since_us in in_order]
+
+
+def state_from_records(records: Mapping[Key, Any], pool: str, clock_offset_us: int, now_us: int) -> State:
+    """Build a pool's state from its records; raises InvalidRecordsError.
+
+    Endpoint ids begin anew, since they belong to one process.
+    """
+    try:
+        generation, by_hand, sources = records[POOL, pool]
+        found = _PoolRecords({str(source): [] for source, _, _ in sources})
+        for key, value in records.items():
+            found.add(key, value, clock_offset_us, now_us)
+        layers = tuple(
+            Candidate(str(source), tuple(found.endpoints[source]), int(version), bool(by_operator))
+            for source, version, by_operator in sources
+        )
+        state = State(generation=int(generation), by_hand=frozenset(map(str, by_hand)), layers=layers)
+        return restore_state(state, found.started_us, found.removed_in_order(), found.held_until_us)
+    except (KeyError, ValueError, TypeError, IndexError) as error:
+        raise InvalidRecordsError(f"what is kept of the pool {pool!r} makes no list: {error!r}") from None
+
+
+def restore_state(
+    stored: State,
+    started_us: Mapping[str, int],
+    removed: Iterable[tuple[Entry, int]],
+    held_until_us: Mapping[str, int],
+) -> State:
+    """Complete a state that has only its layers with members, removed endpoints and joins held back.
+
+    An endpoint that is held back is no member yet. As a member of a restored state it would count as one
+    that was always there, and so as warmed up.
+    """
+    state = State(layers=stored.layers, by_hand=stored.by_hand)
+    state, _, _ = reduce(state, None, 0, Guards(allow_empty=True, damping=False))
+    members = {
+        name: Member(member.number, member.entry, started_us.get(name, 0))
+        for name, member in state.members.items()
+        if name not in held_until_us
+    }
+    held = {name: until_us for name, until_us in held_until_us.items() if name in state.members}
+    leaving: dict[int, tuple[Member, int]] = {}
+    last_id = state.last_number
+    for entry, since_us in removed:
+        last_id += 1
+        leaving[last_id] = Member(last_id, entry, 0), since_us
+    return State(
+        stored.generation,
+        True,
+        state.layers,
+        state.by_hand,
+        members,
+        leaving,
+        held=held,
+        last_number=last_id,
+    )
--- a/plovertrail/store/format_1.py
+++ b/plovertrail/store/format_1.py
@@ -1,4 +1,4 @@
-"""State files of format 1, which earlier versions wrote: read and taken over, never written.
+"""State files of format 1, which earlier versions wrote: read, never written.
 
 The file is one line (format, length and SHA-256 of what follows) and a JSON object.
 """
@@ -12,48 +12,45 @@
 from typing import Any
 
 from plovertrail.decisions.endpoint_list import Candidate, Entry, State
-from plovertrail.store.records import restored
+from plovertrail.store.clock_reading import ClockReading
+from plovertrail.store.endpoint_list_records import restore_state
+from plovertrail.store.errors import StateFileError
 
-HEAD = re.compile(rb"plovertrail-state 1 (\d{1,9}) ([0-9a-f]{64})\n")
+FIRST_LINE = re.compile(rb"plovertrail-state 1 (\d{1,9}) ([0-9a-f]{64})\n")
 
 
-class InvalidStateFileError(Exception):
-    """A file that can't be used; the text says why."""
-
-
-def decode(data: bytes, clock_us: int, unix_us: int, boot: str = "") -> dict[str, State]:
-    """The states in the file's bytes, by pool; raises InvalidStateFileError.
-
-    Hazard: the system's clock may have been set since; by it, a server that came a moment ago would count as
-    warm, or as cold for a day.
-    """
-    head = HEAD.match(data)
-    if head is None:
-        raise InvalidStateFileError("it has no first line of ours")
-    body = data[head.end() :]
-    if len(body) != int(head[1]) or hashlib.sha256(body).hexdigest().encode() != head[2]:
-        raise InvalidStateFileError("it is damaged: its length or checksum is wrong")
+def decode(data: bytes, clocks: ClockReading) -> dict[str, State]:
+    """Decode the states of all pools by name; raises StateFileError."""
+    first_line = FIRST_LINE.match(data)
+    if first_line is None:
+        raise StateFileError("it has no first line of ours")
+    body = data[first_line.end() :]
+    if len(body) != int(first_line[1]) or hashlib.sha256(body).hexdigest().encode() != first_line[2]:
+        raise StateFileError("it is damaged: its length or checksum is wrong")
     try:
-        whole = json.loads(body)
-        same = bool(boot) and whole.get("boot") == boot  # one machine, not started again: its clock went on
-        ahead = -int(whole["ahead"]) if same else clock_us - unix_us
-        return {name: _state(pool, ahead, clock_us) for name, pool in whole["pools"].items()}
+        content = json.loads(body)
+        # After a reboot only Unix time tells how long ago something was. Without one the offset in the file
+        # holds, since the system's clock may have been set: an endpoint that started a moment ago would
+        # count as warmed up, or warm up for a day.
+        same_boot = bool(clocks.boot_id) and content.get("boot") == clocks.boot_id
+        clock_offset_us = int(content["ahead"]) if same_boot else clocks.offset_us
+        return {pool: _state(raw, clock_offset_us, clocks.now_us) for pool, raw in content["pools"].items()}
     except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
-        raise InvalidStateFileError(f"it holds no states: {error!r}") from None
+        raise StateFileError(f"it holds no states: {error!r}") from None
 
 
-def _entry(raw: Any) -> Entry:
-    ident, host, port, zone, cell, weight, drain = raw
-    return Entry(ident, (host, port), zone, cell, weight, drain)
+def _endpoint(raw: Any) -> Entry:
+    name, host, port, zone, cell, weight, drain = raw
+    return Entry(name, (host, port), zone, cell, weight, drain)
 
 
-def _state(raw: Any, ahead: int, now_us: int) -> State:
-    entries = iter([_entry(row) for row in raw["entries"]])
+def _state(raw: Any, clock_offset_us: int, now_us: int) -> State:
+    entries = iter([_endpoint(row) for row in raw["entries"]])
     layers = tuple(
         Candidate(source, tuple(itertools.islice(entries, count)), version, by_operator)
         for source, version, by_operator, count in raw["layers"]
     )
-    came = {ident: min(now_us, came_us + ahead) for ident, came_us in raw["came"]}
-    left = [(_entry(entry), min(now_us, since_us + ahead)) for entry, since_us in raw["leaving"]]
-    state = State(by_hand=frozenset(raw["by_hand"]), layers=layers)
-    return restored(state, raw["generation"], came, left, {})
+    started_us = {name: min(now_us, came_us - clock_offset_us) for name, came_us in raw["came"]}
+    removed = [(_endpoint(row), min(now_us, since_us - clock_offset_us)) for row, since_us in raw["leaving"]]
+    state = State(generation=raw["generation"], by_hand=frozenset(raw["by_hand"]), layers=layers)
+    return restore_state(state, started_us, removed, {})
--- a/plovertrail/store/frames.py
+++ b/plovertrail/store/frames.py
@@ -1,7 +1,7 @@
-"""Checked frames: length, digest, payload. Pure.
+"""Checked frames: length, digest, payload.
 
-A frame's digest covers the file's nonce and the frame's number, so none is taken for another: not one of an
-earlier file on the same blocks, and not the next one where one is missing.
+A frame's digest covers the file's nonce and the frame's number, so no frame is mistaken for another: neither
+for one of an earlier file on the same blocks, nor for the next one where one is missing.
 """
 
 from __future__ import annotations
@@ -10,30 +10,36 @@
 from collections.abc import Iterator
 from hashlib import blake2b
 
-HEAD = struct.Struct("<I8s")
+FRAME_HEADER = struct.Struct("<I8s")  # length, digest
 NONCE_BYTES = 8
-LARGEST = 64 << 20
+DIGEST_BYTES = 8
+MAX_PAYLOAD_BYTES = 64 << 20
 
 
 def digest(nonce: bytes, number: int, payload: bytes) -> bytes:
-    """Of 8 bytes: any bit that turned shows."""
-    return blake2b(payload, digest_size=8, key=nonce + number.to_bytes(8)).digest()
+    """Compute the digest of one frame's payload (BLAKE2b, RFC 7693)."""
+    return blake2b(payload, digest_size=DIGEST_BYTES, key=nonce + number.to_bytes(8)).digest()
 
 
-def frame(nonce: bytes, number: int, payload: bytes) -> bytes:
-    """The bytes of one frame."""
-    return HEAD.pack(len(payload), digest(nonce, number, payload)) + payload
+def encode_frame(nonce: bytes, number: int, payload: bytes) -> bytes:
+    """Encode one frame."""
+    return FRAME_HEADER.pack(len(payload), digest(nonce, number, payload)) + payload
 
 
-def frames(nonce: bytes, data: bytes, at: int = 0) -> Iterator[tuple[bytes, int]]:
-    """The payloads of all whole frames from a place on, in their order, each with the place behind it; ends
-    before the first that is cut or damaged. Hazard: what lies behind that one builds on it."""
+def decode_frames(nonce: bytes, data: bytes, offset: int = 0) -> Iterator[tuple[bytes, int]]:
+    """Yield the payload of each intact frame from `offset` on, and the offset behind it.
+
+    Ends before the first frame that is truncated or damaged, since the frames behind it build on it.
+    """
     number = 0
-    while at + HEAD.size <= len(data):
-        length, told = HEAD.unpack_from(data, at)
-        payload = data[at + HEAD.size : at + HEAD.size + length]
-        if length > LARGEST or len(payload) < length or digest(nonce, number, payload) != told:
+    while offset + FRAME_HEADER.size <= len(data):
+        length, expected_digest = FRAME_HEADER.unpack_from(data, offset)
+        begin = offset + FRAME_HEADER.size
+        payload = data[begin : begin + length]
+        if length > MAX_PAYLOAD_BYTES or len(payload) < length:
+            return
+        if digest(nonce, number, payload) != expected_digest:
             return
-        at += HEAD.size + length
-        yield payload, at
+        offset = begin + length
+        yield payload, offset
         number += 1
--- a/plovertrail/store/service.py
+++ b/plovertrail/store/service.py
@@ -1,4 +1,4 @@
-"""Keeps the store up to date, off the loop; a disk that fails costs nothing but a report."""
+"""Writes stored state off the event loop; a disk that fails costs nothing but a report."""
 
 from __future__ import annotations
 
@@ -6,152 +6,199 @@
 import logging
 import time
 from collections.abc import Callable, Mapping
+from dataclasses import dataclass, field
 from functools import partial
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
 from plovertrail.clock import clock_us
 from plovertrail.decisions.endpoint_list import State
-from plovertrail.store.records import Kept, Key, Record, list_changes, list_gone, other_records
+from plovertrail.store.clock_reading import ClockReading
+from plovertrail.store.endpoint_list_records import changed_records, removal_records
+from plovertrail.store.records import Key, Record, StoredState
+from plovertrail.store.warm_state_records import warm_state_records
 
 if TYPE_CHECKING:
-    from plovertrail.store.files import Clocks, Files
+    from plovertrail.store.state_files import StateFiles
 
 log = logging.getLogger(__name__)
 
-GATHER_S = 0.05  # changes that come close together are written once; a crash may lose so much of lists
-RETRY_S = 2.0  # after a write that failed: a drain by hand should not wait long for a disk that is back
-States = Callable[[], Mapping[str, State]]
+COALESCE_S = 0.05  # changes within this are written together; a crash may lose as much of endpoint lists
+RETRY_S = 2.0  # after a failed write: a drain by hand should not wait long for a disk that is back
+CLOSE_TIMEOUT_S = 1.0
+ListStates = Callable[[], Mapping[str, State]]
 
 
 def boot_id() -> str:
-    """What names the machine's start, as the monotonic clock counts from it; empty where nothing tells."""
+    """Return the id of the machine's start, from which the monotonic clock counts; empty if unknown."""
     try:
         return Path("/proc/sys/kernel/random/boot_id").read_text().strip()
     except OSError:
         return ""
 
 
+@dataclass(frozen=True, slots=True)
+class _Written:
+    """What the files hold by now."""
+
+    state: StoredState = field(default_factory=StoredState)
+    warm_state: StoredState = field(default_factory=StoredState)  # its endpoint lists are not looked at
+    warm_state_image: dict[Key, Any] = field(default_factory=dict)  # the same as records
+
+
 class StoreService:
-    """Writes what is kept, one write at a time. Without a path it does nothing. `instance` names the daemon:
-    what is this instance's own is not taken from the store of another."""
+    """Writes the state of one daemon, one write at a time.
+
+    Without a path it does nothing. `instance` names the daemon: what another instance learnt is not restored
+    from its files.
+    """
 
     def __init__(self, path: str, instance: str = "") -> None:
         self.path = path
-        self.boot = boot_id() if path else ""
-        self.files: Files | None = None
+        self.boot_id = boot_id() if path else ""
+        self.files: StateFiles | None = None
         if path:
-            from plovertrail.store.files import Files  # brings in the compression, which few need
-
-            self.files = Files(path, instance)
-        self.states: States | None = None  # to be written
-        self.others: Kept | None = None  # the same
-        self.kept = Kept()  # what the files hold by now
-        self.others_kept = Kept()  # what they hold beside lists,
-        self.other_image: dict[Key, Any] = {}  # and as records
-        self.problem = ""  # of the last write, or of the start; shown in the status
-        self.found: dict[str, Any] = {}  # at the start, for the status
-        self.writer: asyncio.Task[None] | None = None
+            from plovertrail.store.state_files import StateFiles  # loads the compression, which few need
+
+            self.files = StateFiles(path, instance)
+        self.pending_lists: ListStates | None = None
+        self.pending_warm_state: StoredState | None = None
+        self.written = _Written()
+        self.problem = ""  # of the last write, or of the start
+        self.load_report: dict[str, Any] = {}
+        self.write_task: asyncio.Task[None] | None = None
         self.closing = False
 
-    def clocks(self) -> Clocks:
-        """The monotonic and the system's clock now, with the id of this boot."""
-        from plovertrail.store.files import Clocks
-
-        return Clocks(clock_us(), time.time_ns() // 1000, self.boot)
+    def clocks(self) -> ClockReading:
+        """Read the monotonic and the system's clock."""
+        return ClockReading(clock_us(), time.time_ns() // 1000, self.boot_id)
 
-    def read(self) -> Kept:
-        """Blocking; before the daemon serves."""
+    def load(self) -> StoredState:
+        """Read what the last process stored; blocks, so it is called before the daemon serves."""
         if self.files is None:
-            return Kept()
-        found = self.files.read(self.clocks())
-        for problem in found.problems:
-            log.error("%s", problem)
-        self.problem = "; ".join(found.problems)
-        # hazard: killed again before anything new is known, it would have forgotten all of it
-        self.others_kept = found.kept
-        self.found = {
-            "problems": found.problems,
-            "steps": found.journal_frames,
-            "age_s": None if found.age_us is None else round(found.age_us / 1e6, 1),
+            return StoredState()
+        result = self.files.load(self.clocks())
+        for problem in result.problems:
+            log.error("state file problem: %s", problem)
+        self.problem = "; ".join(result.problems)
+        # Until something new is learnt the first snapshot holds what was loaded: a process that is killed
+        # again by then must not have forgotten it.
+        self.written = _Written(warm_state=result.stored)
+        age_us = result.snapshot_age_us
+        self.load_report = {
+            "problems": result.problems,
+            "steps": result.replayed_steps,
+            "age_s": None if age_us is None else round(age_us / 1e6, 1),
         }
-        return found.kept
+        return result.stored
+
+    def store_lists(self, states: ListStates) -> None:
+        """Store changed endpoint lists; synced within COALESCE_S and the time of one write."""
+        self.pending_lists = states
+        self._start_writing()
 
-    def keep(self, states: States) -> None:
-        """Lists or drains have changed: on the disk, synced, within GATHER_S and the time of one write."""
-        self.states = states
-        self._start()
+    def store_warm_state(self, warm_state: StoredState) -> None:
+        """Store everything beside endpoint lists.
 
-    def keep_others(self, others: Kept) -> None:
-        """What is judged and counted now, whole; its `states` are not looked at. Not synced: it outlasts the
-        process, and not the machine."""
-        self.others = others
-        self._start()
+        It is not synced: it outlives the process, and perhaps not the machine.
+        """
+        self.pending_warm_state = warm_state
+        self._start_writing()
 
-    def _start(self) -> None:
-        if self.files is not None and (self.writer is None or self.writer.done()):
-            self.writer = asyncio.get_running_loop().create_task(self._write(self.files))
+    def _start_writing(self) -> None:
+        if self.files is not None and (self.write_task is None or self.write_task.done()):
+            self.write_task = asyncio.get_running_loop().create_task(self._write_pending(self.files))
 
-    async def _write(self, files: Files) -> None:
-        while self.states is not None or self.others is not None:
+    async def _write_pending(self, files: StateFiles) -> None:
+        """Write until nothing is pending, again and again after a failure."""
+        while self.pending_lists is not None or self.pending_warm_state is not None:
             if not self.closing:
-                await asyncio.sleep(GATHER_S)
-            states, self.states = self.states, None
-            others, self.others = self.others, None
-            # immutable values: the other thread sees one moment
-            now = dict(states()) if states is not None else self.kept.states
+                await asyncio.sleep(COALESCE_S)
+            pending_lists = self.pending_lists
+            self.pending_lists = None
+            warm_state = self.pending_warm_state
+            self.pending_warm_state = None
+            # These are immutable values: the other thread sees the state of one moment.
+            lists = self.written.state.endpoint_lists if pending_lists is None else dict(pending_lists())
             try:
-                await asyncio.to_thread(self._put, files, now, others, states is not None)
+                await asyncio.to_thread(self._write, files, lists, warm_state, pending_lists is not None)
                 self.problem = ""
             except Exception as error:
-                # hazard: whatever else is wrong with one write, with its task all later ones would end unseen
-                why = error.strerror if isinstance(error, OSError) else repr(error)
-                self.problem = f"{self.path} can't be written: {why}"
-                log.error("%s: after a restart the lists are those of the last write", self.problem)
-                files.close()  # so the next one is whole
+                # Whatever is wrong with one write, if this task ended so would all later writes, unseen.
+                self._report_failure(error)
+                files.close()  # so the next write is a snapshot
                 if self.closing:
                     return
-                self.states = self.states or states or partial(dict, now)
-                self.others = self.others or others
+                self.pending_lists = self.pending_lists or pending_lists or partial(dict, lists)
+                self.pending_warm_state = self.pending_warm_state or warm_state
                 await asyncio.sleep(RETRY_S)
 
-    def _put(self, files: Files, states: Mapping[str, State], others: Kept | None, sync: bool) -> None:
-        """On the thread, which alone touches the files and what is known of them."""
-        others = others or self.others_kept
-        if files.wants_snapshot:
-            from plovertrail.store.files import OTHERS
-
-            clocks = self.clocks()
-            ahead = clocks.unix_us - clocks.now_us
-            image = other_records(others, ahead)
-            parts = {name: list_changes(name, State(), state, ahead) for name, state in states.items()}
-            files.snapshot({**parts, OTHERS: list(image.items())}, ahead, clocks)
+    def _report_failure(self, error: Exception) -> None:
+        """Log a failed write and keep it for the status."""
+        why = error.strerror if isinstance(error, OSError) else repr(error)
+        self.problem = f"{self.path} can't be written: {why}"
+        log.error(
+            "state file write failed path=%s error=%s: a restart would restore the last one written",
+            self.path,
+            why,
+        )
+
+    def _write(
+        self, files: StateFiles, lists: Mapping[str, State], warm_state: StoredState | None, sync: bool
+    ) -> None:
+        """Write one snapshot or one step; runs on a thread, one call at a time."""
+        warm_state = warm_state or self.written.warm_state
+        if files.needs_snapshot:
+            image = self._write_snapshot(files, lists, warm_state)
         else:
-            records: list[Record] = []
-            for name, state in states.items():
-                records += list_changes(name, self.kept.states.get(name, State()), state, files.ahead)
-            for name in self.kept.states.keys() - states.keys():
-                records += list_gone(name, self.kept.states[name], files.ahead)
-            image = self.other_image
-            if others is not self.others_kept:
-                image, before = other_records(others, files.ahead), image
-                records += [(key, value) for key, value in image.items() if before.get(key) != value]
-                records += [(key, None) for key in before.keys() - image.keys()]
-            if records:
-                files.append(records, sync)
-        self.kept, self.others_kept, self.other_image = Kept(states), others, image
+            image = self._append_changes(files, lists, warm_state, sync)
+        self.written = _Written(StoredState(lists), warm_state, image)
+
+    def _write_snapshot(
+        self, files: StateFiles, lists: Mapping[str, State], warm_state: StoredState
+    ) -> dict[Key, Any]:
+        """Write everything; returns the warm state as records."""
+        from plovertrail.store.snapshot_format import WARM_STATE_PART
+
+        clocks = self.clocks()
+        offset_us = clocks.offset_us
+        image = warm_state_records(warm_state, offset_us)
+        parts = {pool: changed_records(pool, State(), state, offset_us) for pool, state in lists.items()}
+        files.write_snapshot({**parts, WARM_STATE_PART: list(image.items())}, offset_us, clocks)
+        return image
+
+    def _append_changes(
+        self, files: StateFiles, lists: Mapping[str, State], warm_state: StoredState, sync: bool
+    ) -> dict[Key, Any]:
+        """Write what changed since the last write; returns the warm state as records."""
+        old_lists = self.written.state.endpoint_lists
+        offset_us = files.clock_offset_us
+        records: list[Record] = []
+        for pool, state in lists.items():
+            records += changed_records(pool, old_lists.get(pool, State()), state, offset_us)
+        for pool in old_lists.keys() - lists.keys():
+            records += removal_records(pool, old_lists[pool], offset_us)
+        image = self.written.warm_state_image
+        if warm_state is not self.written.warm_state:
+            old_image = image
+            image = warm_state_records(warm_state, offset_us)
+            records += [(key, value) for key, value in image.items() if old_image.get(key) != value]
+            records += [(key, None) for key in old_image.keys() - image.keys()]
+        if records:
+            files.append(records, sync)
+        return image
 
     async def close(self) -> None:
-        """Write what has not been written yet."""
+        """Write what is pending, for CLOSE_TIMEOUT_S at most."""
         self.closing = True
-        if self.writer is not None and not self.writer.done():
+        if self.write_task is not None and not self.write_task.done():
             try:
-                await asyncio.wait_for(self.writer, 1.0)
+                await asyncio.wait_for(self.write_task, CLOSE_TIMEOUT_S)
             except TimeoutError:
-                log.error("%s was not written in time", self.path)
-        if self.files is not None and (self.writer is None or self.writer.done()):
+                log.error("state file not written before the exit path=%s", self.path)
+        if self.files is not None and (self.write_task is None or self.write_task.done()):
             self.files.close()
 
     def status(self) -> str:
-        """For operators."""
+        """Report for operators whether the state is stored, or what is wrong."""
         return self.problem or ("kept" if self.path else "off")
--- /dev/null
+++ b/plovertrail/store/snapshot_format.py
@@ -0,0 +1,217 @@
+"""The format of a snapshot and its journal (format 2).
+
+A snapshot is one line (the format), a frame that says what it is of and where each part lies, and the parts,
+compressed (Zstandard, RFC 8878): one for the lists of each pool, one for everything else. A journal is a
+sequence of frames, one a step. It belongs to the snapshot whose nonce it begins with, and to no other.
+
+The snapshot's first frame is JSON. Its keys, and what they stand for here:
+
+    instance    instance
+    boot        boot_id
+    ahead       clock_offset_us
+    written_us  written_unix_us
+    nonce       nonce
+    parts       parts
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass, field
+from typing import Any
+
+import msgspec
+import zstandard
+
+from plovertrail.decisions.endpoint_list import State
+from plovertrail.store import format_1
+from plovertrail.store.clock_reading import ClockReading
+from plovertrail.store.endpoint_list_records import state_from_records
+from plovertrail.store.errors import InvalidRecordsError, StateFileError
+from plovertrail.store.frames import (
+    FRAME_HEADER,
+    MAX_PAYLOAD_BYTES,
+    NONCE_BYTES,
+    decode_frames,
+    digest,
+    encode_frame,
+)
+from plovertrail.store.records import ENDPOINT_LIST_KINDS, Key, Record, StoredState
+from plovertrail.store.warm_state_records import warm_state_from_records
+
+FIRST_LINE = b"plovertrail-state 2\n"
+HEADER_NONCE = bytes(NONCE_BYTES)  # the nonce stands within the header, so that has a fixed one
+WARM_STATE_PART = ""  # holds everything but endpoint lists; no pool has that name
+COMPRESSION_LEVEL = 1
+
+Image = dict[Key, Any]  # all records of one part
+
+
+class SnapshotHeader(msgspec.Struct, frozen=True):
+    """What a snapshot says of itself, and where its parts lie."""
+
+    instance: str
+    boot_id: str = msgspec.field(name="boot")
+    clock_offset_us: int = msgspec.field(name="ahead")
+    written_unix_us: int = msgspec.field(name="written_us")
+    nonce: bytes
+    parts: list[tuple[str, int, int, bytes]]  # name, offset, length, digest
+
+
+@dataclass(slots=True)
+class LoadResult:
+    """What was found at a start. The state that `problems` concern is learnt anew."""
+
+    stored: StoredState = field(default_factory=StoredState)
+    problems: list[str] = field(default_factory=list)
+    replayed_steps: int = 0
+    snapshot_age_us: int | None = None  # None: there was no snapshot, or one of format 1
+
+
+def encode_snapshot(
+    parts: Mapping[str, Sequence[Record]],
+    instance: str,
+    clock_offset_us: int,
+    clocks: ClockReading,
+    nonce: bytes,
+) -> bytes:
+    """Encode a snapshot."""
+    compressor = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL)
+    places: list[tuple[str, int, int, bytes]] = []
+    bodies: list[bytes] = []
+    offset = 0
+    for number, (name, records) in enumerate(parts.items(), 1):
+        body = compressor.compress(encode_records(records))
+        places.append((name, offset, len(body), digest(nonce, number, body)))
+        bodies.append(body)
+        offset += len(body)
+    header = SnapshotHeader(instance, clocks.boot_id, clock_offset_us, clocks.unix_us, nonce, places)
+    return FIRST_LINE + encode_frame(HEADER_NONCE, 0, msgspec.json.encode(header)) + b"".join(bodies)
+
+
+def encode_records(records: Sequence[Record]) -> bytes:
+    """Encode records as JSON: a list for each, of its key's words and its value."""
+    return msgspec.json.encode([[*key, value] for key, value in records])
+
+
+def _decode_records(payload: bytes) -> list[Record]:
+    """Decode records; raises ValueError or TypeError."""
+    rows = msgspec.json.decode(payload, type=list[list[Any]])
+    return [(tuple(map(str, words)), value) for *words, value in rows]
+
+
+def decode_state(data: bytes, journal: bytes, instance: str, clocks: ClockReading) -> LoadResult:
+    """Decode a snapshot and its journal; raises StateFileError if nothing of them can be used.
+
+    Each part is used completely or not at all, and the journal up to the first frame that is damaged.
+    """
+    if not data.startswith(FIRST_LINE):
+        if format_1.FIRST_LINE.match(data) is None:
+            raise StateFileError("it has no first line of ours, or is of a format that is not known here")
+        return LoadResult(StoredState(format_1.decode(data, clocks)))
+    header, body_offset = _decode_header(data)
+    reader = _SnapshotReader(header)
+    reader.read_parts(data, body_offset)
+    reader.replay(journal)
+    stored = reader.stored_state(instance, clocks)
+    age_us = clocks.unix_us - header.written_unix_us
+    return LoadResult(stored, reader.problems, reader.replayed_steps, age_us)
+
+
+def _decode_header(data: bytes) -> tuple[SnapshotHeader, int]:
+    """Decode the first frame; returns it and the offset behind it; raises StateFileError."""
+    first_frame = next(decode_frames(HEADER_NONCE, data, len(FIRST_LINE)), None)
+    if first_frame is None:
+        raise StateFileError("it is damaged: what it is of can't be read")
+    payload, body_offset = first_frame
+    try:
+        return msgspec.json.decode(payload, type=SnapshotHeader), body_offset
+    except msgspec.MsgspecError as error:
+        raise StateFileError(f"it says nothing of what it is of: {error}") from None
+
+
+class _SnapshotReader:
+    """Decodes the parts of one snapshot, and lays the journal's steps on them."""
+
+    def __init__(self, header: SnapshotHeader) -> None:
+        self.header = header
+        self.images: dict[str, Image] = {}  # of the parts that are intact
+        self.damaged: set[str] = set()  # names of the others
+        self.problems: list[str] = []
+        self.replayed_steps = 0
+
+    def read_parts(self, data: bytes, body_offset: int) -> None:
+        """Decode all parts that are intact."""
+        for number, (name, offset, length, expected_digest) in enumerate(self.header.parts, 1):
+            begin = body_offset + offset
+            body = data[begin : begin + length]
+            try:
+                if len(body) < length or digest(self.header.nonce, number, body) != expected_digest:
+                    raise ValueError("its bytes are damaged")
+                payload = zstandard.ZstdDecompressor().decompress(body, max_output_size=MAX_PAYLOAD_BYTES)
+                self.images[name] = dict(_decode_records(payload))
+            except (ValueError, TypeError, zstandard.ZstdError) as error:
+                self.damaged.add(name)
+                what = f"what is kept of the pool {name!r}" if name else "what is kept beside lists"
+                self.problems.append(f"{what} is not used: {error}")
+
+    def replay(self, journal: bytes) -> None:
+        """Apply the journal's steps to the parts."""
+        if not journal:
+            return
+        nonce = journal[FRAME_HEADER.size : FRAME_HEADER.size + NONCE_BYTES]
+        if len(nonce) < NONCE_BYTES or next(decode_frames(nonce, journal), (b"", 0))[0] != nonce:
+            self.problems.append("the beginning of its journal is cut or damaged: no step of it is used")
+            return
+        if nonce != self.header.nonce:
+            return  # the journal of an earlier snapshot, all of which is in this one
+        frames = decode_frames(nonce, journal)
+        _, used_bytes = next(frames)  # the nonce
+        for payload, end in frames:
+            try:
+                records = _decode_records(payload)
+            except (ValueError, TypeError):
+                break
+            self._apply(records)
+            self.replayed_steps += 1
+            used_bytes = end
+        if used_bytes < len(journal):
+            self.problems.append(
+                f"the last {len(journal) - used_bytes} bytes of its journal are cut or damaged: "
+                f"{self.replayed_steps} steps before them are used"
+            )
+
+    def _apply(self, records: list[Record]) -> None:
+        """Apply one step."""
+        for key, value in records:
+            of_a_list = len(key) > 1 and key[0] in ENDPOINT_LIST_KINDS
+            part = key[1] if of_a_list else WARM_STATE_PART
+            if part in self.damaged:
+                continue  # changes to a list that is missing would make up another list
+            image = self.images.setdefault(part, {})
+            if value is None:
+                image.pop(key, None)
+            else:
+                image[key] = value
+
+    def stored_state(self, instance: str, clocks: ClockReading) -> StoredState:
+        """Build the state from all records."""
+        # Without a reboot the monotonic clock went on, and setting the system's clock moves nothing.
+        same_boot = bool(clocks.boot_id) and self.header.boot_id == clocks.boot_id
+        clock_offset_us = self.header.clock_offset_us if same_boot else clocks.offset_us
+        lists: dict[str, State] = {}
+        for name, image in self.images.items():
+            if name != WARM_STATE_PART and image:
+                try:
+                    lists[name] = state_from_records(image, name, clock_offset_us, clocks.now_us)
+                except InvalidRecordsError as error:
+                    self.problems.append(f"{error}; its lists are read anew")
+        warm_state = warm_state_from_records(self.images.get(WARM_STATE_PART, {}), clock_offset_us)
+        if self.header.instance != instance:
+            # On a copied disk, what another instance admitted and learnt would count as this one's own.
+            warm_state = StoredState()
+            self.problems.append(
+                f"it is of the instance {self.header.instance!r}, and this is {instance!r}: lists, "
+                "start times and drains are restored, endpoint histories, limits and counters learnt anew"
+            )
+        return StoredState(lists, warm_state.pool_histories, warm_state.limiters, warm_state.counters)
--- a/tests/store/test_restart.py
+++ b/tests/store/test_restart.py
@@ -53,7 +53,7 @@
             before = round(bad.failure_penalty, 2)  # as it is kept
             assert before > 0.2
             it.daemon.background.hurry("state")
-            await until(lambda: bool(it.daemon.keeper.other_image))
+            await until(lambda: bool(it.daemon.store.written.warm_state_image))
             shutil.copytree(here, killed)  # what a kill at this moment would leave
         async with started(killed, servers) as it:
             balancer = it.daemon.pools["main"].pool.balancer
@@ -97,9 +97,9 @@
 
     async def test() -> None:
         it = service.StoreService(str(tmp_path / "state"))
-        it.read()
-        it.keep(lambda: {"main": states[0]})
-        await until(lambda: it.writer is not None and it.writer.done())
+        it.load()
+        it.store_lists(lambda: {"main": states[0]})
+        await until(lambda: it.write_task is not None and it.write_task.done())
         assert it.files is not None and it.problem == ""
         told: list[str] = []
 
@@ -109,13 +109,13 @@
 
         append, it.files.append = it.files.append, broken  # type: ignore[method-assign, assignment]
         monkeypatch.setattr(service.log, "error", lambda text, *arguments: told.append(text % arguments))
-        it.keep(lambda: {"main": states[1]})
-        await until(lambda: bool(told) and it.writer is not None and it.writer.done())
-        assert "no bytes for this" in told[0] and it.problem == "" and it.files.snapshots == 2
+        it.store_lists(lambda: {"main": states[1]})
+        await until(lambda: bool(told) and it.write_task is not None and it.write_task.done())
+        assert "no bytes for this" in told[0] and it.problem == "" and it.files.snapshots_written == 2
         await it.close()
 
     run(test)
-    assert set(service.StoreService(str(tmp_path / "state")).read().states["main"].members) == {"s2"}
+    assert set(service.StoreService(str(tmp_path / "state")).load().endpoint_lists["main"].members) == {"s2"}
 
 
 def test_work_of_the_daemon_has_a_place_in_its_status(tmp_path: Path) -> None:
@@ -130,11 +130,11 @@
             def breaks() -> None:
                 raise RuntimeError("a fault in one kind of work")
 
-            it.daemon.memory.limiters = breaks  # type: ignore[assignment]
+            it.daemon.warm_state.limiters = breaks  # type: ignore[assignment]
             it.daemon.background.hurry("state")
             await until(lambda: it.daemon.status()["background"]["state"]["failed"] > 0)
             assert (await it.ask(message("GET /"))).status == 200
-            it.daemon.memory.limiters = dict
+            it.daemon.warm_state.limiters = dict
         server.stop()
 
     run(test)
--- a/tests/store/test_files.py
+++ b/tests/store/test_state_files.py
@@ -20,13 +20,18 @@
 from plovertrail.decisions.endpoint_list import Candidate, Entry, Guards, State, drained_by_hand, reduce
 from plovertrail.decisions.rate_limits import RateLimiterState
 from plovertrail.decisions.warm_state import EndpointHistory, PoolHistory
-from plovertrail.store.files import OTHERS, Clocks, Disk, Files, Found, replace_file
-from plovertrail.store.records import Kept, Record, list_changes, other_records
+from plovertrail.store.clock_reading import ClockReading
+from plovertrail.store.disk import Disk, replace_file
+from plovertrail.store.endpoint_list_records import changed_records
+from plovertrail.store.records import Record, StoredState
+from plovertrail.store.snapshot_format import WARM_STATE_PART, LoadResult
+from plovertrail.store.state_files import StateFiles
+from plovertrail.store.warm_state_records import warm_state_records
 
 ROOT = Path(__file__).resolve().parents[2]
 S = 1_000_000
 DAY = 86_400 * S
-NOW = Clocks(6 * S, 50 * DAY, "a")
+NOW = ClockReading(6 * S, 50 * DAY, "a")
 
 
 def state_of(count: int, came_us: int = 5 * S) -> State:
@@ -37,7 +42,7 @@
 
 BAD = EndpointHistory(0.25, 2.0, 0.5, 0.4, (0.3, 0.0), (2, 0))
 COUNTED = Former("n1", 1 * S, 10 * S, 10, {5: (3, (2, 0, 1))})
-OTHER = Kept(
+OTHER = StoredState(
     {},
     {"main": PoolHistory(6 * S, {("s1", "127.0.0.1:9001"): BAD}, {"read": 9000.0})},
     {"each": RateLimiterState(b"salt", {7: 9.0 * S})},
@@ -45,29 +50,34 @@
 )
 
 
-def snapshot(files: Files, states: dict[str, State], others: Kept = OTHER, clocks: Clocks = NOW) -> None:
-    ahead = clocks.unix_us - clocks.now_us
+def write_snapshot(
+    files: StateFiles, states: dict[str, State], others: StoredState = OTHER, clocks: ClockReading = NOW
+) -> None:
+    offset_us = clocks.offset_us
     parts: dict[str, list[Record]] = {
-        name: list_changes(name, State(), state, ahead) for name, state in states.items()
+        name: changed_records(name, State(), state, offset_us) for name, state in states.items()
     }
-    files.snapshot({**parts, OTHERS: list(other_records(others, ahead).items())}, ahead, clocks)
+    files.write_snapshot(
+        {**parts, WARM_STATE_PART: list(warm_state_records(others, offset_us).items())}, offset_us, clocks
+    )
 
 
-def step(files: Files, before: State, after: State) -> None:
-    files.append(list_changes("main", before, after, files.ahead), sync=True)
+def step(files: StateFiles, before: State, after: State) -> None:
+    files.append(changed_records("main", before, after, files.clock_offset_us), sync=True)
 
 
-def found_in(folder: Path, clocks: Clocks = NOW, instance: str = "n1") -> Found:
-    return Files(str(folder / "state"), instance).read(clocks)
+def found_in(folder: Path, clocks: ClockReading = NOW, instance: str = "n1") -> LoadResult:
+    return StateFiles(str(folder / "state"), instance).load(clocks)
 
 
 def test_all_that_is_kept_comes_back_by_another_clock_after_a_start_of_the_machine(tmp_path: Path) -> None:
     state = state_of(4)
     state = reduce(state, Candidate("file:x", state.layers[0].entries[:3], 5), 6 * S, Guards())[0]
-    snapshot(Files(str(tmp_path / "state"), "n1"), {"main": state})
-    found = found_in(tmp_path, Clocks(1 * S, 50 * DAY + 10 * S, "b"))  # 10 s later, and the clock began anew
-    back = found.kept.states["main"]
-    assert found.problems == [] and found.age_us == 10 * S
+    write_snapshot(StateFiles(str(tmp_path / "state"), "n1"), {"main": state})
+    # 10 s later, and the monotonic clock began anew
+    found = found_in(tmp_path, ClockReading(1 * S, 50 * DAY + 10 * S, "b"))
+    back = found.stored.endpoint_lists["main"]
+    assert found.problems == [] and found.snapshot_age_us == 10 * S
     assert back.started and back.by_hand == {"s0"} and back.layers == state.layers
     assert back.members["s0"].entry.drain and set(back.members) == set(state.members)
     assert {member.came_us for member in back.members.values()} == {1 * S - 11 * S}
@@ -77,19 +87,21 @@
     assert joined.members["new"].came_us == 2 * S  # cold, though the daemon has just started
     assert joined.members["new"].number not in {member.number for member, _ in back.leaving.values()}
     moved = 6 * S - (1 * S - 10 * S)
-    assert found.kept.memories["main"] == replace(OTHER.memories["main"], at_us=6 * S - moved)
-    assert found.kept.limits["each"] == RateLimiterState(b"salt", {7: 9.0 * S - moved})
-    assert found.kept.counts == replace(COUNTED, start_us=1 * S - moved)
+    assert found.stored.pool_histories["main"] == replace(
+        OTHER.pool_histories["main"], recorded_at_us=6 * S - moved
+    )
+    assert found.stored.limiters["each"] == RateLimiterState(b"salt", {7: 9.0 * S - moved})
+    assert found.stored.counters == replace(COUNTED, start_us=1 * S - moved)
 
 
 @pytest.mark.parametrize("stepped", [-DAY, 0, DAY])
 def test_a_clock_that_was_set_meanwhile_moves_nothing(tmp_path: Path, stepped: int) -> None:
-    snapshot(Files(str(tmp_path / "state"), "n1"), {"main": state_of(2)})
-    found = found_in(tmp_path, Clocks(8 * S, 50 * DAY + 2 * S + stepped, "a"))
-    assert {member.came_us for member in found.kept.states["main"].members.values()} == {5 * S}
+    write_snapshot(StateFiles(str(tmp_path / "state"), "n1"), {"main": state_of(2)})
+    found = found_in(tmp_path, ClockReading(8 * S, 50 * DAY + 2 * S + stepped, "a"))
+    assert {member.came_us for member in found.stored.endpoint_lists["main"].members.values()} == {5 * S}
     assert (
-        found.kept.limits["each"].theoretical_arrivals_us == {7: 9.0 * S}
-        and found.kept.memories["main"].at_us == 6 * S
+        found.stored.limiters["each"].theoretical_arrivals_us == {7: 9.0 * S}
+        and found.stored.pool_histories["main"].recorded_at_us == 6 * S
     )
 
 
@@ -97,23 +109,23 @@
 def test_after_a_start_of_the_machine_nothing_came_later_than_now(
     tmp_path: Path, stepped: int, came_us: int
 ) -> None:
-    snapshot(Files(str(tmp_path / "state")), {"main": state_of(2)})
-    found = found_in(tmp_path, Clocks(9 * S, 50 * DAY + 2 * S + stepped, "b"), "")
-    assert {member.came_us for member in found.kept.states["main"].members.values()} == {came_us}
+    write_snapshot(StateFiles(str(tmp_path / "state")), {"main": state_of(2)})
+    found = found_in(tmp_path, ClockReading(9 * S, 50 * DAY + 2 * S + stepped, "b"), "")
+    assert {member.came_us for member in found.stored.endpoint_lists["main"].members.values()} == {came_us}
 
 
 def test_what_is_another_instances_own_is_not_taken_from_its_file(tmp_path: Path) -> None:
-    snapshot(Files(str(tmp_path / "state"), "n2"), {"main": state_of(2)})
+    write_snapshot(StateFiles(str(tmp_path / "state"), "n2"), {"main": state_of(2)})
     found = found_in(tmp_path, instance="n1")
-    assert set(found.kept.states) == {"main"}
+    assert set(found.stored.endpoint_lists) == {"main"}
     assert "of the instance 'n2', and this is 'n1'" in found.problems[0]
-    assert not found.kept.memories and not found.kept.limits and found.kept.counts is None
+    assert not found.stored.pool_histories and not found.stored.limiters and found.stored.counters is None
 
 
-def history(files: Files, steps: int = 12) -> list[State]:
+def history(files: StateFiles, steps: int = 12) -> list[State]:
     """A snapshot and steps behind it, each as it then was."""
     rng, states = random.Random(4), [state_of(5)]
-    snapshot(files, {"main": states[0]})
+    write_snapshot(files, {"main": states[0]})
     for number in range(steps):
         before = states[-1]
         ids = rng.sample(range(12), rng.randrange(3, 9))
@@ -143,25 +155,27 @@
 
 
 def test_a_journal_leads_to_the_last_state_and_cut_anywhere_to_an_earlier_one(tmp_path: Path) -> None:
-    files = Files(str(tmp_path / "state"), "n1")
+    files = StateFiles(str(tmp_path / "state"), "n1")
     states = history(files)
-    clocks = Clocks(100 * S, 50 * DAY + 94 * S, "a")
+    clocks = ClockReading(100 * S, 50 * DAY + 94 * S, "a")
     last = found_in(tmp_path, clocks)
-    assert last.problems == [] and last.journal_frames == 12
-    assert shape(last.kept.states["main"]) == shape(states[-1]) and any(state.held for state in states)
+    assert last.problems == [] and last.replayed_steps == 12
+    assert shape(last.stored.endpoint_lists["main"]) == shape(states[-1]) and any(
+        state.held for state in states
+    )
     journal, data = tmp_path / "state.journal", (tmp_path / "state.journal").read_bytes()
     reached = set()
     for length in range(0, len(data), 13):
         journal.write_bytes(data[:length])
         found = found_in(tmp_path, clocks)
-        assert shape(found.kept.states["main"]) == shape(states[found.journal_frames])
-        reached.add(found.journal_frames)
+        assert shape(found.stored.endpoint_lists["main"]) == shape(states[found.replayed_steps])
+        reached.add(found.replayed_steps)
     assert reached == set(range(12))
 
 
 def test_a_bit_that_turned_anywhere_costs_a_part_and_is_told(tmp_path: Path) -> None:
-    files = Files(str(tmp_path / "state"), "n1")
-    snapshot(files, {"main": state_of(3), "other": state_of(2)})
+    files = StateFiles(str(tmp_path / "state"), "n1")
+    write_snapshot(files, {"main": state_of(3), "other": state_of(2)})
     before = state_of(3)
     step(files, before, drained_by_hand(before, "s2", True, 6 * S, Guards())[0])
     rng = random.Random(3)
@@ -176,24 +190,24 @@
             found = found_in(tmp_path)
             assert found.problems, (name, at)
             for pool, count in (("main", 3), ("other", 2)):
-                state = found.kept.states.get(pool)
+                state = found.stored.endpoint_lists.get(pool)
                 assert state is None or len(state.members) == count
                 assert state is None or state.by_hand <= {"s0", "s2"} and "s0" in state.by_hand
-            kept_some += bool(found.kept.states)
-            set_aside += not found.kept.states
+            kept_some += bool(found.stored.endpoint_lists)
+            set_aside += not found.stored.endpoint_lists
             assert (tmp_path / f"{name}.bad").read_bytes() == turned
     assert kept_some > 20 and set_aside > 5
 
 
 def test_a_journal_of_another_snapshot_is_not_laid_on_this_one(tmp_path: Path) -> None:
-    files = Files(str(tmp_path / "state"), "n1")
+    files = StateFiles(str(tmp_path / "state"), "n1")
     history(files)
     old = (tmp_path / "state.journal").read_bytes()
     files.close()
-    snapshot(files, {"main": state_of(2)})
+    write_snapshot(files, {"main": state_of(2)})
     (tmp_path / "state.journal").write_bytes(old)  # as after a kill between the two files
     found = found_in(tmp_path)
-    assert found.problems == [] and set(found.kept.states["main"].members) == {"s0", "s1"}
+    assert found.problems == [] and set(found.stored.endpoint_lists["main"].members) == {"s0", "s1"}
 
 
 class KilledError(Exception):
@@ -230,20 +244,20 @@
     for at in range(40):
         folder = tmp_path / str(at)
         folder.mkdir()
-        files = Files(str(folder / "state"), "n1", breaking(at, KilledError(), part))
+        files = StateFiles(str(folder / "state"), "n1", breaking(at, KilledError(), part))
         one, two = state_of(2), state_of(3)
         last: list[State] = []  # all that it may be
         try:
             for state, before in ((one, None), (two, one), (one, two), (two, None)):
                 last = [*last[-1:], state]
                 if before is None:
-                    snapshot(files, {"main": state})
+                    write_snapshot(files, {"main": state})
                 else:
                     step(files, before, state)
         except KilledError:
             ends.add(len(last))
         found = found_in(folder)
-        back = found.kept.states.get("main")
+        back = found.stored.endpoint_lists.get("main")
         assert (back is None and len(last) == 1) or shape(back or State()) in [shape(each) for each in last]
     assert ends == {1, 2}
 
@@ -252,30 +266,30 @@
     for at in range(2, 12):
         folder = tmp_path / str(at)
         folder.mkdir()
-        files = Files(str(folder / "state"), "n1", breaking(at, OSError(28, "No space left"), 2))
+        files = StateFiles(str(folder / "state"), "n1", breaking(at, OSError(28, "No space left"), 2))
         state = state_of(1)
         for count in range(1, 8):
             before, state = state, state_of(count)
             try:
-                if files.wants_snapshot:
-                    snapshot(files, {"main": state})
+                if files.needs_snapshot:
+                    write_snapshot(files, {"main": state})
                 else:
                     step(files, before, state)
             except OSError:
-                snapshot(files, {"main": state})
-        assert len(found_in(folder).kept.states["main"].members) == 7
+                write_snapshot(files, {"main": state})
+        assert len(found_in(folder).stored.endpoint_lists["main"].members) == 7
 
 
 def test_the_journal_is_bounded_by_new_snapshots(tmp_path: Path) -> None:
-    files = Files(str(tmp_path / "state"))
+    files = StateFiles(str(tmp_path / "state"))
     states = [state_of(400), state_of(1)]
-    snapshot(files, {"main": states[0]})
+    write_snapshot(files, {"main": states[0]})
     for number in range(60):
-        if files.wants_snapshot:
-            snapshot(files, {"main": states[number % 2]})
+        if files.needs_snapshot:
+            write_snapshot(files, {"main": states[number % 2]})
         else:
             step(files, states[(number + 1) % 2], states[number % 2])
-    assert 1 < files.snapshots < 40 and (tmp_path / "state.journal").stat().st_size < 400_000
+    assert 1 < files.snapshots_written < 40 and (tmp_path / "state.journal").stat().st_size < 400_000
 
 
 def format_1(body: bytes) -> bytes:
@@ -302,7 +316,7 @@
     }
     (tmp_path / "state").write_bytes(format_1(json.dumps(body).encode()))
     found = found_in(tmp_path)
-    state = found.kept.states["main"]
+    state = found.stored.endpoint_lists["main"]
     assert found.problems == [] and state.by_hand == {"s1"} and state.generation == 3
     assert state.members["s0"].came_us == 5 * S and state.members["s1"].entry.drain
     assert [(member.entry.id, since) for member, since in state.leaving.values()] == [("s9", 4 * S)]
@@ -324,25 +338,25 @@
 def test_what_is_not_known_here_is_set_aside_whole(tmp_path: Path, data: bytes) -> None:
     (tmp_path / "state").write_bytes(data)
     found = found_in(tmp_path)
-    assert found.kept == Kept() and "set aside" in found.problems[0]
+    assert found.stored == StoredState() and "set aside" in found.problems[0]
     assert (tmp_path / "state.bad").read_bytes() == data and not (tmp_path / "state").exists()
 
 
 def test_no_file_is_no_problem_and_one_that_can_not_be_read_is_told(tmp_path: Path) -> None:
-    assert found_in(tmp_path) == Found()
+    assert found_in(tmp_path) == LoadResult()
     (tmp_path / "state").mkdir()
     assert "can't be read" in found_in(tmp_path).problems[0]
 
 
 WRITER = """
 import sys
-from plovertrail.store.files import Files
-from tests.store.test_files import snapshot, state_of, step
-files = Files(sys.argv[1], "n1")
+from plovertrail.store.state_files import StateFiles
+from tests.store.test_state_files import state_of, step, write_snapshot
+files = StateFiles(sys.argv[1], "n1")
 states = [state_of(n) for n in (20, 300)]
 print("ready", flush=True)
 while True:
-    snapshot(files, {"main": states[0]})
+    write_snapshot(files, {"main": states[0]})
     for number in range(9):
         step(files, states[number % 2], states[(number + 1) % 2])
 """
@@ -364,8 +378,8 @@
         process.communicate()
         found = found_in(tmp_path)
         assert all("cut or damaged" in problem for problem in found.problems)
-        if found.kept.states:
-            seen.add(len(found.kept.states["main"].members))
+        if found.stored.endpoint_lists:
+            seen.add(len(found.stored.endpoint_lists["main"].members))
     assert seen and seen <= {20, 300}
 
 
--- a/tests/store/test_stored_data.py
+++ b/tests/store/test_stored_data.py
@@ -27,9 +27,18 @@
     admit,
 )
 from plovertrail.decisions.settings import RequestClass, Settings
-from plovertrail.decisions.warm_state import PoolHistory, recall_means, recall_server, sweep
-from plovertrail.store.files import Clocks, Files, Found
-from plovertrail.store.records import Kept, list_changes, other_records
+from plovertrail.decisions.warm_state import (
+    PoolHistory,
+    collect_histories,
+    restore_endpoint,
+    restore_mean_latencies,
+)
+from plovertrail.store.clock_reading import ClockReading
+from plovertrail.store.endpoint_list_records import changed_records
+from plovertrail.store.records import StoredState
+from plovertrail.store.snapshot_format import LoadResult
+from plovertrail.store.state_files import StateFiles
+from plovertrail.store.warm_state_records import warm_state_records
 
 DATA = Path(__file__).parent / "data"
 ANSWERS: dict[str, dict[str, Any]] = json.loads((DATA / "answers.json").read_text())
@@ -51,13 +60,13 @@
 )
 
 
-def read(folder: Path, recorded: dict[str, Any]) -> Found:
+def read(folder: Path, recorded: dict[str, Any]) -> LoadResult:
     """What the store finds in a copy of the files, by the clocks of a recorded case."""
     shutil.copy(DATA / recorded["file"], folder / "state")
     if recorded["journal"]:
         shutil.copy(DATA / "state.journal", folder / "state.journal")
-    clocks = Clocks(recorded["now_us"], recorded["unix_us"], recorded["boot"])
-    return Files(str(folder / "state"), recorded["instance"]).read(clocks)
+    clocks = ClockReading(recorded["now_us"], recorded["unix_us"], recorded["boot"])
+    return StateFiles(str(folder / "state"), recorded["instance"]).load(clocks)
 
 
 def as_json(value: object) -> Any:
@@ -92,25 +101,29 @@
     }
 
 
-def histories_in(memory: PoolHistory) -> dict[str, Any]:
+def histories_in(pool_history: PoolHistory) -> dict[str, Any]:
     return {
-        "at_us": memory.at_us,
-        "mean_latency_us": dict(memory.means_us),
-        "endpoints": {" ".join(called): astuple(history) for called, history in memory.servers.items()},
+        "at_us": pool_history.recorded_at_us,
+        "mean_latency_us": dict(pool_history.mean_latency_us),
+        "endpoints": {
+            " ".join(called): astuple(history) for called, history in pool_history.endpoints.items()
+        },
     }
 
 
-def all_in(kept: Kept) -> dict[str, Any]:
-    counters = kept.counts
+def all_in(stored: StoredState) -> dict[str, Any]:
+    counters = stored.counters
     return {
-        "lists": {name: lists_in(state) for name, state in kept.states.items()},
-        "endpoint_histories": {name: histories_in(memory) for name, memory in kept.memories.items()},
+        "lists": {name: lists_in(state) for name, state in stored.endpoint_lists.items()},
+        "endpoint_histories": {
+            name: histories_in(pool_history) for name, pool_history in stored.pool_histories.items()
+        },
         "limits": {
             name: {
                 "salt": limit.salt.hex(),
                 "free_us": {f"{key:x}": free_us for key, free_us in limit.theoretical_arrivals_us.items()},
             }
-            for name, limit in kept.limits.items()
+            for name, limit in stored.limiters.items()
         },
         "counters": None
         if counters is None
@@ -124,18 +137,21 @@
     }
 
 
-def balancer_with(memory: PoolHistory, now_us: int) -> tuple[LoadBalancer, dict[int, tuple[str, str]]]:
+def balancer_with(pool_history: PoolHistory, now_us: int) -> tuple[LoadBalancer, dict[int, tuple[str, str]]]:
     """A load balancer whose endpoints begin with their histories, and what each endpoint id is called."""
     classes = [
         RequestClass("read", 250_000, 2 * S),
         RequestClass("buy", 400_000, 5 * S, effect="at_most_once"),
     ]
     balancer = LoadBalancer(Settings(classes=classes, warm_up_us=0), 1, now_us)
-    recall_means(balancer, memory, now_us)
-    called = dict(enumerate(sorted(memory.servers), 1))
+    restore_mean_latencies(balancer, pool_history, now_us)
+    called = dict(enumerate(sorted(pool_history.endpoints), 1))
     balancer.restore_endpoints_with(
-        lambda server: recall_server(
-            balancer, server, memory.servers[called[server.listed.id]], now_us - memory.at_us
+        lambda endpoint: restore_endpoint(
+            balancer,
+            endpoint,
+            pool_history.endpoints[called[endpoint.listed.id]],
+            now_us - pool_history.recorded_at_us,
         )
     )
     endpoints = [Endpoint(endpoint_id) for endpoint_id in called]
@@ -158,18 +174,21 @@
     recorded = ANSWERS[case]
     found = read(tmp_path, recorded)
     assert len(found.problems) == recorded["problems"] == (recorded["instance"] != "n1")
-    assert (found.journal_frames, found.age_us) == (recorded["journal_frames"], recorded["age_us"])
-    assert as_json(all_in(found.kept)) == recorded["kept"]
+    assert (found.replayed_steps, found.snapshot_age_us) == (recorded["journal_frames"], recorded["age_us"])
+    assert as_json(all_in(found.stored)) == recorded["kept"]
     assert not (tmp_path / "state.bad").exists()
 
 
 @pytest.mark.parametrize("case", ANSWERS)
 def test_what_was_read_is_written_again_as_the_earlier_version_would(tmp_path: Path, case: str) -> None:
     recorded = ANSWERS[case]
-    kept = read(tmp_path, recorded).kept
-    ahead = recorded["unix_us"] - recorded["now_us"]
-    records = {name: list_changes(name, State(), state, ahead) for name, state in kept.states.items()}
-    records[""] = list(other_records(kept, ahead).items())
+    stored = read(tmp_path, recorded).stored
+    clock_offset_us = recorded["unix_us"] - recorded["now_us"]
+    records = {
+        name: changed_records(name, State(), state, clock_offset_us)
+        for name, state in stored.endpoint_lists.items()
+    }
+    records[""] = list(warm_state_records(stored, clock_offset_us).items())
     written = {name: [[*key, value] for key, value in part] for name, part in records.items()}
     assert as_json(written) == recorded["records"]
 
@@ -178,12 +197,13 @@
 def test_endpoints_begin_with_the_histories_that_an_earlier_version_kept(tmp_path: Path, case: str) -> None:
     recorded = ANSWERS[case]
     now_us, in_use = recorded["now_us"], recorded["in_use"]
-    kept = read(tmp_path, recorded).kept
-    assert kept.memories.keys() == in_use["endpoint_histories"].keys()
-    for pool, memory in kept.memories.items():
-        balancer, called = balancer_with(memory, now_us)
+    stored = read(tmp_path, recorded).stored
+    assert stored.pool_histories.keys() == in_use["endpoint_histories"].keys()
+    for pool, pool_history in stored.pool_histories.items():
+        balancer, called = balancer_with(pool_history, now_us)
         histories = {
-            " ".join(each): astuple(history) for each, history in sweep(balancer, called.items()).items()
+            " ".join(each): astuple(history)
+            for each, history in collect_histories(balancer, called.items()).items()
         }
         assert as_json(histories) == in_use["endpoint_histories"][pool]
         classes = [kind.name for kind in balancer.settings.classes]
@@ -197,14 +217,14 @@
 ) -> None:
     recorded = ANSWERS[case]
     limiter = RateLimiter(settings, random.Random(3).random)
-    limiter.restore(read(tmp_path, recorded).kept.limits[settings.name], recorded["now_us"])
+    limiter.restore(read(tmp_path, recorded).stored.limiters[settings.name], recorded["now_us"])
     assert admitted_by(limiter, recorded["now_us"]) == recorded["in_use"]["admitted"][settings.name]
 
 
 @pytest.mark.parametrize("case", WITH_HISTORIES)
 def test_counters_go_on_from_what_an_earlier_version_counted(tmp_path: Path, case: str) -> None:
     recorded = ANSWERS[case]
-    now_us, stored = recorded["now_us"], read(tmp_path, recorded).kept.counts
+    now_us, stored = recorded["now_us"], read(tmp_path, recorded).stored.counters
     assert stored is not None
     counters = Counts("n1", 3, WINDOW, now_us)
     assert counters.recall(stored, now_us) == recorded["in_use"]["counters_taken"]
@@ -221,7 +241,7 @@
     for part in ("drained_by_hand", "leaving", "joins_held_until_us"):
         assert main[part]
     assert [bool(layer["entries"]) for layer in main["layers"]] == [True, True]
-    assert all(memory["endpoints"] for memory in kept["endpoint_histories"].values())
+    assert all(pool_history["endpoints"] for pool_history in kept["endpoint_histories"].values())
     assert [bool(limit["free_us"]) for limit in kept["limits"].values()] == [True, True]
     assert kept["counters"]["rows"]
     assert "old" not in kept["lists"]
--- a/tests/store/test_warm_state.py
+++ b/tests/store/test_warm_state.py
@@ -14,7 +14,7 @@
 from plovertrail.config.operator import load
 from plovertrail.daemon.process import Daemon
 from plovertrail.decisions.load_balancing.balancer import LoadBalancer
-from plovertrail.decisions.warm_state import EndpointHistory, sweep
+from plovertrail.decisions.warm_state import EndpointHistory, collect_histories
 from plovertrail.store import warm_state
 from tests.daemons import Running, message, run, site
 from tests.net import until
@@ -34,7 +34,7 @@
 
 
 class CountedSweeps:
-    """Stands in for `sweep`, and counts by LoadBalancer how often it was asked."""
+    """Stands in for `collect_histories`, and counts by LoadBalancer how often it was called."""
 
     def __init__(self) -> None:
         self.balancers: list[LoadBalancer] = []
@@ -43,7 +43,7 @@
         self, balancer: LoadBalancer, servers: Iterable[Called]
     ) -> dict[tuple[str, str], EndpointHistory]:
         self.balancers.append(balancer)
-        return sweep(balancer, servers)
+        return collect_histories(balancer, servers)
 
 
 def made(folder: Path, servers: list[WebServer], warm_up: str) -> Daemon:
@@ -59,7 +59,7 @@
 async def gathered(daemon: Daemon, counted: CountedSweeps) -> set[str]:
     """The pools that one run looks at."""
     counted.balancers.clear()
-    daemon.memory.gather()
+    daemon.warm_state.collect_now()
     by_balancer = {id(each.pool.balancer): name for name, each in daemon.pools.items()}
     return {by_balancer[id(balancer)] for balancer in counted.balancers}
 
@@ -68,7 +68,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     counted = CountedSweeps()
-    monkeypatch.setattr(warm_state, "sweep", counted)
+    monkeypatch.setattr(warm_state, "collect_histories", counted)
 
     async def test() -> None:
         servers = [WebServer(always(ERROR)), WebServer(always(OK))]
@@ -82,14 +82,14 @@
         # all servers are warm a moment after the last event
         await until(lambda: all(clock_us() > p.pool.balancer.now_us + 2_000 for p in pools))
         assert await gathered(daemon, counted) == {"main", "other"}
-        before = daemon.memory.gathered["main"].memory
-        assert before.servers, "the failing server is judged"
+        before = daemon.warm_state.collected["main"].history
+        assert before.endpoints, "the failing server is judged"
         assert await gathered(daemon, counted) == set()
-        assert daemon.memory.gathered["main"].memory == before
+        assert daemon.warm_state.collected["main"].history == before
 
         await it.ask(message("GET /other"))
         assert await gathered(daemon, counted) == {"other"}
-        assert daemon.memory.gathered["main"].memory == before
+        assert daemon.warm_state.collected["main"].history == before
 
         daemon.drain("main", "main0", True)
         assert await gathered(daemon, counted) >= {"main"}
@@ -104,7 +104,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     counted = CountedSweeps()
-    monkeypatch.setattr(warm_state, "sweep", counted)
+    monkeypatch.setattr(warm_state, "collect_histories", counted)
 
     async def test() -> None:
         servers = [WebServer(), WebServer()]
