--- a/benchmarks/planted_fault_list.py
+++ b/benchmarks/planted_fault_list.py
@@ -206,8 +206,8 @@
     Fault(
         "a cold server gets ten times its part",
         WARM_UPS,
-        "turns * capacity / share",
-        "turns * capacity / (30 * share)",
+        "intervals * capacity / share",
+        "intervals * capacity / (30 * share)",
     ),
     Fault("precedence: prefixes before expressions", ROUTES, "    REGEX = 1  #", "    REGEX = 3  #"),
     Fault("precedence: exact paths last", ROUTES, "    EXACT = 0", "    EXACT = 5"),
--- a/benchmarks/reference_balance.py
+++ b/benchmarks/reference_balance.py
@@ -117,8 +117,8 @@
         self.listed = server.listed  # as it was listed then
         self.class_index = class_index
         self.sent_at_us = now_us
-        self.overtaken_by = 0  # answers of its upstream to what was sent later
-        self.overtaken_in_class = False  # one of these was to its own class
+        self.later_answered = 0  # answers of its upstream to what was sent later
+        self.later_answered_in_class = False  # one of these was to its own class
         self.no_response = False  # it has had no answer for longer than one takes
         self.slot_released = False  # and holds no slot any more
         self.outcome: Outcome | None = None  # None while it is out
@@ -486,7 +486,7 @@
             return
         attempt.no_response = True
         server.no_response_rate[index] += (1.0 - server.no_response_rate[index]) / SILENCE_MEMORY
-        if not attempt.overtaken_in_class:
+        if not attempt.later_answered_in_class:
             server.consecutive_no_response[index] = min(
                 server.consecutive_no_response[index] + 1, LONGEST_MUTE
             )
@@ -506,9 +506,9 @@
         It could do harm where an upstream serves by priority or shares out its time, and really has in work
         what was overtaken: it then gets up to twice the slots."""
         server = attempt.endpoint
-        proven = attempt.overtaken_by >= OVERTAKEN
+        proven = attempt.later_answered >= OVERTAKEN
         lost = [other for other in server.attempts if other.slot_released]
-        suspected = server.group.load < FULL_LOAD and all(other.overtaken_by >= OVERTAKEN for other in lost)
+        suspected = server.group.load < FULL_LOAD and all(other.later_answered >= OVERTAKEN for other in lost)
         if (
             attempt.no_response
             and (proven or suspected)
@@ -547,7 +547,7 @@
         server.attempts.remove(attempt)
         # hazard: what others overtook tells nothing of the load; judged by it, an upstream that leaves some
         # unanswered would be cut to one slot, and its time would be that of no answer
-        lost = (attempt.slot_released or attempt.overtaken_by > 0) and event.outcome is Outcome.TIMEOUT
+        lost = (attempt.slot_released or attempt.later_answered > 0) and event.outcome is Outcome.TIMEOUT
         if not lost:
             self.judge(attempt, event.elapsed_us, request.event.class_index)
         if event.outcome in ANSWERED:
@@ -556,8 +556,8 @@
             server.no_response_rate[index] -= server.no_response_rate[index] / SILENCE_MEMORY
             server.consecutive_no_response[index] = server.excluded_until_us[index] = 0
             for other in earlier:
-                other.overtaken_by += 1
-                other.overtaken_in_class |= other.class_index == index
+                other.later_answered += 1
+                other.later_answered_in_class |= other.class_index == index
                 if not other.slot_released:
                     self.give_up_slot(other)
         if event.outcome in (*ANSWERED, Outcome.TIMEOUT) and not lost:
--- a/plovertrail/decisions/load_balancing/admission_control.py
+++ b/plovertrail/decisions/load_balancing/admission_control.py
@@ -1,7 +1,7 @@
-"""The admission probability of a group of endpoints: an overloaded group takes only a part of the traffic.
+"""The admission probability of a group of endpoints: an overloaded group gets only a part of the traffic.
 
-A sender with little traffic never fills its slots, so limits alone hold back nothing of it when all endpoints
-are slow. Admission is reduced at once, since queues last for seconds.
+An instance with little traffic never fills its slots, so concurrency limits alone do not reduce its load when
+all endpoints are slow. Admission is reduced at once, since queues last for seconds.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 GAIN_PER_S = 2.4  # a second of slow responses cuts the probability to a tenth, before queues fill
 MAX_SIGNAL_GAP_US = 1_000_000  # the longest interval that one response counts for
 RECOVERY_FACTOR = 1.5  # growth of the probability after each such interval without a response
-MIN_PROBABILITY = 0.1  # where service itself has slowed down, admitting less than this helps nobody
+MIN_PROBABILITY = 0.1  # if service itself has slowed down, admitting less does not help
 MAX_CREDIT = 2.0
 
 
@@ -31,7 +31,7 @@
     def replenish(self, now_us: int) -> None:
         """Credit a request that looks for a slot."""
         if self.probability < 1.0 and now_us - self._last_signal_us > MAX_SIGNAL_GAP_US:
-            # With little traffic, the responses that would end the overload come too seldom.
+            # With little traffic, the responses that would raise the probability are too rare.
             self.probability = min(1.0, self.probability * RECOVERY_FACTOR)
             self._last_signal_us = now_us
         self.credit = min(MAX_CREDIT, self.credit + self.probability)
@@ -48,9 +48,9 @@
     def record_load(self, load: float, now_us: int) -> None:
         """Adjust the probability by the load that one attempt has shown."""
         self.load += (load - self.load) / 8
-        # By the send rate alone, a sender that is reduced to a tenth of little traffic would learn too slowly
-        # that an overload is over, so a response counts for the gap before it. Slow responses count for no
-        # more than the gap: those that come together tell of one moment.
+        # By the send rate alone, an instance reduced to a tenth of little traffic would learn too slowly that
+        # an overload is over, so a response counts for the gap before it. Slow responses count for no more
+        # than the gap, as a burst of them shows one moment.
         gap_us = min(now_us - self._last_signal_us, MAX_SIGNAL_GAP_US)
         self._last_signal_us = now_us
         gain = GAIN_PER_S * gap_us / 1e6
--- a/plovertrail/decisions/load_balancing/attempt_state.py
+++ b/plovertrail/decisions/load_balancing/attempt_state.py
@@ -19,8 +19,8 @@
     listed: Endpoint  # the endpoint as it was listed when the attempt was sent
     class_index: int
     sent_at_us: int
-    overtaken_by: int = 0  # later sends to the same endpoint that were answered first
-    overtaken_in_class: bool = False  # one of them was of the same request class
+    later_answered: int = 0  # later sends to the same endpoint that were answered first
+    later_answered_in_class: bool = False  # one of those was of the same request class
     no_response: bool = False  # it has been in flight for longer than a response takes
     slot_released: bool = False  # its slot was freed although it has not ended
     outcome: Outcome | None = None  # None while it is in flight
--- a/plovertrail/decisions/load_balancing/balancer.py
+++ b/plovertrail/decisions/load_balancing/balancer.py
@@ -1,7 +1,7 @@
 """The event handler of one pool's load balancing: events in, actions out (docs/design.md).
 
-A request takes a free slot of a random endpoint, waits in the one buffer if none is free, is rejected if that
-is taken, and is retried through a slot. This module says in which order the others are asked.
+A request takes a free slot of a random endpoint, waits in the one buffer if none is free, is rejected if the
+buffer is taken, and is retried through a slot. This module calls the others in the order that an event needs.
 """
 
 from __future__ import annotations
@@ -49,16 +49,15 @@
 from plovertrail.decisions.load_balancing.warm_up_scheduler import WarmUpScheduler
 from plovertrail.decisions.settings import Settings
 
-IDLE_PROGRESS = (
-    0.1  # of an admitted request: while all endpoints warm up, nothing else would open their slots
-)
+# Of an admitted request: while all endpoints warm up, nothing else would open their slots.
+IDLE_PROGRESS = 0.1
 
 
 class LoadBalancer:
     """Selects an endpoint for each request and ends each request with one final answer.
 
-    All state is owned by the modules it is made of. `retry_budget` may be shared with other load balancers of
-    the process; the generator that `seed` starts is shared by the modules, so its draws have one order.
+    The modules it consists of own the state. `retry_budget` may be shared with other load balancers of the
+    process. The modules share one random generator, so the order of its draws follows the events.
     """
 
     def __init__(
@@ -102,7 +101,7 @@
         self.updates.restorer = restorer
 
     def report_no_response_to(self, listener: NoResponseListener | None) -> None:
-        """Tell a listener of each attempt that has had no response for longer than one takes."""
+        """Report each attempt that has had no response for longer than one takes to a listener."""
         self.tracker.listener = listener
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
@@ -126,7 +125,7 @@
     def has_capacity(self, now_us: int) -> bool:
         """Whether a request would find a free slot; for a queue that admits requests to this pool.
 
-        Limits grow only where slots were short, and what waits in such a queue must count as a shortage.
+        Limits grow only where slots were short, and requests that wait in such a queue count as a shortage.
         """
         self.now_us = now_us
         self.reopener.reopen_due(now_us)
@@ -308,7 +307,7 @@
     def _arm_timer(self) -> None:
         at_us = self.timers.next_due_us
         if self.buffer.waiting is not None:
-            # What waits for a slot that opens by time has no event to wake it.
+            # No event wakes a request that waits for a slot that opens by time.
             self.reopener.reopen_due(self.now_us)
             at_us = min(at_us, self.reopener.next_opening_us(self.buffer.waiting.event.class_index))
         if self.timers.arm(at_us):
--- a/plovertrail/decisions/load_balancing/concurrency_limits.py
+++ b/plovertrail/decisions/load_balancing/concurrency_limits.py
@@ -1,7 +1,7 @@
 """How the end of an attempt moves the concurrency limit of its endpoint.
 
-Limits settle where responses take `TARGET_LOAD` of the slow response time: higher limits let crowded
-endpoints choke, lower ones reject early.
+Limits settle where responses take `TARGET_LOAD` of the slow response time: higher limits overload crowded
+endpoints, lower ones reject early.
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 from plovertrail.decisions.load_balancing.attempt_state import AttemptState
 from plovertrail.decisions.load_balancing.latency_estimates import LatencyEstimates
 
-MAX_LIMIT = 8  # slots of one instance at one endpoint, however fast its responses
+MAX_LIMIT = 8  # slots of one instance at one endpoint, even if its responses are fast
 MIN_LIMIT = 1 / 64  # a failing endpoint is tried about once in 64 usual response times
 GROWTH = 0.4  # slots that a round of responses moves the limit by, for each unit of distance from the target
-NEED_WINDOW = 4  # slow response times before a send within which a shortage must have been seen
+SHORTAGE_WINDOW = 4  # slow response times before a send within which a shortage must have been seen
 
 
 class ConcurrencyLimiter:
@@ -41,7 +41,8 @@
             # An endpoint that fails fast frees its slot fast and would attract ever more traffic.
             limit /= 2
         elif step < 0.0:
-            # Slow responses leave the one slot: otherwise all endpoints would cool down after an outage.
+            # Slow responses leave one slot: otherwise all endpoints would be ejected for long after an
+            # outage.
             limit = max(limit * (1.0 + step), min(limit, 1.0))
         elif limit < 1.0 or self._was_short(attempt):
             limit += min(limit, step)
@@ -50,7 +51,7 @@
     def _was_short(self, attempt: AttemptState) -> bool:
         """Whether slots were short around the time of a send.
 
-        Slots that are opened without need, above all by many instances, choke endpoints in a burst.
+        Slots that are opened without need, above all by many instances, overload endpoints in a burst.
         """
-        window_us = NEED_WINDOW * self._latencies.slow_us[attempt.class_index]
+        window_us = SHORTAGE_WINDOW * self._latencies.slow_us[attempt.class_index]
         return attempt.sent_at_us <= self.last_shortage_us + window_us
--- a/plovertrail/decisions/load_balancing/endpoint_group.py
+++ b/plovertrail/decisions/load_balancing/endpoint_group.py
@@ -18,8 +18,8 @@
     def __init__(self, now_us: int) -> None:
         self.active = WeightedSampler()  # in regular use
         self.standby = WeightedSampler()  # not used until the traffic needs more endpoints
-        self.warming = WeightedSampler()  # a slot each at their turns
+        self.warming = WeightedSampler()  # one slot each, when a send is due
         self.samplers = (self.warming, self.active, self.standby)
-        self.capacity = 0.0  # of all its endpoints once they are warm, as far as the list tells
+        self.capacity = 0.0  # of all its endpoints once they are warm
         self.admission = AdmissionController(now_us)
         self.warm_up = WarmUpQueue(now_us)
--- a/plovertrail/decisions/load_balancing/endpoint_health.py
+++ b/plovertrail/decisions/load_balancing/endpoint_health.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt says of the load and the health of its endpoint."""
+"""What the end of an attempt says about the load and the health of its endpoint."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 MAX_LOAD = 2.0  # of an attempt, in halves of the latency objective; also that of one without a response
 MIN_RELATIVE_LATENCY = 0.1
-MAX_RELATIVE_LATENCY = 4.0  # a response that takes longer beside the usual one counts as this
+MAX_RELATIVE_LATENCY = 4.0  # also that of an outlier
 LATENCY_WINDOW = 4  # attempts over which the relative latency of an endpoint is averaged
 
 
@@ -33,7 +33,7 @@
         is_fault = outcome in FAULTS
         is_outlier = self._ejector.record_attempt(endpoint, outcome, is_fault, now_us)
         if is_fault and not is_outlier and outcome is not Outcome.MALFORMED:
-            return False  # the elapsed time says nothing of the load either
+            return False  # the elapsed time says nothing about the load either
         mean_us = self._latencies.mean_us[attempt.class_index]
         slow_us = self._latencies.slow_us[attempt.class_index]
         load = min(MAX_LOAD, elapsed_us / slow_us) if outcome in RESPONDED else MAX_LOAD
@@ -41,12 +41,13 @@
         latency = min(max(latency, MIN_RELATIVE_LATENCY), MAX_RELATIVE_LATENCY)
         endpoint.relative_latency += (latency - endpoint.relative_latency) / LATENCY_WINDOW
         group = endpoint.group
-        # Endpoints that warm up respond fast beside warm ones that choke, which need the reduced admission.
+        # Fast responses of warming endpoints must not end the reduced admission that overloaded warm ones
+        # need.
         if outcome in LOAD_SIGNALS and endpoint.listed.id not in group.warming:
             group.admission.record_load(load, now_us)
         self._limiter.update(attempt, load, is_outlier)
         if endpoint.concurrency_limit < 1.0:
-            # Beside responses of seconds, short cool-downs would leave a choked endpoint crowded.
+            # If responses take seconds, short cool-downs would leave an overloaded endpoint crowded.
             busy_us = max(min(mean_us, slow_us), min(elapsed_us, 2 * slow_us))
             self._ejector.eject(endpoint, busy_us, now_us)
         return True
--- a/plovertrail/decisions/load_balancing/endpoint_selection.py
+++ b/plovertrail/decisions/load_balancing/endpoint_selection.py
@@ -11,18 +11,19 @@
 from plovertrail.decisions.load_balancing.request_state import RequestState
 from plovertrail.decisions.load_balancing.weighted_sampler import WeightedSampler
 
-MIN_ACTIVE = 4  # endpoints in regular use by an instance with next to no traffic
-SENDS_PER_S_PER_ACTIVE = 1.5  # sends a second that call for one more: fewer show nothing, more crowd it
-NO_RESPONSE_SCALE = 0.1  # a selection penalty of this much quarters the probability: far more than by chance
-MAX_SAMPLES = 12  # tries at random before all endpoints are gone through; most selections need one
+MIN_ACTIVE = 4  # endpoints in regular use by an instance with hardly any traffic
+SENDS_PER_S_PER_ACTIVE = 1.5  # one more endpoint for so many: fewer teach nothing, more crowd it
+NO_RESPONSE_SCALE = 0.1  # a selection penalty of this quarters the probability; chance stays far below it
+MAX_SAMPLES = 12  # random samples before all endpoints are searched; most selections need one
 
 
 class EndpointSelector:
     """Selects a free slot at random.
 
-    It takes the turn of an endpoint that warms up, else one of the few active endpoints that the traffic of
-    this instance needs, else any. Turns that others' free slots outbid would be lost, and the warm endpoints
-    choke beside them. A busy zone spills over what it cannot take: a request not admitted, or without a slot.
+    It prefers an endpoint that warms up and is due for a send, then one of the few active endpoints that the
+    traffic of this instance needs, then any. If a due send competed with others' free slots it would often be
+    lost, while the warm endpoints are overloaded. A busy zone spills over only requests that are not admitted
+    there or find no slot.
     """
 
     __slots__ = ("_table", "_exclusions", "_random")
@@ -41,14 +42,15 @@
         class_index = request.event.class_index
         penalized: EndpointState | None = None  # used if there is no other
         for group in self._table.groups:
-            self._open_turns(group, now_us)
+            self._update_warming(group, now_us)
             for sampler in self._samplers(group):
                 if sampler.total_weight <= 0.0:
                     continue
                 endpoint = self._sample(request, sampler, now_us)
                 if endpoint is None:
                     continue
-                # In a sampler of one, an endpoint that peers find unhealthy would be selected regardless.
+                # In a sampler with one member, an endpoint that peers report as unhealthy would always be
+                # selected.
                 penalties = endpoint.peer_penalties
                 if penalties and penalized is None and class_index in penalties:
                     penalized = endpoint
@@ -56,8 +58,8 @@
                 return endpoint
         return penalized
 
-    def _open_turns(self, group: EndpointGroup, now_us: int) -> None:
-        """Update the weights of the endpoints that warm up and whose turns have come."""
+    def _update_warming(self, group: EndpointGroup, now_us: int) -> None:
+        """Update the weights of the warming endpoints that are due for a send."""
         while (endpoint_id := group.warm_up.pop_due()) is not None:
             self._table.update_selection_weight(self._table.by_id.get(endpoint_id), now_us)
 
@@ -66,11 +68,11 @@
         """Return the samplers of a group in the order in which they are tried."""
         admission = group.admission
         if not admission.admits():
-            return (group.warming,)  # these have their turns, and are not what is slow
+            return (group.warming,)  # their sends are scheduled, and they do not cause the overload
         needed = MIN_ACTIVE + int(admission.send_rate.per_second / SENDS_PER_S_PER_ACTIVE)
         if len(group.active) < needed and group.standby.total_weight > 0.0:
             return (group.warming, group.standby, group.active)
-        # Instances that are connected to each endpoint would fill their tables of connections.
+        # If each instance were connected to each endpoint, their connection tables would fill up.
         return group.samplers
 
     def _preferred(self, request: RequestState, now_us: int) -> EndpointState | None:
@@ -93,7 +95,7 @@
         """Return an endpoint of a sampler in proportion to the weights that hold for this request.
 
         Endpoints are sampled by the weights that hold for all requests, and accepted with the fraction that
-        is left for this one. Few samples miss; after some misses all endpoints are gone through.
+        is left for this one. Few samples miss; after some misses all endpoints are searched.
         """
         peers = self._dedup_peers(request, sampler)
         if peers is not None:
--- a/plovertrail/decisions/load_balancing/endpoint_state.py
+++ b/plovertrail/decisions/load_balancing/endpoint_state.py
@@ -15,8 +15,8 @@
 class EndpointState:
     """One ready endpoint.
 
-    What is kept by request class stands in arrays: lists of their own for 10,000 endpoints would be that many
-    more objects for the garbage collector to visit, and it would stop the process for 50 ms.
+    The values by request class are arrays: as lists, those of 10,000 endpoints would be so many more objects
+    for the garbage collector to visit that it stops the process for 50 ms.
     """
 
     __slots__ = (
--- a/plovertrail/decisions/load_balancing/endpoint_table.py
+++ b/plovertrail/decisions/load_balancing/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The ready endpoints, with the weights by which they are selected and the groups that share dedup state."""
+"""The ready endpoints: their groups, their selection weights, and which of them deduplicate together."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from plovertrail.decisions.load_balancing.slow_start import warm_up_fraction
 from plovertrail.decisions.settings import Settings
 
-PENALTY_SCALE = 0.1  # a failure penalty of this much quarters the weight: one failure makes it a twelfth
+PENALTY_SCALE = 0.1  # a failure penalty of this quarters the weight; one failure divides it by twelve
 NO_PEERS: Mapping[int, EndpointState] = {}
 
 
@@ -27,7 +27,7 @@
         self.dedup_groups: dict[tuple[str, int], dict[int, EndpointState]] = {}  # by zone and by cell
 
     def is_current(self, endpoint: EndpointState) -> bool:
-        """Whether an endpoint is still listed: one that was removed and came back is another one."""
+        """Whether an endpoint is still listed; one that was removed and listed again is another endpoint."""
         return self.by_id.get(endpoint.listed.id) is endpoint
 
     def warm_up_fraction(self, endpoint: EndpointState, now_us: int) -> float:
@@ -35,7 +35,7 @@
         return warm_up_fraction(self.settings, endpoint.listed, now_us)
 
     def relative_capacity(self, listed: Endpoint) -> float:
-        """Return what a warm endpoint can do beside the others, as far as the list tells."""
+        """Return the capacity of a warm endpoint relative to the others, as far as it is listed."""
         return listed.weight if self.settings.weighted else 1.0
 
     def open_slots(self, endpoint: EndpointState, now_us: int) -> int:
@@ -96,7 +96,7 @@
     def relist(self, endpoint: EndpointState, listed: Endpoint, now_us: int) -> bool:
         """Take over what the list says of an endpoint; returns whether it is warming up."""
         group = endpoint.group
-        self._leave_dedup_groups(endpoint)
+        self._remove_from_dedup_groups(endpoint)
         endpoint.listed = listed
         for place in (("zone", listed.zone), ("cell", listed.cell)):
             self.dedup_groups.setdefault(place, {})[listed.id] = endpoint
@@ -117,14 +117,14 @@
             for sampler in endpoint.group.samplers:
                 sampler.discard(endpoint_id)
             endpoint.group.capacity -= self.relative_capacity(endpoint.listed)
-            self._leave_dedup_groups(endpoint)
+            self._remove_from_dedup_groups(endpoint)
         return endpoint
 
     def dedup_peers(self, scope: str, place: int) -> Collection[EndpointState]:
         """Return the endpoints that drop each other's duplicates: those of one zone or cell."""
         return self.dedup_groups.get((scope, place), NO_PEERS).values()
 
-    def _leave_dedup_groups(self, endpoint: EndpointState) -> None:
+    def _remove_from_dedup_groups(self, endpoint: EndpointState) -> None:
         for place in (("zone", endpoint.listed.zone), ("cell", endpoint.listed.cell)):
             peers = self.dedup_groups.get(place, {})
             peers.pop(endpoint.listed.id, None)
--- a/plovertrail/decisions/load_balancing/endpoint_updates.py
+++ b/plovertrail/decisions/load_balancing/endpoint_updates.py
@@ -37,7 +37,7 @@
         table = self._table
         if event.kind is not ListKind.DELTA and not event.partial:
             self._remove_unlisted(event.endpoints)
-        self._reopener.reopen_due(now_us)  # without a selection, nothing else would take off what is over
+        self._reopener.reopen_due(now_us)  # without traffic, nothing else would expire stale entries
         added = []
         started = []
         for listed in event.endpoints:
--- a/plovertrail/decisions/load_balancing/outcome_recording.py
+++ b/plovertrail/decisions/load_balancing/outcome_recording.py
@@ -1,4 +1,4 @@
-"""Passes the end of an attempt to the modules that learn from it."""
+"""Records the end of an attempt: health, selection weight, warm-up progress, responses and latency."""
 
 from __future__ import annotations
 
@@ -41,10 +41,10 @@
         """Record an attempt that has just ended."""
         endpoint = attempt.endpoint
         earlier = endpoint.end_attempt(attempt)
-        # A timeout that later sends overtook says nothing of the load. Judged by it, an endpoint that leaves
-        # some attempts without a response would be cut to one slot, and its latency would be that of none.
-        was_overtaken = attempt.slot_released or attempt.overtaken_by > 0
-        counts = not (was_overtaken and outcome is Outcome.TIMEOUT)
+        # A timeout while later sends were answered says nothing of the load. Counted as load, it would cut an
+        # endpoint that leaves some attempts without a response to one slot, and distort its latency.
+        is_out_of_order = attempt.slot_released or attempt.later_answered > 0
+        counts = not (is_out_of_order and outcome is Outcome.TIMEOUT)
         if counts and self._health.update(attempt, outcome, elapsed_us, now_us):
             self._retire_if_failing(endpoint, now_us)
             self._log_ejection(endpoint, now_us)
@@ -56,7 +56,7 @@
             self._latencies.record(attempt.class_index, elapsed_us)
 
     def _retire_if_failing(self, endpoint: EndpointState, now_us: int) -> None:
-        """Let another endpoint take the place of one that fails; it may come back after its cool-down."""
+        """Replace an active endpoint that fails by a standby one, until after its cool-down."""
         if endpoint.concurrency_limit < STANDBY_BELOW and self._table.set_active(endpoint, False, now_us):
             self._actions.pending.append(CloseIdle(endpoint.listed.id))
 
--- a/plovertrail/decisions/load_balancing/outlier_ejection.py
+++ b/plovertrail/decisions/load_balancing/outlier_ejection.py
@@ -1,8 +1,8 @@
 """Ejection of endpoints that fail: a cool-down between sends, and a selection penalty from the first fault.
 
-What corrupts responses or breaks connections may do so at all endpoints alike, and one such fault would then
-eject each of them. So only a rejection tells of the endpoint itself at once; other faults count from two in
-three attempts on.
+A cause that corrupts responses or breaks connections may affect all endpoints alike, and a single such fault
+would then eject each of them. So only a rejection counts against the endpoint at once; other faults do from
+two in three attempts on.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 
 FAULT_WINDOW = 4  # attempts over which the fault rate and the failure penalty are averaged
 MAX_FAULT_RATE = 0.35  # two faults in three attempts are above it
-PENALTY_HALF_LIFE_US = 10_000_000  # with next to no traffic, no response would ever end a penalty
+PENALTY_HALF_LIFE_US = 10_000_000  # without traffic, no response would ever end a penalty
 MIN_PENALTY = 0.02  # less is none
-MAX_PENALIZED_SHARE = 1 / 3  # with more endpoints than this, the faults strike all alike
+MAX_PENALIZED_SHARE = 1 / 3  # of the endpoints: if more have faults, the cause is a common one
 
 
 class FailurePenalties:
     """Owns the failure penalties: which endpoints have one, and when each is halved.
 
-    An endpoint that fails a part of its attempts at once takes the requests that must not be repeated, and
-    beside many endpoints an instance with little traffic sees each of them too seldom to learn a rate. So the
-    first fault counts, in the selection alone, as long as few endpoints have any.
+    An endpoint that fails some attempts at once loses requests that must not be repeated, and an instance
+    with little traffic and many endpoints sees each of them too seldom to learn a rate. So the first fault
+    counts, for the selection only, as long as few endpoints have any.
     """
 
     __slots__ = ("decay_at_us", "_table", "_decays")
@@ -40,7 +40,7 @@
     def record(self, endpoint: EndpointState, is_fault: bool, now_us: int) -> None:
         """Record an attempt of an endpoint that is penalized or has just failed."""
         if not self._table.is_current(endpoint):
-            return  # it would be booked to the endpoint that came back under its id
+            return  # it would count against the endpoint that was listed again under its id
         if not is_fault or len(self.decay_at_us) < MAX_PENALIZED_SHARE * len(self._table.by_id):
             endpoint.failure_penalty += (is_fault - endpoint.failure_penalty) / FAULT_WINDOW
             self.track(endpoint, now_us)
@@ -56,14 +56,16 @@
             heapq.heappush(self._decays, (at_us, endpoint_id))
 
     def decay_due(self, now_us: int) -> None:
-        """Halve the penalties whose time has come, whether or not there was a response to learn from."""
+        """Halve the penalties that are due, whether or not the endpoint has answered since."""
         while self._decays and self._decays[0][0] <= now_us:
             at_us, endpoint_id = heapq.heappop(self._decays)
             if self.decay_at_us.get(endpoint_id) == at_us:
                 endpoint = self._table.by_id[endpoint_id]
                 endpoint.failure_penalty /= 2.0
                 del self.decay_at_us[endpoint_id]
-                self.track(endpoint, at_us)  # from when it was due: a long calm takes all its steps at once
+                self.track(
+                    endpoint, at_us
+                )  # from when it was due, so that all steps of a long pause are made
                 self._table.update_selection_weight(endpoint, now_us)
 
     def forget(self, endpoint_id: int) -> None:
--- a/plovertrail/decisions/load_balancing/poll_schedule.py
+++ b/plovertrail/decisions/load_balancing/poll_schedule.py
@@ -1,10 +1,10 @@
-"""When discovery is polled for the endpoint list, so that its changes are in force in time.
+"""When discovery is polled for the endpoint list, so that changes take effect in time.
 
-Whatever polls fail, a change is in force six seconds after discovery had it and could be reached, and a
-draining endpoint gets nothing new after its grace period. That bound may contradict what discovery can serve
-when a whole fleet polls at one moment. Where the settings state a rate that it serves, the rate holds, and a
-large fleet takes its turns for longer. Where they state none, as on the platform, the six seconds hold, and
-the polls of the fleet are spread over what these leave.
+Whatever polls fail, a change takes effect within six seconds after discovery had it and was reachable, and a
+draining endpoint gets no request after its grace period. That bound may conflict with the rate that discovery
+can serve when a whole fleet polls at one moment. If the settings state such a rate, it is kept, and the polls
+of a large fleet are spread over a longer time. If they state none, as on the platform, the six seconds are
+kept, and the polls are spread over the time that they leave.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from plovertrail.decisions.settings import Settings
 
 NOTIFICATION_LIMIT_US = 6_000_000  # the contract: a change counts as known after this time at the latest
-RESPONSE_LIMIT_US = 3_000_000  # a poll waits for its turn at discovery for so long before it is rejected
+RESPONSE_LIMIT_US = 3_000_000  # discovery queues a poll for so long before it rejects it
 POLL_TIMEOUT_US = RESPONSE_LIMIT_US + 100_000  # a poll without a response by then gets none
 WATCH_TIMEOUT_US = 3_000_000  # a watch sends an empty line every 2 s; silent for this long, it is broken
 INITIAL_BACKOFF_US = 250_000  # long beside one poll, short beside a drain
 MIN_SPREAD_US = 150_000  # polls are spread over this even where the bounds leave nothing
 DEFAULT_DISCOVERY_RATE_PER_S = 20.0  # polls in the worst second, where the settings state no rate
-POLL_INTERVAL_SHARE = 0.9  # of the longest poll interval, after a poll that waited in vain
+POLL_INTERVAL_SHARE = 0.9  # of the longest poll interval, after a poll that failed
 MAX_DOUBLINGS = 20
 
 
 def max_poll_gap_us(settings: Settings) -> int:
     """Return the longest time from one poll, or the last line of a watch, to the begin of the next poll.
 
-    A change that discovery has just missed to report is then reported by that one, in time for its drain.
+    A change that one poll just missed is then reported by the next one, in time for its drain.
     """
     interval_us = int(POLL_INTERVAL_SHARE * settings.max_poll_interval_us)
     if settings.discovery_rate_per_s:
@@ -48,7 +48,7 @@
 def max_notification_delay_us(settings: Settings) -> int:
     """Return the longest time until a change is known that discovery has and can be reached for.
 
-    It is that of a poll that was lost at that very moment, the wait for the next one, and its own turn.
+    It adds up a poll that was lost at that moment, the delay of the next one, and its time in the queue.
     """
     return max(max_poll_gap_us(settings), POLL_TIMEOUT_US + MIN_SPREAD_US) + RESPONSE_LIMIT_US
 
@@ -94,10 +94,10 @@
         return True
 
     def _backoff_us(self, longest_us: int) -> int:
-        """Return the turn of this instance, at random, among all that poll at one moment.
+        """Return a random delay that spreads the polls of all instances that begin at one moment.
 
-        The span doubles with each failure: polls that come faster than discovery answers all fail, and what
-        waited in vain was work for it all the same.
+        The span doubles with each failure: polls at a higher rate than discovery serves all fail, and still
+        cost it work.
         """
         settings = self._settings
         rate_per_s = settings.discovery_rate_per_s or DEFAULT_DISCOVERY_RATE_PER_S
--- a/plovertrail/decisions/load_balancing/request_buffer.py
+++ b/plovertrail/decisions/load_balancing/request_buffer.py
@@ -6,7 +6,7 @@
 from plovertrail.decisions.load_balancing.request_state import RequestState
 from plovertrail.decisions.settings import Settings
 
-TENANT_WINDOW = 200  # arrivals: enough to tell a tenant at twice its share from chance, soon forgotten
+TENANT_WINDOW = 200  # arrivals: enough to distinguish a tenant at twice its share from chance
 
 
 class TenantUsage:
@@ -26,10 +26,10 @@
             self._arrivals[tenant] += 1.0
 
     def weight(self, request: RequestState) -> float:
-        """Return a factor for the value of a request: what is beyond the share of its tenant counts less.
+        """Return a factor for the value of a request: less than 1 if its tenant exceeds its share.
 
-        The share is judged among the tenants seen here unless the fleet's is known: an instance knows nothing
-        of total rates.
+        The share is estimated from the tenants seen here unless the fleet's is known, as an instance does not
+        know total rates.
         """
         tenant = request.event.tenant
         if tenant >= len(self._arrivals):
--- a/plovertrail/decisions/load_balancing/response_tracking.py
+++ b/plovertrail/decisions/load_balancing/response_tracking.py
@@ -21,14 +21,14 @@
 from plovertrail.decisions.load_balancing.endpoint_table import EndpointTable
 from plovertrail.decisions.load_balancing.timers import NEVER_US
 
-MIN_OVERTAKEN_BY = 4  # later sends answered first that tell a lost attempt from one that waits its turn
+MIN_LATER_ANSWERED = 4  # later sends answered first that distinguish a lost attempt from a queued one
 RATE_WINDOW = 16  # attempts of a class over which the rate of those without a response is averaged
 EXCLUDE_AFTER = 3  # attempts of a class without a response in a row
 MAX_CONSECUTIVE = 5  # longer rows count as this long
 
 
 class NoResponseListener(Protocol):
-    """Told of each attempt that has had no response for longer than one takes."""
+    """Receives each attempt that has had no response for longer than one takes."""
 
     def __call__(self, endpoint: EndpointState, class_index: int, /) -> None:
         """Handle one attempt of this class at this endpoint."""
@@ -70,7 +70,7 @@
         return next_us
 
     def record_response(self, attempt: AttemptState, earlier: list[AttemptState], now_us: int) -> None:
-        """Record a response; `earlier` are the attempts that it overtook at the same endpoint."""
+        """Record a response; `earlier` are the attempts sent to the endpoint before and not answered yet."""
         endpoint = attempt.endpoint
         class_index = attempt.class_index
         endpoint.no_response_rate[class_index] -= endpoint.no_response_rate[class_index] / RATE_WINDOW
@@ -78,8 +78,8 @@
         if endpoint.excluded_until_us[class_index]:
             self._exclusions.exclude(endpoint, class_index, 0)
         for other in earlier:
-            other.overtaken_by += 1
-            other.overtaken_in_class |= other.class_index == class_index
+            other.later_answered += 1
+            other.later_answered_in_class |= other.class_index == class_index
             if other.no_response and not other.slot_released:
                 self._release_slot(other, now_us)
 
@@ -91,7 +91,7 @@
             self.listener(endpoint, class_index)
         rate = endpoint.no_response_rate[class_index]
         endpoint.no_response_rate[class_index] = rate + (1.0 - rate) / RATE_WINDOW
-        if not attempt.overtaken_in_class:
+        if not attempt.later_answered_in_class:
             consecutive = min(endpoint.consecutive_no_response[class_index] + 1, MAX_CONSECUTIVE)
             endpoint.consecutive_no_response[class_index] = consecutive
             if consecutive >= EXCLUDE_AFTER:
@@ -101,20 +101,20 @@
         self._release_slot(attempt, now_us)
 
     def _release_slot(self, attempt: AttemptState, now_us: int) -> None:
-        """Free the slot of an overdue attempt that is lost, as its endpoint answers what was sent later.
+        """Free the slot of an overdue attempt that is lost, as its endpoint answers later sends.
 
         Each of the few that are never answered would hold a slot to its deadline, until all slots are held
         and everything else is rejected. The attempt stays in flight, since its response may still be of use.
-        Nothing can overtake what holds the only slot, so each endpoint may have one lost on suspicion while
-        the others respond fast. A slow or silent endpoint, or fleet, frees no more. It can do harm where an
-        endpoint serves by priority or shares out its time, and really works on what was overtaken: it then
-        gets up to twice its slots.
+        Nothing is answered before an attempt that holds the only slot, so each endpoint may have one released
+        on suspicion while the others respond fast. A slow or silent endpoint, or fleet, releases no more. It
+        can do harm where an endpoint serves by priority or by time slices, and is still working on the
+        attempt: it then gets up to twice its slots.
         """
         endpoint = attempt.endpoint
         released = [other for other in endpoint.attempts if other.slot_released]
-        is_proven = attempt.overtaken_by >= MIN_OVERTAKEN_BY
+        is_proven = attempt.later_answered >= MIN_LATER_ANSWERED
         is_suspected = endpoint.group.admission.load < TARGET_LOAD and all(
-            other.overtaken_by >= MIN_OVERTAKEN_BY for other in released
+            other.later_answered >= MIN_LATER_ANSWERED for other in released
         )
         if (is_proven or is_suspected) and len(released) < max(1, int(endpoint.concurrency_limit)):
             attempt.slot_released = True
--- a/plovertrail/decisions/load_balancing/retry_policy.py
+++ b/plovertrail/decisions/load_balancing/retry_policy.py
@@ -62,9 +62,9 @@
         return min(left_us, max(usual_us, 4 * request.event.cost_us))
 
     def start_within_us(self, request: RequestState, now_us: int) -> int:
-        """Return within what time the newest attempt must be written to be dropped as a duplicate; 0 = any.
+        """Return how late the newest attempt may be written to be recognized as a duplicate; 0 = any time.
 
-        Its connection may take so long to come up that the endpoints have forgotten the first attempt.
+        Its connection may take so long to open that the endpoints no longer remember the first attempt.
         """
         request_class = self._class_of(request)
         if request_class.effect != "deduplicated":
@@ -82,9 +82,9 @@
         return min(int(2 * self._latencies.mean_us[index]), self._latencies.slow_us[index])
 
     def final_answer(self, request: RequestState, uniform: float) -> Reject | Fail:
-        """Return how a request ends without a response; `uniform` is a random number from 0 to 1.
+        """Return the answer to a request that got no response; `uniform` is a random number from 0 to 1.
 
-        The advice is about one response time, spread so that rejected clients do not come back together.
+        Retry-After is about one response time, spread so that rejected clients do not all retry together.
         """
         if not self._may_reject(request):
             return Fail(request.event.request)
--- a/plovertrail/decisions/load_balancing/slot_reopening.py
+++ b/plovertrail/decisions/load_balancing/slot_reopening.py
@@ -27,7 +27,7 @@
         self._exclusions = exclusions
 
     def reopen_due(self, now_us: int) -> None:
-        """Apply everything that is over by now."""
+        """Apply everything that is due."""
         self._penalties.decay_due(now_us)
         while (endpoint_id := self.rechecks.pop_due(now_us)) is not None:
             endpoint = self._table.by_id.get(endpoint_id)
@@ -40,7 +40,7 @@
         return min(self.rechecks.next_due_us(), self._exclusions.next_end_us(class_index))
 
     def forget(self, endpoint: EndpointState) -> None:
-        """Drop what is kept of an endpoint that was removed."""
+        """Drop the penalty and the exclusions of an endpoint that was removed."""
         self._penalties.forget(endpoint.listed.id)
         self._exclusions.forget(endpoint)
 
@@ -49,8 +49,8 @@
         is_warm = self._table.warm_up_fraction(endpoint, now_us) >= 1.0
         if is_warm and endpoint.listed.id in warming:
             warming.discard(endpoint.listed.id)
-            # With half of a fleet new, all instances would crowd the old endpoints, which each of them knows
-            # and finds slow but with a slot free, and their fast responses from the new ones would be lost.
+            # If half of a fleet was replaced, all instances would otherwise crowd the old endpoints, which
+            # are active and slow but have a slot free, and the fast new ones would stay idle.
             if endpoint.relative_latency < 1.0:
                 self._table.set_active(endpoint, True, now_us)
         self._table.update_selection_weight(endpoint, now_us)
--- a/plovertrail/decisions/load_balancing/slow_start.py
+++ b/plovertrail/decisions/load_balancing/slow_start.py
@@ -1,7 +1,7 @@
-"""Slow start: how far an endpoint has warmed up, and the turns of those that warm up in one group.
+"""Slow start: how far an endpoint has warmed up, and when the endpoints of a group get their next sends.
 
-Capacity grows linearly over `Settings.warm_up_us`. Turns are counted in what the group serves rather than in
-time, so that they follow the traffic.
+Capacity grows linearly over `Settings.warm_up_us`. Sends are scheduled by what the group serves rather than
+by time, so that they follow the traffic.
 """
 
 from __future__ import annotations
@@ -21,8 +21,7 @@
 def warm_up_fraction(settings: Settings, listed: Endpoint, now_us: int) -> float:
     """Return the fraction of its capacity that an endpoint is certain to have.
 
-    Treating it as warm any sooner would let all instances in at one moment, and together they would push it
-    over.
+    If it counted as warm any sooner, all instances would send to it at one moment and overload it together.
     """
     if listed.started_us == 0:
         return 1.0
@@ -34,38 +33,38 @@
 
 
 class WarmUpQueue:
-    """The turns of the endpoints of one group that warm up, by the group's progress."""
+    """The next sends to the endpoints of one group that warm up, by the group's progress."""
 
-    __slots__ = ("progress", "_turns", "_response_rate", "_peak_rate", "_mark", "_mark_us")
+    __slots__ = ("progress", "_due", "_response_rate", "_peak_rate", "_mark", "_mark_us")
 
     def __init__(self, now_us: int) -> None:
         self.progress = 0.0  # responses so far, and a tenth of the requests admitted
-        self._turns: list[tuple[float, int]] = []  # (progress, endpoint id); a heap, with stale entries
+        self._due: list[tuple[float, int]] = []  # (progress, endpoint id); a heap, with stale entries
         self._response_rate = EventRate(now_us)
         self._peak_rate = 0.0  # responses a second at best; it decays
         self._mark = 0.0  # the progress at the end of the last interval of a shortage
         self._mark_us = now_us
 
     def __len__(self) -> int:
-        return len(self._turns)
+        return len(self._due)
 
     def schedule(self, progress: float, endpoint_id: int) -> None:
-        """Give an endpoint a turn once the group has come so far."""
-        heapq.heappush(self._turns, (progress, endpoint_id))
+        """Open the slot of an endpoint once the group has made this progress."""
+        heapq.heappush(self._due, (progress, endpoint_id))
 
     def drop_stale(self, current: Iterable[tuple[float, int]], count: int) -> None:
-        """Keep the current turns alone if too many entries are stale; `count` endpoints warm up.
+        """Keep the current entries only if too many are stale; `count` endpoints warm up.
 
         With endpoints that restart and next to no traffic, stale entries would accumulate.
         """
-        if len(self._turns) > 2 * count + STALE_ENTRIES:
-            self._turns = sorted(current)
+        if len(self._due) > 2 * count + STALE_ENTRIES:
+            self._due = sorted(current)
 
     def pop_due(self) -> int | None:
-        """Remove and return the next endpoint id whose turn has come; None if there is none."""
-        if not self._turns or self._turns[0][0] > self.progress:
+        """Remove and return the next endpoint id that is due; None if there is none."""
+        if not self._due or self._due[0][0] > self.progress:
             return None
-        return heapq.heappop(self._turns)[1]
+        return heapq.heappop(self._due)[1]
 
     def record_response(self, now_us: int) -> None:
         """Count a request that was served."""
@@ -74,10 +73,10 @@
         self._peak_rate = max(self._peak_rate * PEAK_DECAY, self._response_rate.per_second)
 
     def record_rejection(self, now_us: int) -> None:
-        """Let the progress go on at its peak rate while requests are rejected without any attempt.
+        """Continue the progress at its peak rate while requests are rejected without any attempt.
 
-        Warm endpoints that choke serve less, and those that warm up beside them would have fewer turns the
-        more they are needed. However much is asked, the progress is never faster than what was served.
+        Overloaded warm endpoints serve less, and endpoints that warm up beside them would get fewer sends the
+        more they are needed. The progress is never faster than what was served, whatever the demand.
         """
         gap_us = now_us - self._mark_us
         if gap_us < SHORTAGE_INTERVAL_US:
--- a/plovertrail/decisions/load_balancing/timers.py
+++ b/plovertrail/decisions/load_balancing/timers.py
@@ -1,4 +1,4 @@
-"""What becomes due by time alone: the balancer's one timer, and the endpoints to look at again."""
+"""Work that becomes due by time: the wake-ups of the load balancer, and endpoints to recheck."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class TimerKind(enum.IntEnum):
-    """What a timer is for; of those due at one moment, the lower value comes first."""
+    """What a timer is for; of timers due at one moment, the one with the lower value is handled first."""
 
     BUFFER_EXPIRY = 0
     HEDGE = 1
@@ -65,7 +65,7 @@
 
 
 class RecheckQueue:
-    """When endpoints are looked at again because a cool-down or a warm-up ends."""
+    """When endpoints are rechecked because a cool-down or a warm-up ends."""
 
     __slots__ = ("_heap",)
 
@@ -76,11 +76,11 @@
         return len(self._heap)
 
     def schedule(self, at_us: int, endpoint_id: int) -> None:
-        """Look at an endpoint again at this time."""
+        """Recheck an endpoint at this time."""
         heapq.heappush(self._heap, (at_us, endpoint_id))
 
     def next_due_us(self) -> int:
-        """Return the time of the earliest entry, which may be of an endpoint that is no longer listed."""
+        """Return the time of the earliest recheck, which may be of an endpoint that is no longer listed."""
         return self._heap[0][0] if self._heap else NEVER_US
 
     def pop_due(self, now_us: int) -> int | None:
--- a/plovertrail/decisions/load_balancing/warm_up_scheduler.py
+++ b/plovertrail/decisions/load_balancing/warm_up_scheduler.py
@@ -1,4 +1,4 @@
-"""When an endpoint that warms up gets its next send: rule 4 of the contract, that none is pushed over."""
+"""When an endpoint that warms up gets its next send (rule 4 of the contract: none is overloaded)."""
 
 from __future__ import annotations
 
@@ -7,15 +7,14 @@
 from plovertrail.decisions.load_balancing.endpoint_state import EndpointState
 from plovertrail.decisions.load_balancing.endpoint_table import EndpointTable
 
-OVERLOAD_MARGIN = (
-    0.6  # of the overload factor, if the warm endpoints are at their limits: work comes in bursts
-)
+# Of the overload factor, if the warm endpoints are at their limits: work comes in bursts.
+OVERLOAD_MARGIN = 0.6
 CALM_SHARE = 0.4  # of that, while the warm endpoints respond fast and need no help
 HELP_LOAD = 0.4  # of the slow response time: from here on they need all of it
 
 
 class WarmUpScheduler:
-    """Schedules the turns of endpoints that warm up."""
+    """Schedules the sends to endpoints that warm up."""
 
     __slots__ = ("_table", "_random")
 
@@ -24,17 +23,17 @@
         self._random = rng
 
     def schedule_first_send(self, endpoint: EndpointState, now_us: int) -> None:
-        """Schedule the first send within a random part of one turn.
+        """Schedule the first send after a random part of the usual interval.
 
-        All instances learn of a start within moments, and must not send to the endpoint in one burst.
+        All instances learn of a start almost together, and must not send to the endpoint in one burst.
         """
         self.schedule_send(endpoint, self._random.random(), now_us)
 
-    def schedule_send(self, endpoint: EndpointState, turns: float, now_us: int) -> None:
-        """Schedule the next send after so many turns.
+    def schedule_send(self, endpoint: EndpointState, intervals: float, now_us: int) -> None:
+        """Schedule the next send after a number of usual intervals.
 
         An endpoint gets a share of what this instance sees served by the group, by its warm-up fraction and
-        capacity, times what it tolerates. The fleet serves no more than it can, however much is asked of it.
+        capacity, times what it tolerates. Whatever the demand, the fleet serves no more than it can.
         """
         table = self._table
         group = endpoint.group
@@ -45,7 +44,7 @@
         )
         tolerated = self._tolerated_fraction(endpoint, now_us)
         share = tolerated * table.relative_capacity(endpoint.listed)
-        endpoint.next_warm_up_send = group.warm_up.progress + turns * capacity / share
+        endpoint.next_warm_up_send = group.warm_up.progress + intervals * capacity / share
         group.warm_up.schedule(endpoint.next_warm_up_send, endpoint.listed.id)
         group.warm_up.drop_stale(
             ((other.next_warm_up_send, other.listed.id) for other in warming), len(warming)
