--- a/plovertrail/decisions/load_balancing/balancer.py
+++ b/plovertrail/decisions/load_balancing/balancer.py
@@ -8,7 +8,7 @@
 
 import random
 
-from plovertrail.decisions.actions import Action, Send, SetTimer, Subscribe
+from plovertrail.decisions.actions import Action, SetTimer, Subscribe
 from plovertrail.decisions.events import (
     AttemptEnded,
     EndpointsUpdated,
@@ -20,7 +20,7 @@
     StreamStarted,
     TimerFired,
 )
-from plovertrail.decisions.load_balancing.attempt_state import AttemptState
+from plovertrail.decisions.load_balancing.attempt_sending import AttemptSender
 from plovertrail.decisions.load_balancing.class_exclusions import ClassExclusions
 from plovertrail.decisions.load_balancing.concurrency_limits import ConcurrencyLimiter
 from plovertrail.decisions.load_balancing.endpoint_health import EndpointHealth
@@ -34,7 +34,6 @@
 )
 from plovertrail.decisions.load_balancing.latency_estimates import LatencyEstimates
 from plovertrail.decisions.load_balancing.outcome_recording import OutcomeRecorder
-from plovertrail.decisions.load_balancing.outcomes import RETRYABLE
 from plovertrail.decisions.load_balancing.outlier_ejection import FailurePenalties, OutlierEjector
 from plovertrail.decisions.load_balancing.overload_monitor import OverloadMonitor
 from plovertrail.decisions.load_balancing.pending_actions import PendingActions
@@ -88,6 +87,7 @@
         self.tracker = ResponseTracker(self.table, self.exclusions, self.random)
         self._actions = PendingActions(now_us)
         self._overload = OverloadMonitor()
+        self._sender = AttemptSender(self.table, self.warm_ups, self.retries, self.tracker, self.timers)
         health = EndpointHealth(self.latencies, self.limiter, self.ejector)
         self._recorder = OutcomeRecorder(self.table, self.latencies, health, self.tracker, self._actions)
 
@@ -210,32 +210,7 @@
         return self.selector.select_endpoint(request, self.now_us)
 
     def _send(self, request: RequestState, endpoint: EndpointState) -> None:
-        """Send an attempt of a request to an endpoint."""
-        now_us = self.now_us
-        event = request.event
-        if self.table.warm_up_fraction(endpoint, now_us) < 1.0:
-            self.warm_ups.schedule_send(endpoint, 1.0, now_us)
-        endpoint.in_flight += 1
-        endpoint.group.admission.record_send(now_us)
-        if endpoint.listed.id not in endpoint.group.active:
-            self.table.set_active(endpoint, True, now_us)
-        self.table.update_selection_weight(endpoint, now_us)
-        if request.total_attempts() == 0:
-            self.retry_budget.record_first_attempt()
-        else:
-            self.retry_budget.record_retry()
-        attempt = AttemptState(endpoint, endpoint.listed, event.class_index, now_us)
-        request.attempts.append(attempt)
-        request.in_flight += 1
-        endpoint.attempts.append(attempt)
-        if not self.settings.classes[event.class_index].stream:
-            self.timers.require_by(self.tracker.track(attempt))
-        timeout_us = self.retries.attempt_timeout_us(request, now_us)
-        start_within_us = self.retries.start_within_us(request, now_us)
-        self._actions.pending.append(Send(event.request, endpoint.listed.id, timeout_us, start_within_us))
-        hedge_delay_us = self.retries.hedge_delay_us(request)
-        if hedge_delay_us is not None:
-            self.timers.schedule(now_us + hedge_delay_us, TimerKind.HEDGE, event.request, now_us)
+        self._actions.pending.append(self._sender.send(request, endpoint, self.now_us))
 
     def _send_hedge(self, request: RequestState) -> None:
         """Send a second attempt while the first runs on.
@@ -260,9 +235,7 @@
         if event.final or request.is_closed:
             self._close(request)
         elif request.in_flight == 0:
-            is_retryable = event.outcome in RETRYABLE and self.retries.may_send(request, self.now_us)
-            # Without a budget, timeouts would double the load that keeps a slow fleet slow.
-            if is_retryable and self.retry_budget.allows_retry():
+            if self.retries.may_retry(request, event.outcome, self.now_us):
                 self._dispatch(request)
             else:
                 self._answer(request)
--- a/plovertrail/decisions/load_balancing/retry_policy.py
+++ b/plovertrail/decisions/load_balancing/retry_policy.py
@@ -7,7 +7,9 @@
 from __future__ import annotations
 
 from plovertrail.decisions.actions import Fail, Reject
+from plovertrail.decisions.events import Outcome
 from plovertrail.decisions.load_balancing.latency_estimates import LatencyEstimates
+from plovertrail.decisions.load_balancing.outcomes import RETRYABLE
 from plovertrail.decisions.load_balancing.request_state import RequestState
 from plovertrail.decisions.load_balancing.retry_budget import RetryBudget
 from plovertrail.decisions.settings import RequestClass, Settings
@@ -41,6 +43,20 @@
             return True
         return kind.effect == "deduplicated" and now_us - first.sent_at_us < kind.dedup_window_us
 
+    def may_retry(self, request: RequestState, outcome: Outcome, now_us: int) -> bool:
+        """Whether a request may be sent again after an attempt that ended like this.
+
+        Without a budget, the retries of timeouts would double the load that keeps a slow fleet slow.
+        """
+        return outcome in RETRYABLE and self.may_send(request, now_us) and self._budget.allows_retry()
+
+    def charge_attempt(self, request: RequestState) -> None:
+        """Book an attempt that is about to be made: the first one earns a part of a retry."""
+        if request.total_attempts() == 0:
+            self._budget.record_first_attempt()
+        else:
+            self._budget.record_retry()
+
     def latest_start_us(self, request: RequestState) -> int:
         """Return after when an attempt is not expected to be back in time to be of use.
 
