--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -29,7 +29,7 @@
 from fakes.web import OK, WebServer, slowly
 from plovertrail.clock import clock_us
 from plovertrail.config.operator import load
-from plovertrail.daemon.process import Daemon, settle_heap
+from plovertrail.daemon.process import Daemon, freeze_heap
 from plovertrail.decisions.endpoint_list import Candidate, Entry, Guards, State, reduce
 from plovertrail.sources.list_reader import ListReader
 from plovertrail.sources.lists import parse, sealed
@@ -89,7 +89,7 @@
     path = folder / "site.toml"
     path.write_text(FILE.format(port=port, folder=folder, damping=str(damping).lower()))
     daemon = Daemon(load(str(path)), lists=ListReader(notifications=notifications))
-    settle_heap()  # as `serve` does
+    freeze_heap()  # as `serve` does
     return daemon, port
 
 
@@ -290,7 +290,7 @@
         process.send_signal(signal.SIGKILL)
         process.communicate()
         daemon, _ = daemon_in(folder)
-        wrong += bool(daemon.store.problem) or len(members(daemon)) not in (20, 2_000)
+        wrong += bool(daemon.services.store.problem) or len(members(daemon)) not in (20, 2_000)
         await daemon.stop()
     return count, wrong
 
--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -95,8 +95,8 @@
         put(Path(folder) / "servers.json", many(count))
         daemon, _ = daemon_in(Path(folder), damping=False)
         if not kept:
-            daemon.store.files = None
-            daemon.background.remove("state")
+            daemon.services.store.files = None
+            daemon.services.background.remove("state")
         await until(lambda: len(members(daemon)) == count)
         await asyncio.sleep(1.0)
         rng = random.Random(1)
@@ -107,7 +107,7 @@
                     0.7,
                 )  # something to tell of half of them
         worst_ms = await stands_still(daemon, seconds, rng)
-        work = daemon.background.status().get("state", {})
+        work = daemon.services.background.status().get("state", {})
         await daemon.stop()
         return worst_ms, float(work.get("share", 0.0))
 
--- a/plovertrail/daemon/config_watcher.py
+++ b/plovertrail/daemon/config_watcher.py
@@ -1,4 +1,4 @@
-"""Follows the operator's own file, where it says `reload = "watch"`."""
+"""Follows changes of the operator's file, where it says `reload = "watch"`."""
 
 from __future__ import annotations
 
@@ -16,42 +16,48 @@
 
 
 class ConfigWatcher:
-    """`reload` is called with the digest of a changed file that has settled."""
+    """Watches the operator's file, and owns the reloads that its changes begin."""
 
-    def __init__(self, lists: ListReader, reload: Callable[[str], Awaitable[None]]) -> None:
+    def __init__(self, lists: ListReader, reload_changed: Callable[[str], Awaitable[None]]) -> None:
+        """`reload_changed` is called with the digest of a changed file that has settled."""
         self.lists = lists
-        self.reload = reload
-        self.in_force = ""  # the digest of the setup in force
-        self.unreadable = ""  # why the file can't be read; empty: it can, or is not followed
-        self.subscription: Subscription | None = None  # None: it is read on SIGHUP only
-        self.reloads: set[asyncio.Task[None]] = set()
-
-    def follow(self, setup: Setup) -> None:
-        """A setup has come into force."""
-        self.in_force, self.unreadable = setup.digest, ""
+        self.reload_changed = reload_changed
+        self.digest_in_force = ""
+        self.problem = ""  # why the file can't be read; empty: it can, or is not watched
+        self.subscription: Subscription | None = None  # None: the file is read on SIGHUP only
+        self._reloads: set[asyncio.Task[None]] = set()
+
+    def apply(self, setup: Setup) -> None:
+        """Watch the file of a configuration that has come into force, if it says so."""
+        self.digest_in_force = setup.digest
+        self.problem = ""
         self.lists.in_force.use_setup(setup.digest)
         key = SourceKey(setup.path, False, SourceKind.PLAIN) if setup.watched else None
         if self.subscription is not None and self.subscription.key != key:
             self.subscription.stop()
             self.subscription = None
         if key is not None and self.subscription is None:
-            self.subscription = self.lists.subscribe(key, "operator's file", self._changed, self._refused)
-
-    async def _changed(self, candidate: Candidate) -> str:
-        """The file was read and has settled. Hazard: a reload may take minutes with its tests, and no list
-        may wait for it."""
-        self.unreadable = ""
-        if self.subscription is not None and self.subscription.digest != self.in_force:
-            task = asyncio.ensure_future(self.reload(self.subscription.digest))
-            self.reloads.add(task)
-            task.add_done_callback(self.reloads.discard)
+            self.subscription = self.lists.subscribe(key, "operator's file", self._changed, self._unreadable)
+
+    async def _changed(self, _candidate: Candidate) -> str:
+        """Begin a reload of a file that has settled; returns what becomes of the change.
+
+        A reload runs as a task of its own, as it may take minutes with its tests and no list may wait for it.
+        """
+        self.problem = ""
+        if self.subscription is not None and self.subscription.digest != self.digest_in_force:
+            task = asyncio.ensure_future(self.reload_changed(self.subscription.digest))
+            self._reloads.add(task)
+            task.add_done_callback(self._reloads.discard)
         return "a reload brings it into force"
 
-    async def _refused(self, source: str, why: str) -> None:
-        log.error("the setup in force stays: %s: %s", source, why)
-        self.unreadable = f"{source}: {why}"
+    async def _unreadable(self, source: str, why: str) -> None:
+        log.error("configuration file unreadable, the one in force stays file=%s: %s", source, why)
+        self.problem = f"{source}: {why}"
 
-    def stop(self) -> None:
-        """The daemon ends."""
-        for task in self.reloads:
+    async def close(self) -> None:
+        """Cancel the reloads under way, and wait until they have ended."""
+        reloads = list(self._reloads)
+        for task in reloads:
             task.cancel()
+        await asyncio.gather(*reloads, return_exceptions=True)
--- /dev/null
+++ b/plovertrail/daemon/configuration_apply.py
@@ -0,0 +1,115 @@
+"""Puts a configuration into force, in full or not at all.
+
+What can fail comes first: `prepare` returns a PreparedConfiguration, or raises ConfigError with nothing
+changed. `put_into_force` takes nothing else, and none of its steps can fail.
+"""
+
+from __future__ import annotations
+
+import socket
+from collections.abc import Mapping
+from contextlib import ExitStack
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from plovertrail.config.setup import Setup
+from plovertrail.daemon.wiring import Services
+from plovertrail.decisions.list_versions import SourceKey
+from plovertrail.dispatch.server_pool import ServerPool
+from plovertrail.generation import make_generation
+from plovertrail.resource_limits import raise_descriptor_limit
+from plovertrail.sources.first_read import FirstRead
+
+if TYPE_CHECKING:
+    from plovertrail.decisions.counts import Counts
+    from plovertrail.hooks.engine import Compiled
+
+FirstLists = Mapping[SourceKey, FirstRead]
+
+
+@dataclass(frozen=True, slots=True)
+class PreparedConfiguration:
+    """A configuration with all that can fail done: its lists read, its hooks compiled, its sockets bound."""
+
+    setup: Setup
+    first_lists: FirstLists  # the lists that are not watched yet
+    hook_modules: Mapping[str, Compiled]
+    peer_socket: socket.socket | None  # None: the address is not new, or there is none
+    listener_sockets: Mapping[str, socket.socket]  # of the listeners that are new or have moved
+
+
+def watched_lists(setup: Setup) -> list[SourceKey]:
+    """The lists that have to be read before a configuration comes into force."""
+    keys = [SourceKey(*key) for pool in setup.pools.values() for key in pool.lists]
+    if setup.fleet.list_path:
+        keys.append(SourceKey(setup.fleet.list_path, False))
+    return keys
+
+
+class ConfigurationApplier:
+    """Prepares configurations, and puts prepared ones into force step by step."""
+
+    def __init__(self, services: Services) -> None:
+        self.services = services
+
+    def prepare(
+        self, setup: Setup, first_lists: FirstLists, hook_modules: Mapping[str, Compiled]
+    ) -> PreparedConfiguration:
+        """Do all that can fail; raises ConfigError, with no socket left bound."""
+        raise_descriptor_limit(setup)
+        with ExitStack() as on_failure:
+            peer_socket = self.services.peers.bind(setup)
+            if peer_socket is not None:
+                on_failure.callback(peer_socket.close)
+            listener_sockets = self.services.listeners.bind(setup)
+            on_failure.pop_all()
+        return PreparedConfiguration(setup, first_lists, hook_modules, peer_socket, listener_sockets)
+
+    def put_into_force(self, prepared: PreparedConfiguration) -> None:
+        """Replace the configuration in force; requests in flight keep the generation they began with."""
+        services, setup = self.services, prepared.setup
+        superseded = services.pools.apply(setup, prepared.first_lists, services.recovery)
+        counts = self._apply_peers(prepared)
+        services.limiters.apply(setup, counts, services.warm_state)
+        self._replace_generation(prepared)
+        services.listeners.apply(setup, prepared.listener_sockets)
+        services.pools.retire(superseded)
+        self._apply_websocket_limits(setup)
+        services.pools.fleet.apply(setup.fleet, prepared.first_lists)
+        services.pools.update_all_limits()
+        services.config_watcher.apply(setup)
+        services.recovery.follow()
+        self._schedule_background_work()
+
+    def _apply_peers(self, prepared: PreparedConfiguration) -> Counts | None:
+        """Exchange counts with other instances as configured; returns the counts of all instances."""
+        services, setup = self.services, prepared.setup
+        counts = services.peers.follow(setup.peers, prepared.peer_socket, setup.membership)
+        if counts is not None:
+            services.warm_state.restore_counters(counts)
+        services.host.tenant_use = None
+        if counts is not None and setup.fleet_tenants:
+            from plovertrail.decisions.counts import TenantUse
+
+            tenants = [tenant.name for tenant in setup.tenants]
+            services.host.tenant_use = TenantUse(counts, tenants, setup.fleet_tenants)
+        return counts
+
+    def _replace_generation(self, prepared: PreparedConfiguration) -> None:
+        """From here on new requests are routed by the new configuration."""
+        services, setup = self.services, prepared.setup
+        pools: dict[str, ServerPool] = {name: pool.pool for name, pool in services.pools.running.items()}
+        hooks = services.hooks.follow(setup, prepared.hook_modules)
+        number = services.current.generation.number + 1
+        services.current.generation = make_generation(number, setup, pools, hooks, services.limiters.active)
+
+    def _apply_websocket_limits(self, setup: Setup) -> None:
+        limits = {name: (pool.max_sockets, pool.max_sockets_per_server) for name, pool in setup.pools.items()}
+        services = self.services
+        services.websockets.reconfigure(services.current.generation.plans, limits, services.listeners.active)
+
+    def _schedule_background_work(self) -> None:
+        services = self.services
+        services.warm_state.schedule(services.background)
+        services.health_reporter.apply(services.background)
+        services.pools.schedule(services.background)
--- a/plovertrail/daemon/fleet_tracker.py
+++ b/plovertrail/daemon/fleet_tracker.py
@@ -1,4 +1,4 @@
-"""Who this instance is among those that share the servers: how many there are, and its place among them."""
+"""Tracks how many instances share the endpoints, and the rank of this instance among them."""
 
 from __future__ import annotations
 
@@ -20,43 +20,48 @@
 
 
 class FleetTracker:
-    """`changed` is called when their number is another one."""
+    """The instances that share the endpoints, by configuration or by a watched list of them."""
 
-    def __init__(self, changed: Callable[[], None], lists: ListReader) -> None:
-        self.changed = changed
+    def __init__(self, on_change: Callable[[], None], lists: ListReader) -> None:
+        """`on_change` is called when a list that was read changes the number of instances."""
+        self.on_change = on_change
         self.fleet = Fleet()
-        self.place = InstanceRank()  # among those that the list names
-        self.name = ""
-        self.list = InstanceList("instances", self._listed, lists)
-
-    def follow(self, setup: FleetSetup, fresh: Mapping[SourceKey, FirstRead]) -> None:
-        """Count the instances by their list, where there is one; limits.instances holds until it is read.
-        `fresh` has what another list holds, as turns and parts go by it before anything is sent."""
-        self.name = setup.name
-        another = self.list.follow(setup.list_path)
-        if setup.list_path and not another:
+        self.rank = InstanceRank()  # among the instances that the list names
+        self.instance_name = ""
+        self.instance_list = InstanceList("instances", self._listed, lists)
+
+    def apply(self, setup: FleetSetup, first_lists: Mapping[SourceKey, FirstRead]) -> None:
+        """Follow a configuration; its number of instances holds until a list of them was read.
+
+        `first_lists` has the content of a list that is new: limits and pacing depend on it before anything is
+        sent.
+        """
+        self.instance_name = setup.name
+        list_changed = self.instance_list.follow(setup.list_path)
+        if setup.list_path and not list_changed:
             self.fleet = replace(setup.fleet, size=self.fleet.size)
             return
-        self.fleet, self.place = setup.fleet, InstanceRank()
-        found = fresh.get(SourceKey(setup.list_path, False))
-        if isinstance(found, Candidate) and found.entries:
-            self._count(found.entries)
-
-    def _listed(self, entries: tuple[Entry, ...]) -> None:
-        before = self.fleet
-        self._count(entries)
-        if self.fleet != before:
-            log.info("%d instances share the servers", self.fleet.size)
-            self.changed()
-
-    def _count(self, entries: tuple[Entry, ...]) -> None:
-        self.place = place(self.name, [entry.id for entry in entries])
-        self.fleet = replace(self.fleet, size=self.place.size)
+        self.fleet = setup.fleet
+        self.rank = InstanceRank()
+        first = first_lists.get(SourceKey(setup.list_path, False))
+        if isinstance(first, Candidate) and first.entries:
+            self._count(first.entries)
+
+    def _listed(self, instances: tuple[Entry, ...]) -> None:
+        previous = self.fleet
+        self._count(instances)
+        if self.fleet != previous:
+            log.info("fleet size changed instances=%d", self.fleet.size)
+            self.on_change()
+
+    def _count(self, instances: tuple[Entry, ...]) -> None:
+        self.rank = place(self.instance_name, [instance.id for instance in instances])
+        self.fleet = replace(self.fleet, size=self.rank.size)
 
     def status(self) -> dict[str, Any]:
-        """For operators: the number that is reckoned with, and what is wrong with the list."""
-        return {"instances": self.fleet.size, "problem": self.list.problem}
+        """For operators: the number of instances that limits are set for, and what is wrong with the list."""
+        return {"instances": self.fleet.size, "problem": self.instance_list.problem}
 
     def stop(self) -> None:
         """Stop watching the list of instances; the last count stays."""
-        self.list.stop()
+        self.instance_list.stop()
--- /dev/null
+++ b/plovertrail/daemon/pool_manager.py
@@ -0,0 +1,218 @@
+"""Builds, keeps, replaces and removes pools as configurations say, and sets each one's limits."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable, Iterator, Mapping
+from dataclasses import dataclass, field
+from functools import partial
+from typing import Protocol
+
+from plovertrail.background import BackgroundRunner
+from plovertrail.config.setup import PoolSetup, Setup
+from plovertrail.daemon.fleet_tracker import FleetTracker
+from plovertrail.daemon.pool_table import EndpointsOfOtherPools, PoolTable
+from plovertrail.daemon.running_pool import ConnectionFactory, PoolSpec, RunningPool
+from plovertrail.decisions import subsetting
+from plovertrail.decisions.background import BackgroundTask, Priority
+from plovertrail.decisions.endpoint_list import State
+from plovertrail.decisions.list_versions import SourceKey
+from plovertrail.dispatch.dispatcher import Dispatcher
+from plovertrail.endpoint_registry import EndpointRegistry
+from plovertrail.generation import Current
+from plovertrail.sources.first_read import FirstRead
+from plovertrail.sources.list_reader import ListReader
+from plovertrail.store.warm_state import WarmStateManager
+
+log = logging.getLogger(__name__)
+
+SHRINK_SUBSETS = BackgroundTask(
+    "subsets", Priority.LISTS, every_us=1_000_000, latest_us=1_000_000, share=0.02
+)
+REPORT_PROBLEMS = BackgroundTask(
+    "reports", Priority.REPORTS, every_us=2_000_000, latest_us=8_000_000, share=0.01
+)
+
+
+class SourceObserver(Protocol):
+    """Is told of each read of a source of endpoints."""
+
+    def told(self, pool: str, source: str, wrong: str) -> None:
+        """A source of a pool was read; `wrong` is empty if it gave a list."""
+
+
+@dataclass(frozen=True, slots=True)
+class SupersededPools:
+    """The pools that a configuration no longer uses; they retire once requests see the new ones."""
+
+    removed: list[RunningPool]
+    replaced: list[RunningPool]
+
+
+@dataclass(eq=False)
+class PoolManager:
+    """Owns the pools in force, their endpoint registries and this instance's part of the fleet."""
+
+    table: PoolTable
+    host: Dispatcher
+    current: Current
+    warm_state: WarmStateManager
+    lists: ListReader
+    new_seed: Callable[[], int]
+    connect: ConnectionFactory
+    fleet: FleetTracker = field(init=False)
+    with_subset: list[RunningPool] = field(init=False, default_factory=list)
+    with_problems: set[str] = field(init=False, default_factory=set)  # names; their problems are repeated
+
+    def __post_init__(self) -> None:
+        self.fleet = FleetTracker(self.update_all_limits, self.lists)
+
+    @property
+    def running(self) -> Mapping[str, RunningPool]:
+        """The pools in force by name."""
+        return self.table.running
+
+    # Configurations
+
+    def apply(
+        self, setup: Setup, first_lists: Mapping[SourceKey, FirstRead], observer: SourceObserver
+    ) -> SupersededPools:
+        """Build the pools of a configuration, or keep those that can become what it says."""
+        remaining = dict(self.running)
+        replaced = []
+        running: dict[str, RunningPool] = {}
+        for name, config in setup.pools.items():
+            previous = remaining.pop(name, None)
+            spec = _pool_spec(setup, config)
+            if previous is not None and previous.spec.can_become(spec):
+                previous.reconfigure(spec)
+                previous.use_fair_queue(self.host, self.new_seed())
+                _configure_registry(previous.registry, config, first_lists)
+                running[name] = previous
+                continue
+            if previous is not None:
+                replaced.append(previous)
+                registry = previous.registry
+            else:
+                registry = self._make_registry(name, observer)
+            running[name] = self._build_pool(spec, registry, first_lists)
+        # Until here the table has the previous pools, which know since when an endpoint is listed.
+        self.table.running = running
+        return SupersededPools(list(remaining.values()), replaced)
+
+    def _build_pool(
+        self, spec: PoolSpec, registry: EndpointRegistry, first_lists: Mapping[SourceKey, FirstRead]
+    ) -> RunningPool:
+        registry.pool = None  # changes of the list wait for the new pool
+        _configure_registry(registry, spec.config, first_lists)
+        pool = RunningPool(self.host, spec, registry, self.new_seed(), self.connect)
+        self.warm_state.restore_pool(spec.config.name, pool.pool, registry.state)
+        registry.attach(pool.pool)
+        return pool
+
+    def _make_registry(self, name: str, observer: SourceObserver) -> EndpointRegistry:
+        started = bool(self.current.generation.number)
+        state = self.warm_state.take_lists(name) or State(started=started)
+        elsewhere = EndpointsOfOtherPools(name, self.table)
+        registry = EndpointRegistry(
+            name, self.host, state, lambda: elsewhere, partial(self.endpoints_changed, name), self.lists
+        )
+        registry.heard = partial(observer.told, name)
+        registry.lasting = partial(self.problems_persist, name)
+        return registry
+
+    def retire(self, superseded: SupersededPools) -> None:
+        """Take pools out of service that no new request uses."""
+        for pool in (*superseded.removed, *superseded.replaced):
+            pool.retire(self.host)
+        for pool in superseded.removed:  # the registry of a replaced pool goes on under the new one
+            pool.registry.stop()
+
+    def schedule(self, background: BackgroundRunner) -> None:
+        """Begin the background work on the pools in force."""
+        pools = self.running
+        self.with_subset = [pool for pool in pools.values() if pool.pool.subset is not None]
+        self.with_problems &= pools.keys()
+        background.add(SHRINK_SUBSETS, self._shrink_subsets, SHRINK_SUBSETS.every_us)
+        background.add(REPORT_PROBLEMS, self._report_problems, REPORT_PROBLEMS.every_us)
+
+    def _shrink_subsets(self) -> Iterator[None]:
+        for pool in self.with_subset:
+            self.host.shrink_subset(pool.pool)
+            yield
+
+    def _report_problems(self) -> Iterator[None]:
+        for name in list(self.with_problems):
+            if name in self.running:
+                self.running[name].registry.speak()
+            yield
+
+    # Events
+
+    def endpoints_changed(self, name: str) -> None:
+        """The endpoints of one pool have changed."""
+        pool = self.running.get(name)
+        if pool is not None:
+            self._update_limits(pool)
+        self._store_endpoints()
+
+    def problems_persist(self, name: str, persist: bool) -> None:
+        """A pool's lists have a problem that is to be logged again and again, or have it no more."""
+        if persist:
+            self.with_problems.add(name)
+        else:
+            self.with_problems.discard(name)
+
+    def resume_after_pause(self) -> None:
+        """Start all pools slowly, as the process was paused."""
+        slow_start = self.current.generation.setup.fleet.slow_start
+        for pool in self.running.values():
+            pool.resume_after_pause(self.fleet.fleet, self.fleet.rank, slow_start)
+
+    def drain(self, pool_name: str, endpoint: str, drain: bool) -> str:
+        """Drain an endpoint by hand, or end that; returns what is wrong, or an empty text."""
+        if pool_name not in self.running:
+            return f'no pool is called "{pool_name}"'
+        registry = self.running[pool_name].registry
+        if drain and endpoint not in registry.state.members:
+            return f'pool "{pool_name}" has no server "{endpoint}"'
+        registry.drain(endpoint, drain)
+        return ""
+
+    # Limits
+
+    def update_all_limits(self) -> None:
+        """Set the limits of all pools, as the fleet or the configuration has changed."""
+        for pool in self.running.values():
+            self._update_limits(pool)
+        self._store_endpoints()
+
+    def _update_limits(self, pool: RunningPool) -> None:
+        previous = pool.oversubscribed
+        generation = self.current.generation
+        # A reload is no start: the instance has its traffic already, and would reject some of it.
+        slow_start = generation.number == 1 and generation.setup.fleet.slow_start
+        pool.update_limits(self.fleet.fleet, self.fleet.rank, slow_start)
+        if pool.oversubscribed and not previous:
+            log.error("pool oversubscribed pool=%s: %s", pool.config.name, pool.oversubscribed)
+
+    def _store_endpoints(self) -> None:
+        self.warm_state.store.store_lists(self.table.endpoint_states)
+
+    def stop(self) -> None:
+        """Stop following endpoints and instances; the pools go on serving."""
+        for pool in self.running.values():
+            pool.registry.stop()
+        self.fleet.stop()
+
+
+def _pool_spec(setup: Setup, config: PoolSetup) -> PoolSpec:
+    dedup_scope = subsetting.dedup_scope_of(setup.classes_at(config.name))
+    return PoolSpec(config, setup.limits.max_answer, setup.fleet.fleet.number, dedup_scope)
+
+
+def _configure_registry(
+    registry: EndpointRegistry, config: PoolSetup, first_lists: Mapping[SourceKey, FirstRead]
+) -> None:
+    sources = [SourceKey(*key) for key in config.lists]
+    registry.configure(config.servers, sources, config.guards, config.home_zone, first_lists)
--- a/plovertrail/daemon/running_pool.py
+++ b/plovertrail/daemon/running_pool.py
@@ -1,146 +1,143 @@
-"""A pool in force: what was configured, its place in the host, and its connections."""
+"""A pool in force: its configuration, its load balancer, its connections and its limits."""
 
 from __future__ import annotations
 
 import random
-from collections.abc import Callable, Iterator, Mapping
+from collections.abc import Callable
+from dataclasses import dataclass
 
 from plovertrail.clock import clock_us
 from plovertrail.config.setup import PoolSetup
-from plovertrail.decisions import fleet_limits, subsetting
-from plovertrail.decisions.endpoint_list import Address
+from plovertrail.decisions.fleet_limits import Fleet, InstanceLimits, instance_limits, oversubscribed
 from plovertrail.decisions.pacing import InstanceRank
 from plovertrail.decisions.startup_admission import StartupAdmission
+from plovertrail.decisions.subsetting import EndpointSubset
 from plovertrail.dispatch.dispatcher import Dispatcher
 from plovertrail.endpoint_registry import EndpointRegistry
 from plovertrail.upstreams.connections import AnswerRules, ConnectionPool
 
-FAULTS = frozenset((429, 500, 502, 503, 504))  # answers that tell of the server, not of what was asked
-Connect = Callable[[PoolSetup, AnswerRules], ConnectionPool]
+# Responses that tell of the endpoint's health, not of the request.
+ENDPOINT_FAULT_STATUSES = frozenset((429, 500, 502, 503, 504))
+ConnectionFactory = Callable[[PoolSetup, AnswerRules], ConnectionPool]
 
 
-def connect(config: PoolSetup, rules: AnswerRules) -> ConnectionPool:
-    """The connections of a pool."""
+def open_connection_pool(config: PoolSetup, rules: AnswerRules) -> ConnectionPool:
+    """Make the connection pool of a configured pool; connections are opened as requests need them."""
     return ConnectionPool(
         config.idle_us, config.settings.connect_timeout_us, most=config.max_connections, rules=rules
     )
 
 
+@dataclass(frozen=True, slots=True)
+class PoolSpec:
+    """What a pool is built from."""
+
+    config: PoolSetup
+    max_response_bytes: int
+    instance: int  # this instance's number, by which its subset is drawn
+    dedup_scope: str  # endpoints that a subset takes together; empty: each for itself
+
+    def can_become(self, new: PoolSpec) -> bool:
+        """Whether a pool can continue under a new specification, which differs in its endpoints at most.
+
+        Open requests know their class by its index, so with other settings they would be taken for requests
+        of another class.
+        """
+        old_config, new_config = self.config, new.config
+        return (
+            old_config.settings == new_config.settings
+            and old_config.idle_us == new_config.idle_us
+            and self._same_connections(new_config)
+            and self.max_response_bytes == new.max_response_bytes
+            and old_config.home_zone == new_config.home_zone
+            and old_config.affinity == new_config.affinity
+            and old_config.bounds.subset_size == new_config.bounds.subset_size
+            and (not new_config.bounds.subset_size or self._same_subset(new))
+        )
+
+    def _same_connections(self, new_config: PoolSetup) -> bool:
+        """Whether max_connections is the same, or is by default in both and so follows the other pools."""
+        if self.config.even_part and new_config.even_part:
+            return True
+        return self.config.max_connections == new_config.max_connections
+
+    def _same_subset(self, new: PoolSpec) -> bool:
+        return (self.instance, self.dedup_scope) == (new.instance, new.dedup_scope)
+
+
 class RunningPool:
-    """A pool in force: what was configured, its place in the host, and its connections."""
+    """A pool in force: its configuration, its load balancer, its connections and its limits."""
 
     def __init__(
         self,
         host: Dispatcher,
-        config: PoolSetup,
-        max_answer: int,
+        spec: PoolSpec,
         registry: EndpointRegistry,
         seed: int,
-        chosen_by: tuple[int, str],
-        connect: Connect,
+        connect: ConnectionFactory,
     ) -> None:
-        self.config = config
-        self.chosen_by = chosen_by  # this instance's number, and which servers are chosen together
-        self.max_answer = max_answer
+        self.spec = spec
         self.registry = registry
-        self.connections = connect(config, AnswerRules(max_answer, FAULTS))
+        self.connections = connect(spec.config, AnswerRules(spec.max_response_bytes, ENDPOINT_FAULT_STATUSES))
         self.connections.stale = host.turn_is_stale
-        self.pool = host.pools.add(config.name, config.settings, seed, self.connections)
-        self.budget = fleet_limits.InstanceLimits()
-        self.overdrawn = ""
-        self.begun = False  # it knows its part of the fleet
-        self.draw = random.Random(seed).random
-        self.use_door(host, seed)
-        if config.affinity is not None:
-            self.pool.use_affinity(config.affinity)
-        if config.bounds.subset_size:
-            zones = config.settings.cross_zone_fee > 0
-            self.pool.use_subset(
-                subsetting.EndpointSubset(
-                    chosen_by[0],
-                    config.bounds.subset_size,
-                    chosen_by[1],
-                    config.settings.zone if zones else None,
-                ),
-            )
-
-    def adopt(self, config: PoolSetup) -> None:
-        """Go on under a setup that it fits. Hazard: a pool that comes or goes changes the even part of all
-        others, and must not have them learn anew."""
-        self.config = config
-        self.connections.allow(config.max_connections)
-
-    def use_door(self, host: Dispatcher, seed: int) -> None:
-        """Share the slots as configured now."""
+        self.pool = host.pools.add(spec.config.name, spec.config.settings, seed, self.connections)
+        self.limits = InstanceLimits()
+        self.oversubscribed = ""  # what the endpoints can't bear from the whole fleet; empty: nothing
+        self.started = False  # its limits have been set once
+        self.random = random.Random(seed).random
+        self.use_fair_queue(host, seed)
+        if spec.config.affinity is not None:
+            self.pool.use_affinity(spec.config.affinity)
+        if spec.config.bounds.subset_size:
+            self.pool.use_subset(_endpoint_subset(spec))
+
+    @property
+    def config(self) -> PoolSetup:
+        """The configuration in force."""
+        return self.spec.config
+
+    def reconfigure(self, spec: PoolSpec) -> None:
+        """Continue under a specification that the pool can become."""
+        self.spec = spec
+        self.connections.allow(spec.config.max_connections)
+
+    def use_fair_queue(self, host: Dispatcher, seed: int) -> None:
+        """Queue requests by tenant as configured now."""
         host.sequence.configure_queue(self.pool, self.config.door, random.Random(seed).random)
 
-    def take_part(self, fleet: fleet_limits.Fleet, place: InstanceRank, slow_start: bool) -> None:
-        """Keep to this instance's part of what the servers that are listed bear from the whole fleet; its
-        turn is by its place there."""
-        if not self.begun:
-            self.begun = True
-            self.begin_slowly(fleet, slow_start)
+    def update_limits(self, fleet: Fleet, rank: InstanceRank, slow_start: bool) -> None:
+        """Set this instance's part of what the endpoints bear from the whole fleet.
+
+        `rank` is this instance's among all, by which it is paced; `slow_start` has effect at the first call.
+        """
+        if not self.started:
+            self.started = True
+            self._start_admission(fleet, slow_start)
         elif self.pool.admission is not None:
             self.pool.admission.size = fleet.size
-        bounds, servers = self.config.bounds, len(self.registry.state.members)
-        self.overdrawn = fleet_limits.oversubscribed(fleet, bounds, servers)
-        budget = fleet_limits.instance_limits(fleet, bounds, servers)
-        if budget != self.budget:
-            self.budget = budget
-            self.connections.limit(budget, place.part(self.draw()))
-
-    def begin_slowly(self, fleet: fleet_limits.Fleet, slow_start: bool) -> None:
-        """Many instances may come to life, or wake, at this moment: let in more as answers come."""
+        bounds, endpoints = self.config.bounds, len(self.registry.state.members)
+        self.oversubscribed = oversubscribed(fleet, bounds, endpoints)
+        limits = instance_limits(fleet, bounds, endpoints)
+        if limits != self.limits:
+            self.limits = limits
+            self.connections.limit(limits, rank.part(self.random()))
+
+    def resume_after_pause(self, fleet: Fleet, rank: InstanceRank, slow_start: bool) -> None:
+        """Start slowly again after the process was paused, perhaps with all others of its machine."""
+        self.connections.stood_still(rank.part(self.random()))
+        self._start_admission(fleet, slow_start)
+
+    def _start_admission(self, fleet: Fleet, slow_start: bool) -> None:
+        """Admit requests slowly at first, as a whole fleet may start or resume at this moment."""
         slowly = slow_start and fleet.size > 1
-        self.pool.admission = StartupAdmission(fleet.size, clock_us(), self.draw) if slowly else None
-
-    def stood_still(self, fleet: fleet_limits.Fleet, place: InstanceRank, slow_start: bool) -> None:
-        """The process did nothing for a while, and perhaps all others of its host as well."""
-        self.connections.stood_still(place.part(self.draw()))
-        self.begin_slowly(fleet, slow_start)
-
-    def fits(self, config: PoolSetup, max_answer: int, chosen_by: tuple[int, str]) -> bool:
-        """Whether it can go on under a new setup, with other lists at most. Hazard: classes are known by
-        their number, and requests that are open would be taken for those of another class."""
-        mine = self.config
-        return (
-            mine.settings == config.settings
-            and mine.idle_us == config.idle_us
-            and (mine.max_connections == config.max_connections or (mine.even_part and config.even_part))
-            and self.max_answer == max_answer
-            and mine.home_zone == config.home_zone
-            and mine.affinity == config.affinity
-            and mine.bounds.subset_size == config.bounds.subset_size
-            and (self.chosen_by == chosen_by or not config.bounds.subset_size)
-        )
+        self.pool.admission = StartupAdmission(fleet.size, clock_us(), self.random) if slowly else None
 
     def retire(self, host: Dispatcher) -> None:
-        """Take the pool out of service: what is out finishes, and requests that wait are refused."""
+        """Take the pool out of service: requests in flight finish, and those that wait are rejected."""
         host.retire(self.pool)
 
 
-class ElsewhereKnown(Mapping[tuple[str, Address], int]):
-    """Since when the servers of other pools are known. Looked up one by one: as a table it would have to be
-    made of all pools for each change of one."""
-
-    def __init__(self, name: str, pools: Callable[[], Mapping[str, RunningPool]]) -> None:
-        self.name = name
-        self.pools = pools
-
-    def __getitem__(self, server: tuple[str, Address]) -> int:
-        ident, address = server
-        for other, pool in reversed(list(self.pools().items())):
-            member = pool.registry.state.members.get(ident) if other != self.name else None
-            if member is not None and member.entry.address == address:
-                return member.came_us
-        raise KeyError(server)
-
-    def __iter__(self) -> Iterator[tuple[str, Address]]:
-        for other, pool in list(self.pools().items()):
-            if other != self.name:
-                yield from ((name, each.entry.address) for name, each in pool.registry.state.members.items())
-
-    def __len__(self) -> int:
-        return sum(
-            len(pool.registry.state.members) for name, pool in self.pools().items() if name != self.name
-        )
+def _endpoint_subset(spec: PoolSpec) -> EndpointSubset:
+    settings = spec.config.settings
+    home_zone = settings.zone if settings.cross_zone_fee > 0 else None
+    return EndpointSubset(spec.instance, spec.config.bounds.subset_size, spec.dedup_scope, home_zone)
--- a/plovertrail/daemon/status.py
+++ b/plovertrail/daemon/status.py
@@ -1,28 +1,59 @@
-"""What operators are told of a pool and of a limit."""
+"""The status of a daemon as the control socket reports it; its keys are what operators' scripts read."""
 
 from __future__ import annotations
 
 from typing import Any
 
+from plovertrail.daemon.reload import Reloader
 from plovertrail.daemon.running_pool import RunningPool
+from plovertrail.daemon.wiring import Services
+from plovertrail.decisions.endpoint_list import State
 from plovertrail.decisions.rate_limits import RateLimiter
 from plovertrail.decisions.startup_admission import StartupAdmission
 from plovertrail.dispatch.server_pool import RequestQueue
 
 
+def daemon_status(services: Services, reloader: Reloader) -> dict[str, Any]:
+    """All of a daemon's status; values that JSON can hold."""
+    generation = services.current.generation
+    limiters = services.limiters.active
+    return {
+        "recovery": services.recovery.status(),
+        "fleet": services.pools.fleet.status(),
+        "lists": services.lists.status(),
+        "generation": generation.number,
+        "file": generation.setup.path,
+        "reload": {
+            "on": "change" if generation.setup.watched else "signal",
+            "problem": services.config_watcher.problem or reloader.problem,
+        },
+        "pools": {name: pool_status(pool) for name, pool in services.pools.running.items()},
+        "connections": services.listeners.connection_count(),
+        "requests": len(services.host.requests),
+        "sockets": len(services.websockets.relays),
+        "hooks": services.hooks.status(),
+        "peers": services.peers.status(generation.setup, limiters),
+        "fellows": services.peers.membership_status(),
+        "judgements": services.health_reporter.status(),
+        "limiters": {name: limiter_status(limiter) for name, limiter in limiters.items()},
+        "state_file": services.store.status(),
+        "kept": services.warm_state.status(),
+        "background": services.background.status(),
+    }
+
+
 def pool_status(running: RunningPool) -> dict[str, Any]:
-    """One pool: its lists, its part of the servers, its tenants and its servers."""
+    """One pool: its lists, its part of the fleet's limits, its tenants and its endpoints."""
     state = running.registry.state
-    used = {number: server.in_flight for number, server in running.pool.balancer.endpoints.items()}
     return {
         "generation": state.generation,
         "drained_by_hand": sorted(state.by_hand),
         "held_back": sorted(state.held),
-        "problems": [*running.registry.loud(), *filter(None, [running.overdrawn])],
+        "problems": [*running.registry.loud(), *filter(None, [running.oversubscribed])],
         "share": {
-            "connections": running.budget.connections,
-            "connections_each": running.budget.connections_per_endpoint,
-            "dial_gap_us": running.budget.connect_interval_us,
+            "connections": running.limits.connections,
+            "connections_each": running.limits.connections_per_endpoint,
+            "dial_gap_us": running.limits.connect_interval_us,
             "servers": len(running.pool.serving),
         },
         "admission": admission_status(running.pool.admission),
@@ -31,48 +62,54 @@
             layer.source: {"servers": len(layer.entries), "version": layer.version} for layer in state.layers
         },
         "leaving": [member.entry.id for member, _ in state.leaving.values()],
-        "servers": [
-            {
-                "id": ident,
-                "address": "{}:{}".format(*member.entry.address),
-                "state": "draining" if member.entry.drain else "ready",
-                "zone": member.entry.zone,
-                "weight": member.entry.weight,
-                "open": used.get(member.number, 0),
-            }
-            for ident, member in state.members.items()
-        ],
+        "servers": endpoints_status(running, state),
     }
 
 
+def endpoints_status(running: RunningPool, state: State) -> list[dict[str, Any]]:
+    """The endpoints of a pool in the order of its list."""
+    in_flight = {number: endpoint.in_flight for number, endpoint in running.pool.balancer.endpoints.items()}
+    return [
+        {
+            "id": endpoint_id,
+            "address": "{}:{}".format(*member.entry.address),
+            "state": "draining" if member.entry.drain else "ready",
+            "zone": member.entry.zone,
+            "weight": member.entry.weight,
+            "open": in_flight.get(member.number, 0),
+        }
+        for endpoint_id, member in state.members.items()
+    ]
+
+
 def admission_status(admission: StartupAdmission | None) -> dict[str, Any]:
-    """How much is let in at once after a start or a gap; nothing where all may come in."""
+    """How many requests are admitted at once in a slow start; empty where all are."""
     if admission is None or admission.over:
         return {}
     return {"window": int(admission.window), "servers": admission.servers, "refused": admission.refused}
 
 
 def queue_status(queue: RequestQueue | None) -> dict[str, Any]:
-    """What a pool's tenants have had; nothing where it has no queue."""
+    """What each tenant of a pool has used; empty where requests are not queued by tenant."""
     if queue is None:
         return {}
     return {
         name or "(others)": {
-            "weight": each.weight,
-            "admitted": each.admitted,
-            "refused": each.rejected,
-            "waiting": each.waiting,
-            "at_work": each.in_flight,
-            "work_s": round(each.total_work_us / 1e6, 3),
-            "work_ms": round(each.mean_work_us / 1e3, 2),
-            "wait_ms": round(each.mean_wait_us / 1e3, 2),
+            "weight": tenant.weight,
+            "admitted": tenant.admitted,
+            "refused": tenant.rejected,
+            "waiting": tenant.waiting,
+            "at_work": tenant.in_flight,
+            "work_s": round(tenant.total_work_us / 1e6, 3),
+            "work_ms": round(tenant.mean_work_us / 1e3, 2),
+            "wait_ms": round(tenant.mean_wait_us / 1e3, 2),
         }
-        for name, each in queue.fair_queue.tenants.items()
+        for name, tenant in queue.fair_queue.tenants.items()
     }
 
 
 def limiter_status(limiter: RateLimiter) -> dict[str, int]:
-    """What a limit has done since it was made, and its keys."""
+    """What a rate limiter has done since it was made, and how many keys it counts."""
     return {
         "let_in": limiter.admitted,
         "over_rate": limiter.rejected_by_rate,
--- /dev/null
+++ b/plovertrail/daemon/wiring.py
@@ -0,0 +1,128 @@
+"""The services of a daemon, and how they are connected."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Protocol
+
+from plovertrail.background import BackgroundRunner
+from plovertrail.clock import clock_us
+from plovertrail.config.setup import Setup
+from plovertrail.daemon.config_watcher import ConfigWatcher
+from plovertrail.daemon.limiters import LimiterTable
+from plovertrail.daemon.listeners import ListenerSet, ListenerSockets, SystemListenerSockets
+from plovertrail.daemon.pool_manager import PoolManager
+from plovertrail.daemon.pool_table import PoolTable
+from plovertrail.daemon.running_pool import ConnectionFactory, open_connection_pool
+from plovertrail.decisions.counts import Counts
+from plovertrail.dispatch.dispatcher import Dispatcher
+from plovertrail.event_log import EventLog, EventSink
+from plovertrail.generation import Current, Generation
+from plovertrail.health_reporter import HealthReporter
+from plovertrail.hooks.loader import HookLoader
+from plovertrail.listeners.sockets import SocketKeeper
+from plovertrail.peers.keeper import PeerKeeper
+from plovertrail.recovery_manager import RecoveryManager
+from plovertrail.sources.list_reader import ListReader
+from plovertrail.stall_detector import turn_staleness
+from plovertrail.store.service import StoreService
+from plovertrail.store.warm_state import WarmStateManager
+
+
+def random_seed() -> int:
+    """A seed for the random draws of one service or pool."""
+    return int.from_bytes(os.urandom(8))
+
+
+@dataclass(frozen=True, slots=True)
+class Environment:
+    """What a daemon takes from the system it runs on; tests replace parts of it."""
+
+    new_seed: Callable[[], int] = random_seed
+    connect: ConnectionFactory = open_connection_pool
+    listener_sockets: ListenerSockets = field(default_factory=SystemListenerSockets)
+    open_event_log: Callable[[str], EventSink] = EventLog
+    peer_service: Callable[[Callable[[], int], ListReader], PeerKeeper] = PeerKeeper
+
+
+class DaemonEvents(Protocol):
+    """What services report to the daemon they belong to."""
+
+    async def wait_for_reload(self) -> None:
+        """Return once no reload is under way."""
+
+    async def reload_changed(self, digest: str) -> None:
+        """The operator's file has changed to the content with this digest."""
+
+    def resume_after_pause(self, gap_us: int) -> None:
+        """The process was paused for so long; called before any event is handled."""
+
+
+@dataclass(frozen=True, slots=True)
+class Services:
+    """The services of one daemon. Each is made once and follows every configuration."""
+
+    current: Current
+    host: Dispatcher
+    event_log: EventSink
+    websockets: SocketKeeper
+    peers: PeerKeeper
+    store: StoreService
+    warm_state: WarmStateManager
+    pools: PoolManager
+    limiters: LimiterTable
+    health_reporter: HealthReporter
+    background: BackgroundRunner
+    listeners: ListenerSet
+    hooks: HookLoader
+    lists: ListReader
+    config_watcher: ConfigWatcher
+    recovery: RecoveryManager
+
+
+def instance_name(setup: Setup) -> str:
+    """The name of this instance among those that may find its state file; empty where nothing names it."""
+    if setup.peers is not None:
+        return setup.peers.name
+    return str(setup.fleet.fleet.number) if setup.fleet.fleet.size > 1 else ""
+
+
+def make_services(
+    setup: Setup, environment: Environment, lists: ListReader, events: DaemonEvents
+) -> Services:
+    """Make the services of a daemon for its first configuration; nothing is in force yet."""
+    current = Current(Generation(0, setup, {}, {}, {}))
+    loop = asyncio.get_running_loop()
+    host = Dispatcher(turn_staleness(loop))
+    event_log = environment.open_event_log(setup.socket_log)
+    websockets = SocketKeeper(host, environment.new_seed(), event_log)
+    peers = environment.peer_service(environment.new_seed, lists)
+    table = PoolTable()
+    limiters = LimiterTable(environment.new_seed)
+    store = StoreService(setup.state_file, instance_name(setup))
+
+    def shared_counts() -> Counts | None:
+        return peers.counts
+
+    warm_state = WarmStateManager(store, table.pools_with_endpoints, limiters.in_force, shared_counts)
+    return Services(
+        current=current,
+        host=host,
+        event_log=event_log,
+        websockets=websockets,
+        peers=peers,
+        store=store,
+        warm_state=warm_state,
+        pools=PoolManager(table, host, current, warm_state, lists, environment.new_seed, environment.connect),
+        limiters=limiters,
+        health_reporter=HealthReporter(host, table.registries, peers),
+        background=BackgroundRunner(loop),
+        listeners=ListenerSet(host, current, websockets, environment.listener_sockets),
+        hooks=HookLoader(clock_us),
+        lists=lists,
+        config_watcher=ConfigWatcher(lists, events.reload_changed),
+        recovery=RecoveryManager(host, table.registries, events.wait_for_reload, events.resume_after_pause),
+    )
--- a/plovertrail/scenario_tests/peers.py
+++ b/plovertrail/scenario_tests/peers.py
@@ -34,7 +34,7 @@
         others = self.others
         if not others.limiter:
             return key_of("tenant", others.tenant)
-        limiter = self.daemon.limiters.get(others.limiter)
+        limiter = self.daemon.services.limiters.active.get(others.limiter)
         return limiter.fleet_key(others.tenant, others.client) if limiter is not None else None
 
     def speak(self) -> None:
@@ -60,7 +60,7 @@
 
     def heard(self, message: Message) -> None:
         """As after a reload: one with another window is not understood, and one with none has no ear."""
-        counts = self.daemon.counts
+        counts = self.daemon.peers.played_counts
         if counts is not None and counts.window == self.setup.window:
             counts.take(message, clock_us())
 
--- a/tests/cli/test_tests.py
+++ b/tests/cli/test_tests.py
@@ -45,7 +45,7 @@
             async def approve(path: str) -> str:
                 return await held_to(path, (str(expect),))
 
-            it.daemon.approve = approve
+            it.daemon.reloader.approve = approve
             text = it.path.read_text()
             it.path.write_text(text.replace('name = "buy"\npath = "/buy"', 'name = "sell"\npath = "/buy"'))
             reload = asyncio.create_task(it.daemon.reload())
@@ -68,7 +68,7 @@
                 Path(path).write_text(Path(path).read_text() + "\n# another")
                 return ""
 
-            it.daemon.approve = approve
+            it.daemon.reloader.approve = approve
             assert not await it.daemon.reload()
             assert it.daemon.generation.number == 1
 
--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -13,6 +13,7 @@
 from fakes.web import OK, Arrival, Line, WebServer
 from plovertrail.config.operator import load
 from plovertrail.daemon.process import Daemon
+from plovertrail.daemon.wiring import Environment
 from tests.net import PATIENCE_S
 
 CLASSES = """
@@ -205,7 +206,7 @@
                 await server.start()
     port, path = free_port(), folder / "site.toml"
     path.write_text(site(port, pools, **more))
-    daemon = Daemon(load(str(path)), seeds=itertools.count(1).__next__)
+    daemon = Daemon(load(str(path)), Environment(new_seed=itertools.count(1).__next__))
     try:
         yield Running(daemon, port, path)
     finally:
--- a/tests/hooks/test_daemon_hooks.py
+++ b/tests/hooks/test_daemon_hooks.py
@@ -489,7 +489,7 @@
             assert (reply.status, reply.body) == (403, b"no")
             assert await client.ended()  # what follows may be frames
             client.close()
-            assert not daemon.sockets.relays and not daemon.host.requests
+            assert not daemon.services.websockets.relays and not daemon.host.requests
         finally:
             await daemon.stop()
             server.stop()
@@ -553,7 +553,7 @@
 
     async def test() -> None:
         async with running(tmp_path, {"main": [WebServer()]}) as it:
-            assert it.daemon.hooks.keeper is None and it.daemon.status()["hooks"] == {}
+            assert it.daemon.services.hooks.keeper is None and it.daemon.status()["hooks"] == {}
             assert (await it.ask(message("GET /x"))).status == 200
 
     run(test)
--- a/tests/listeners/test_connections.py
+++ b/tests/listeners/test_connections.py
@@ -178,7 +178,7 @@
             await until(lambda: len(held.server.arrivals) == 1)
             # more than is kept while a request is open: reading stops, and the end is not read
             client.writer.write(b"".join(message("POST /buy", body=b"z" * 30_000) for _ in range(3)))
-            [front] = it.daemon.listeners.active.values()
+            [front] = it.daemon.services.listeners.active.values()
             await until(
                 lambda: any(
                     not one.transport.is_reading()
--- a/tests/listeners/test_sockets.py
+++ b/tests/listeners/test_sockets.py
@@ -276,7 +276,9 @@
             taken = sum(len(server.lines) for server in bad)
             assert taken == 1 if target == "/buy" else taken >= 1
             await ended(site)
-            assert site.ended[0].cause is Cause.NO_SOCKET and not site.daemon.sockets.table.by_server
+            assert (
+                site.ended[0].cause is Cause.NO_SOCKET and not site.daemon.services.websockets.table.by_server
+            )
 
     run(test)
 
@@ -666,7 +668,7 @@
         async with live_site(tmp_path, [LiveServer(script)], limits='slow_timeout = "1s"') as site:
             client = await site.open()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-            relays = site.daemon.sockets.relays
+            relays = site.daemon.services.websockets.relays
             held = 0
 
             async def watch() -> None:
@@ -810,7 +812,7 @@
             for _ in range(5):
                 await site.open()
             assert len(servers[0].lines) == count
-            assert len(clients) == 20 and len(site.daemon.sockets.relays) >= 5
+            assert len(clients) == 20 and len(site.daemon.services.websockets.relays) >= 5
 
     run(test)
 
@@ -865,7 +867,8 @@
             client.writer.write(close_frame(4002, masked=True))
             await until(
                 lambda: any(
-                    socket.phase is Phase.CLOSING for socket in site.daemon.sockets.table.sockets.values()
+                    socket.phase is Phase.CLOSING
+                    for socket in site.daemon.services.websockets.table.sockets.values()
                 )
             )
             site.daemon.drain("main", "s0", True)
@@ -902,7 +905,7 @@
             release.set()
             assert (await client.reply()).status == status
             assert len(other.lines) == int(status == 101)
-            assert len(server.lines) == 1 and len(site.daemon.sockets.relays) == len(other.lines)
+            assert len(server.lines) == 1 and len(site.daemon.services.websockets.relays) == len(other.lines)
             client.close()
 
     run(test)
@@ -946,7 +949,7 @@
             assert 0 < here < 10
             await closed(site, here)
             assert {socket.cause for socket in site.opened} == {Cause.SERVER_GONE}
-            assert len(clients) - here == len(site.daemon.sockets.relays)
+            assert len(clients) - here == len(site.daemon.services.websockets.relays)
             for line in servers[1].lines:  # with an hour to end by themselves, the stop would wait for them
                 line.reset()
             await closed(site, 10)
@@ -1113,8 +1116,8 @@
         async with live_site(tmp_path, [LiveServer(deaf)], limits='close_timeout = "200ms"') as site:
             client = await site.open()
             client.writer.transport.abort()
-            await until(lambda: not site.daemon.count())
-            assert site.daemon.sockets.table.sockets  # and none, asserted once it has stopped
+            await until(lambda: not site.daemon.services.listeners.connection_count())
+            assert site.daemon.services.websockets.table.sockets  # and none, asserted once it has stopped
         assert [socket.phase for socket in site.ended] == [Phase.ENDED]
 
     run(test)
--- a/tests/peers/test_membership_transport.py
+++ b/tests/peers/test_membership_transport.py
@@ -99,10 +99,10 @@
             await until(lambda: all(living(it) == 3 for it in (one, two, third)))
             text = one.path.read_text()
             assert await one.change(text.replace('period = "200ms"', 'period = "300ms"'))
-            assert living(one) == 3 and one.daemon.peers.talk is not None
-            talk = one.daemon.peers.talk.membership
+            assert living(one) == 3 and one.daemon.services.peers.talk is not None
+            talk = one.daemon.services.peers.talk.membership
             assert talk is not None and talk.protocol.cluster.period_us == 300_000
-            third.daemon.peers.stop()
+            third.daemon.services.peers.stop()
             await until(lambda: talk.protocol.cluster.table["i2"].record.state is State.GONE)
             assert await one.change(text.replace(FAST, ""))
             assert one.daemon.status()["fellows"] == {} and one.daemon.host.pools.attempt_observer is None
@@ -119,7 +119,7 @@
     async def test() -> None:
         async with fleet(tmp_path, 2, [WebServer()]) as (one, two):
             await until(lambda: living(one) == 2)
-            talk = one.daemon.peers.talk
+            talk = one.daemon.services.peers.talk
             assert talk is not None and talk.membership is not None
             good = talk.membership.protocol.tick(talk.membership.protocol.due_us() + 10**9)
             assert good
--- a/tests/peers/test_talk.py
+++ b/tests/peers/test_talk.py
@@ -124,9 +124,11 @@
         async with running(tmp_path, {"main": [WebServer()]}, routes=ROUTES, head=head) as it:
             statuses = [(await it.ask(buy())).status for _ in range(6)]
             assert statuses == [200] * let_in + [429] * (6 - let_in)
-            counts = it.daemon.peers.talk.counts if it.daemon.peers.talk is not None else None
+            counts = (
+                it.daemon.services.peers.talk.counts if it.daemon.services.peers.talk is not None else None
+            )
             assert counts is not None and heard(it) == 0
-            key = it.daemon.limiters["it"].fleet_key("acme", "")
+            key = it.daemon.services.limiters.active["it"].fleet_key("acme", "")
             part, _ = counts.parts_of(key, 6, counts.start_us)
             assert part == pytest.approx(1 / 3 if alone == "share" else 1.0)
 
@@ -169,7 +171,10 @@
             servers = servers[:start] + servers[end:]
             servers = servers.replace('scope = "fleet"', 'scope = "instance"')
             assert await two.change(servers)
-            assert two.daemon.status()["peers"] == {} and two.daemon.limiters["it"].counts is None
+            assert (
+                two.daemon.status()["peers"] == {}
+                and two.daemon.services.limiters.active["it"].counts is None
+            )
             assert await two.change(text[two.port].replace(f"key_files = [{old}]", f"key_files = [{new}]"))
             await until(lambda: heard(one) == heard(two) == 1)
 
@@ -188,7 +193,11 @@
             while (await one.ask(buy())).status != 200:  # what it owed is soon paid by the new rate
                 pass
             before = used(one)
-            ports = [it.daemon.peers.talk.setup.address[1] for it in daemons if it.daemon.peers.talk]
+            ports = [
+                it.daemon.services.peers.talk.setup.address[1]
+                for it in daemons
+                if it.daemon.services.peers.talk
+            ]
             assert await one.change(text.replace(f', "127.0.0.1:{ports[2]}"', ""))
             status = one.daemon.status()["peers"]
             assert status["size"] == 2 and list(status["peers"]) == [f"127.0.0.1:{ports[1]}"]
@@ -206,13 +215,13 @@
         rng = random.Random(1)
         async with fleet(tmp_path, 2) as (one, two):
             await until(lambda: heard(one) == heard(two) == 1)
-            talk = one.daemon.peers.talk
+            talk = one.daemon.services.peers.talk
             assert talk is not None
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
                 for _ in range(40):  # as many as the socket's buffer holds
                     stranger.sendto(rng.randbytes(rng.randrange(1_300)), talk.setup.address)
             # from a listed address as well, as whoever holds it may be broken
-            other = two.daemon.peers.talk
+            other = two.daemon.services.peers.talk
             assert other is not None
             await until(lambda: one.daemon.status()["peers"]["dropped"].get("not listed") == 40)
             for _ in range(40):
--- a/tests/store/test_restart.py
+++ b/tests/store/test_restart.py
@@ -14,6 +14,7 @@
 from fakes.web import ERROR, OK, WebServer, always
 from plovertrail.config.operator import load
 from plovertrail.daemon.process import Daemon
+from plovertrail.daemon.wiring import Environment
 from plovertrail.decisions.endpoint_list import Candidate, Entry, Guards, State, reduce
 from plovertrail.store import service
 from tests.daemons import LIMITED, Running, message, run, site
@@ -32,7 +33,7 @@
     path.write_text(
         site(port, {"main": servers}, LIMITED.replace("{client}", "address") if limited else "", head=head)
     )
-    daemon = Daemon(load(str(path)), seeds=itertools.count(1).__next__)
+    daemon = Daemon(load(str(path)), Environment(new_seed=itertools.count(1).__next__))
     try:
         yield Running(daemon, port, path)
     finally:
@@ -52,8 +53,8 @@
             bad = next(iter(it.daemon.pools["main"].pool.balancer.endpoints.values()))
             before = round(bad.failure_penalty, 2)  # as it is kept
             assert before > 0.2
-            it.daemon.background.hurry("state")
-            await until(lambda: bool(it.daemon.store.written.warm_state_image))
+            it.daemon.services.background.hurry("state")
+            await until(lambda: bool(it.daemon.services.store.written.warm_state_image))
             shutil.copytree(here, killed)  # what a kill at this moment would leave
         async with started(killed, servers) as it:
             balancer = it.daemon.pools["main"].pool.balancer
@@ -130,11 +131,11 @@
             def breaks() -> None:
                 raise RuntimeError("a fault in one kind of work")
 
-            it.daemon.warm_state.limiters = breaks  # type: ignore[assignment]
-            it.daemon.background.hurry("state")
+            it.daemon.services.warm_state.limiters = breaks  # type: ignore[assignment]
+            it.daemon.services.background.hurry("state")
             await until(lambda: it.daemon.status()["background"]["state"]["failed"] > 0)
             assert (await it.ask(message("GET /"))).status == 200
-            it.daemon.warm_state.limiters = dict
+            it.daemon.services.warm_state.limiters = dict
         server.stop()
 
     run(test)
--- a/tests/store/test_warm_state.py
+++ b/tests/store/test_warm_state.py
@@ -13,6 +13,7 @@
 from plovertrail.clock import clock_us
 from plovertrail.config.operator import load
 from plovertrail.daemon.process import Daemon
+from plovertrail.daemon.wiring import Environment
 from plovertrail.decisions.load_balancing.balancer import LoadBalancer
 from plovertrail.decisions.warm_state import EndpointHistory, collect_histories
 from plovertrail.store import warm_state
@@ -51,15 +52,15 @@
     pools = {"main": servers[:1], "other": servers[1:]}
     head = f'[daemon]\nstate_file = "{folder}/state"\n'
     path.write_text(site(free_port(), pools, ROUTES, pool_extra=f'warm_up = "{warm_up}"', head=head))
-    daemon = Daemon(load(str(path)), seeds=itertools.count(1).__next__)
-    daemon.background.remove("state")  # only the test's own runs gather
+    daemon = Daemon(load(str(path)), Environment(new_seed=itertools.count(1).__next__))
+    daemon.services.background.remove("state")  # only the test's own runs gather
     return daemon
 
 
 async def gathered(daemon: Daemon, counted: CountedSweeps) -> set[str]:
     """The pools that one run looks at."""
     counted.balancers.clear()
-    daemon.warm_state.collect_now()
+    daemon.services.warm_state.collect_now()
     by_balancer = {id(each.pool.balancer): name for name, each in daemon.pools.items()}
     return {by_balancer[id(balancer)] for balancer in counted.balancers}
 
@@ -82,14 +83,14 @@
         # all servers are warm a moment after the last event
         await until(lambda: all(clock_us() > p.pool.balancer.now_us + 2_000 for p in pools))
         assert await gathered(daemon, counted) == {"main", "other"}
-        before = daemon.warm_state.collected["main"].history
+        before = daemon.services.warm_state.collected["main"].history
         assert before.endpoints, "the failing server is judged"
         assert await gathered(daemon, counted) == set()
-        assert daemon.warm_state.collected["main"].history == before
+        assert daemon.services.warm_state.collected["main"].history == before
 
         await it.ask(message("GET /other"))
         assert await gathered(daemon, counted) == {"other"}
-        assert daemon.warm_state.collected["main"].history == before
+        assert daemon.services.warm_state.collected["main"].history == before
 
         daemon.drain("main", "main0", True)
         assert await gathered(daemon, counted) >= {"main"}
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -359,7 +359,7 @@
                 f'[listeners.free]\naddress = "127.0.0.1:{free_port()}"\n[listeners.more]\naddress = "{{}}"\n'
             )
             assert not await it.change(text + both.format(taken.address))
-            assert set(it.daemon.listeners.active) == {"web"}
+            assert set(it.daemon.services.listeners.active) == {"web"}
             assert await it.change(text + both.format(f"127.0.0.1:{free_port()}"))
             for _, port in it.daemon.addresses().values():
                 client = Client(*await asyncio.open_connection("127.0.0.1", port))
@@ -368,7 +368,7 @@
             kept = Client(*await asyncio.open_connection("127.0.0.1", it.daemon.addresses()["free"][1]))
             assert (await kept.ask(message("GET /"))).status == 200
             assert await it.change(text)  # the listeners go, with their idle connections
-            assert await kept.ended() and set(it.daemon.listeners.active) == {"web"}
+            assert await kept.ended() and set(it.daemon.services.listeners.active) == {"web"}
         taken.stop()
 
     run(test)
@@ -407,7 +407,7 @@
         path.write_text(good)
         process = start_process(path)
         try:
-            await line_with(process, f"listener web on 127.0.0.1:{port}")
+            await line_with(process, f"listener open name=web address=127.0.0.1:{port}")
             it = Running(None, port, path)  # type: ignore[arg-type]
             stopping, answered, sent = asyncio.Event(), set[str](), set[str]()
 
@@ -438,7 +438,7 @@
                 assert str(path) in await line_with(process, "reload refused")
                 path.write_text(good.replace('deadline = "15s"', 'deadline = "14s"'))
                 process.send_signal(signal.SIGHUP)
-                await line_with(process, "generation 2 is in force")
+                await line_with(process, "configuration in force generation=2")
                 await asyncio.sleep(0.2)
                 stopping.set()
                 process.send_signal(signal.SIGTERM)
--- a/tests/test_endpoint_registry.py
+++ b/tests/test_endpoint_registry.py
@@ -21,6 +21,7 @@
 from plovertrail.clock import clock_us
 from plovertrail.config.operator import load
 from plovertrail.daemon.process import Daemon
+from plovertrail.daemon.wiring import Environment
 from plovertrail.sources.list_reader import ListReader
 from plovertrail.sources.lists import sealed
 from tests.daemons import CLASSES, ROUTES, Client, Running, message, run
@@ -58,7 +59,7 @@
     async def start(self) -> Running:
         self.daemon = Daemon(
             load(str(self.path)),
-            seeds=iter(range(1, 1000)).__next__,
+            Environment(new_seed=iter(range(1, 1000)).__next__),
             lists=ListReader(notifications=self.notifications),
         )
         await self.daemon.control.start()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -117,7 +117,7 @@
     async def test() -> None:
         async with one_open(tmp_path) as (it, held, first):
             first.close()
-            entries = it.daemon.limiters["it"].keys
+            entries = it.daemon.services.limiters.active["it"].keys
             await until(lambda: all(entry.concurrent == 0 for entry in entries.values()))
             held.release.release()
             held.release.release()
@@ -135,7 +135,9 @@
         ) as it:
             for _ in range(3):
                 assert (await it.ask(buy())).status == 503
-            assert [entry.concurrent for entry in it.daemon.limiters["it"].keys.values()] == [0]
+            assert [entry.concurrent for entry in it.daemon.services.limiters.active["it"].keys.values()] == [
+                0
+            ]
 
     run(test)
 
--- a/tests/test_many_lists.py
+++ b/tests/test_many_lists.py
@@ -24,8 +24,10 @@
 from plovertrail.config.descriptors import PoolNeed, default_connections
 from plovertrail.config.operator import load
 from plovertrail.config.problems import ConfigError
-from plovertrail.daemon.process import Daemon, lists_of
-from plovertrail.daemon.running_pool import ElsewhereKnown, RunningPool
+from plovertrail.daemon.configuration_apply import watched_lists
+from plovertrail.daemon.pool_table import EndpointsOfOtherPools
+from plovertrail.daemon.process import Daemon
+from plovertrail.daemon.running_pool import RunningPool
 from plovertrail.decisions.fleet_limits import Fleet
 from plovertrail.decisions.list_versions import SourceKey
 from plovertrail.decisions.pacing import InstanceRank
@@ -71,8 +73,8 @@
     """As `serve` starts it, with no notifications; `blocking`: with nothing else on the loop meanwhile."""
     lists = ListReader(files or BlockedFiles(), notifications=False)
     setup = load(str(site.path))
-    fresh = None if blocking else await lists.first_read(lists_of(setup))
-    daemon = Daemon(setup, lists=lists, fresh=fresh)
+    fresh = None if blocking else await lists.first_read(watched_lists(setup))
+    daemon = Daemon(setup, lists=lists, first_lists=fresh)
     try:
         yield daemon
     finally:
@@ -112,7 +114,7 @@
         async with serving(site, files, blocking) as daemon:
             assert asyncio.get_running_loop().time() - began < FIRST_READ_S + PATIENCE_S
             assert ports(daemon) == {"missing": [], "hangs": [], **dict.fromkeys(names[2:], [1])}
-            missing = daemon.recovery.recovery.missing
+            missing = daemon.services.recovery.recovery.missing
             assert (
                 set(missing) == {f"{name}: file:{site.list_of(name)}" for name in ("missing", "hangs")}
                 and "No such file" in missing[f"missing: file:{site.list_of('missing')}"]
@@ -235,9 +237,11 @@
             site.path.write_text(text.replace(f"{tmp_path}/b.list", f"{tmp_path}/a.list"))
             assert await daemon.reload()
             assert ports(daemon) == {"a": [1], "b": [1]}
-            await until(lambda: daemon.troubled == {"a", "b"})  # both say that it hangs
+            await until(lambda: daemon.services.pools.with_problems == {"a", "b"})  # both say that it hangs
             files.let_go(site.list_of("a"))
-            await until(lambda: ports(daemon) == {"a": [2], "b": [2]} and not daemon.troubled)
+            await until(
+                lambda: ports(daemon) == {"a": [2], "b": [2]} and not daemon.services.pools.with_problems
+            )
 
     run(test)
 
@@ -258,7 +262,7 @@
                 approved.append(path)
                 return "it breaks its tests" if "pools.c" in Path(path).read_text() else ""
 
-            daemon.approve = approve
+            daemon.reloader.approve = approve
             digest = daemon.status()["lists"]["digest"]
             site.write(["a", "b"], watched)
             scan(daemon)
@@ -273,7 +277,7 @@
                 assert set(ports(daemon)) == {"a", "b"}
             site.write(["b"])  # and from now on by the signal only
             await until(lambda: set(ports(daemon)) == {"b"})
-            assert daemon.config_watcher.subscription is None and daemon.status()["reload"] == {
+            assert daemon.services.config_watcher.subscription is None and daemon.status()["reload"] == {
                 "on": "signal",
                 "problem": "",
             }
@@ -285,7 +289,7 @@
 
     with caplog.at_level(logging.ERROR):
         run(test)
-    assert "the setup in force stays" in caplog.text
+    assert "the configuration in force stays" in caplog.text
 
 
 def test_a_change_of_one_pool_touches_no_other(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -298,23 +302,29 @@
         async with serving(site) as daemon:
             await until(lambda: len(daemon.lists.in_force.accepted) == 50)
             touched: list[str] = []
-            take_part = RunningPool.take_part
+            update_limits = RunningPool.update_limits
 
             def noted(pool: RunningPool, fleet: Fleet, place: InstanceRank, slow_start: bool) -> None:
                 touched.append(pool.config.name)
-                take_part(pool, fleet, place, slow_start)
+                update_limits(pool, fleet, place, slow_start)
 
-            monkeypatch.setattr(RunningPool, "take_part", noted)
+            monkeypatch.setattr(RunningPool, "update_limits", noted)
             put(site.list_of("p3"), 2)
             scan(daemon)
             await until(lambda: ports(daemon)["p3"] == [2])
-            assert touched == ["p3"] and not daemon.subsets and not daemon.troubled
+            assert (
+                touched == ["p3"]
+                and not daemon.services.pools.with_subset
+                and not daemon.services.pools.with_problems
+            )
             site.list_of("p4").unlink()
             scan(daemon)
-            await until(lambda: daemon.troubled == {"p4"})  # it alone is said again and again
+            await until(
+                lambda: daemon.services.pools.with_problems == {"p4"}
+            )  # it alone is said again and again
             put(site.list_of("p4"), 2)
             scan(daemon)
-            await until(lambda: not daemon.troubled)
+            await until(lambda: not daemon.services.pools.with_problems)
 
     run(test)
 
@@ -330,10 +340,12 @@
             scan(daemon)
             await until(lambda: ports(daemon)["a"] == [2])
             came_us = daemon.pools["a"].registry.state.members["s"].came_us
-            known: Mapping[tuple[str, tuple[str, int]], int] = ElsewhereKnown("b", lambda: daemon.pools)
+            known: Mapping[tuple[str, tuple[str, int]], int] = EndpointsOfOtherPools(
+                "b", daemon.services.pools.table
+            )
             assert dict(known) == {("s", ("127.0.0.1", 2)): came_us} and came_us > 0
             assert known.get(("s", ("127.0.0.1", 1)), 7) == 7
-            assert not ElsewhereKnown("a", lambda: daemon.pools)
+            assert not EndpointsOfOtherPools("a", daemon.services.pools.table)
 
     run(test)
 
@@ -358,10 +370,10 @@
         site.write(["a"])
         with slow_start() as jump:
             lists = ListReader(files, notifications=False)
-            fresh = lists.first_read_blocking(lists_of(load(str(site.path))))
+            fresh = lists.first_read_blocking(watched_lists(load(str(site.path))))
             put(site.list_of("a"), 2)
             jump(3.0)
-            daemon = Daemon(load(str(site.path)), lists=lists, fresh=fresh)
+            daemon = Daemon(load(str(site.path)), lists=lists, first_lists=fresh)
             await until(lambda: ports(daemon) == {"a": [2]} and not daemon.host.suspension.active)
             found = daemon.status()["recovery"]
             assert (found["phase"], found["why"], found["gaps"]) == ("full", "it starts", 0)
@@ -461,7 +473,11 @@
             put(site.list_of("a"), 2)
             site.list_of("b").write_bytes(b"torn")
             scan(daemon)
-            await until(lambda: bool(daemon.status()["lists"]["hung"]) and len(daemon.troubled) == 2)
+            await until(
+                lambda: (
+                    bool(daemon.status()["lists"]["hung"]) and len(daemon.services.pools.with_problems) == 2
+                )
+            )
             code, text = await call("explain", "list", str(site.list_of("a")))
             assert code == 3 and "hangs for" in text and "what was read last stays" in text
             code, text = await call("explain", "list", str(site.list_of("b")))
--- a/tests/test_share.py
+++ b/tests/test_share.py
@@ -49,7 +49,7 @@
         async with running(
             tmp_path, {"main": servers}, routes=ROUTE, pool_extra=share, head="[limits]\ninstances = 4\n"
         ) as it:
-            budget = it.daemon.pools["main"].budget
+            budget = it.daemon.pools["main"].limits
             clients = [await it.connect() for _ in range(60)]
             found = [status for each in await asyncio.gather(*map(ask, clients)) for status in each]
             for client in clients:
@@ -184,23 +184,23 @@
             pool_extra="share = { connections = 100 }",
             head=head,
         ) as it:
-            assert it.daemon.instances.fleet.size == 50, "before anything is sent"
-            assert it.daemon.instances.place == InstanceRank(None, 50), "it has no name in the list"
-            more = it.daemon.pools["main"].budget.connections
+            assert it.daemon.services.pools.fleet.fleet.size == 50, "before anything is sent"
+            assert it.daemon.services.pools.fleet.rank == InstanceRank(None, 50), "it has no name in the list"
+            more = it.daemon.pools["main"].limits.connections
             path.write_text("".join(f"127.0.0.1:{9000 + n} id=app-{n}\n" for n in range(500)))
-            await until(lambda: it.daemon.instances.fleet.size == 500)
-            assert it.daemon.pools["main"].budget.connections < more
+            await until(lambda: it.daemon.services.pools.fleet.fleet.size == 500)
+            assert it.daemon.pools["main"].limits.connections < more
             path.write_text("".join(f"127.0.0.1:{9000 + n} id=app-{n}\n" for n in range(50)))
-            await until(lambda: it.daemon.instances.fleet.size == 50)
+            await until(lambda: it.daemon.services.pools.fleet.fleet.size == 50)
             for bad in ("", "nonsense\n"):
                 path.write_text(bad)
                 await until(lambda: it.daemon.status()["fleet"]["problem"] != "")
-                assert it.daemon.instances.fleet.size == 50
+                assert it.daemon.services.pools.fleet.fleet.size == 50
                 path.write_text("127.0.0.1:9000 id=a\n127.0.0.1:9001 id=b\n" * 1)
-                await until(lambda: it.daemon.instances.fleet.size == 2)
+                await until(lambda: it.daemon.services.pools.fleet.fleet.size == 2)
                 assert it.daemon.status()["fleet"]["problem"] == ""
                 path.write_text("".join(f"127.0.0.1:{9000 + n} id=app-{n}\n" for n in range(50)))
-                await until(lambda: it.daemon.instances.fleet.size == 50)
+                await until(lambda: it.daemon.services.pools.fleet.fleet.size == 50)
 
     run(test)
 
@@ -214,7 +214,7 @@
         ) as it:
             problems = it.daemon.status()["pools"]["main"]["problems"]
             assert problems and "5000 instances on 2 servers" in problems[0]
-            assert not it.daemon.pools["main"].budget.keep_idle
+            assert not it.daemon.pools["main"].limits.keep_idle
             assert (await it.ask(message("GET /"))).status == 200
             assert it.daemon.pools["main"].connections.count == 0
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -89,7 +89,7 @@
             admission = it.daemon.pools["main"].pool.admission
             assert admission is not None
             admission.over = True
-            it.daemon._stood_still(5_000_000)
+            it.daemon.resume_after_pause(5_000_000)
             assert sorted(await crowd(it, held, 4, 2)) == [200] * 2 + [503] * 2
 
     run(test)
@@ -153,9 +153,12 @@
         path.write_text("".join(f"127.0.0.1:{9000 + n} id=app-{n}\n" for n in range(4)))
         head = f'[fleet]\nname = "app-2"\ninstances_from = "{path}"\n'
         async with running(tmp_path, {"main": [WebServer()]}, routes=ROUTE, head=head) as it:
-            assert it.daemon.instances.place == InstanceRank(2, 4) and it.daemon.instances.fleet.size == 4
+            assert (
+                it.daemon.services.pools.fleet.rank == InstanceRank(2, 4)
+                and it.daemon.services.pools.fleet.fleet.size == 4
+            )
             path.write_text("".join(f"127.0.0.1:{9000 + n} id=app-{n}\n" for n in range(1, 3)))
-            await until(lambda: it.daemon.instances.place == InstanceRank(1, 2))
+            await until(lambda: it.daemon.services.pools.fleet.rank == InstanceRank(1, 2))
 
     run(test)
 
--- a/tests/websocket_site.py
+++ b/tests/websocket_site.py
@@ -14,6 +14,7 @@
 from fakes.ports import free_port
 from plovertrail.config.operator import load
 from plovertrail.daemon.process import Daemon
+from plovertrail.daemon.wiring import Environment
 from plovertrail.decisions.sockets import Socket
 from plovertrail.listeners.sockets import Asker, log_line
 from tests.daemons import Client
@@ -153,9 +154,9 @@
         return FILE.format(**{"port": str(port), **parts, **more})
 
     path.write_text(text())
-    daemon = Daemon(load(str(path)), seeds=itertools.count(1).__next__)
+    daemon = Daemon(load(str(path)), Environment(new_seed=itertools.count(1).__next__))
     site = LiveSite(daemon, port, path, text)
-    daemon.sockets.ended = site.keep
+    daemon.services.websockets.ended = site.keep
     try:
         yield site
     finally:
@@ -163,6 +164,6 @@
             await daemon.stop()
         for server in servers:
             server.stop()
-    assert not daemon.sockets.table.sockets and not daemon.sockets.relays
+    assert not daemon.services.websockets.table.sockets and not daemon.services.websockets.relays
     idents = [socket.ident for socket in site.ended]
     assert len(idents) == len(set(idents)), "a socket ended twice"
