--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/load_balancing/test_contract_rules.py
@@ -21,7 +21,7 @@
 )
 from plovertrail.decisions.load_balancing.balancer import LoadBalancer
 from plovertrail.decisions.settings import RequestClass
-from tests.decisions.world import START_US, World, classes, settings, upstreams
+from tests.decisions.load_balancing.harness import START_US, World, classes, settings, upstreams
 
 FAULTS = [o for o in Outcome if o is not Outcome.TIMEOUT]
 
--- a/tests/decisions/test_list.py
+++ b/tests/decisions/load_balancing/test_endpoint_updates.py
@@ -19,7 +19,7 @@
     TimerFired,
 )
 from plovertrail.decisions.load_balancing.balancer import LoadBalancer
-from tests.decisions.world import START_US, World, settings, upstreams
+from tests.decisions.load_balancing.harness import START_US, World, settings, upstreams
 
 
 def asking_world() -> World:
--- a/tests/decisions/test_list_calls.py
+++ b/tests/decisions/load_balancing/test_poll_schedule.py
@@ -21,7 +21,7 @@
     max_poll_gap_us,
 )
 from plovertrail.decisions.settings import Settings
-from tests.decisions.world import START_US, settings
+from tests.decisions.load_balancing.harness import START_US, settings
 
 SLACK_US = 50_000  # the protocol page: each time limit is so much longer on sockets
 GRACES_US = [250_000, 1_000_000, 2_000_000]
--- a/tests/decisions/test_draw.py
+++ b/tests/decisions/load_balancing/test_selection_reference.py
@@ -26,8 +26,8 @@
 from plovertrail.decisions.load_balancing.endpoint_table import PENALTY_SCALE
 from plovertrail.decisions.load_balancing.request_state import RequestState
 from plovertrail.decisions.load_balancing.slow_start import STALE_ENTRIES
-from tests.decisions import world
-from tests.decisions.world import World, upstreams
+from tests.decisions.load_balancing import harness as world
+from tests.decisions.load_balancing.harness import World, upstreams
 
 OUTCOMES = [
     Outcome.OK,
--- a/tests/decisions/test_sites.py
+++ b/tests/decisions/load_balancing/test_site_settings.py
@@ -11,10 +11,10 @@
 
 from plovertrail.decisions.events import EndpointStatus, ListKind
 from plovertrail.decisions.settings import RequestClass, Settings
-from tests.decisions.test_rules import FAULTS, play
-from tests.decisions.world import World, upstreams
+from tests.decisions.load_balancing.harness import World, upstreams
+from tests.decisions.load_balancing.test_contract_rules import FAULTS, play
 
-FOLDER = Path(__file__).parents[2] / "deploy" / "sites"
+FOLDER = Path(__file__).parents[3] / "deploy" / "sites"
 EFFECTS = {"safe": "idempotent", "keyed": "deduplicated", "unsafe": "at_most_once"}
 SITES = sorted(FOLDER.glob("*.toml"))
 
--- a/tests/decisions/test_calm.py
+++ b/tests/decisions/load_balancing/test_unexpected_events.py
@@ -19,7 +19,7 @@
 from plovertrail.decisions.events import ListKind as Kind
 from plovertrail.decisions.load_balancing.balancer import LoadBalancer
 from plovertrail.decisions.settings import RequestClass, Tenant
-from tests.decisions.world import START_US, World, settings, upstreams
+from tests.decisions.load_balancing.harness import START_US, World, settings, upstreams
 
 
 def test_events_about_what_is_unknown_change_nothing() -> None:
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -29,8 +29,8 @@
     penalties_for_pool,
     penalty_of,
 )
-from tests.decisions.world import START_US, upstreams
-from tests.decisions.world import settings as module_settings
+from tests.decisions.load_balancing.harness import START_US, upstreams
+from tests.decisions.load_balancing.harness import settings as module_settings
 
 S = 1_000_000
 READ, BUY = 1, 2
--- a/tests/decisions/test_warm_state.py
+++ b/tests/decisions/test_warm_state.py
@@ -21,7 +21,7 @@
     restore_endpoint,
     restore_mean_latencies,
 )
-from tests.decisions.world import START_US, settings, upstreams
+from tests.decisions.load_balancing.harness import START_US, settings, upstreams
 
 GOOD = EndpointHistory(5.0, 0.5, 0.0, 0.0, (0.0, 0.0), (0, 0))
 BAD = EndpointHistory(0.1, 3.0, 0.8, 0.6, (0.4, 0.0), (5, 1))
