--- a/plovertrail/daemon/control_socket.py
+++ b/plovertrail/daemon/control_socket.py
@@ -1,4 +1,4 @@
-"""The control socket: status and hand drains, over a Unix socket that only its owner may open."""
+"""The control socket: status and drains by hand, over a Unix socket that only its owner may open."""
 
 from __future__ import annotations
 
@@ -13,23 +13,28 @@
 
 log = logging.getLogger(__name__)
 
-LONGEST_LINE = 4096
-PATIENCE_S = 5.0
-MOST_CALLERS = 8
+MAX_COMMAND_BYTES = 4096
+CALL_TIMEOUT_S = 5.0
+MAX_CALLERS = 8
+PROBE_TIMEOUT_S = 1.0  # for another daemon that listens on the same path
+OWNER_ONLY_UMASK = 0o177
 
 
 class Controlled(Protocol):
-    """What can be asked of a daemon."""
+    """What operators may ask of a daemon."""
 
     def status(self) -> dict[str, Any]:
-        """What is in force; values that JSON can hold."""
+        """The daemon's status; values that JSON can hold."""
 
     def drain(self, pool: str, server: str, drain: bool) -> str:
-        """Drain a server by hand, or end that with `drain` False; returns what is wrong, empty if nothing."""
+        """Drain an endpoint by hand, or end that; returns what is wrong, or an empty text."""
 
 
 class ControlSocket:
-    """One JSON object a line in, one out; then the connection ends. Bounds: 8 callers, 5 s and 4 KiB each."""
+    """Answers one JSON object a line with another, and closes the connection.
+
+    At most MAX_CALLERS connections are served at once, each for CALL_TIMEOUT_S and MAX_COMMAND_BYTES.
+    """
 
     def __init__(self, daemon: Controlled, path: str) -> None:
         self.daemon = daemon
@@ -38,72 +43,75 @@
         self.callers = 0
 
     async def start(self) -> None:
-        """Listen, if there is a path; a socket file that nobody listens on is replaced. Raises OSError."""
+        """Listen, if a path is configured; raises OSError.
+
+        A socket file that nobody listens on is replaced.
+        """
         if not self.path:
             return
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
-            self._clear(sock)
-            # hazard: between bind and chmod anyone might open it
-            before = os.umask(0o177)
+            self._remove_stale_file()
+            # With a later chmod anyone might connect before it.
+            previous_umask = os.umask(OWNER_ONLY_UMASK)
             try:
                 sock.bind(self.path)
             finally:
-                os.umask(before)
-            self.server = await asyncio.start_unix_server(self._serve, sock=sock, limit=LONGEST_LINE)
+                os.umask(previous_umask)
+            self.server = await asyncio.start_unix_server(self._serve, sock=sock, limit=MAX_COMMAND_BYTES)
         except BaseException:
             sock.close()
             raise
 
-    def _clear(self, sock: socket.socket) -> None:
+    def _remove_stale_file(self) -> None:
         with suppress(FileNotFoundError):
             if not stat.S_ISSOCK(os.stat(self.path).st_mode):
                 raise OSError(f"{self.path} is there, and is no socket")
-            probe = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-            try:
-                probe.settimeout(1.0)
-                probe.connect(self.path)
-            except ConnectionRefusedError:
-                os.unlink(self.path)
-            else:
-                raise OSError(f"another daemon listens on {self.path}")
-            finally:
-                probe.close()
+            with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
+                probe.settimeout(PROBE_TIMEOUT_S)
+                try:
+                    probe.connect(self.path)
+                except ConnectionRefusedError:
+                    os.unlink(self.path)
+                else:
+                    raise OSError(f"another daemon listens on {self.path}")
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection; a caller that is too slow, sends too much or is gone gets no answer."""
         self.callers += 1
         try:
-            if self.callers <= MOST_CALLERS:
-                async with asyncio.timeout(PATIENCE_S):
+            if self.callers <= MAX_CALLERS:
+                async with asyncio.timeout(CALL_TIMEOUT_S):
                     answer = self._answer(await reader.readline())
-                    # hazard: the status of 10,000 servers takes long to write
+                    # Encoding the status of 10,000 endpoints on the event loop would delay requests.
                     text = await asyncio.to_thread(json.dumps, answer)
                     writer.write(text.encode() + b"\n")
                     await writer.drain()
         except (TimeoutError, ValueError, ConnectionError):
-            pass  # too slow, too long, or gone
+            pass
         finally:
             self.callers -= 1
             writer.close()
 
     def _answer(self, line: bytes) -> dict[str, Any]:
         try:
-            asked = json.loads(line)
-            what = asked["do"]
-            if what == "status":
+            command = json.loads(line)
+            name = command["do"]
+            if name == "status":
                 return {"ok": True, "status": self.daemon.status()}
-            if what in ("drain", "undrain"):
-                wrong = self.daemon.drain(str(asked["pool"]), str(asked["server"]), what == "drain")
+            if name in ("drain", "undrain"):
+                wrong = self.daemon.drain(str(command["pool"]), str(command["server"]), name == "drain")
                 return {"ok": not wrong, "error": wrong}
         except (ValueError, KeyError, TypeError, RecursionError) as error:
             return {"ok": False, "error": f"not understood: {error!r}"}
         except Exception:
-            log.exception("a call on the control socket failed")
+            # A defect in the status must not end the daemon; the caller is told where to look.
+            log.exception("control command failed")
             return {"ok": False, "error": "it failed; the daemon's log tells why"}
-        return {"ok": False, "error": f"unknown: {what!r}"}
+        return {"ok": False, "error": f"unknown: {name!r}"}
 
     def stop(self) -> None:
-        """Stop listening and remove the socket's file; calls under way end by themselves."""
+        """Stop listening and remove the socket's file; calls in progress end by themselves."""
         if self.server is not None:
             self.server.close()
             self.server = None
--- a/plovertrail/daemon/listeners.py
+++ b/plovertrail/daemon/listeners.py
@@ -9,7 +9,7 @@
 from plovertrail.config.problems import ConfigError, Problem
 from plovertrail.config.setup import ListenerSetup, Setup
 from plovertrail.dispatch.dispatcher import Dispatcher
-from plovertrail.generation import Current
+from plovertrail.generation import CurrentGeneration
 from plovertrail.listeners.ordinary import OrdinaryFront
 from plovertrail.listeners.sockets import SocketKeeper
 
@@ -42,7 +42,7 @@
     """The listeners in force by name, and those that still have connections after their removal."""
 
     def __init__(
-        self, host: Dispatcher, current: Current, websockets: SocketKeeper, sockets: ListenerSockets
+        self, host: Dispatcher, current: CurrentGeneration, websockets: SocketKeeper, sockets: ListenerSockets
     ) -> None:
         self.host = host
         self.current = current
--- a/plovertrail/daemon/pool_manager.py
+++ b/plovertrail/daemon/pool_manager.py
@@ -19,7 +19,7 @@
 from plovertrail.decisions.list_versions import SourceKey
 from plovertrail.dispatch.dispatcher import Dispatcher
 from plovertrail.endpoint_registry import EndpointRegistry
-from plovertrail.generation import Current
+from plovertrail.generation import CurrentGeneration
 from plovertrail.sources.first_read import FirstRead
 from plovertrail.sources.list_reader import ListReader
 from plovertrail.store.warm_state import WarmStateManager
@@ -55,7 +55,7 @@
 
     table: PoolTable
     host: Dispatcher
-    current: Current
+    current: CurrentGeneration
     warm_state: WarmStateManager
     lists: ListReader
     new_seed: Callable[[], int]
--- a/plovertrail/daemon/wiring.py
+++ b/plovertrail/daemon/wiring.py
@@ -20,7 +20,7 @@
 from plovertrail.decisions.counts import Counts
 from plovertrail.dispatch.dispatcher import Dispatcher
 from plovertrail.event_log import EventLog, EventSink
-from plovertrail.generation import Current, Generation
+from plovertrail.generation import CurrentGeneration, Generation
 from plovertrail.health_reporter import HealthReporter
 from plovertrail.hooks.loader import HookLoader
 from plovertrail.listeners.sockets import SocketKeeper
@@ -65,7 +65,7 @@
 class Services:
     """The services of one daemon. Each is made once and follows every configuration."""
 
-    current: Current
+    current: CurrentGeneration
     host: Dispatcher
     event_log: EventSink
     websockets: SocketKeeper
@@ -94,7 +94,7 @@
     setup: Setup, environment: Environment, lists: ListReader, events: DaemonEvents
 ) -> Services:
     """Make the services of a daemon for its first configuration; nothing is in force yet."""
-    current = Current(Generation(0, setup, {}, {}, {}))
+    current = CurrentGeneration(Generation(0, setup, {}, {}, {}))
     loop = asyncio.get_running_loop()
     host = Dispatcher(turn_staleness(loop))
     event_log = environment.open_event_log(setup.socket_log)
--- a/plovertrail/generation.py
+++ b/plovertrail/generation.py
@@ -1,4 +1,4 @@
-"""What one reading of the operator's file brings into force: an immutable value that requests keep."""
+"""What one configuration comes to: an immutable value that a request keeps from its beginning to its end."""
 
 from __future__ import annotations
 
@@ -14,50 +14,59 @@
 from plovertrail.dispatch.server_pool import ServerPool
 from plovertrail.hooks.chain import Chain, make_chain
 
-if TYPE_CHECKING:  # the engine is large, and most daemons have no hooks
+if TYPE_CHECKING:  # the hook engine is large, and most daemons have no hooks
     from plovertrail.hooks.hook import Hook
 
+Header = tuple[bytes, bytes]
+
+HOST = b"host"
+NEVER_FORWARDED = frozenset((HOST, b"expect", b"x-deadline-ms"))
+FORWARDING_HEADERS = frozenset((b"forwarded", b"x-forwarded-for", b"x-forwarded-host", b"x-forwarded-proto"))
+
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """A route with all that can be known of its requests ahead."""
+class RoutePlan:
+    """A route with all that can be known of its requests before they arrive."""
 
     route: Route
     pools: tuple[ServerPool, ...]
     class_index: int
-    kind: RequestClass
+    request_class: RequestClass
     key_header: bytes  # in lower case; empty where the class has none
     deadline_us: int
-    dropped: frozenset[bytes]  # headers that don't go on: the route's own, and those written anew
-    set_host: bytes  # empty: the client's
-    set_headers: tuple[tuple[bytes, bytes], ...]
-    filled_headers: tuple[tuple[bytes, Template], ...]
-    filled_host: Template | None  # in place of set_host
+    removed_headers: frozenset[bytes]  # not forwarded: the route's own, and those that are set anew
+    host: bytes  # in place of the client's; empty: the client's
+    set_headers: tuple[Header, ...]
+    templated_headers: tuple[tuple[bytes, Template], ...]
+    host_template: Template | None  # in place of `host`
     websocket: WebSocketSetup | None = None
     limiters: tuple[RateLimiter, ...] = ()
-    chain: Chain | None = None  # its hooks
-    chosen: Mapping[str, Plan] = field(default_factory=dict)  # as its hooks may have it, by class
+    hook_chain: Chain | None = None
+    by_class: Mapping[str, RoutePlan] = field(
+        default_factory=dict
+    )  # for the classes that its hooks may choose
 
     @property
-    def harmless(self) -> bool:
-        """Whether trying again is harmless whatever has run (rule 2)."""
-        return self.kind.effect == "idempotent" or (
-            self.kind.effect == "deduplicated" and self.kind.dedup_scope == "all"
+    def retry_safe(self) -> bool:
+        """Whether a client may retry whatever has run: an endpoint repeats or drops no work."""
+        request_class = self.request_class
+        return request_class.effect == "idempotent" or (
+            request_class.effect == "deduplicated" and request_class.dedup_scope == "all"
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Generation:
-    """One setup in force."""
+    """One configuration in force."""
 
     number: int
     setup: Setup
     pools: Mapping[str, ServerPool]
-    plans: Mapping[str, Plan]  # by the names of the routes
+    plans: Mapping[str, RoutePlan]  # by the names of the routes
     tenants: Mapping[bytes, int]
 
 
-class Current:
+class CurrentGeneration:
     """Holds the generation in force; a reload replaces it by one assignment."""
 
     def __init__(self, generation: Generation) -> None:
@@ -71,78 +80,93 @@
     hooks: Mapping[str, Hook],
     limiters: Mapping[str, RateLimiter],
 ) -> Generation:
-    """Lay out a setup for requests; `pools`, `hooks` and `limiters` have one for each of its own."""
+    """Lay a configuration out for requests; `pools`, `hooks` and `limiters` have all that it names."""
     plans = {}
     for route in setup.routes.routes:
         if route.answers is not None:
-            continue  # its requests go to no server
-        index = setup.class_index(route.class_name)
-        kind = setup.classes[index]
-        hosts = [value for name, value in route.set_headers if name.lower() == b"host"]
-        others = tuple(pair for pair in route.set_headers if pair[0].lower() != b"host")
-        filled = {name.lower(): (name, value) for name, value in route.filled_headers}
-        _, filled_host = filled.pop(b"host", (b"", None))
-        dropped = route.remove_headers | {name.lower() for name, _ in others} | filled.keys()
-        plan = Plan(
-            route,
-            tuple(pools[name] for name in route.pools),
-            index,
-            kind,
-            setup.key_headers[index].lower(),
-            route.deadline_us or kind.deadline_us,
-            dropped | {b"host", b"expect", b"x-deadline-ms"},
-            hosts[-1] if hosts else b"",
-            others,
-            tuple(filled.values()),
-            filled_host,
-            setup.websockets.get(route.websocket),
-            tuple(limiters[name] for name in setup.limited.get(route.name, ())),
-        )
+            continue  # it is answered without an endpoint
+        plan = _route_plan(route, setup, pools, limiters)
         if route.name in setup.hooked:
-            plan = with_hooks(plan, setup, hooks)
+            plan = _with_hooks(plan, setup, hooks)
         plans[route.name] = plan
-    tenants = {tenant.name.encode(): i for i, tenant in enumerate(setup.tenants)}
+    tenants = {tenant.name.encode(): index for index, tenant in enumerate(setup.tenants)}
     return Generation(number, setup, pools, plans, tenants)
 
 
-def with_hooks(plan: Plan, setup: Setup, hooks: Mapping[str, Hook]) -> Plan:
-    """A route's plan with its hooks, and with a plan for each class that these may choose. Hazard: a class
-    with a longer deadline must not give a request more time than its route does."""
-    route, hooked = plan.route, setup.hooked[plan.route.name]
-    plans = {}
-    for name in hooked.classes:
-        index = setup.class_index(name)
-        kind = setup.classes[index]
-        plans[name] = replace(
-            plan,
-            class_index=index,
-            kind=kind,
-            key_header=setup.key_headers[index].lower(),
-            deadline_us=min(plan.deadline_us, kind.deadline_us),
-        )
-    # hazard: a key or a request's id that a hook changes would be another request's
-    protected = {key.lower() for key in setup.key_headers if key} | route.remove_headers
-    protected |= {name.lower() for name, _ in (*route.set_headers, *route.filled_headers)}
-    for listener in setup.listeners:
-        protected |= {listener.request_id_header.lower(), listener.deadline_header}
-    classes = {plan.kind.name: plan.kind} | {name: chosen.kind for name, chosen in plans.items()}
+def _route_plan(
+    route: Route, setup: Setup, pools: Mapping[str, ServerPool], limiters: Mapping[str, RateLimiter]
+) -> RoutePlan:
+    class_index = setup.class_index(route.class_name)
+    request_class = setup.classes[class_index]
+    hosts = [value for name, value in route.set_headers if name.lower() == HOST]
+    set_headers = tuple(header for header in route.set_headers if header[0].lower() != HOST)
+    templates = {name.lower(): (name, value) for name, value in route.filled_headers}
+    _, host_template = templates.pop(HOST, (b"", None))
+    set_names = {name.lower() for name, _ in set_headers}
+    return RoutePlan(
+        route=route,
+        pools=tuple(pools[name] for name in route.pools),
+        class_index=class_index,
+        request_class=request_class,
+        key_header=setup.key_headers[class_index].lower(),
+        deadline_us=route.deadline_us or request_class.deadline_us,
+        removed_headers=route.remove_headers | set_names | templates.keys() | NEVER_FORWARDED,
+        host=hosts[-1] if hosts else b"",
+        set_headers=set_headers,
+        templated_headers=tuple(templates.values()),
+        host_template=host_template,
+        websocket=setup.websockets.get(route.websocket),
+        limiters=tuple(limiters[name] for name in setup.limited.get(route.name, ())),
+    )
+
+
+def _with_hooks(plan: RoutePlan, setup: Setup, hooks: Mapping[str, Hook]) -> RoutePlan:
+    """Add a route's hooks to its plan, and a plan for each class that they may choose."""
+    hooked = setup.hooked[plan.route.name]
+    by_class = {name: _for_class(plan, setup, name) for name in hooked.classes}
+    classes = {plan.request_class.name: plan.request_class}
+    classes |= {name: chosen.request_class for name, chosen in by_class.items()}
     chain = make_chain(
-        route.name,
+        plan.route.name,
         [hooks[name] for name in hooked.hooks],
-        frozenset(protected),
-        plan.kind.name,
+        _protected_headers(plan.route, setup),
+        plan.request_class.name,
         classes,
         hooked.passes,
     )
-    return replace(plan, chain=chain, chosen=plans)
+    return replace(plan, hook_chain=chain, by_class=by_class)
+
+
+def _for_class(plan: RoutePlan, setup: Setup, class_name: str) -> RoutePlan:
+    """The plan with another class, whose deadline may be shorter than the route's but not longer."""
+    class_index = setup.class_index(class_name)
+    request_class = setup.classes[class_index]
+    return replace(
+        plan,
+        class_index=class_index,
+        request_class=request_class,
+        key_header=setup.key_headers[class_index].lower(),
+        deadline_us=min(plan.deadline_us, request_class.deadline_us),
+    )
+
+
+def _protected_headers(route: Route, setup: Setup) -> frozenset[bytes]:
+    """Headers that hooks may not change: with another idempotency key or id it would be another request."""
+    protected = {key.lower() for key in setup.key_headers if key} | route.remove_headers
+    protected |= {name.lower() for name, _ in (*route.set_headers, *route.filled_headers)}
+    for listener in setup.listeners:
+        protected |= {listener.request_id_header.lower(), listener.deadline_header}
+    return frozenset(protected)
+
 
+def headers_replaced_by(listener: ListenerSetup) -> frozenset[bytes]:
+    """Headers of clients that a listener does not forward as they are.
 
-def dropped_by_listener(listener: ListenerSetup) -> frozenset[bytes]:
-    """Headers of clients that a listener replaces. Hazard: kept, a client's own word on its address would
-    pass for ours."""
-    dropped = {listener.deadline_header, listener.request_id_header.lower()}
+    Forwarded, what a client says of its own address would pass for what the listener says.
+    """
+    replaced = {listener.deadline_header, listener.request_id_header.lower()}
     if listener.forwarded != "off" and not listener.trust_forwarded:
-        dropped |= {b"forwarded", b"x-forwarded-for", b"x-forwarded-host", b"x-forwarded-proto"}
+        replaced |= FORWARDING_HEADERS
     elif listener.forwarded != "off":
-        dropped |= {listener.forwarded.encode()}
-    return frozenset(dropped)
+        replaced |= {listener.forwarded.encode()}
+    return frozenset(replaced)
--- a/plovertrail/listeners/ordinary.py
+++ b/plovertrail/listeners/ordinary.py
@@ -28,7 +28,7 @@
 from plovertrail.decisions.sockets import Cause
 from plovertrail.dispatch.dispatcher import Dispatcher
 from plovertrail.dispatch.types import ProxyRequest, ProxyResponse, ResponseKind, TransportResult, Tunnel
-from plovertrail.generation import Current, Plan, dropped_by_listener
+from plovertrail.generation import CurrentGeneration, RoutePlan, headers_replaced_by
 from plovertrail.hooks.chain import AnswerWithheldError, RequestRefusedError, Seen, Trail
 from plovertrail.http1.heads import Headers, answer_head, end_to_end
 from plovertrail.http1.requests import RequestMessage, RequestReader
@@ -85,7 +85,7 @@
         self.reader = RequestReader(limits.max_head, limits.max_body)
         self.pending = bytearray()  # not given to the reader yet
         self.message: RequestMessage | None = None  # the one that is open
-        self.plan: Plan | None = None
+        self.plan: RoutePlan | None = None
         self.trail: Trail | None = None  # the open request's way through its route's hooks
         self.socket: PendingSocket | None = None  # what the open request asks for
         self.taking = False
@@ -184,7 +184,7 @@
             self.plan = plan
             self.ident = self.front.host.submit(call, self.answer, plan.pools, plan.limiters)
 
-    def call(self, message: RequestMessage) -> tuple[ProxyRequest, Plan] | LocalReply:
+    def call(self, message: RequestMessage) -> tuple[ProxyRequest, RoutePlan] | LocalReply:
         """Find a request's route: the call to make with the plan of its route, or the route's own answer.
 
         Raises RequestRejectedError, HandshakeError, SocketLimitError or RequestRefusedError.
@@ -210,7 +210,7 @@
         wait_us = deadline_us(headers.get(listener.deadline_header), plan.deadline_us)
         tenant_name = tenant_of(routed.route, head, self.peer())
         trail = None
-        if plan.chain is not None:
+        if plan.hook_chain is not None:
             seen = Seen(
                 message.method,
                 head.path,
@@ -221,16 +221,16 @@
                 message.body,
                 tenant_name,
             )
-            trail = self.trail = Trail(plan.chain, seen, arrived_us + wait_us, clock_us)
+            trail = self.trail = Trail(plan.hook_chain, seen, arrived_us + wait_us, clock_us)
             trail.request()
             tenant_name = trail.changes.tenant
-            plan = plan.chosen.get(trail.changes.class_name, plan)
+            plan = plan.by_class.get(trail.changes.class_name, plan)
             wait_us = min(wait_us, plan.deadline_us)
         key = checked_key(headers.get(plan.key_header)) if plan.key_header else b""
         ident = headers.get(listener.request_id_header.lower(), b"")
         if not IDENT.fullmatch(ident):
             ident = os.urandom(16).hex().encode()
-        kept = end_to_end(message.headers, plan.dropped | front.dropped)
+        kept = end_to_end(message.headers, plan.removed_headers | front.dropped)
         if trail is not None:
             kept = trail.changes.apply(kept)
         kept.extend(plan.set_headers)
@@ -238,12 +238,14 @@
         if listener.forwarded != "off":
             kept.append(self.forwarded(headers, authority))
         client = client_of(routed.route, head, self.peer(), front.trusted)
-        host = plan.set_host or authority
-        if plan.filled_headers or plan.filled_host is not None:
+        host = plan.host or authority
+        if plan.templated_headers or plan.host_template is not None:
             told = self.told(routed, path, message.target, ident, client)
-            kept.extend((name, value.filled(told).encode("latin-1")) for name, value in plan.filled_headers)
-            if plan.filled_host is not None:
-                host = plan.filled_host.filled(told).encode("latin-1")
+            kept.extend(
+                (name, value.filled(told).encode("latin-1")) for name, value in plan.templated_headers
+            )
+            if plan.host_template is not None:
+                host = plan.host_template.filled(told).encode("latin-1")
         tenant = generation.tenants.get(tenant_name, len(generation.tenants))
         if plan.websocket is not None and asks_for_socket(message.headers):
             check_origin(message.headers, plan.websocket.origins)
@@ -331,7 +333,7 @@
         elif result is not None and result.outcome is Outcome.ERROR:
             # hazard: a server's 429 or 503 without its word that nothing has run reads as leave to try again
             status = result.status
-            if status in REFUSALS and not self.plan.harmless:
+            if status in REFUSALS and not self.plan.retry_safe:
                 self.reject(
                     502, f"the server answered {status}, and the request may have run", outcome=FAILED
                 )
@@ -472,7 +474,7 @@
     """One listener of the operator's."""
 
     def __init__(
-        self, host: Dispatcher, current: Current, listener: ListenerSetup, keeper: SocketKeeper
+        self, host: Dispatcher, current: CurrentGeneration, listener: ListenerSetup, keeper: SocketKeeper
     ) -> None:
         super().__init__(
             host, listener.max_connections, Patience.of(listener.read_us / 1e6, listener.idle_us / 1e6)
@@ -486,7 +488,7 @@
         self.listener = listener
         self.most_clients = listener.max_connections
         self.patience = Patience.of(listener.read_us / 1e6, listener.idle_us / 1e6)
-        self.dropped = dropped_by_listener(listener)
+        self.dropped = headers_replaced_by(listener)
         # the header in which the proxy in front tells addresses; empty: none is trusted
         self.trusted = listener.forwarded.encode() if listener.trust_forwarded else b""
 
--- a/plovertrail/listeners/sockets.py
+++ b/plovertrail/listeners/sockets.py
@@ -16,7 +16,7 @@
 from plovertrail.dispatch.server_pool import ServerPool
 from plovertrail.dispatch.types import Tunnel
 from plovertrail.event_log import EventSink
-from plovertrail.generation import Plan
+from plovertrail.generation import RoutePlan
 from plovertrail.http1.heads import Headers
 from plovertrail.listeners.relay import Relay
 from plovertrail.websocket.handshake import check_answer, new_key, request_headers
@@ -38,7 +38,7 @@
     request_id: bytes
     tenant: bytes
     listener: str
-    plan: Plan
+    plan: RoutePlan
 
 
 class PendingSocket:
@@ -161,7 +161,7 @@
                     self.tell(api.ServerChanged((name, number), api.Word.GONE))
 
     def reconfigure(
-        self, plans: Mapping[str, Plan], pools: Mapping[str, tuple[int, int]], listeners: Iterable[str]
+        self, plans: Mapping[str, RoutePlan], pools: Mapping[str, tuple[int, int]], listeners: Iterable[str]
     ) -> None:
         """A new setup is in force; `pools` has the most sockets of each, and of each of its servers."""
         self.table.configure(
--- a/plovertrail/logs.py
+++ b/plovertrail/logs.py
@@ -1,4 +1,4 @@
-"""The log: standard error, a few lines a second."""
+"""The process's log: standard error, at a limited rate."""
 
 from __future__ import annotations
 
@@ -6,30 +6,30 @@
 import sys
 import time
 
-LINES_A_SECOND = 5.0
-LINES_AT_ONCE = 20.0  # a start with a reload behind it says about ten things in a second
+MAX_LINES_PER_S = 5.0
+MAX_BURST_LINES = 20.0  # a start with a reload right after it logs about ten lines in a second
 
 
-class RateLimit(logging.Filter):
-    """Lets a few lines a second through: the log may be a pipe, and a full one would hold up everything."""
+class RateLimitFilter(logging.Filter):
+    """Passes a limited rate of lines: the log may be a pipe, and a full one would block the process."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.left = LINES_AT_ONCE
-        self.at = time.monotonic()
-
-    def filter(self, record: logging.LogRecord) -> bool:
-        """Whether the line may pass: LINES_A_SECOND on average, LINES_AT_ONCE in a burst."""
-        now = time.monotonic()
-        self.left = min(LINES_AT_ONCE, self.left + (now - self.at) * LINES_A_SECOND)
-        self.at = now
-        if self.left < 1.0:
+        self.tokens = MAX_BURST_LINES
+        self.refilled_s = time.monotonic()
+
+    def filter(self, _record: logging.LogRecord) -> bool:
+        """Whether the line may pass: MAX_LINES_PER_S on average, MAX_BURST_LINES in a burst."""
+        now_s = time.monotonic()
+        self.tokens = min(MAX_BURST_LINES, self.tokens + (now_s - self.refilled_s) * MAX_LINES_PER_S)
+        self.refilled_s = now_s
+        if self.tokens < 1.0:
             return False
-        self.left -= 1.0
+        self.tokens -= 1.0
         return True
 
 
 def log_to_stderr() -> None:
-    """For the whole process."""
+    """Send the log of the whole process to standard error."""
     logging.basicConfig(level=logging.INFO, format="%(levelname)s %(message)s", stream=sys.stderr)
-    logging.getLogger().handlers[0].addFilter(RateLimit())
+    logging.getLogger().handlers[0].addFilter(RateLimitFilter())
--- a/tests/hooks/test_daemon_hooks.py
+++ b/tests/hooks/test_daemon_hooks.py
@@ -156,7 +156,7 @@
         good = wat.module(on_request=wat.ALLOW)
         async with running(tmp_path, {"main": [server]}, **hooked(tmp_path, {"h": good})) as it:
             # it gets into force only by way of a trial; so put it there as if it had turned bad later
-            chain = it.daemon.generation.plans["buy"].chain
+            chain = it.daemon.generation.plans["buy"].hook_chain
             assert chain is not None
             chain.hooks[0].compiled = chain.hooks[0].runtime.compile_module(bad)
             client = await it.connect()
@@ -191,7 +191,7 @@
         good = wat.module(on_request=wat.ALLOW)
         more = hooked(tmp_path, {"h": good}, policy, 'memory = "256KiB"\nfuel = 50000000')
         async with running(tmp_path, {"main": [server]}, **more) as it:
-            chain = it.daemon.generation.plans["buy"].chain
+            chain = it.daemon.generation.plans["buy"].hook_chain
             assert chain is not None
             chain.hooks[0].compiled = chain.hooks[0].runtime.compile_module(FAULTY[name])
             reply = await it.ask(message("POST /buy", body=b"coins"))
@@ -210,7 +210,7 @@
         server = WebServer()
         more = hooked(tmp_path, {"h": wat.module(on_request=wat.ALLOW)}, policy)
         async with running(tmp_path, {"main": [server]}, **more) as it:
-            chain = it.daemon.generation.plans["buy"].chain
+            chain = it.daemon.generation.plans["buy"].hook_chain
             assert chain is not None
             chain.hooks[0].compiled = chain.hooks[0].runtime.compile_module(FAULTY["trap"])
             client = await it.connect()
@@ -272,7 +272,7 @@
         server = WebServer()
         more = hooked(tmp_path, {"h": wat.module(on_answer=wat.ALLOW)}, policy)
         async with running(tmp_path, {"main": [server]}, **more) as it:
-            chain = it.daemon.generation.plans["buy"].chain
+            chain = it.daemon.generation.plans["buy"].hook_chain
             assert chain is not None
             chain.hooks[0].compiled = chain.hooks[0].runtime.compile_module(wat.module(on_answer=wat.TRAP))
             reply = await it.ask(message("POST /buy", body=b"coins"))
@@ -289,7 +289,7 @@
         verdict = Verdict(set_headers=[(header.encode(), b"1")])
         more = hooked(tmp_path, {"h": wat.module(on_answer=wat.ALLOW)})
         async with running(tmp_path, {"main": [server]}, **more) as it:
-            chain = it.daemon.generation.plans["buy"].chain
+            chain = it.daemon.generation.plans["buy"].hook_chain
             assert chain is not None
             chain.hooks[0].compiled = chain.hooks[0].runtime.compile_module(
                 wat.answering("on_answer", verdict)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""The log's bound: some lines at once, and few a second after that."""
+"""The log's limit: a burst of lines, and a few per second after it."""
 
 from __future__ import annotations
 
@@ -6,13 +6,14 @@
 
 import pytest
 
-from plovertrail.logs import LINES_A_SECOND, LINES_AT_ONCE, RateLimit
+from plovertrail.logs import MAX_BURST_LINES, MAX_LINES_PER_S, RateLimitFilter
 
 
-def test_a_start_may_say_what_it_has_to_and_a_flood_is_cut(monkeypatch: pytest.MonkeyPatch) -> None:
-    now = 100.0
-    monkeypatch.setattr("plovertrail.logs.time.monotonic", lambda: now)
-    limit, record = RateLimit(), logging.makeLogRecord({})
-    assert sum(limit.filter(record) for _ in range(1000)) == LINES_AT_ONCE
-    now += 2.0
-    assert sum(limit.filter(record) for _ in range(1000)) == 2 * LINES_A_SECOND
+def test_a_burst_passes_and_a_flood_is_cut(monkeypatch: pytest.MonkeyPatch) -> None:
+    now_s = 100.0
+    monkeypatch.setattr("plovertrail.logs.time.monotonic", lambda: now_s)
+    limit = RateLimitFilter()
+    record = logging.makeLogRecord({})
+    assert sum(limit.filter(record) for _ in range(1000)) == MAX_BURST_LINES
+    now_s += 2.0
+    assert sum(limit.filter(record) for _ in range(1000)) == 2 * MAX_LINES_PER_S
