--- a/benchmarks/long_lists.py
+++ b/benchmarks/long_lists.py
@@ -99,20 +99,20 @@
 
 async def measure(servers: int, port: int, go: Any) -> dict[str, list[tuple[float, float]]]:
     """Of each kind of step: the longest stall, and the time until it was in force, in ms."""
-    host = Dispatcher()
+    dispatcher = Dispatcher()
     settings = Settings(
         [RequestClass("read", 300_000, 1_500_000)], endpoints_on_request=True, max_poll_interval_us=60_000_000
     )
-    pool = host.pools.add("", settings, 1, ConnectionPool(10_000_000, 1_000_000, 100))
+    pool = dispatcher.pools.add("", settings, 1, ConnectionPool(10_000_000, 1_000_000, 100))
     told: list[int] = []
 
     def listed(event: EndpointsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
-        host.pools.update_endpoints(pool, event, addresses)
+        dispatcher.pools.update_endpoints(pool, event, addresses)
         told.append(event.version)
 
     discovery = Discovery(("127.0.0.1", port), Directory(["a"], ["m"]), listed)
-    host.discovery = discovery
-    host.start(pool)
+    dispatcher.discovery = discovery
+    dispatcher.start(pool)
     clock = Clock()
     found: dict[str, list[tuple[float, float]]] = {}
     async with asyncio.timeout(PATIENCE_S * CHANGES):
--- a/benchmarks/planted_fault_list.py
+++ b/benchmarks/planted_fault_list.py
@@ -101,9 +101,11 @@
     Fault(
         "a leave is told late by a second",
         ENDPOINTS,
-        "self.host.pools.update_endpoints(self.pool, EndpointsUpdated(ListKind.DELTA, entries), addresses)",
-        "self.host.loop.call_later(1.0, self.host.pools.update_endpoints, self.pool,\n"
-        "                                      EndpointsUpdated(ListKind.DELTA, entries), addresses)",
+        "            self.dispatcher.pools.update_endpoints(\n"
+        "                self.pool, EndpointsUpdated(ListKind.DELTA, entries), addresses\n",
+        "            self.dispatcher.loop.call_later(\n"
+        "                1.0, self.dispatcher.pools.update_endpoints,\n"
+        "                self.pool, EndpointsUpdated(ListKind.DELTA, entries), addresses\n",
     ),
     Fault(
         "an unsafe request is tried again",
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -207,7 +207,7 @@
             self.outages(),
         )
         await asyncio.sleep(DEADLINE_S + 0.5)
-        left = len(daemon.host.requests)
+        left = len(daemon.dispatcher.requests)
         await daemon.stop()
         for server in self.servers:
             server.stop()
--- a/fakes/fleet/instances.py
+++ b/fakes/fleet/instances.py
@@ -50,24 +50,24 @@
             overload_factor=plan.overload_factor,
             overload_duration_us=int(plan.fall_s * 1e6),
         )
-        self.host = Dispatcher()
+        self.dispatcher = Dispatcher()
         self.connections = ConnectionPool(int(plan.idle_s * 1e6), 500_000, MOST_CONNECTIONS)
-        self.pool = self.host.pools.add("", settings, number, self.connections)
+        self.pool = self.dispatcher.pools.add("", settings, number, self.connections)
         if plan.servers_each:
             self.pool.use_subset(subsetting.EndpointSubset(number, plan.servers_each))
             self._narrow()
         self.discovery = Discovery(("127.0.0.1", discovery_port), Directory(["a"], ["m"]), self.listed)
-        self.host.discovery = self.discovery
+        self.dispatcher.discovery = self.discovery
         self.discovery.cached(known)
-        self.host.start(self.pool)
+        self.dispatcher.start(self.pool)
 
     def _narrow(self) -> None:
-        self.host.loop.call_later(NARROW_S, self._narrow)
-        self.host.shrink_subset(self.pool)
+        self.dispatcher.loop.call_later(NARROW_S, self._narrow)
+        self.dispatcher.shrink_subset(self.pool)
 
     def listed(self, event: EndpointsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
         """A list of servers has come: hand it to the host, and fit the budget to its length."""
-        self.host.pools.update_endpoints(self.pool, event, addresses)
+        self.dispatcher.pools.update_endpoints(self.pool, event, addresses)
         budget = fleet_limits.instance_limits(self.fleet, self.bounds, len(self.pool.feed.listed))
         if budget != self.connections.budget:
             self.connections.limit(budget, self.rng.random())
@@ -110,7 +110,7 @@
                 self.taken.append(took)
 
         call = ProxyRequest(b"POST", b"/read/1", [], b"{}", clock_us(), DEADLINE_US, 0)
-        instance.host.submit(call, reply, (instance.pool,))
+        instance.dispatcher.submit(call, reply, (instance.pool,))
 
     def told(self) -> dict[str, Any]:
         """The counts by second, and a sample of the times that answers took, in seconds."""
--- a/plovertrail/__main__.py
+++ b/plovertrail/__main__.py
@@ -48,18 +48,18 @@
     loop = asyncio.get_running_loop()
     dial_timeout_us = settings.settings.connect_timeout_us
     pool = ConnectionPool(settings.idle_us, dial_timeout_us, most=settings.sockets * 3 // 8)
-    host = Dispatcher()
-    servers = host.pools.add("", settings.settings, settings.seed, pool)
+    dispatcher = Dispatcher()
+    servers = dispatcher.pools.add("", settings.settings, settings.seed, pool)
     directory = Directory(settings.zones, settings.kinds)
-    discovery = Discovery(settings.discovery, directory, partial(host.pools.update_endpoints, servers))
-    host.discovery = discovery
+    discovery = Discovery(settings.discovery, directory, partial(dispatcher.pools.update_endpoints, servers))
+    dispatcher.discovery = discovery
     if settings.known:
         discovery.cached(settings.known)
-    host.start(servers)
+    dispatcher.start(servers)
     if not settings.settings.endpoints_on_request:
         discovery.hold_open()
     # the rest is for discovery, the listener, the log and what is on its way to be closed
-    server = Server(host, servers, settings.settings, most_clients=settings.sockets // 2)
+    server = Server(dispatcher, servers, settings.settings, most_clients=settings.sockets // 2)
     following = loop.create_task(follow(settings.path, reload, discovery))
     server.listen(settings.listen)
     await stop.wait()
--- a/plovertrail/daemon/configuration_apply.py
+++ b/plovertrail/daemon/configuration_apply.py
@@ -87,12 +87,12 @@
         counts = services.peers.follow(setup.peers, prepared.peer_socket, setup.membership)
         if counts is not None:
             services.warm_state.restore_counters(counts)
-        services.host.tenant_use = None
+        services.dispatcher.tenant_use = None
         if counts is not None and setup.fleet_tenants:
             from plovertrail.decisions.counts import TenantUse
 
             tenants = [tenant.name for tenant in setup.tenants]
-            services.host.tenant_use = TenantUse(counts, tenants, setup.fleet_tenants)
+            services.dispatcher.tenant_use = TenantUse(counts, tenants, setup.fleet_tenants)
         return counts
 
     def _replace_generation(self, prepared: PreparedConfiguration) -> None:
--- a/plovertrail/daemon/listeners.py
+++ b/plovertrail/daemon/listeners.py
@@ -42,9 +42,13 @@
     """The listeners in force by name, and those that still have connections after their removal."""
 
     def __init__(
-        self, host: Dispatcher, current: CurrentGeneration, websockets: SocketKeeper, sockets: ListenerSockets
+        self,
+        dispatcher: Dispatcher,
+        current: CurrentGeneration,
+        websockets: SocketKeeper,
+        sockets: ListenerSockets,
     ) -> None:
-        self.host = host
+        self.dispatcher = dispatcher
         self.current = current
         self.websockets = websockets
         self.sockets = sockets
@@ -89,7 +93,7 @@
         for configured in setup.listeners:
             name = configured.name
             if name in bound:
-                listener = OrdinaryFront(self.host, self.current, configured, self.websockets)
+                listener = OrdinaryFront(self.dispatcher, self.current, configured, self.websockets)
                 self.sockets.accept_on(listener, bound[name])
             else:
                 listener = previous.pop(name)
--- a/plovertrail/daemon/pool_manager.py
+++ b/plovertrail/daemon/pool_manager.py
@@ -54,7 +54,7 @@
     """Owns the pools in force, their endpoint registries and this instance's part of the fleet."""
 
     table: PoolTable
-    host: Dispatcher
+    dispatcher: Dispatcher
     current: CurrentGeneration
     warm_state: WarmStateManager
     lists: ListReader
@@ -86,7 +86,7 @@
             spec = _pool_spec(setup, config)
             if previous is not None and previous.spec.can_become(spec):
                 previous.reconfigure(spec)
-                previous.use_fair_queue(self.host, self.new_seed())
+                previous.use_fair_queue(self.dispatcher, self.new_seed())
                 _configure_registry(previous.registry, config, first_lists)
                 running[name] = previous
                 continue
@@ -105,7 +105,7 @@
     ) -> RunningPool:
         registry.pool = None  # changes of the list wait for the new pool
         _configure_registry(registry, spec.config, first_lists)
-        pool = RunningPool(self.host, spec, registry, self.new_seed(), self.connect)
+        pool = RunningPool(self.dispatcher, spec, registry, self.new_seed(), self.connect)
         self.warm_state.restore_pool(spec.config.name, pool.pool, registry.state)
         registry.attach(pool.pool)
         return pool
@@ -115,7 +115,7 @@
         state = self.warm_state.take_lists(name) or State(started=started)
         elsewhere = EndpointsOfOtherPools(name, self.table)
         registry = EndpointRegistry(
-            name, self.host, state, lambda: elsewhere, partial(self.endpoints_changed, name), self.lists
+            name, self.dispatcher, state, lambda: elsewhere, partial(self.endpoints_changed, name), self.lists
         )
         registry.heard = partial(observer.told, name)
         registry.lasting = partial(self.problems_persist, name)
@@ -124,7 +124,7 @@
     def retire(self, superseded: SupersededPools) -> None:
         """Take pools out of service that no new request uses."""
         for pool in (*superseded.removed, *superseded.replaced):
-            pool.retire(self.host)
+            pool.retire(self.dispatcher)
         for pool in superseded.removed:  # the registry of a replaced pool goes on under the new one
             pool.registry.stop()
 
@@ -138,7 +138,7 @@
 
     def _shrink_subsets(self) -> Iterator[None]:
         for pool in self.with_subset:
-            self.host.shrink_subset(pool.pool)
+            self.dispatcher.shrink_subset(pool.pool)
             yield
 
     def _report_problems(self) -> Iterator[None]:
--- a/plovertrail/daemon/running_pool.py
+++ b/plovertrail/daemon/running_pool.py
@@ -70,7 +70,7 @@
 
     def __init__(
         self,
-        host: Dispatcher,
+        dispatcher: Dispatcher,
         spec: PoolSpec,
         registry: EndpointRegistry,
         seed: int,
@@ -79,13 +79,13 @@
         self.spec = spec
         self.registry = registry
         self.connections = connect(spec.config, AnswerRules(spec.max_response_bytes, ENDPOINT_FAULT_STATUSES))
-        self.connections.stale = host.turn_is_stale
-        self.pool = host.pools.add(spec.config.name, spec.config.settings, seed, self.connections)
+        self.connections.stale = dispatcher.turn_is_stale
+        self.pool = dispatcher.pools.add(spec.config.name, spec.config.settings, seed, self.connections)
         self.limits = InstanceLimits()
         self.oversubscribed = ""  # what the endpoints can't bear from the whole fleet; empty: nothing
         self.started = False  # its limits have been set once
         self.random = random.Random(seed).random
-        self.use_fair_queue(host, seed)
+        self.use_fair_queue(dispatcher, seed)
         if spec.config.affinity is not None:
             self.pool.use_affinity(spec.config.affinity)
         if spec.config.bounds.subset_size:
@@ -101,9 +101,9 @@
         self.spec = spec
         self.connections.allow(spec.config.max_connections)
 
-    def use_fair_queue(self, host: Dispatcher, seed: int) -> None:
+    def use_fair_queue(self, dispatcher: Dispatcher, seed: int) -> None:
         """Queue requests by tenant as configured now."""
-        host.sequence.configure_queue(self.pool, self.config.door, random.Random(seed).random)
+        dispatcher.sequence.configure_queue(self.pool, self.config.door, random.Random(seed).random)
 
     def update_limits(self, fleet: Fleet, rank: InstanceRank, slow_start: bool) -> None:
         """Set this instance's part of what the endpoints bear from the whole fleet.
@@ -132,9 +132,9 @@
         slowly = slow_start and fleet.size > 1
         self.pool.admission = StartupAdmission(fleet.size, clock_us(), self.random) if slowly else None
 
-    def retire(self, host: Dispatcher) -> None:
+    def retire(self, dispatcher: Dispatcher) -> None:
         """Take the pool out of service: requests in flight finish, and those that wait are rejected."""
-        host.retire(self.pool)
+        dispatcher.retire(self.pool)
 
 
 def _endpoint_subset(spec: PoolSpec) -> EndpointSubset:
--- a/plovertrail/daemon/status.py
+++ b/plovertrail/daemon/status.py
@@ -29,7 +29,7 @@
         },
         "pools": {name: pool_status(pool) for name, pool in services.pools.running.items()},
         "connections": services.listeners.connection_count(),
-        "requests": len(services.host.requests),
+        "requests": len(services.dispatcher.requests),
         "sockets": len(services.websockets.relays),
         "hooks": services.hooks.status(),
         "peers": services.peers.status(generation.setup, limiters),
--- a/plovertrail/daemon/wiring.py
+++ b/plovertrail/daemon/wiring.py
@@ -66,7 +66,7 @@
     """The services of one daemon. Each is made once and follows every configuration."""
 
     current: CurrentGeneration
-    host: Dispatcher
+    dispatcher: Dispatcher
     event_log: EventSink
     websockets: SocketKeeper
     peers: PeerKeeper
@@ -96,9 +96,9 @@
     """Make the services of a daemon for its first configuration; nothing is in force yet."""
     current = CurrentGeneration(Generation(0, setup, {}, {}, {}))
     loop = asyncio.get_running_loop()
-    host = Dispatcher(turn_staleness(loop))
+    dispatcher = Dispatcher(turn_staleness(loop))
     event_log = environment.open_event_log(setup.socket_log)
-    websockets = SocketKeeper(host, environment.new_seed(), event_log)
+    websockets = SocketKeeper(dispatcher, environment.new_seed(), event_log)
     peers = environment.peer_service(environment.new_seed, lists)
     table = PoolTable()
     limiters = LimiterTable(environment.new_seed)
@@ -110,19 +110,23 @@
     warm_state = WarmStateManager(store, table.pools_with_endpoints, limiters.in_force, shared_counts)
     return Services(
         current=current,
-        host=host,
+        dispatcher=dispatcher,
         event_log=event_log,
         websockets=websockets,
         peers=peers,
         store=store,
         warm_state=warm_state,
-        pools=PoolManager(table, host, current, warm_state, lists, environment.new_seed, environment.connect),
+        pools=PoolManager(
+            table, dispatcher, current, warm_state, lists, environment.new_seed, environment.connect
+        ),
         limiters=limiters,
-        health_reporter=HealthReporter(host, table.registries, peers),
+        health_reporter=HealthReporter(dispatcher, table.registries, peers),
         background=BackgroundRunner(loop),
-        listeners=ListenerSet(host, current, websockets, environment.listener_sockets),
+        listeners=ListenerSet(dispatcher, current, websockets, environment.listener_sockets),
         hooks=HookLoader(clock_us),
         lists=lists,
         config_watcher=ConfigWatcher(lists, events.reload_changed),
-        recovery=RecoveryManager(host, table.registries, events.wait_for_reload, events.resume_after_pause),
+        recovery=RecoveryManager(
+            dispatcher, table.registries, events.wait_for_reload, events.resume_after_pause
+        ),
     )
--- a/plovertrail/endpoint_registry.py
+++ b/plovertrail/endpoint_registry.py
@@ -42,14 +42,14 @@
     def __init__(
         self,
         name: str,
-        host: Dispatcher,
+        dispatcher: Dispatcher,
         state: State,
         elsewhere: Elsewhere,
         changed: Callable[[], None],
         lists: ListReader,
     ) -> None:
         self.name = name
-        self.host = host
+        self.dispatcher = dispatcher
         self.state = state
         self.elsewhere = elsewhere
         self.changed = changed  # called after each step that changed the state
@@ -156,7 +156,9 @@
         if changes and self.pool is not None:
             entries = [self.upstream(change.member, change.kind is Kind.LEAVE) for change in changes]
             addresses = {change.member.number: change.member.entry.address for change in changes}
-            self.host.pools.update_endpoints(self.pool, EndpointsUpdated(ListKind.DELTA, entries), addresses)
+            self.dispatcher.pools.update_endpoints(
+                self.pool, EndpointsUpdated(ListKind.DELTA, entries), addresses
+            )
         for text in report.told:
             log.info("%s: generation %d: %s", self.name, self.state.generation, text)
         self.speak()
@@ -165,7 +167,9 @@
             self.timer = None
         due_us = endpoint_list.next_due_us(self.state)
         if due_us is not None:
-            self.timer = self.host.loop.call_later(max(0, due_us - clock_us() + 1000) / 1e6, self.step, None)
+            self.timer = self.dispatcher.loop.call_later(
+                max(0, due_us - clock_us() + 1000) / 1e6, self.step, None
+            )
         if changes or self.state.by_hand != before.by_hand or self.state.layers is not before.layers:
             self.changed()
 
@@ -190,7 +194,7 @@
         self.pool = pool
         entries = [self.upstream(member) for member in self.state.members.values()]
         addresses = {member.number: member.entry.address for member in self.state.members.values()}
-        self.host.pools.update_endpoints(pool, EndpointsUpdated(ListKind.CACHED, entries), addresses)
+        self.dispatcher.pools.update_endpoints(pool, EndpointsUpdated(ListKind.CACHED, entries), addresses)
 
     # Reports
 
--- a/plovertrail/health_reporter.py
+++ b/plovertrail/health_reporter.py
@@ -69,8 +69,8 @@
 class HealthReporter:
     """Records attempts while evidence is exchanged, and passes penalties to the load balancers."""
 
-    def __init__(self, host: Dispatcher, registries: Registries, exchange: EvidenceExchange) -> None:
-        self.host = host
+    def __init__(self, dispatcher: Dispatcher, registries: Registries, exchange: EvidenceExchange) -> None:
+        self.dispatcher = dispatcher
         self.registries = registries
         self.exchange = exchange
         self.runner: BackgroundRunner | None = None
@@ -89,7 +89,7 @@
         self._keys = {pool: keys for pool, keys in self._keys.items() if pool in self._registry_of}
         self.runner = runner
         enabled = self.exchange.outlier_detector is not None
-        self.host.pools.attempt_observer = self if enabled else None
+        self.dispatcher.pools.attempt_observer = self if enabled else None
         for pool in self._registry_of:
             pool.balancer.report_no_response_to(partial(self.no_response, pool) if enabled else None)
         if enabled:
@@ -104,7 +104,7 @@
         self.health = {}
         for pool, penalties in self._penalties.items():
             if penalties:
-                self.host.pools.update_peer_health(pool, {})
+                self.dispatcher.pools.update_peer_health(pool, {})
         self._penalties = {}
 
     def evaluate_soon(self) -> None:
@@ -169,7 +169,7 @@
             penalties = penalties_for_pool(health, keys)
             if penalties != self._penalties.get(pool, {}):
                 self._penalties[pool] = penalties
-                self.host.pools.update_peer_health(pool, penalties)
+                self.dispatcher.pools.update_peer_health(pool, penalties)
             yield
         # replaced and not updated, or it would keep all endpoints that ever were
         self.health = found
--- a/plovertrail/listeners/application.py
+++ b/plovertrail/listeners/application.py
@@ -236,7 +236,7 @@
             if self.discarded > MOST_BEHIND:
                 # hazard: its end would lie behind a flood, unseen, while attempts go out for nobody
                 self.last = True
-                self.server.host.expire(self.ident)
+                self.server.dispatcher.expire(self.ident)
             return
         if self.state is State.IDLE:
             self.server.move(self, State.READING)
@@ -290,7 +290,7 @@
             )  # hazard: unread answers would fill the memory
         self.server.move(self, State.OPEN)
         call.deadline_us = self.server.within(call)
-        self.ident = self.server.host.submit(call, self.answer, self.server.pools)
+        self.ident = self.server.dispatcher.submit(call, self.answer, self.server.pools)
 
     def answer(self, answer: ProxyResponse) -> None:
         """Write the final answer of the open request, if its client still waits for it."""
@@ -334,8 +334,10 @@
 class Server(Listener):
     """All connections of the application."""
 
-    def __init__(self, host: Dispatcher, pool: ServerPool, settings: Settings, most_clients: int) -> None:
-        super().__init__(host, most_clients)
+    def __init__(
+        self, dispatcher: Dispatcher, pool: ServerPool, settings: Settings, most_clients: int
+    ) -> None:
+        super().__init__(dispatcher, most_clients)
         self.pools = (pool,)
         self.catalogue = Catalogue(settings)
         self.seen = SeenIds(max(kind.deadline_us for kind in settings.classes) / 1e6)
@@ -360,7 +362,7 @@
     def answer_rest(self) -> None:
         """The process ends now: what is open has its final answer, what has come in part is turned away."""
         for client in list(self.clients[State.OPEN]):
-            self.host.expire(client.ident)
+            self.dispatcher.expire(client.ident)
         for state in (State.READING, State.FRESH):
             for client in list(self.clients[state]):
                 if client.size and client.transport is not None:
--- a/plovertrail/listeners/connections.py
+++ b/plovertrail/listeners/connections.py
@@ -126,7 +126,7 @@
         self.listener.remove(self)
         self.release()
         if self.state is State.OPEN:
-            self.listener.host.disconnected(self.ident)
+            self.listener.dispatcher.disconnected(self.ident)
 
     def discard(self, data: bytes) -> None:
         """Bytes that nobody will read."""
@@ -199,7 +199,7 @@
 
     def arrived_us(self) -> int:
         """When the last byte of the request that has just been read came, by the module's clock."""
-        return clock_us() - self.listener.host.suspension.unread_us(self.sock)
+        return clock_us() - self.listener.dispatcher.suspension.unread_us(self.sock)
 
     def overdue(self) -> None:
         """Its state has lasted too long."""
@@ -218,9 +218,9 @@
 class Listener:
     """All connections of one listener."""
 
-    def __init__(self, host: Dispatcher, most_clients: int, patience: Patience | None = None) -> None:
+    def __init__(self, dispatcher: Dispatcher, most_clients: int, patience: Patience | None = None) -> None:
         self.loop = asyncio.get_running_loop()
-        self.host = host
+        self.dispatcher = dispatcher
         self.most_clients = most_clients
         self.patience = patience or Patience()
         # each in the order in which its state began, so that the oldest is found at once
@@ -236,7 +236,7 @@
     @property
     def ready(self) -> bool:
         """Whether requests are served: servers are known, and the listener is not being stopped."""
-        return self.host.pools.has_endpoints and not self.stopping
+        return self.dispatcher.pools.has_endpoints and not self.stopping
 
     def count(self) -> int:
         """Open connections in all states."""
--- a/plovertrail/listeners/ordinary.py
+++ b/plovertrail/listeners/ordinary.py
@@ -182,7 +182,7 @@
                 return
             call, plan = found
             self.plan = plan
-            self.ident = self.front.host.submit(call, self.answer, plan.pools, plan.limiters)
+            self.ident = self.front.dispatcher.submit(call, self.answer, plan.pools, plan.limiters)
 
     def call(self, message: RequestMessage) -> tuple[ProxyRequest, RoutePlan] | LocalReply:
         """Find a request's route: the call to make with the plan of its route, or the route's own answer.
@@ -474,10 +474,14 @@
     """One listener of the operator's."""
 
     def __init__(
-        self, host: Dispatcher, current: CurrentGeneration, listener: ListenerSetup, keeper: SocketKeeper
+        self,
+        dispatcher: Dispatcher,
+        current: CurrentGeneration,
+        listener: ListenerSetup,
+        keeper: SocketKeeper,
     ) -> None:
         super().__init__(
-            host, listener.max_connections, Patience.of(listener.read_us / 1e6, listener.idle_us / 1e6)
+            dispatcher, listener.max_connections, Patience.of(listener.read_us / 1e6, listener.idle_us / 1e6)
         )
         self.current = current
         self.keeper = keeper
--- a/plovertrail/listeners/sockets.py
+++ b/plovertrail/listeners/sockets.py
@@ -105,8 +105,8 @@
 class SocketKeeper:
     """Owns the table and the relays of open sockets. `ended` is called once for each that was asked for."""
 
-    def __init__(self, host: Dispatcher, seed: int, lines: EventSink) -> None:
-        self.host = host
+    def __init__(self, dispatcher: Dispatcher, seed: int, lines: EventSink) -> None:
+        self.dispatcher = dispatcher
         self.lines = lines
         self.table = api.SocketTable(seed)
         self.idents = itertools.count(1)
@@ -115,7 +115,7 @@
         self.relays: dict[int, Relay] = {}
         self.ended: Callable[[api.Socket, Asker], None] = lambda socket, asker: None
         self.timer: asyncio.TimerHandle | None = None
-        host.pools.endpoint_observer = self
+        dispatcher.pools.endpoint_observer = self
 
     # What happens
 
@@ -212,7 +212,7 @@
             if self.timer is not None:
                 self.timer.cancel()
             delay_s = max(0, action.at_us - clock_us()) / 1e6
-            self.timer = self.host.loop.call_later(delay_s, self.tell, api.TimerFired())
+            self.timer = self.dispatcher.loop.call_later(delay_s, self.tell, api.TimerFired())
         elif isinstance(action, api.Ended):
             self._ended(action.socket)
         elif isinstance(action, api.SendClose | api.SendPing | api.Shut | api.Cut):
--- a/plovertrail/recovery_manager.py
+++ b/plovertrail/recovery_manager.py
@@ -30,12 +30,12 @@
 
     def __init__(
         self,
-        host: Dispatcher,
+        dispatcher: Dispatcher,
         registries: Callable[[], Mapping[str, EndpointRegistry]],
         settled: Callable[[], Awaitable[None]],
         on_gap: Callable[[int], None],
     ) -> None:
-        self.host = host
+        self.dispatcher = dispatcher
         self.registries = registries
         self.settled = settled
         self.on_gap = on_gap  # what has piled up meanwhile is to be given up
@@ -43,7 +43,7 @@
         self.started_us = 0  # when the start had been made
         self.again = False  # it stood still once more while it caught up
         self.task: asyncio.Task[None] | None = None
-        loop = host.loop
+        loop = dispatcher.loop
         if isinstance(loop, StallDetectingLoop):
             loop.stall_selector.on_gap = self.stood_still
 
@@ -77,7 +77,7 @@
 
     def stood_still(self, gap_us: int) -> None:
         """The process did nothing for so long; called before anything is acted on."""
-        self.host.suspend(gap_us)
+        self.dispatcher.suspend(gap_us)
         self.on_gap(gap_us)
         before = self.recovery.phase
         now_us = clock_us()
@@ -87,7 +87,7 @@
         self.changed(before)
         self.again = True
         if self.task is None or self.task.done():
-            self.task = self.host.loop.create_task(self._catch_up())
+            self.task = self.dispatcher.loop.create_task(self._catch_up())
 
     async def _catch_up(self) -> None:
         try:
@@ -109,7 +109,7 @@
             before = self.recovery.phase
             self.recovery.caught_up(clock_us())
             self.changed(before)
-            self.host.resume()
+            self.dispatcher.resume()
 
     async def _read(self, name: str, watch: Subscription) -> None:
         """Until the file has settled. Hazard: of one that is written at this moment the last good list would
@@ -145,4 +145,4 @@
         """The daemon ends: what is held goes on, to be answered."""
         if self.task is not None:
             self.task.cancel()
-        self.host.resume()
+        self.dispatcher.resume()
--- a/plovertrail/scenario_tests/play.py
+++ b/plovertrail/scenario_tests/play.py
@@ -103,7 +103,7 @@
         longest_us = max(kind.deadline_us for kind in played.setup.classes)
         await asyncio.sleep((SETTLE_US + last_us + longest_us + SLACK_US) / 1e6)
         played.asked = self.daemon.asked
-        played.open_left = len(self.daemon.host.requests)
+        played.open_left = len(self.daemon.dispatcher.requests)
         played.refusing = self.daemon.refusing()
         return played
 
--- a/tests/hooks/test_daemon_hooks.py
+++ b/tests/hooks/test_daemon_hooks.py
@@ -85,7 +85,7 @@
             assert server.count == 0
             assert (await it.ask(message("GET /other"))).status == 200
             assert hook(it.daemon)["counters"] == {"blocked": 1}
-            assert not it.daemon.host.requests
+            assert not it.daemon.dispatcher.requests
 
     run(test)
 
@@ -489,7 +489,7 @@
             assert (reply.status, reply.body) == (403, b"no")
             assert await client.ended()  # what follows may be frames
             client.close()
-            assert not daemon.services.websockets.relays and not daemon.host.requests
+            assert not daemon.services.websockets.relays and not daemon.dispatcher.requests
         finally:
             await daemon.stop()
             server.stop()
--- a/tests/listeners/test_connections.py
+++ b/tests/listeners/test_connections.py
@@ -105,8 +105,8 @@
             first.send(request("pay"))
             await until(lambda: len(upstream.requests) == 1)
             second.send(request("pay", "waits"))
-            host = servers[0].host
-            await until(lambda: len(host.requests) == 2)
+            dispatcher = servers[0].dispatcher
+            await until(lambda: len(dispatcher.requests) == 2)
             [connection] = [one for group in pools[0].connections.values() for one in group]
             # from here on the loop has no turn: the close lies in the system, the answer comes first
             if half:
@@ -117,7 +117,7 @@
             release.set()
             await it.ask(request("pay", "later"))
             assert [b"waits" in head for head, _ in upstream.requests] == [False, False]
-            assert not host.requests
+            assert not dispatcher.requests
             first.close()
             second.close()
 
@@ -139,7 +139,7 @@
             head, _ = await read_message(reader)
             assert b" 500 " in head and b"Connection: close" in head
             release.set()
-            await until(lambda: not servers[0].host.requests)
+            await until(lambda: not servers[0].dispatcher.requests)
             assert len(upstream.requests) == 1
             writer.close()
 
@@ -191,7 +191,7 @@
             client.close()
             await client.writer.wait_closed()
             held.release.release()
-            await until(lambda: not it.daemon.host.requests)
+            await until(lambda: not it.daemon.dispatcher.requests)
             assert len(held.server.arrivals) == 1
 
     run(test)
--- a/tests/listeners/test_routes_of_their_own.py
+++ b/tests/listeners/test_routes_of_their_own.py
@@ -50,7 +50,7 @@
                 assert (reply.status, reply.body) == (status, body)
                 assert reply.all("Location") == ([location] if location else [])
             client.close()
-            assert server.count == (2 if status == 200 else 0) and not it.daemon.host.requests
+            assert server.count == (2 if status == 200 else 0) and not it.daemon.dispatcher.requests
 
     run(test)
 
--- a/tests/peers/test_membership_transport.py
+++ b/tests/peers/test_membership_transport.py
@@ -105,7 +105,9 @@
             third.daemon.services.peers.stop()
             await until(lambda: talk.protocol.cluster.table["i2"].record.state is State.GONE)
             assert await one.change(text.replace(FAST, ""))
-            assert one.daemon.status()["fellows"] == {} and one.daemon.host.pools.attempt_observer is None
+            assert (
+                one.daemon.status()["fellows"] == {} and one.daemon.dispatcher.pools.attempt_observer is None
+            )
             assert "opinions" not in one.daemon.status()["background"]
             assert (await one.ask(message("GET /"))).status == 200
             asked = ["fellows", "--socket", f"{tmp_path}/c0"]
--- a/tests/peers/test_talk.py
+++ b/tests/peers/test_talk.py
@@ -105,9 +105,9 @@
             assert refused.all("RateLimit-Policy") == ['"it";q=6;w=600']  # the whole limit
             await until(lambda: all(used(it) == 13 for it in daemons))
             shares = [
-                it.daemon.host.tenant_use.share(0, 1 << 60)
+                it.daemon.dispatcher.tenant_use.share(0, 1 << 60)
                 for it in daemons
-                if it.daemon.host.tenant_use is not None
+                if it.daemon.dispatcher.tenant_use is not None
             ]
             assert len(shares) == 3
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -219,7 +219,7 @@
                 # the connections serve on, under the new routes, and the old pool is let go
                 assert (await clients[0].ask(message("POST /buy"))).body == b"hello"
                 await until(lambda: sum(len(server.lines) for server in old) == 0)
-                assert [pool.name for pool in it.daemon.host.pools] == ["new"]
+                assert [pool.name for pool in it.daemon.dispatcher.pools] == ["new"]
                 for client in clients:
                     client.close()
 
@@ -256,7 +256,7 @@
             spare = WebServer()
             async with running(tmp_path, {"old": old, "spare": [spare]}) as it:
                 tasks = [asyncio.create_task(it.ask(message("POST /buy"))) for _ in range(2)]
-                await until(lambda: old[0].count == 1 and len(it.daemon.host.requests) == 2)
+                await until(lambda: old[0].count == 1 and len(it.daemon.dispatcher.requests) == 2)
                 began = time.monotonic()
                 assert await it.change(site(it.port, {"spare": [spare]}))
                 await until(lambda: spare.count == 1)
--- a/tests/test_doors.py
+++ b/tests/test_doors.py
@@ -179,7 +179,7 @@
             assert found == [200] * 4 if change == "weights" else sorted(set(found)) in ([200], [200, 503])
             for client in clients:
                 client.close()
-            assert not it.daemon.host.requests
+            assert not it.daemon.dispatcher.requests
 
     run(test)
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -54,7 +54,7 @@
                 "keys": 1,
                 "without_place": 0,
             }
-            assert not it.daemon.host.requests
+            assert not it.daemon.dispatcher.requests
 
     run(test)
 
@@ -85,7 +85,7 @@
             assert (await it.ask(buy("X-Tenant: big"))).status == 429
             other = await it.connect()
             other.writer.write(buy("X-Tenant: small"))
-            await until(lambda: len(it.daemon.host.requests) == 2)
+            await until(lambda: len(it.daemon.dispatcher.requests) == 2)
             held.release.release()
             assert (await first.reply()).status == 200
             held.release.release()
--- a/tests/test_many_lists.py
+++ b/tests/test_many_lists.py
@@ -374,7 +374,7 @@
             put(site.list_of("a"), 2)
             jump(3.0)
             daemon = Daemon(load(str(site.path)), lists=lists, first_lists=fresh)
-            await until(lambda: ports(daemon) == {"a": [2]} and not daemon.host.suspension.active)
+            await until(lambda: ports(daemon) == {"a": [2]} and not daemon.dispatcher.suspension.active)
             found = daemon.status()["recovery"]
             assert (found["phase"], found["why"], found["gaps"]) == ("full", "it starts", 0)
             await asyncio.sleep(0.01)
--- a/tests/test_share.py
+++ b/tests/test_share.py
@@ -105,15 +105,15 @@
         ) as it:
             turns = it.daemon.pools["main"].connections.dial_turns
             assert turns is not None
-            host = it.daemon.host
-            turns.full_burst_us = host.pools[0].balancer.now_us + 3_600_000_000
+            dispatcher = it.daemon.dispatcher
+            turns.full_burst_us = dispatcher.pools[0].balancer.now_us + 3_600_000_000
             client = await it.connect()
             client.writer.write(message("GET /"))
-            await until(lambda: bool(host.requests))
-            timer = host.pools[0].connect_timer
+            await until(lambda: bool(dispatcher.requests))
+            timer = dispatcher.pools[0].connect_timer
             assert timer is not None and servers[0].connections == 0
             turns.full_burst_us = 0
-            host.sequence._on_connectable(host.pools[0])  # what the timer does
+            dispatcher.sequence._on_connectable(dispatcher.pools[0])  # what the timer does
             assert (await client.reply()).status == 200
             client.close()
             timer.cancel()
@@ -157,7 +157,7 @@
         async with running(
             tmp_path, {"main": servers}, routes=route, pool_extra="share = { servers = 1 }", head=FLEET
         ) as it:
-            serving = it.daemon.host.pools[0].serving
+            serving = it.daemon.dispatcher.pools[0].serving
             assert len(serving) == 3
             key = "Idempotency-Key: k"
             assert (await it.ask(message("POST /mark", key))).status == 200
@@ -257,9 +257,9 @@
     """A host with one pool, and the lists that its module gets."""
 
     def __init__(self) -> None:
-        self.host = Dispatcher()
+        self.dispatcher = Dispatcher()
         settings = Settings(classes=[RequestClass("read", 100_000, 400_000)])
-        self.pool: ServerPool = self.host.pools.add(
+        self.pool: ServerPool = self.dispatcher.pools.add(
             "p", settings, 1, ConnectionPool(1_000_000, 1_000_000, 10)
         )
         self.lists: list[EndpointsUpdated] = []
@@ -273,7 +273,7 @@
         self.pool.balancer.handle = listen  # type: ignore[method-assign]
 
     def tell(self, kind: ListKind, entries: list[Endpoint]) -> None:
-        self.host.pools.update_endpoints(self.pool, EndpointsUpdated(kind, entries), where(entries))
+        self.dispatcher.pools.update_endpoints(self.pool, EndpointsUpdated(kind, entries), where(entries))
 
     async def settle(self) -> None:
         while self.pool.feed.has_pending:
@@ -320,7 +320,7 @@
         await told.settle()
         assert told.pool.balancer.endpoints.keys() == {1, 2, 3} == told.pool.serving
         assert all(len(event.endpoints) <= SLICE_SIZE for event in told.lists)
-        told.host.retire(told.pool)
+        told.dispatcher.retire(told.pool)
         assert not told.pool.balancer.endpoints and not told.pool.serving
 
     run(test)
@@ -368,7 +368,7 @@
         told.tell(ListKind.FULL, entries[:600])
         await told.settle()
         assert len(told.pool.serving) == 4 and max(told.pool.serving) <= 600
-        told.host.retire(told.pool)
+        told.dispatcher.retire(told.pool)
 
     run(test)
 
@@ -377,7 +377,7 @@
     async def test() -> None:
         told = Told()
         told.tell(ListKind.FULL, [Endpoint(number) for number in range(1, 1_001)])
-        told.host.retire(told.pool)
+        told.dispatcher.retire(told.pool)
         for _ in range(5):
             await asyncio.sleep(0)
         assert not told.pool.balancer.endpoints and not told.pool.serving
--- a/tests/test_slices.py
+++ b/tests/test_slices.py
@@ -63,7 +63,7 @@
             assert servers.keys() == ready.keys()
         assert all(servers[number].listed.weight == ready[number].weight for number in servers)
         assert told.pool.feed.listed == where([e for e in truth.values() if e.state is not GONE])
-        told.host.retire(told.pool)
+        told.dispatcher.retire(told.pool)
 
     with patch("plovertrail.dispatch.endpoint_feed.SLICE_SIZE", 3):
         run(test)
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -101,8 +101,8 @@
         async with listed(tmp_path) as (it, clock, path, servers):
             # hazard: on a connection that is idle the send would be written in this very turn
             assert (await it.ask(message("GET /"))).status == 200
-            host = it.daemon.host
-            handle = host.pools[0].balancer.handle
+            dispatcher = it.daemon.dispatcher
+            handle = dispatcher.pools[0].balancer.handle
             stopped = False
 
             def stops(now_us: int, event: object) -> list[object]:
@@ -115,11 +115,11 @@
                     clock.jump(1.0)  # so that the idle connection is still of use
                 return actions  # type: ignore[return-value]
 
-            host.pools[0].balancer.handle = stops  # type: ignore[method-assign, assignment]
+            dispatcher.pools[0].balancer.handle = stops  # type: ignore[method-assign, assignment]
             reply = await it.ask(message("GET /"))
             assert reply.status == 200 and stopped
             assert (servers[0].count, servers[1].count) == (1, 1)
-            assert not host.suspension.active and not host.suspension.sends
+            assert not dispatcher.suspension.active and not dispatcher.suspension.sends
 
     run(test)
 
@@ -131,13 +131,13 @@
             async with running(tmp_path, {"main": [server]}) as it:
                 assert (await it.ask(message("GET /"))).status == 200
                 client = await it.connect()
-                host = it.daemon.host
-                asked = host.suspension.unread_us
-                host.suspension.unread_us = lambda sock: int(GAP_S * 1e6)  # type: ignore[method-assign]
+                dispatcher = it.daemon.dispatcher
+                asked = dispatcher.suspension.unread_us
+                dispatcher.suspension.unread_us = lambda sock: int(GAP_S * 1e6)  # type: ignore[method-assign]
                 clock.jump(GAP_S)
                 reply = await client.ask(message("POST /buy", "X-Deadline-Ms: 3000", body=b"x"))
                 assert reply.status == 503 and reply.all("Retry-After") and server.count == 1
-                host.suspension.unread_us = asked  # type: ignore[method-assign]
+                dispatcher.suspension.unread_us = asked  # type: ignore[method-assign]
                 reply = await client.ask(message("POST /buy", "X-Deadline-Ms: 3000", body=b"x"))
                 assert reply.status == 200  # it came a moment ago, whatever stood still before
                 client.close()
@@ -171,7 +171,7 @@
             monkeypatch.setattr(LocalFileSystem, "status", hangs)
             clock.jump(GAP_S)
             await until_phase(it, "catching up")
-            assert it.daemon.host.suspension.active
+            assert it.daemon.dispatcher.suspension.active
             # one whose time is out meanwhile was sent nowhere, and is told when to come back
             short = await it.ask(message("POST /buy", "X-Deadline-Ms: 100", body=b"x"))
             assert short.status == 503 and short.all("Retry-After") and not servers[0].count
