--- a/fakes/cluster/instances.py
+++ b/fakes/cluster/instances.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from plovertrail.cli.control import NoAnswerError, asked
+from plovertrail.cli.daemon_client import DaemonCallError, call_daemon
 
 PATIENCE_S = 30.0
 DISK = ("state", "state.journal")
@@ -189,9 +189,11 @@
     async def status(self) -> dict[str, Any]:
         """What it tells; nothing while it doesn't answer."""
         try:
-            found: dict[str, Any] = (await asyncio.to_thread(asked, self.control, do="status"))["status"]
+            found: dict[str, Any] = (await asyncio.to_thread(call_daemon, self.control, do="status"))[
+                "status"
+            ]
             return found
-        except NoAnswerError:
+        except DaemonCallError:
             return {}
 
     def stop(self) -> None:
--- a/plovertrail/cli/__init__.py
+++ b/plovertrail/cli/__init__.py
@@ -5,9 +5,9 @@
 import click
 
 from plovertrail.cli.check import check
-from plovertrail.cli.control import drain, status, undrain, wait
 from plovertrail.cli.counts import counts
 from plovertrail.cli.demo import demo
+from plovertrail.cli.drain import drain, undrain
 from plovertrail.cli.fellows import explain, fellows
 from plovertrail.cli.hook import hook
 from plovertrail.cli.import_nginx import import_nginx
@@ -15,8 +15,10 @@
 from plovertrail.cli.route import route
 from plovertrail.cli.seal import seal
 from plovertrail.cli.serve import serve
+from plovertrail.cli.status import status
 from plovertrail.cli.test import test
 from plovertrail.cli.top import top
+from plovertrail.cli.wait import wait
 
 
 @click.group()
--- a/plovertrail/cli/fellows.py
+++ b/plovertrail/cli/fellows.py
@@ -8,7 +8,7 @@
 
 import click
 
-from plovertrail.cli.control import SOCKET, ask
+from plovertrail.cli.daemon_client import SOCKET_OPTION, call_or_exit
 
 NOT_ON = "instances don't know one another: the daemon's file has no [fellows]"
 
@@ -52,11 +52,11 @@
 
 
 @click.command()
-@SOCKET
+@SOCKET_OPTION
 @click.option("--json", "as_json", is_flag=True, help="All of it, as JSON.")
 def fellows(path: str, as_json: bool) -> None:
     """Say who else is there, since when, and how each was heard; exits with 3 if nobody is heard."""
-    found = ask(path, do="status")["status"].get("fellows")
+    found = call_or_exit(path, do="status")["status"].get("fellows")
     if not found:
         click.echo(NOT_ON, err=True)
         sys.exit(1)
@@ -76,10 +76,10 @@
 @explain.command()
 @click.argument("server")
 @click.option("--pool", help="Of this pool only.")
-@SOCKET
+@SOCKET_OPTION
 def server(server: str, pool: str | None, path: str) -> None:
     """Say what is thought of SERVER, here and elsewhere, and how much less it is drawn for that."""
-    status = ask(path, do="status")["status"]
+    status = call_or_exit(path, do="status")["status"]
     pools = [
         name
         for name, each in status["pools"].items()
--- a/plovertrail/cli/lists.py
+++ b/plovertrail/cli/lists.py
@@ -1,4 +1,4 @@
-"""`plovertrail explain list`: what was read of a file, and what became of it."""
+"""`plovertrail explain list`: what was read of a watched file, and which pools follow it."""
 
 from __future__ import annotations
 
@@ -7,22 +7,21 @@
 
 import click
 
-from plovertrail.cli.control import SOCKET, ask
+from plovertrail.cli.daemon_client import SOCKET_OPTION, status_or_exit
 from plovertrail.config.problems import did_you_mean
 
+UNKNOWN_FILE = 1  # exit status
+GIVES_NO_LIST = 3  # exit status
 
-def tell_source(source: dict[str, Any], pools: dict[str, Any]) -> None:
-    """One file: what was read of it, when, and what became of it in each pool that follows it."""
 
-    def ago(seconds: float | None) -> str:
-        return "never" if seconds is None else f"{seconds:.1f} s ago"
-
-    told = f"{source['path']}: {source['state']}"
+def print_source(source: dict[str, Any], pools: dict[str, Any]) -> None:
+    """Print what was read of a file, when, and what became of it in each pool that follows it."""
+    headline = f"{source['path']}: {source['state']}"
     if source["hung_for_s"] is not None:
-        told += f" for {source['hung_for_s']:.1f} s; what was read last stays"
-    click.echo(told)
+        headline += f" for {source['hung_for_s']:.1f} s; what was read last stays"
+    click.echo(headline)
     click.echo(
-        f"  read {ago(source['read_s_ago'])}, changed {ago(source['changed_s_ago'])}; generation "
+        f"  read {_ago(source['read_s_ago'])}, changed {_ago(source['changed_s_ago'])}; generation "
         f"{source['generation']} here, version {source['version']}, {source['servers']} servers"
     )
     click.echo(f"  sha256 {source['digest'] or 'none: nothing good was read'}")
@@ -34,19 +33,26 @@
             click.echo(f"    ! {problem}")
 
 
+def _ago(seconds: float | None) -> str:
+    return "never" if seconds is None else f"{seconds:.1f} s ago"
+
+
 @click.command(name="list")
 @click.argument("file")
-@SOCKET
+@SOCKET_OPTION
 def list_file(file: str, path: str) -> None:
-    """Say what was read of FILE, when, its generation and digest, and who follows it; exits with 3 if it
-    gives no list."""
-    status = ask(path, do="status")["status"]
-    found = [source for source in status["lists"]["sources"] if source["path"] == file]
+    """Say what was read of FILE, when, its generation and digest, and who follows it.
+
+    Exits with 3 if it gives no list.
+    """
+    status = status_or_exit(path)
+    sources = status["lists"]["sources"]
+    found = [source for source in sources if source["path"] == file]
     if not found:
-        followed = [source["path"] for source in status["lists"]["sources"]]
-        click.echo(f"no list is read from {file}: {did_you_mean(file, followed)}", err=True)
-        sys.exit(1)
+        suggestion = did_you_mean(file, [source["path"] for source in sources])
+        click.echo(f"no list is read from {file}: {suggestion}", err=True)
+        sys.exit(UNKNOWN_FILE)
     for source in found:
-        tell_source(source, status["pools"])
+        print_source(source, status["pools"])
     if any(source["hung_for_s"] is not None or source["refusal"] for source in found):
-        sys.exit(3)
+        sys.exit(GIVES_NO_LIST)
--- a/tests/cli/test_tests.py
+++ b/tests/cli/test_tests.py
@@ -15,7 +15,7 @@
 
 from fakes.ports import free_port
 from fakes.web import WebServer
-from plovertrail.cli.serve import held_to
+from plovertrail.cli.serve import broken_expectations
 from tests.daemons import message, run, running
 
 EXPECT = '[[requests]]\nask = "POST http://shop.example/buy"\nroute = "buy"\nclass = "buy"\n'
@@ -43,7 +43,7 @@
         async with running(tmp_path, {"main": [server]}) as it:
 
             async def approve(path: str) -> str:
-                return await held_to(path, (str(expect),))
+                return await broken_expectations(path, (str(expect),))
 
             it.daemon.reloader.approve = approve
             text = it.path.read_text()
@@ -87,7 +87,7 @@
     site, path = tmp_path / "site.toml", tmp_path / "site.expect.toml"
     site.write_text(SITE.format(port=free_port()))
     path.write_text(expect)
-    found = asyncio.run(held_to(str(site), (str(path),)))
+    found = asyncio.run(broken_expectations(str(site), (str(path),)))
     assert (told in found) if told else found == ""
 
 
--- a/tests/cli/test_top.py
+++ b/tests/cli/test_top.py
@@ -13,7 +13,7 @@
 from click.testing import CliRunner
 
 from plovertrail.cli import main
-from plovertrail.cli.top import judged_rows, rows, shared_rows
+from plovertrail.cli.top import count_rows, outlier_rows, tenant_rows
 
 
 def tenant(admitted: int, work_s: float, waiting: int = 0, refused: int = 0) -> dict[str, Any]:
@@ -32,12 +32,12 @@
 def test_shares_and_rates_are_of_the_time_between_two_looks() -> None:
     before = {"main": {"a": tenant(100, 9.0), "b": tenant(10, 1.0), "idle": tenant(5, 1.0)}}
     now = {"main": {"a": tenant(120, 10.0), "b": tenant(80, 4.0, 3, 4), "idle": tenant(5, 1.0)}}
-    assert rows(before, now, 2.0) == [
+    assert tenant_rows(before, now, 2.0) == [
         ["main", "b", "2", "75.0 %", "35.0", "2.0", "3", "0", "20.0", "1.5"],
         ["main", "a", "2", "25.0 %", "10.0", "0.0", "0", "0", "20.0", "1.5"],
     ]
     # a tenant that a reload has made anew has less than before
-    assert rows(now, {"main": {"a": tenant(1, 0.5)}}, 1.0) == []
+    assert tenant_rows(now, {"main": {"a": tenant(1, 0.5)}}, 1.0) == []
 
 
 @contextmanager
@@ -97,8 +97,8 @@
             "tenant c": {"own": 0.0, "fleet": 0.0},
         },
     }
-    assert shared_rows(peers) == [["tenant b", "8", "20"], ["tenant a", "1", "9"]]
-    assert shared_rows({}) == []
+    assert count_rows(peers) == [["tenant b", "8", "20"], ["tenant a", "1", "9"]]
+    assert count_rows({}) == []
 
 
 def test_the_phase_other_instances_and_what_is_told_of_servers_are_shown(tmp_path: Path) -> None:
@@ -126,7 +126,7 @@
             "fellows": {"a": {"state": "alive"}, "b": {"state": "silent"}, "c": {"state": "alive"}},
         },
     }
-    assert [line[1] for line in judged_rows(status["judgements"])] == ["s2", "s1"]  # type: ignore[arg-type]
+    assert [line[1] for line in outlier_rows(status["judgements"])] == ["s2", "s1"]  # type: ignore[arg-type]
     with daemon(tmp_path / "control", [status] * 2):
         result = CliRunner().invoke(
             main,
--- a/tests/peers/test_talk.py
+++ b/tests/peers/test_talk.py
@@ -16,7 +16,7 @@
 
 from fakes.web import WebServer
 from plovertrail.cli import main
-from plovertrail.cli.control import tell_peers
+from plovertrail.cli.status import print_peers
 from plovertrail.config.operator import load, parse
 from plovertrail.config.problems import ConfigError
 from tests.daemons import LIMITED, Running, message, run, running, site
@@ -285,7 +285,7 @@
         async with fleet(tmp_path, 2) as (one, two):
             await until(lambda: heard(one) == 1)
             await one.ask(buy())
-            tell_peers(one.daemon.status()["peers"])
+            print_peers(one.daemon.status()["peers"])
 
     run(test)
     out = capsys.readouterr().out
