--- a/plovertrail/cli/check.py
+++ b/plovertrail/cli/check.py
@@ -11,7 +11,7 @@
 from plovertrail.config.descriptors import descriptors_allowed
 from plovertrail.config.problems import ConfigError, Problem
 from plovertrail.config.setup import Setup
-from plovertrail.decisions.recovery import pieces
+from plovertrail.decisions.state_inventory import state_kinds
 from plovertrail.hooks.loader import HookLoader
 from plovertrail.resource_limits import (
     default_pool_connections,
@@ -72,13 +72,13 @@
 
 
 def restart_lines(setup: Setup) -> list[str]:
-    """What becomes of each piece of state over a restart."""
+    """What becomes of each kind of state over a restart."""
     parts = {"limiters": setup.limiters, "tenants": setup.tenants, "peers": setup.peers, "hooks": setup.hooks}
     configured = {name for name, part in parts.items() if part}
     return [
-        f"after a restart: {piece.name}: {piece.from_where}; may be of {piece.oldest}; "
-        f"until then {piece.meanwhile}"
-        for piece in pieces(configured, bool(setup.state_file))
+        f"after a restart: {kind.name}: {kind.restored_from}; may be of {kind.max_age}; "
+        f"until then {kind.while_missing}"
+        for kind in state_kinds(configured, bool(setup.state_file))
     ]
 
 
--- a/plovertrail/daemon/configuration_apply.py
+++ b/plovertrail/daemon/configuration_apply.py
@@ -78,7 +78,7 @@
         services.pools.fleet.apply(setup.fleet, prepared.first_lists)
         services.pools.update_all_limits()
         services.config_watcher.apply(setup)
-        services.recovery.follow()
+        services.recovery.configuration_applied()
         self._schedule_background_work()
 
     def _apply_peers(self, prepared: PreparedConfiguration) -> Counts | None:
--- a/plovertrail/daemon/pool_manager.py
+++ b/plovertrail/daemon/pool_manager.py
@@ -37,8 +37,8 @@
 class SourceObserver(Protocol):
     """Is told of each read of a source of endpoints."""
 
-    def told(self, pool: str, source: str, wrong: str) -> None:
-        """A source of a pool was read; `wrong` is empty if it gave a list."""
+    def source_read(self, pool: str, source: str, problem: str) -> None:
+        """Note that a source of a pool was read; `problem` is empty if it gave a list."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -117,7 +117,7 @@
         registry = EndpointRegistry(
             name, self.dispatcher, state, lambda: elsewhere, partial(self.endpoints_changed, name), self.lists
         )
-        registry.heard = partial(observer.told, name)
+        registry.heard = partial(observer.source_read, name)
         registry.lasting = partial(self.problems_persist, name)
         return registry
 
--- a/plovertrail/recovery_manager.py
+++ b/plovertrail/recovery_manager.py
@@ -1,4 +1,4 @@
-"""Brings a daemon back that stood still: nothing is sent until its lists have been read again."""
+"""Recovers a daemon whose process was paused: nothing is sent until its endpoint lists are read again."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import Any
 
 from plovertrail.clock import clock_us
-from plovertrail.decisions.recovery import Phase, Recovery
+from plovertrail.decisions.recovery import Phase, RecoveryState
 from plovertrail.dispatch.dispatcher import Dispatcher
 from plovertrail.endpoint_registry import EndpointRegistry
 from plovertrail.sources.subscriptions import Subscription
@@ -16,133 +16,154 @@
 
 log = logging.getLogger(__name__)
 
-TURNS = 10  # of the loop, for what lies on sockets already: a call for a drain takes four
-UNSETTLED_S = 0.05  # between two looks at a file that was changed a moment ago
+CATCH_UP_TURNS = 10  # of the event loop, for what lies on sockets; a command that drains takes four
+UNSETTLED_FILE_INTERVAL_S = 0.05  # between two looks at a file that was changed a moment ago
 
 
 def source_name(pool: str, source: str) -> str:
-    """A source as operators are told of it."""
+    """Name a source of a pool for operators."""
     return f"{pool}: {source}"
 
 
 class RecoveryManager:
-    """The phase of one daemon. `settled` waits until no reload is under way."""
+    """The phase of one daemon, and its way back after a pause.
+
+    `reload_done` waits until no reload is under way. `on_pause` gives up what has piled up meanwhile.
+    """
 
     def __init__(
         self,
         dispatcher: Dispatcher,
         registries: Callable[[], Mapping[str, EndpointRegistry]],
-        settled: Callable[[], Awaitable[None]],
-        on_gap: Callable[[int], None],
+        reload_done: Callable[[], Awaitable[None]],
+        on_pause: Callable[[int], None],
     ) -> None:
         self.dispatcher = dispatcher
         self.registries = registries
-        self.settled = settled
-        self.on_gap = on_gap  # what has piled up meanwhile is to be given up
-        self.recovery = Recovery(clock_us())
-        self.started_us = 0  # when the start had been made
-        self.again = False  # it stood still once more while it caught up
+        self.reload_done = reload_done
+        self.on_pause = on_pause
+        self.state = RecoveryState(clock_us())
+        self.started_at_us = 0  # when everything had been built
+        self.paused_again = False  # while it caught up
         self.task: asyncio.Task[None] | None = None
         loop = dispatcher.loop
         if isinstance(loop, StallDetectingLoop):
-            loop.stall_selector.on_gap = self.stood_still
+            loop.notify_of_pauses(self)
 
-    def watches(self) -> dict[str, Subscription]:
-        """All sources that are watched."""
+    def subscriptions(self) -> dict[str, Subscription]:
+        """Return all sources that are watched, by their name for operators."""
         return {
             source_name(name, watch.key.name): watch
             for name, registry in self.registries().items()
             for watch in registry.watches.values()
         }
 
-    def follow(self) -> None:
-        """A setup has come into force; its lists have been read once."""
-        now_us, before = clock_us(), self.recovery.phase
+    def configuration_applied(self) -> None:
+        """Follow the sources of a new configuration, whose lists have been read once."""
+        now_us = clock_us()
+        old_phase = self.state.phase
         for name, registry in self.registries().items():
             for source in registry.watches.values():
-                wrong = registry.unreadable.get(source.key.name, "")
-                self.recovery.told(source_name(name, source.key.name), wrong, now_us)
-        self.recovery.begin(self.watches(), now_us)
-        self.changed(before)
+                problem = registry.unreadable.get(source.key.name, "")
+                self.state.source_read(source_name(name, source.key.name), problem, now_us)
+        self.state.follow_sources(self.subscriptions(), now_us)
+        self._log_phase_change(old_phase)
 
-    def told(self, pool: str, source: str, wrong: str) -> None:
-        """A watched source was read: it gave a list, or this is wrong with it."""
-        before = self.recovery.phase
-        self.recovery.told(source_name(pool, source), wrong, clock_us())
-        self.changed(before)
+    def source_read(self, pool: str, source: str, problem: str) -> None:
+        """Note that a watched source was read; `problem`: why it gave no list, empty if it did."""
+        old_phase = self.state.phase
+        self.state.source_read(source_name(pool, source), problem, clock_us())
+        self._log_phase_change(old_phase)
 
     def started(self) -> None:
-        """All has been built, which may have taken one long turn of the loop."""
-        self.started_us = clock_us()
-
-    def stood_still(self, gap_us: int) -> None:
-        """The process did nothing for so long; called before anything is acted on."""
-        self.dispatcher.suspend(gap_us)
-        self.on_gap(gap_us)
-        before = self.recovery.phase
+        """Note that everything has been built, which may have taken one long turn of the loop."""
+        self.started_at_us = clock_us()
+
+    def process_paused(self, paused_us: int) -> None:
+        """Suspend the dispatcher and catch up; called before anything else is acted on."""
+        self.dispatcher.suspend(paused_us)
+        self.on_pause(paused_us)
+        old_phase = self.state.phase
         now_us = clock_us()
-        # hazard: a start that took long did not stand still, but what it has read may be overtaken as well
-        starting = now_us - gap_us < self.started_us
-        self.recovery.stood_still(gap_us, self.watches(), now_us, starting)
-        self.changed(before)
-        self.again = True
+        # A start that took long is no pause, but what it has read may be outdated as well.
+        starting = now_us - paused_us < self.started_at_us
+        self.state.process_paused(paused_us, self.subscriptions(), now_us, starting)
+        self._log_phase_change(old_phase)
+        self.paused_again = True
         if self.task is None or self.task.done():
             self.task = self.dispatcher.loop.create_task(self._catch_up())
 
     async def _catch_up(self) -> None:
+        """Read all sources again, within the catch-up timeout, and resume the dispatcher."""
         try:
-            while self.again:
-                self.again = False
+            while self.paused_again:
+                self.paused_again = False
                 try:
-                    left_us = self.recovery.catch_up_ends_us - clock_us()
-                    async with asyncio.timeout(left_us / 1e6):
-                        for _ in range(TURNS):
-                            await asyncio.sleep(0)
-                        await asyncio.gather(*(self._read(*each) for each in self.watches().items()))
-                        await self.settled()
+                    remaining_us = self.state.catch_up_deadline_us - clock_us()
+                    async with asyncio.timeout(remaining_us / 1e6):
+                        await self._read_everything()
                 except TimeoutError:
-                    log.error("not all lists could be read again in time; the rest serves")
+                    log.error(
+                        "catch-up timed out failed_sources=%s: the rest serves",
+                        sorted(self.state.pending_sources),
+                    )
         except Exception:
-            log.exception("the lists could not be read again")
+            log.exception("catch-up failed: endpoint lists could not be read again")
         finally:
-            # hazard: whatever goes wrong on the way, held for good the daemon would answer nobody
-            before = self.recovery.phase
-            self.recovery.caught_up(clock_us())
-            self.changed(before)
+            # Whatever goes wrong on the way, a daemon that stays suspended would answer nobody.
+            old_phase = self.state.phase
+            self.state.end_catch_up(clock_us())
+            self._log_phase_change(old_phase)
             self.dispatcher.resume()
 
-    async def _read(self, name: str, watch: Subscription) -> None:
-        """Until the file has settled. Hazard: of one that is written at this moment the last good list would
-        hold, without the drain that it was written for."""
-        while not await watch.look():
-            await asyncio.sleep(UNSETTLED_S)
-        self.recovery.told(name, watch.complaint, clock_us())
-
-    def changed(self, before: Phase) -> None:
-        """One line for each change of phase."""
-        now = self.recovery
-        if now.phase is not before:
-            if now.phase is Phase.FULL:
-                log.info("phase: full, after %.3f s (%s)", (now.to_full_us or 0) / 1e6, now.why)
-            else:
-                log.warning("phase: %s (%s)", now.phase.value, now.why)
+    async def _read_everything(self) -> None:
+        """Read what lies on sockets, then all sources, and wait for a reload that was asked for."""
+        for _ in range(CATCH_UP_TURNS):
+            await asyncio.sleep(0)
+        await asyncio.gather(*(self._read(name, watch) for name, watch in self.subscriptions().items()))
+        await self.reload_done()
+
+    async def _read(self, name: str, subscription: Subscription) -> None:
+        """Read a source until its file has settled.
+
+        Of a file that is written at this moment the last good list would hold, without the drain that it is
+        written for.
+        """
+        settled = await subscription.look()
+        while not settled:
+            await asyncio.sleep(UNSETTLED_FILE_INTERVAL_S)
+            settled = await subscription.look()
+        self.state.source_read(name, subscription.complaint, clock_us())
+
+    def _log_phase_change(self, old_phase: Phase) -> None:
+        """Log one line for each change of phase."""
+        state = self.state
+        if state.phase is old_phase:
+            return
+        if state.phase is Phase.FULL:
+            recovery_s = (state.last_recovery_us or 0) / 1e6
+            log.info("phase changed phase=full recovery_s=%.3f reason=%r", recovery_s, state.reason)
+        else:
+            log.warning("phase changed phase=%r reason=%r", state.phase.value, state.reason)
 
     def status(self) -> dict[str, Any]:
-        """For operators."""
-        now, clock = self.recovery, clock_us()
+        """Report the phase and the sources for operators."""
+        state = self.state
+        now_us = clock_us()
+        recovery_us = state.last_recovery_us
         return {
-            "phase": now.phase.value,
-            "since_s": round((clock - now.since_us) / 1e6, 3),
-            "why": now.why,
-            "missing": dict(sorted(now.missing.items())),
-            "waiting": sorted(now.waiting),
-            "to_full_s": None if now.to_full_us is None else round(now.to_full_us / 1e6, 3),
-            "gaps": now.gaps,
-            "longest_gap_s": round(now.longest_gap_us / 1e6, 3),
+            "phase": state.phase.value,
+            "since_s": round((now_us - state.phase_since_us) / 1e6, 3),
+            "why": state.reason,
+            "missing": dict(sorted(state.failed_sources.items())),
+            "waiting": sorted(state.pending_sources),
+            "to_full_s": None if recovery_us is None else round(recovery_us / 1e6, 3),
+            "gaps": state.pauses,
+            "longest_gap_s": round(state.longest_pause_us / 1e6, 3),
         }
 
     def stop(self) -> None:
-        """The daemon ends: what is held goes on, to be answered."""
+        """Stop catching up and resume the dispatcher, so that what is suspended gets an answer."""
         if self.task is not None:
             self.task.cancel()
         self.dispatcher.resume()
--- a/plovertrail/stall_detector.py
+++ b/plovertrail/stall_detector.py
@@ -1,50 +1,67 @@
-"""An event loop that notices when its process has stood still, before it acts on what has come since."""
+"""An event loop that notices that its process was paused, before it acts on what has come since."""
 
 from __future__ import annotations
 
 import asyncio
 import selectors
 from collections.abc import Callable
+from typing import Protocol
 
 from plovertrail.clock import clock_us
-from plovertrail.decisions.recovery import LONGEST_IDLE_WAIT_US, StallDetector
+from plovertrail.decisions.recovery import MAX_IDLE_WAIT_US, StallDetector
+
+
+class PauseListener(Protocol):
+    """What is called after a pause, before anything that has come meanwhile is acted on."""
+
+    def process_paused(self, paused_us: int) -> None:
+        """Handle a pause of this length."""
 
 
 class StallDetectingSelector(selectors.DefaultSelector):
-    """Hazard: after a stop the loop finds answers, requests, connections that came up and timers due all at
-    once, and any of them may send by what was known before. So the gap is told before all of them."""
+    """A selector that reports a pause before it returns any events.
+
+    After a pause the loop finds responses, requests, new connections and due timers all at once. Any of them
+    may send by what was known before the pause.
+    """
 
     def __init__(self) -> None:
         super().__init__()
         self.detector = StallDetector(clock_us())
-        self.on_gap: Callable[[int], None] = lambda gap_us: None  # for how long it stood still
+        self.pause_listener: PauseListener | None = None
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Wait for ready files as the base class does, for LONGEST_IDLE_WAIT_US at most whatever `timeout`
-        (in seconds) says. Calls `on_gap` before it returns if the process stood still."""
-        longest_us = (
-            LONGEST_IDLE_WAIT_US if timeout is None else max(0, min(LONGEST_IDLE_WAIT_US, int(timeout * 1e6)))
+        """Wait for ready files as the base class does, but for MAX_IDLE_WAIT_US at most.
+
+        `timeout` is in seconds. The pause listener is called before this returns.
+        """
+        timeout_us = (
+            MAX_IDLE_WAIT_US if timeout is None else max(0, min(MAX_IDLE_WAIT_US, int(timeout * 1e6)))
         )
-        gap_us = self.detector.before_wait(clock_us(), longest_us)
-        found = super().select(longest_us / 1e6)
-        gap_us = max(gap_us, self.detector.after_wait(clock_us()))
-        if gap_us:
-            self.on_gap(gap_us)
-        return found
+        paused_us = self.detector.before_wait(clock_us(), timeout_us)
+        events = super().select(timeout_us / 1e6)
+        paused_us = max(paused_us, self.detector.after_wait(clock_us()))
+        if paused_us and self.pause_listener is not None:
+            self.pause_listener.process_paused(paused_us)
+        return events
 
 
 class StallDetectingLoop(asyncio.SelectorEventLoop):
-    """asyncio's own loop on such a selector."""
+    """asyncio's own event loop with a selector that notices pauses."""
 
     def __init__(self) -> None:
-        self.stall_selector = StallDetectingSelector()
-        super().__init__(self.stall_selector)
+        self._stall_selector = StallDetectingSelector()
+        super().__init__(self._stall_selector)
+
+    def notify_of_pauses(self, listener: PauseListener) -> None:
+        """Call this listener after each pause, in place of the one before."""
+        self._stall_selector.pause_listener = listener
 
-    def stale(self) -> bool:
-        """Whether the turn under way began too long ago."""
-        return self.stall_selector.detector.stale(clock_us())
+    def turn_is_stale(self) -> bool:
+        """Whether the present turn began too long ago."""
+        return self._stall_selector.detector.turn_is_stale(clock_us())
 
 
 def turn_staleness(loop: asyncio.AbstractEventLoop) -> Callable[[], bool]:
-    """What tells whether the present turn of a loop began too long ago to act on; of other loops, never."""
-    return loop.stale if isinstance(loop, StallDetectingLoop) else lambda: False
+    """Return what tells whether the present turn of a loop began too long ago; of other loops, never."""
+    return loop.turn_is_stale if isinstance(loop, StallDetectingLoop) else lambda: False
--- a/tests/cluster/test_processes.py
+++ b/tests/cluster/test_processes.py
@@ -32,6 +32,6 @@
             assert status["gaps"] >= 1 and status["longest_gap_s"] > 2.0
             assert verdict.rules == []
             assert verdict.counts["served"] and it.shops[1].runs
-            assert "stood still" in it.instances[0].log()
+            assert "process paused" in it.instances[0].log()
 
     asyncio.run(test())
--- a/tests/config/test_docs.py
+++ b/tests/config/test_docs.py
@@ -12,7 +12,7 @@
 from plovertrail.config.hooks import HookTable
 from plovertrail.config.limiters import LimiterTable
 from plovertrail.config.peers import PeersTable
-from plovertrail.decisions.recovery import PIECES
+from plovertrail.decisions.state_inventory import STATE_KINDS
 
 PAGE = (Path(__file__).resolve().parents[2] / "docs" / "operator.md").read_text()
 SECTIONS: dict[str, type[msgspec.Struct]] = {
@@ -108,5 +108,5 @@
         for line in page.split("| state |")[1].splitlines()[2:]
         if line.startswith("|")
     ]
-    assert rows == [(piece.name, piece.from_where, piece.oldest, piece.meanwhile) for piece in PIECES]
-    assert len({piece.name for piece in PIECES}) == len(PIECES)
+    assert rows == [(kind.name, kind.restored_from, kind.max_age, kind.while_missing) for kind in STATE_KINDS]
+    assert len({kind.name for kind in STATE_KINDS}) == len(STATE_KINDS)
--- a/tests/decisions/test_recovery.py
+++ b/tests/decisions/test_recovery.py
@@ -6,21 +6,21 @@
 from hypothesis import strategies as st
 
 from plovertrail.decisions.recovery import (
-    LONGEST_CATCH_UP_US,
-    LONGEST_UNNOTICED_STALL_US,
+    CATCH_UP_TIMEOUT_US,
+    PAUSE_THRESHOLD_US,
     Phase,
-    Recovery,
+    RecoveryState,
     StallDetector,
 )
 
 S = 1_000_000
 
 
-def full(*sources: str) -> Recovery:
-    recovery = Recovery(0)
+def full(*sources: str) -> RecoveryState:
+    recovery = RecoveryState(0)
     for source in sources:
-        recovery.told(source, "", 0)
-    recovery.begin(sources, 10)
+        recovery.source_read(source, "", 0)
+    recovery.follow_sources(sources, 10)
     assert recovery.phase is Phase.FULL
     return recovery
 
@@ -28,7 +28,7 @@
 def test_an_idle_wait_is_no_gap_and_a_longer_one_is() -> None:
     detector = StallDetector(0)
     assert detector.before_wait(1000, 250_000) == 0
-    assert detector.after_wait(251_000 + LONGEST_UNNOTICED_STALL_US) == 0  # a machine that is busy
+    assert detector.after_wait(251_000 + PAUSE_THRESHOLD_US) == 0  # a machine that is busy
     assert detector.before_wait(800_000, 250_000) == 0
     assert detector.after_wait(5 * S) == 5 * S - 1_050_000
 
@@ -37,53 +37,53 @@
     detector = StallDetector(0)
     detector.before_wait(0, 0)
     detector.after_wait(0)
-    assert not detector.stale(LONGEST_UNNOTICED_STALL_US) and detector.stale(LONGEST_UNNOTICED_STALL_US + 1)
+    assert not detector.turn_is_stale(PAUSE_THRESHOLD_US) and detector.turn_is_stale(PAUSE_THRESHOLD_US + 1)
     assert detector.before_wait(4 * S, 1000) == 4 * S
 
 
 def test_nothing_is_sent_until_all_sources_were_read_again() -> None:
     recovery = full("a", "b")
-    assert recovery.may_send and recovery.to_full_us == 10
-    recovery.stood_still(4 * S, ["a", "b"], 5 * S)
+    assert recovery.may_send and recovery.last_recovery_us == 10
+    recovery.process_paused(4 * S, ["a", "b"], 5 * S)
     assert recovery.phase is Phase.CATCHING_UP and not recovery.may_send
-    recovery.told("a", "", 5 * S + 10)
+    recovery.source_read("a", "", 5 * S + 10)
     assert not recovery.may_send
-    recovery.told("b", "", 5 * S + 20_000)
+    recovery.source_read("b", "", 5 * S + 20_000)
     assert not recovery.may_send  # a call for a drain may still lie on a socket
-    recovery.caught_up(5 * S + 30_000)
-    assert recovery.phase is Phase.FULL and recovery.to_full_us == 30_000
-    assert recovery.gaps == 1 and recovery.longest_gap_us == 4 * S
+    recovery.end_catch_up(5 * S + 30_000)
+    assert recovery.phase is Phase.FULL and recovery.last_recovery_us == 30_000
+    assert recovery.pauses == 1 and recovery.longest_pause_us == 4 * S
 
 
 def test_a_source_that_gives_nothing_is_missing_and_the_rest_serves() -> None:
     recovery = full("a", "b")
-    recovery.stood_still(S, ["a", "b"], 2 * S)
-    recovery.told("a", "", 2 * S)
-    assert recovery.catch_up_ends_us == 2 * S + LONGEST_CATCH_UP_US
-    recovery.caught_up(3 * S)
-    assert recovery.phase.value == "serving in part" and list(recovery.missing) == ["b"]
-    recovery.told("b", "", 9 * S)
-    assert recovery.phase is Phase.FULL and recovery.to_full_us == 7 * S
+    recovery.process_paused(S, ["a", "b"], 2 * S)
+    recovery.source_read("a", "", 2 * S)
+    assert recovery.catch_up_deadline_us == 2 * S + CATCH_UP_TIMEOUT_US
+    recovery.end_catch_up(3 * S)
+    assert recovery.phase.value == "serving in part" and list(recovery.failed_sources) == ["b"]
+    recovery.source_read("b", "", 9 * S)
+    assert recovery.phase is Phase.FULL and recovery.last_recovery_us == 7 * S
 
 
 def test_a_list_that_can_not_be_used_sends_a_full_one_back_and_a_setup_without_it_ends_that() -> None:
     recovery = full("a", "b")
-    recovery.told("b", "half written", 2 * S)
-    assert recovery.phase.value == "serving in part" and recovery.since_us == 2 * S
-    recovery.begin(["a"], 3 * S)
-    assert recovery.phase is Phase.FULL and not recovery.missing
+    recovery.source_read("b", "half written", 2 * S)
+    assert recovery.phase.value == "serving in part" and recovery.phase_since_us == 2 * S
+    recovery.follow_sources(["a"], 3 * S)
+    assert recovery.phase is Phase.FULL and not recovery.failed_sources
 
 
 def test_what_is_read_before_the_setup_is_whole_sends_nothing_yet() -> None:
-    recovery = Recovery(0)
-    recovery.told("a", "", 5)
+    recovery = RecoveryState(0)
+    recovery.source_read("a", "", 5)
     assert recovery.phase is Phase.STARTING and not recovery.may_send
 
 
 SOURCES = st.sampled_from("abc")
 STEP = st.one_of(
     st.tuples(st.just("told"), SOURCES, st.sampled_from(["", "it is empty"])),
-    st.tuples(st.just("gap"), st.integers(LONGEST_UNNOTICED_STALL_US, 100 * S)),
+    st.tuples(st.just("gap"), st.integers(PAUSE_THRESHOLD_US, 100 * S)),
     st.tuples(st.just("time")),
     st.tuples(st.just("setup"), st.sets(SOURCES)),
 )
@@ -93,20 +93,20 @@
 def test_in_any_order_it_sends_only_with_nothing_left_to_read_and_is_never_held_for_good(
     steps: list[tuple[object, ...]],
 ) -> None:
-    recovery, now_us, listed = Recovery(0), 0, {"a", "b", "c"}
-    recovery.begin(listed, 0)
+    recovery, now_us, listed = RecoveryState(0), 0, {"a", "b", "c"}
+    recovery.follow_sources(listed, 0)
     for what, *rest in steps:
         now_us += S
         if what == "told":
-            recovery.told(str(rest[0]), str(rest[1]), now_us)
+            recovery.source_read(str(rest[0]), str(rest[1]), now_us)
         elif what == "gap":
-            recovery.stood_still(int(str(rest[0])), listed, now_us)
+            recovery.process_paused(int(str(rest[0])), listed, now_us)
             assert not recovery.may_send
         elif what == "setup":
             listed = rest[0]  # type: ignore[assignment]
-            recovery.begin(listed, now_us)
+            recovery.follow_sources(listed, now_us)
         else:
-            recovery.caught_up(now_us)
+            recovery.end_catch_up(now_us)
             assert recovery.may_send
-        assert not (recovery.may_send and recovery.waiting)
-        assert not recovery.may_send or (recovery.phase is Phase.FULL) == (not recovery.missing)
+        assert not (recovery.may_send and recovery.pending_sources)
+        assert not recovery.may_send or (recovery.phase is Phase.FULL) == (not recovery.failed_sources)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -162,6 +162,7 @@
         "plovertrail/decisions/outlier_detection",
         "plovertrail/decisions/warm_state",
         "plovertrail/decisions/recovery",
+        "plovertrail/decisions/state_inventory",
     )
     assert not [file for file in loaded if file.startswith(off)]
 
--- a/tests/test_many_lists.py
+++ b/tests/test_many_lists.py
@@ -114,7 +114,7 @@
         async with serving(site, files, blocking) as daemon:
             assert asyncio.get_running_loop().time() - began < FIRST_READ_S + PATIENCE_S
             assert ports(daemon) == {"missing": [], "hangs": [], **dict.fromkeys(names[2:], [1])}
-            missing = daemon.services.recovery.recovery.missing
+            missing = daemon.services.recovery.state.failed_sources
             assert (
                 set(missing) == {f"{name}: file:{site.list_of(name)}" for name in ("missing", "hangs")}
                 and "No such file" in missing[f"missing: file:{site.list_of('missing')}"]
@@ -376,11 +376,11 @@
             daemon = Daemon(load(str(site.path)), lists=lists, first_lists=fresh)
             await until(lambda: ports(daemon) == {"a": [2]} and not daemon.dispatcher.suspension.active)
             found = daemon.status()["recovery"]
-            assert (found["phase"], found["why"], found["gaps"]) == ("full", "it starts", 0)
+            assert (found["phase"], found["why"], found["gaps"]) == ("full", "process start", 0)
             await asyncio.sleep(0.01)
             jump(5.0)
             await until(lambda: daemon.status()["recovery"]["gaps"] == 1)
-            assert "stood still" in daemon.status()["recovery"]["why"]
+            assert "process paused" in daemon.status()["recovery"]["why"]
             await daemon.stop()
 
     run(test, StallDetectingLoop)
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -45,7 +45,7 @@
 
 
 def phase(it: Running) -> str:
-    return it.daemon.services.recovery.recovery.phase.value
+    return it.daemon.services.recovery.state.phase.value
 
 
 def write(path: Path, servers: list[WebServer], drained: int = -1) -> None:
@@ -89,7 +89,7 @@
             clock.jump(GAP_S)
             assert (await client.reply()).status == 200
             assert (servers[0].count, servers[1].count) == (1, 1)
-            assert phase(it) == "full" and it.daemon.services.recovery.recovery.gaps == 1
+            assert phase(it) == "full" and it.daemon.services.recovery.state.pauses == 1
             assert it.daemon.status()["recovery"]["longest_gap_s"] >= GAP_S
             client.close()
 
--- a/tests/test_stopped_process.py
+++ b/tests/test_stopped_process.py
@@ -12,7 +12,7 @@
 from benchmarks.capacity.daemon_process import DaemonProcess, daemon_process, list_version, server_state
 from benchmarks.capacity.service_site import ServiceSite
 from fakes.web import OK, Arrival, Line, WebServer
-from plovertrail.decisions.recovery import LONGEST_IDLE_WAIT_US
+from plovertrail.decisions.recovery import MAX_IDLE_WAIT_US
 from tests.daemons import Client, message, run
 from tests.net import PATIENCE_S, until
 
@@ -132,7 +132,7 @@
             assert (await holding.reply()).status == 200
             status = await status_that(daemon, version=2)
             assert status["recovery"]["gaps"] == 1
-            assert status["recovery"]["longest_gap_s"] >= STOPPED_S - LONGEST_IDLE_WAIT_US / 1e6
+            assert status["recovery"]["longest_gap_s"] >= STOPPED_S - MAX_IDLE_WAIT_US / 1e6
             assert {server_state(status, service, "s0") for service in services} == {"draining"}
             assert set(await ask_all([*clients, holding], services)) <= {200, 503}
             assert servers.to_first == before
