--- a/fakes/balancers_model.py
+++ b/fakes/balancers_model.py
@@ -56,24 +56,24 @@
 
 
 @dataclass
-class Server:
+class SimulatedEndpoint:
     """What one upstream has done and been sent."""
 
-    entry: Endpoint
-    table: int  # connections that it takes
+    listed: Endpoint
+    connection_limit: int  # connections that it takes
     work_us: int = WORK_US
-    longest_wait_us: int = LONGEST_WAIT_US  # to an answer; what would take longer is turned away
-    free_us: int = 0
-    silent: bool = False
+    max_wait_us: int = LONGEST_WAIT_US  # to an answer; what would take longer is turned away
+    free_at_us: int = 0
+    is_silent: bool = False
     connections: int = 0
-    sent: list[int] = field(default_factory=list)
+    sent_at_us: list[int] = field(default_factory=list)
 
-    def warmth(self, now_us: int, warm_up_initial_capacity: float, warm_up_us: int) -> float:
+    def warm_up_fraction(self, now_us: int, warm_up_initial_capacity: float, warm_up_us: int) -> float:
         """The fraction of its work that the server can do, from its start until `warm_up_us` later."""
-        age_us = now_us - self.entry.started_us
+        age_us = now_us - self.listed.started_us
         return (
             min(1.0, warm_up_initial_capacity + (1 - warm_up_initial_capacity) * age_us / warm_up_us)
-            if self.entry.started_us
+            if self.listed.started_us
             else 1.0
         )
 
@@ -81,11 +81,11 @@
 class Fleet:
     """Decision modules and their servers on a virtual clock; each answer and send is held to the rules."""
 
-    def __init__(self, servers: int, table: int = 1_000, sidecars: int = 40, seed: int = 1) -> None:
+    def __init__(self, servers: int, table: int = 1_000, instance_count: int = 40, seed: int = 1) -> None:
         self.random = random.Random(seed)
         self.settings = Settings(
             classes=classes(),
-            instances=sidecars,
+            instances=instance_count,
             tick_us=4000,
             max_attempts=4,
             cancel=True,
@@ -97,122 +97,130 @@
             overload_duration_us=SECOND_US,
         )
         self.now_us = START_US
-        self.balancers = [LoadBalancer(self.settings, number, START_US) for number in range(sidecars)]
+        self.instances = [LoadBalancer(self.settings, number, START_US) for number in range(instance_count)]
         self.servers = {
-            number: Server(Endpoint(number, zone=number % 3), table) for number in range(1, servers + 1)
+            number: SimulatedEndpoint(Endpoint(number, zone=number % 3), table)
+            for number in range(1, servers + 1)
         }
-        self.left: dict[tuple[int, int], bool] = {}  # (sidecar, upstream): word of its leave has come
-        self.idle: Counter[tuple[int, int]] = Counter()  # (sidecar, upstream)
-        self.due: list[tuple[int, int, int, Event]] = []
-        self.order = 0
-        self.asked = 0
-        self.owed: dict[int, tuple[int, RequestArrived]] = {}  # by request, its sidecar
-        self.ran: Counter[int] = Counter()  # by request, attempts that may have run
-        self.tries: dict[int, int] = {}
-        self.ended: Counter[str] = Counter()
+        self.not_ready: dict[tuple[int, int], bool] = {}  # (sidecar, upstream): word of its leave has come
+        self.idle_connections: Counter[tuple[int, int]] = Counter()  # (sidecar, upstream)
+        self.events: list[tuple[int, int, int, Event]] = []
+        self.event_count = 0
+        self.request_count = 0
+        self.open_requests: dict[int, tuple[int, RequestArrived]] = {}  # by request, its sidecar
+        self.may_have_run: Counter[int] = Counter()  # by request, attempts that may have run
+        self.attempt_counts: dict[int, int] = {}
+        self.answers: Counter[str] = Counter()
         self.outcomes: Counter[Outcome] = Counter()
-        self.busy, self.busy_part = -1, 0.0  # a sidecar that has this share of all requests for itself
-        self.of_busy: Counter[str] = Counter()
-        for number in range(sidecars):
-            listed = [server.entry for server in self.servers.values()]
-            self.tell(number, EndpointsUpdated(ListKind.FULL, listed))
+        self.busy_instance, self.busy_share = (
+            -1,
+            0.0,
+        )  # a sidecar that has this share of all requests for itself
+        self.busy_answers: Counter[str] = Counter()
+        for number in range(instance_count):
+            listed = [server.listed for server in self.servers.values()]
+            self.handle_event(number, EndpointsUpdated(ListKind.FULL, listed))
 
-    def at(self, at_us: int, sidecar: int, event: Event) -> None:
+    def schedule(self, at_us: int, sidecar: int, event: Event) -> None:
         """Tell a sidecar an event at a time."""
-        self.order += 1
-        heapq.heappush(self.due, (at_us, self.order, sidecar, event))
+        self.event_count += 1
+        heapq.heappush(self.events, (at_us, self.event_count, sidecar, event))
 
-    def change(self, entry: Endpoint, late_us: int = 0) -> None:
+    def update_endpoint(self, entry: Endpoint, late_us: int = 0) -> None:
         """All are told of it, each at a time of its own within `late_us`."""
         if entry.state is EndpointStatus.READY:
-            self.servers[entry.id] = Server(entry, next(iter(self.servers.values())).table)
-        for number in range(len(self.balancers)):
+            self.servers[entry.id] = SimulatedEndpoint(
+                entry, next(iter(self.servers.values())).connection_limit
+            )
+        for number in range(len(self.instances)):
             told_us = self.now_us + int(self.random.random() * late_us)
-            self.at(told_us, number, EndpointsUpdated(ListKind.DELTA, [entry]))
+            self.schedule(told_us, number, EndpointsUpdated(ListKind.DELTA, [entry]))
 
-    def tell(self, sidecar: int, event: Event) -> None:
+    def handle_event(self, sidecar: int, event: Event) -> None:
         """Give a sidecar an event, and carry out the actions that it returns."""
         if isinstance(event, EndpointsUpdated):
             for entry in event.endpoints:
-                self.left[sidecar, entry.id] = entry.state is not EndpointStatus.READY
+                self.not_ready[sidecar, entry.id] = entry.state is not EndpointStatus.READY
         if isinstance(event, AttemptEnded):
             self.outcomes[event.outcome] += 1
             if event.outcome is Outcome.OK:
-                self.answer(event.request, "served")
-                self.idle[sidecar, event.endpoint_id] += 1
+                self.record_answer(event.request, "served")
+                self.idle_connections[sidecar, event.endpoint_id] += 1
             elif event.outcome in (Outcome.TIMEOUT, Outcome.RESET):
                 self.servers[event.endpoint_id].connections -= 1
-        for action in self.balancers[sidecar].handle(self.now_us, event):
+        for action in self.instances[sidecar].handle(self.now_us, event):
             if isinstance(action, Send):
                 self.send(sidecar, action)
             elif isinstance(action, Reject | Fail):
                 refused = isinstance(action, Reject)
-                request = self.owed[action.request][1]
+                request = self.open_requests[action.request][1]
                 unsafe = self.settings.classes[request.class_index].effect == "at_most_once"
-                may_have_run = unsafe and self.ran[action.request] > 0
+                may_have_run = unsafe and self.may_have_run[action.request] > 0
                 assert not (refused and may_have_run), "rule 2: refused, and may have run"
-                self.answer(action.request, "refused" if refused else "failed")
+                self.record_answer(action.request, "refused" if refused else "failed")
             elif isinstance(action, SetTimer):
-                self.at(action.at_us, sidecar, TimerFired(action.token))
+                self.schedule(action.at_us, sidecar, TimerFired(action.token))
             elif isinstance(action, CloseIdle):
-                self.servers[action.endpoint_id].connections -= self.idle.pop(
+                self.servers[action.endpoint_id].connections -= self.idle_connections.pop(
                     (sidecar, action.endpoint_id), 0
                 )
 
-    def answer(self, request: int, how: str) -> None:
+    def record_answer(self, request: int, how: str) -> None:
         """Count a final answer; raises on a second one and on a late one."""
-        sidecar, event = self.owed.pop(request)  # rule 1: raises on a second answer
+        sidecar, event = self.open_requests.pop(request)  # rule 1: raises on a second answer
         assert self.now_us <= event.due_us + 4 * self.settings.tick_us, "rule 1: answered late"
-        self.ended[how] += 1
-        if sidecar == self.busy:
-            self.of_busy[how] += 1
+        self.answers[how] += 1
+        if sidecar == self.busy_instance:
+            self.busy_answers[how] += 1
 
     def send(self, sidecar: int, send: Send) -> None:
         """Carry out an attempt; raises AssertionError if it breaks a rule."""
         server, now_us = self.servers[send.endpoint_id], self.now_us
-        assert send.request in self.owed, "rule 1: a send after the end"
-        assert not self.left[sidecar, send.endpoint_id], "rule 3: sent after word of its leave"
-        nth = self.tries[send.request] = self.tries.get(send.request, -1) + 1
-        index = self.owed[send.request][1].class_index
+        assert send.request in self.open_requests, "rule 1: a send after the end"
+        assert not self.not_ready[sidecar, send.endpoint_id], "rule 3: sent after word of its leave"
+        nth = self.attempt_counts[send.request] = self.attempt_counts.get(send.request, -1) + 1
+        index = self.open_requests[send.request][1].class_index
         if self.settings.classes[index].effect == "at_most_once":
-            assert not self.ran[send.request], "rule 2: an unsafe request twice"
-        server.sent.append(now_us)
+            assert not self.may_have_run[send.request], "rule 2: an unsafe request twice"
+        server.sent_at_us.append(now_us)
 
         def ends(after_us: int, how: Outcome) -> None:
             ended = AttemptEnded(send.request, nth, send.endpoint_id, how, after_us, how is Outcome.OK)
-            self.at(now_us + after_us, sidecar, ended)
+            self.schedule(now_us + after_us, sidecar, ended)
 
-        if self.idle[sidecar, send.endpoint_id]:
-            self.idle[sidecar, send.endpoint_id] -= 1
-        elif server.connections >= server.table:
+        if self.idle_connections[sidecar, send.endpoint_id]:
+            self.idle_connections[sidecar, send.endpoint_id] -= 1
+        elif server.connections >= server.connection_limit:
             ends(2_000, Outcome.CONNECT_FAILED)
             return
         else:
             server.connections += 1
-        warmth = server.warmth(now_us, self.settings.warm_up_initial_capacity, self.settings.warm_up_us)
-        ready_us = max(server.free_us, now_us) + int(server.work_us / warmth)
-        if server.silent:
-            self.ran[send.request] += 1
+        warmth = server.warm_up_fraction(
+            now_us, self.settings.warm_up_initial_capacity, self.settings.warm_up_us
+        )
+        ready_us = max(server.free_at_us, now_us) + int(server.work_us / warmth)
+        if server.is_silent:
+            self.may_have_run[send.request] += 1
             reset_us = 100_000  # half of them by what lies between, the others by their time
             if self.random.random() < 0.5 and reset_us < send.timeout_us:
                 ends(reset_us, Outcome.RESET)
             else:
                 ends(send.timeout_us, Outcome.TIMEOUT)
-        elif ready_us > now_us + server.longest_wait_us:
+        elif ready_us > now_us + server.max_wait_us:
             server.connections -= 1  # it ends the connection with what it turns away
             ends(2_000, Outcome.REJECTED)
         else:
-            server.free_us = ready_us
-            self.ran[send.request] += 1
+            server.free_at_us = ready_us
+            self.may_have_run[send.request] += 1
             after_us = ready_us - now_us + 1_000
             in_time = after_us <= send.timeout_us
             ends(min(after_us, send.timeout_us), Outcome.OK if in_time else Outcome.TIMEOUT)
 
-    def run(self, until_us: int) -> None:
+    def run_until(self, until_us: int) -> None:
         """Play until this time."""
-        while self.due and self.due[0][0] <= until_us:
-            self.now_us, _, sidecar, event = heapq.heappop(self.due)
-            self.tell(sidecar, event)
+        while self.events and self.events[0][0] <= until_us:
+            self.now_us, _, sidecar, event = heapq.heappop(self.events)
+            self.handle_event(sidecar, event)
         self.now_us = until_us
 
     def play(self, seconds: float, per_s: float) -> None:
@@ -222,55 +230,59 @@
             at_us = self.now_us + int(self.random.expovariate(per_s / SECOND_US))
             if at_us >= end_us:
                 break
-            self.run(at_us)
+            self.run_until(at_us)
             index = self.random.randrange(len(self.settings.classes))
-            sidecar = self.random.randrange(len(self.balancers))
-            if self.busy_part and self.random.random() < self.busy_part:
-                sidecar = self.busy
-            self.asked += 1
+            sidecar = self.random.randrange(len(self.instances))
+            if self.busy_share and self.random.random() < self.busy_share:
+                sidecar = self.busy_instance
+            self.request_count += 1
             due_us = self.now_us + self.settings.classes[index].deadline_us
-            event = RequestArrived(self.asked, due_us, index)
-            self.owed[self.asked] = sidecar, event
-            self.tell(sidecar, event)
-        self.run(end_us)
+            event = RequestArrived(self.request_count, due_us, index)
+            self.open_requests[self.request_count] = sidecar, event
+            self.handle_event(sidecar, event)
+        self.run_until(end_us)
 
-    def settle(self) -> None:
+    def finish(self) -> None:
         """Till each request has its answer."""
-        self.run(self.now_us + 3 * SECOND_US)
-        assert not self.owed, "rule 1: without an answer"
+        self.run_until(self.now_us + 3 * SECOND_US)
+        assert not self.open_requests, "rule 1: without an answer"
 
-    def restart(self, sidecar: int) -> None:
+    def restart_instance(self, sidecar: int) -> None:
         """It dies and begins anew with the list alone; what it had open is its clients' to repeat."""
-        self.balancers[sidecar] = LoadBalancer(self.settings, self.random.randrange(2**30), self.now_us)
-        self.owed = {request: owed for request, owed in self.owed.items() if owed[0] != sidecar}
-        self.due = [due for due in self.due if due[2] != sidecar]
-        heapq.heapify(self.due)
-        for upstream in [upstream for owner, upstream in self.idle if owner == sidecar]:
-            self.servers[upstream].connections -= self.idle.pop((sidecar, upstream))
+        self.instances[sidecar] = LoadBalancer(self.settings, self.random.randrange(2**30), self.now_us)
+        self.open_requests = {
+            request: owed for request, owed in self.open_requests.items() if owed[0] != sidecar
+        }
+        self.events = [due for due in self.events if due[2] != sidecar]
+        heapq.heapify(self.events)
+        for upstream in [upstream for owner, upstream in self.idle_connections if owner == sidecar]:
+            self.servers[upstream].connections -= self.idle_connections.pop((sidecar, upstream))
         listed = [
-            server.entry for server in self.servers.values() if not self.left.get((sidecar, server.entry.id))
+            server.listed
+            for server in self.servers.values()
+            if not self.not_ready.get((sidecar, server.listed.id))
         ]
-        self.tell(sidecar, EndpointsUpdated(ListKind.FULL, listed))
+        self.handle_event(sidecar, EndpointsUpdated(ListKind.FULL, listed))
 
-    def beyond(self, number: int) -> float:
+    def excess_over_budget(self, number: int) -> float:
         """How far a cold upstream got beyond N + 2 calls within `overload_duration_us`, N its
         budget: in roots of N."""
         server, s, worst, end = self.servers[number], self.settings, -math.inf, 0
-        for begin, start in enumerate(server.sent):
-            while end < len(server.sent) and server.sent[end] < start + s.overload_duration_us:
+        for begin, start in enumerate(server.sent_at_us):
+            while end < len(server.sent_at_us) and server.sent_at_us[end] < start + s.overload_duration_us:
                 end += 1
-            warmth = server.warmth(start, s.warm_up_initial_capacity, s.warm_up_us)
+            warmth = server.warm_up_fraction(start, s.warm_up_initial_capacity, s.warm_up_us)
             budget = s.overload_factor * warmth * s.overload_duration_us / server.work_us
             worst = max(worst, (end - begin - budget - 2) / math.sqrt(budget))
         return worst
 
-    def pushed(self, number: int) -> float:
+    def peak_load(self, number: int) -> float:
         """The most work sent to a cold upstream in any `overload_duration_us`, of what pushes it over."""
         server, s, worst = self.servers[number], self.settings, 0.0
-        for start in server.sent:
+        for start in server.sent_at_us:
             work = server.work_us * sum(
-                1 for at_us in server.sent if start <= at_us < start + s.overload_duration_us
+                1 for at_us in server.sent_at_us if start <= at_us < start + s.overload_duration_us
             )
-            warmth = server.warmth(start, s.warm_up_initial_capacity, s.warm_up_us)
+            warmth = server.warm_up_fraction(start, s.warm_up_initial_capacity, s.warm_up_us)
             worst = max(worst, work / (s.overload_factor * warmth * s.overload_duration_us))
         return worst
--- a/tests/decisions/load_balancing/harness.py
+++ b/tests/decisions/load_balancing/harness.py
@@ -1,7 +1,7 @@
-"""A stand-in for the sidecar around a LoadBalancer: carries out its actions and checks the contract.
+"""A test harness around a LoadBalancer that carries out its actions and checks the contract.
 
-It is no simulator: tests say what happens and when. Every action is checked against the four rules as
-the contract words them, from records kept here and not from the module's own.
+Tests say what happens and when. Every action is checked against the four rules of the contract, from records
+that are independent of the load balancer's own.
 """
 
 from __future__ import annotations
@@ -60,14 +60,14 @@
     return Settings(**values)  # type: ignore[arg-type]
 
 
-def upstreams(count: int, **changes: Any) -> list[Endpoint]:
-    """`count` ready upstreams, two to a cell and to a zone."""
+def ready_endpoints(count: int, **changes: Any) -> list[Endpoint]:
+    """Return ready endpoints, two to a cell and to a zone."""
     return [Endpoint(100 + i, zone=i // 2, cell=i // 2, **changes) for i in range(count)]
 
 
 @dataclass
-class Try:
-    upstream: int
+class RecordedAttempt:
+    endpoint_id: int
     zone: int
     cell: int
     sent_us: int
@@ -76,95 +76,105 @@
 
 
 @dataclass
-class Owed:
+class RecordedRequest:
     event: RequestArrived
-    tries: list[Try] = field(default_factory=list)
+    attempts: list[RecordedAttempt] = field(default_factory=list)
     answers: int = 0
-    closed: bool = False
-    stream: bool = False
+    is_closed: bool = False
+    is_streaming: bool = False
 
-    def may_have_run(self) -> list[Try]:
-        return [t for t in self.tries if t.outcome not in NEVER_RAN]
+    def may_have_run(self) -> list[RecordedAttempt]:
+        return [t for t in self.attempts if t.outcome not in NEVER_RAN]
 
-    def out(self) -> list[int]:
-        return [n for n, t in enumerate(self.tries) if t.outcome is None]
+    def in_flight(self) -> list[int]:
+        return [n for n, t in enumerate(self.attempts) if t.outcome is None]
 
 
-class World:
+class BalancerHarness:
     def __init__(self, config: Settings | None = None, seed: int = 7) -> None:
         self.settings = config or settings()
         self.now_us = START_US
         self.balancer = LoadBalancer(self.settings, seed, self.now_us)
-        self.owed: dict[int, Owed] = {}
-        self.known: dict[int, Endpoint] = {}
-        self.refused_us: dict[int, int] = {}  # upstreams told draining or gone: since when
+        self.requests: dict[int, RecordedRequest] = {}
+        self.listed: dict[int, Endpoint] = {}
+        self.not_ready_since_us: dict[int, int] = {}  # by id of a draining or removed endpoint
         self.timers: list[tuple[int, int]] = []
         self.log: list[Action] = []
         self.next_id = 1
 
     # Events
 
-    def tell(self, event: Event) -> list[Action]:
+    def handle_event(self, event: Event) -> list[Action]:
         actions = self.balancer.handle(self.now_us, event)
         for action in actions:
             self.check(action)
         self.log.extend(actions)
         return actions
 
-    def tell_list(self, entries: list[Endpoint], kind: ListKind = ListKind.FULL) -> list[Action]:
+    def update_endpoints(self, entries: list[Endpoint], kind: ListKind = ListKind.FULL) -> list[Action]:
         for entry in entries:
-            self.known[entry.id] = entry
+            self.listed[entry.id] = entry
             if entry.state is EndpointStatus.READY:
-                self.refused_us.pop(entry.id, None)
+                self.not_ready_since_us.pop(entry.id, None)
             else:
-                self.refused_us.setdefault(entry.id, self.now_us)
+                self.not_ready_since_us.setdefault(entry.id, self.now_us)
         if kind in (ListKind.FULL, ListKind.CACHED):
-            for ident in self.known.keys() - {e.id for e in entries}:
-                self.refused_us.setdefault(ident, self.now_us)
-        return self.tell(EndpointsUpdated(kind, entries))
+            for request_id in self.listed.keys() - {e.id for e in entries}:
+                self.not_ready_since_us.setdefault(request_id, self.now_us)
+        return self.handle_event(EndpointsUpdated(kind, entries))
 
-    def arrive(self, class_index: int = 0, patience_us: int | None = None, **fields: Any) -> int:
-        ident = self.next_id
+    def request_arrives(self, class_index: int = 0, patience_us: int | None = None, **fields: Any) -> int:
+        request_id = self.next_id
         self.next_id += 1
         patience = patience_us or self.settings.classes[class_index].deadline_us
-        event = RequestArrived(ident, self.now_us + patience, class_index, **fields)
-        self.owed[ident] = Owed(event)
-        self.tell(event)
-        return ident
-
-    def end(self, request: int, attempt: int, outcome: Outcome, **fields: list[float]) -> list[Action]:
-        owed = self.owed[request]
-        this = owed.tries[attempt]
+        event = RequestArrived(request_id, self.now_us + patience, class_index, **fields)
+        self.requests[request_id] = RecordedRequest(event)
+        self.handle_event(event)
+        return request_id
+
+    def end_attempt(
+        self, request: int, attempt: int, outcome: Outcome, **fields: list[float]
+    ) -> list[Action]:
+        record = self.requests[request]
+        this = record.attempts[attempt]
         assert this.outcome is None
         this.outcome = outcome
-        if (outcome is Outcome.OK or owed.stream) and not owed.closed:
-            owed.closed = True
-            owed.answers += 1
-        return self.tell(
+        if (outcome is Outcome.OK or record.is_streaming) and not record.is_closed:
+            record.is_closed = True
+            record.answers += 1
+        return self.handle_event(
             AttemptEnded(
-                request, attempt, this.upstream, outcome, self.now_us - this.sent_us, owed.closed, **fields
+                request,
+                attempt,
+                this.endpoint_id,
+                outcome,
+                self.now_us - this.sent_us,
+                record.is_closed,
+                **fields,
             )
         )
 
-    def begin_stream(self, request: int, attempt: int) -> None:
-        self.owed[request].stream = True
-        self.tell(StreamStarted(request, attempt, self.owed[request].tries[attempt].upstream))
+    def start_stream(self, request: int, attempt: int) -> None:
+        self.requests[request].is_streaming = True
+        self.handle_event(
+            StreamStarted(request, attempt, self.requests[request].attempts[attempt].endpoint_id)
+        )
 
-    def quit(self, request: int) -> None:
-        self.owed[request].closed = True
-        self.owed[request].answers = 1
-        self.tell(RequestCancelled(request))
+    def cancel_request(self, request: int) -> None:
+        self.requests[request].is_closed = True
+        self.requests[request].answers = 1
+        self.handle_event(RequestCancelled(request))
 
     def advance(self, by_us: int) -> None:
-        """Move the clock, with the timers and the attempts' time-outs that fall due on the way."""
+        """Move the clock, firing the timers and timeouts that are due on the way."""
         end_us = self.now_us + by_us
         while True:
             due = [(at, 1, token, 0) for at, token in self.timers]
             due += [
-                (t.ends_us, 0, ident, n)
-                for ident, owed in self.owed.items()
-                if not owed.stream
-                for n, t in enumerate(owed.tries)
+                (t.ends_us, 0, request_id, n)
+                for request_id, record in self.requests.items()
+                if not record.is_streaming
+                for n, t in enumerate(record.attempts)
                 if t.outcome is None
             ]
             due = [d for d in due if d[0] <= end_us]
@@ -173,15 +183,15 @@
             at, kind, first, second = min(due)
             self.now_us = max(self.now_us, at)
             if kind == 0:
-                self.end(first, second, Outcome.TIMEOUT)
+                self.end_attempt(first, second, Outcome.TIMEOUT)
             else:
                 self.timers.remove((at, first))
-                self.tell(TimerFired(first))
+                self.handle_event(TimerFired(first))
         self.now_us = end_us
         slack_us = 4 * self.settings.tick_us
-        for ident, owed in self.owed.items():
-            overdue = self.now_us > owed.event.due_us + slack_us and not owed.stream
-            assert not overdue or owed.answers == 1, f"rule 1: request {ident} is unanswered past due"
+        for request_id, record in self.requests.items():
+            overdue = self.now_us > record.event.due_us + slack_us and not record.is_streaming
+            assert not overdue or record.answers == 1, f"rule 1: request {request_id} is unanswered past due"
 
     # Checks
 
@@ -192,51 +202,55 @@
             self.check_answer(action)
         elif isinstance(action, Cancel):
             assert self.settings.cancel, "a cancel where none is allowed"
-            assert action.attempt < len(self.owed[action.request].tries), "a cancel of no attempt"
+            assert action.attempt < len(self.requests[action.request].attempts), "a cancel of no attempt"
         elif isinstance(action, SetTimer):
             assert action.at_us >= self.now_us
             self.timers.append((action.at_us, action.token))
         elif isinstance(action, HealthCheck):
-            assert self.settings.health_checks, "a probe where none is allowed"
+            assert self.settings.health_checks, "a health check where none is allowed"
         else:
             assert not isinstance(action, Subscribe | PollEndpoints) or self.settings.endpoints_on_request
 
     def check_send(self, send: Send) -> None:
-        owed = self.owed[send.request]
-        entry = self.known[send.endpoint_id]
-        kind = self.settings.classes[owed.event.class_index]
-        assert not owed.closed, "rule 1: a send after the end"
-        assert len(owed.tries) < self.settings.max_attempts, "more attempts than allowed"
-        assert send.endpoint_id not in self.refused_us, "rule 3: a send to a draining or gone upstream"
-        assert self.settings.hedging or not owed.out(), "rule 2: two attempts out together"
-        for earlier in owed.may_have_run():
-            assert kind.effect != "at_most_once", "rule 2: an unsafe request sent again"
+        record = self.requests[send.request]
+        entry = self.listed[send.endpoint_id]
+        kind = self.settings.classes[record.event.class_index]
+        assert not record.is_closed, "rule 1: a send after the end"
+        assert len(record.attempts) < self.settings.max_attempts, "more attempts than allowed"
+        assert send.endpoint_id not in self.not_ready_since_us, (
+            "rule 3: a send to a draining or removed endpoint"
+        )
+        assert self.settings.hedging or not record.in_flight(), "rule 2: two attempts in flight together"
+        for earlier in record.may_have_run():
+            assert kind.effect != "at_most_once", "rule 2: an at-most-once request sent again"
             if kind.effect == "deduplicated":
                 left_us = earlier.sent_us + kind.dedup_window_us - self.now_us
                 assert 0 < send.start_within_us <= left_us, (
-                    "rule 2: past the memory, or once its connection is up"
+                    "rule 2: after the dedup window, or once its connection is up"
                 )
                 assert kind.dedup_scope != "cell" or entry.cell == earlier.cell, "rule 2: outside the cell"
                 assert kind.dedup_scope != "zone" or entry.zone == earlier.zone, "rule 2: outside the zone"
-        ends_us = owed.event.due_us
+        ends_us = record.event.due_us
         if send.timeout_us:
             ends_us = min(ends_us, self.now_us + send.timeout_us)
-        owed.tries.append(Try(send.endpoint_id, entry.zone, entry.cell, self.now_us, ends_us))
+        record.attempts.append(
+            RecordedAttempt(send.endpoint_id, entry.zone, entry.cell, self.now_us, ends_us)
+        )
 
     def check_answer(self, answer: Reject | Fail) -> None:
-        owed = self.owed[answer.request]
-        kind = self.settings.classes[owed.event.class_index]
-        assert not owed.closed, "rule 1: a second answer"
-        owed.closed = True
-        owed.answers += 1
+        record = self.requests[answer.request]
+        kind = self.settings.classes[record.event.class_index]
+        assert not record.is_closed, "rule 1: a second answer"
+        record.is_closed = True
+        record.answers += 1
         if isinstance(answer, Reject):
             assert answer.retry_after_us <= self.settings.max_retry_after_us
             harmless = kind.effect == "idempotent" or (
                 kind.effect == "deduplicated" and kind.dedup_scope == "all"
             )
-            assert harmless or not owed.may_have_run(), "rule 2: a refusal of what may have run"
+            assert harmless or not record.may_have_run(), "rule 2: a rejection of a request that may have run"
 
-    # What tests look at
+    # Results
 
     def sends(self, request: int | None = None) -> list[Send]:
         return [a for a in self.log if isinstance(a, Send) and request in (None, a.request)]
--- a/tests/decisions/load_balancing/scenarios.py
+++ b/tests/decisions/load_balancing/scenarios.py
@@ -2,56 +2,67 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 from plovertrail.decisions.events import Outcome
-from tests.decisions.load_balancing.harness import World, settings, upstreams
+from tests.decisions.load_balancing.harness import BalancerHarness, ready_endpoints, settings
 
 READ, PAY, MARK = 0, 1, 2
 
 
-def ready_world(count: int = 4, **changes: object) -> World:
-    world = World(settings(**changes))
-    world.tell_list(upstreams(count))
-    return world
+@dataclass(frozen=True)
+class Fault:
+    """An endpoint whose attempts all end with one outcome."""
+
+    endpoint_id: int
+    outcome: Outcome = Outcome.REJECTED
+
+
+def ready_harness(count: int = 4, **changes: object) -> BalancerHarness:
+    harness = BalancerHarness(settings(**changes))
+    harness.update_endpoints(ready_endpoints(count))
+    return harness
 
 
-def fill(world: World) -> list[int]:
-    """Take every slot; the last request is the one that waits in the buffer."""
+def fill_slots(harness: BalancerHarness) -> list[int]:
+    """Take every slot; the last request is the one in the buffer."""
     taken = []
     for _ in range(1000):
-        taken.append(world.arrive(READ))
-        if not world.sends(taken[-1]):
+        taken.append(harness.request_arrives(READ))
+        if not harness.sends(taken[-1]):
             return taken
     raise AssertionError("the slots never ran out")
 
 
-def churn(
-    world: World,
+def run_requests(
+    harness: BalancerHarness,
     steps: int,
-    bad: int | None = None,
-    fault: Outcome = Outcome.REJECTED,
+    fault: Fault | None = None,
     class_index: int = READ,
     took_us: int = 10_000,
 ) -> None:
-    """A request a step; whatever is out ends at the step's end, with `fault` at the upstream `bad`."""
+    """Start a request a step; attempts in flight end with the step, with `fault` at its endpoint."""
     for _ in range(steps):
-        world.arrive(class_index)
-        world.advance(took_us)
-        for ident in [i for i, owed in world.owed.items() if owed.out()]:
-            for attempt in world.owed[ident].out():
-                at_bad = world.owed[ident].tries[attempt].upstream == bad
-                world.end(ident, attempt, fault if at_bad else Outcome.OK)
+        harness.request_arrives(class_index)
+        harness.advance(took_us)
+        for request_id in [i for i, record in harness.requests.items() if record.in_flight()]:
+            for attempt in harness.requests[request_id].in_flight():
+                endpoint_id = harness.requests[request_id].attempts[attempt].endpoint_id
+                is_failing = fault is not None and fault.endpoint_id == endpoint_id
+                outcome = fault.outcome if fault is not None and is_failing else Outcome.OK
+                harness.end_attempt(request_id, attempt, outcome)
 
 
-def held(world: World) -> int:
-    """How many requests can be outstanding now; they are ended again."""
-    taken = [r for r in fill(world) if world.sends(r)]
+def count_slots(harness: BalancerHarness) -> int:
+    """How many requests can be in flight now; they are ended again."""
+    taken = [r for r in fill_slots(harness) if harness.sends(r)]
     for request in taken:
-        world.end(request, 0, Outcome.OK)
+        harness.end_attempt(request, 0, Outcome.OK)
     return len(taken)
 
 
-def slow_spell(world: World, seconds: int) -> None:
-    """Every answer takes longer than the aim."""
+def run_slow_requests(harness: BalancerHarness, seconds: int) -> None:
+    """Every response takes longer than the objective."""
     for _ in range(seconds):
-        world.arrive(PAY)
-        world.advance(1_000_000)
+        harness.request_arrives(PAY)
+        harness.advance(1_000_000)
--- a/tests/decisions/load_balancing/test_admission_control.py
+++ b/tests/decisions/load_balancing/test_admission_control.py
@@ -5,84 +5,89 @@
 import pytest
 
 from plovertrail.decisions.events import Outcome
-from tests.decisions.load_balancing.harness import World, settings, upstreams
+from tests.decisions.load_balancing.harness import BalancerHarness, ready_endpoints, settings
 from tests.decisions.load_balancing.scenarios import (
     PAY,
-    churn,
-    ready_world,
-    slow_spell,
+    ready_harness,
+    run_requests,
+    run_slow_requests,
 )
 
 
-def after_a_jam(each_us: int, calm_us: int) -> float:
-    """What a sidecar that has a request each so often lets in, so long after a jam that ended a calm."""
-    world = World(settings(instances=40))
-    world.tell_list(upstreams(8))
-    started_us = world.now_us
+def admission_after_overload(each_us: int, calm_us: int) -> float:
+    """The admission probability some time after an overload, with a request every `each_us`."""
+    harness = BalancerHarness(settings(instances=40))
+    harness.update_endpoints(ready_endpoints(8))
+    started_us = harness.now_us
     jam_us = started_us + 10_000_000
-    while world.now_us < jam_us + 4_000_000 + calm_us:
-        jam = jam_us <= world.now_us < jam_us + 4_000_000
+    while harness.now_us < jam_us + 4_000_000 + calm_us:
+        jam = jam_us <= harness.now_us < jam_us + 4_000_000
         took_us = 290_000 if jam else 20_000
-        if (world.now_us - started_us) % each_us == 0:
-            world.arrive(PAY)
-        world.advance(10_000)
-        for ident in [ident for ident, owed in world.owed.items() if owed.out()]:
-            owed = world.owed[ident]
-            for attempt in owed.out():
-                if world.now_us >= owed.tries[attempt].sent_us + took_us:
-                    world.end(ident, attempt, Outcome.OK)
-    return world.balancer.table.groups[0].admission.probability
+        if (harness.now_us - started_us) % each_us == 0:
+            harness.request_arrives(PAY)
+        harness.advance(10_000)
+        for request_id in [
+            request_id for request_id, record in harness.requests.items() if record.in_flight()
+        ]:
+            record = harness.requests[request_id]
+            for attempt in record.in_flight():
+                if harness.now_us >= record.attempts[attempt].sent_us + took_us:
+                    harness.end_attempt(request_id, attempt, Outcome.OK)
+    return harness.balancer.table.groups[0].admission.probability
 
 
 @pytest.mark.parametrize("each_us", [10_000, 50_000, 150_000, 300_000])
 def test_admission_recovers_in_time_after_an_overload_even_with_little_traffic(each_us: int) -> None:
-    """Judged by the sends of the last seconds a sidecar with little traffic stays shut for half a minute."""
-    assert after_a_jam(each_us, 0) < 0.5
-    assert after_a_jam(each_us, 2_000_000) > 0.5
-    assert after_a_jam(each_us, 5_000_000) > 0.9
+    """By the send rate alone, an instance with little traffic would admit little for half a minute."""
+    assert admission_after_overload(each_us, 0) < 0.5
+    assert admission_after_overload(each_us, 2_000_000) > 0.5
+    assert admission_after_overload(each_us, 5_000_000) > 0.9
 
 
 def test_without_responses_admission_grows_each_second() -> None:
-    world = World(settings(instances=40))
-    world.tell_list([])  # nothing can be sent, so nothing is learned
-    pool = world.balancer.table.groups[0]
+    harness = BalancerHarness(settings(instances=40))
+    harness.update_endpoints([])  # nothing can be sent, so nothing is learned
+    pool = harness.balancer.table.groups[0]
     pool.admission.probability, seen = 0.1, []
     for _ in range(20):
-        world.arrive(PAY)
-        world.advance(500_000)
+        harness.request_arrives(PAY)
+        harness.advance(500_000)
         seen.append(pool.admission.probability)
-    assert seen == sorted(seen) and seen[4] < 0.3 and seen[-1] == 1.0
+    assert seen == sorted(seen)
+    assert seen[4] < 0.3
+    assert seen[-1] == 1.0
 
 
 def test_while_all_endpoints_are_slow_an_instance_with_little_traffic_sends_less() -> None:
-    world = ready_world(40, instances=400)
-    slow_spell(world, 30)
-    assert 3 <= len(world.sends()) <= 12
-    churn(world, 300)
-    before = len(world.sends())
-    churn(world, 20)
-    assert len(world.sends()) - before == 20
+    harness = ready_harness(40, instances=400)
+    run_slow_requests(harness, 30)
+    assert 3 <= len(harness.sends()) <= 12
+    run_requests(harness, 300)
+    before = len(harness.sends())
+    run_requests(harness, 20)
+    assert len(harness.sends()) - before == 20
 
 
 def test_one_slow_response_among_fast_ones_reduces_nothing() -> None:
-    world = ready_world(40, instances=400)
-    churn(world, 30, class_index=PAY)
-    slow_spell(world, 1)
-    before = len(world.sends())
-    churn(world, 10, class_index=PAY)
-    assert len(world.sends()) - before == 10
+    harness = ready_harness(40, instances=400)
+    run_requests(harness, 30, class_index=PAY)
+    run_slow_requests(harness, 1)
+    before = len(harness.sends())
+    run_requests(harness, 10, class_index=PAY)
+    assert len(harness.sends()) - before == 10
 
 
 def test_requests_not_admitted_in_the_own_zone_go_to_another() -> None:
-    world = ready_world(8, zone=1, cross_zone_fee=0.2, instances=400)
-    churn(world, 30, class_index=PAY)
-    assert {world.known[s.endpoint_id].zone for s in world.sends()} == {1}
-    before = len(world.sends())
+    harness = ready_harness(8, zone=1, cross_zone_fee=0.2, instances=400)
+    run_requests(harness, 30, class_index=PAY)
+    assert {harness.listed[s.endpoint_id].zone for s in harness.sends()} == {1}
+    before = len(harness.sends())
     for _ in range(30):
-        request = world.arrive(PAY)
-        home = [s for s in world.sends(request) if world.known[s.endpoint_id].zone == 1]
-        world.advance(300_000 if home else 20_000)
-        if not home and world.owed[request].out():
-            world.end(request, 0, Outcome.OK)
-    crossed = [s for s in world.sends()[before:] if world.known[s.endpoint_id].zone != 1]
-    assert len(crossed) >= 10 and len(world.sends()) - before >= 25
+        request = harness.request_arrives(PAY)
+        home = [s for s in harness.sends(request) if harness.listed[s.endpoint_id].zone == 1]
+        harness.advance(300_000 if home else 20_000)
+        if not home and harness.requests[request].in_flight():
+            harness.end_attempt(request, 0, Outcome.OK)
+    crossed = [s for s in harness.sends()[before:] if harness.listed[s.endpoint_id].zone != 1]
+    assert len(crossed) >= 10
+    assert len(harness.sends()) - before >= 25
--- a/tests/decisions/load_balancing/test_contract_rules.py
+++ b/tests/decisions/load_balancing/test_contract_rules.py
@@ -1,8 +1,10 @@
-"""The four rules under arbitrary legal event sequences; tests/world.py checks every action."""
+"""The four rules under arbitrary legal event sequences; harness.py checks every action."""
 
 from __future__ import annotations
 
 import random
+from collections import Counter
+from dataclasses import dataclass
 
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
@@ -14,6 +16,7 @@
     Endpoint,
     EndpointStatus,
     EndpointsUpdated,
+    Event,
     ListKind,
     Outcome,
     RequestArrived,
@@ -21,7 +24,13 @@
 )
 from plovertrail.decisions.load_balancing.balancer import LoadBalancer
 from plovertrail.decisions.settings import RequestClass
-from tests.decisions.load_balancing.harness import START_US, World, classes, settings, upstreams
+from tests.decisions.load_balancing.harness import (
+    START_US,
+    BalancerHarness,
+    classes,
+    ready_endpoints,
+    settings,
+)
 
 FAULTS = [o for o in Outcome if o is not Outcome.TIMEOUT]
 
@@ -52,7 +61,7 @@
 )
 
 
-def many_classes() -> list[RequestClass]:
+def all_classes() -> list[RequestClass]:
     return [
         *classes(),
         RequestClass(
@@ -62,41 +71,47 @@
     ]
 
 
-def play(world: World, step: tuple[str, int, object]) -> None:
+def play(harness: BalancerHarness, step: tuple[str, int, object]) -> None:
     what, number, extra = step
-    open_tries = [(ident, n) for ident, owed in world.owed.items() for n in owed.out()]
+    in_flight = [
+        (request_id, n) for request_id, record in harness.requests.items() for n in record.in_flight()
+    ]
     if what == "arrive":
         assert isinstance(extra, int)
-        world.arrive(number, patience_us=extra)
+        harness.request_arrives(number, patience_us=extra)
     elif what == "advance":
-        world.advance(number)
+        harness.advance(number)
     elif what in ("list", "restart"):
-        started = world.now_us - extra if isinstance(extra, int) else 0
+        started = harness.now_us - extra if isinstance(extra, int) else 0
         state = extra if isinstance(extra, EndpointStatus) else EndpointStatus.READY
         entry = Endpoint(100 + number, state, number // 2, 0, number // 2, 1.0, started)
-        world.tell_list([entry], ListKind.DELTA)
+        harness.update_endpoints([entry], ListKind.DELTA)
     elif what == "full":
         assert isinstance(extra, ListKind)
-        world.tell_list(upstreams(number), extra)
-    elif what == "fail" and world.settings.endpoints_on_request:
-        world.tell(EndpointsUpdated(ListKind.FAILED))
-    elif what == "quit" and world.owed:
-        ident = list(world.owed)[number % len(world.owed)]
-        if not world.owed[ident].closed:
-            world.quit(ident)
-    elif what == "end" and open_tries:
+        harness.update_endpoints(ready_endpoints(number), extra)
+    elif what == "fail" and harness.settings.endpoints_on_request:
+        harness.handle_event(EndpointsUpdated(ListKind.FAILED))
+    elif what == "quit" and harness.requests:
+        request_id = list(harness.requests)[number % len(harness.requests)]
+        if not harness.requests[request_id].is_closed:
+            harness.cancel_request(request_id)
+    elif what == "end" and in_flight:
         assert isinstance(extra, Outcome)
-        world.end(*open_tries[number % len(open_tries)], extra)
+        harness.end_attempt(*in_flight[number % len(in_flight)], extra)
     elif what == "stream":
-        streams = [
-            (i, n)
-            for i, n in open_tries
-            if world.settings.classes[world.owed[i].event.class_index].stream
-            and not world.owed[i].stream
-            and not world.owed[i].closed
-        ]
-        if streams:
-            world.begin_stream(*streams[number % len(streams)])
+        start_stream(harness, number, in_flight)
+
+
+def start_stream(harness: BalancerHarness, number: int, in_flight: list[tuple[int, int]]) -> None:
+    streams = [
+        (i, n)
+        for i, n in in_flight
+        if harness.settings.classes[harness.requests[i].event.class_index].stream
+        and not harness.requests[i].is_streaming
+        and not harness.requests[i].is_closed
+    ]
+    if streams:
+        harness.start_stream(*streams[number % len(streams)])
 
 
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=400)
@@ -104,18 +119,18 @@
 def test_no_rule_is_broken_whatever_happens(
     config: dict[str, object], seed: int, steps: list[tuple[str, int, object]]
 ) -> None:
-    world = World(settings(classes=many_classes(), **config), seed)
-    world.tell_list(upstreams(6), ListKind.CACHED)
+    harness = BalancerHarness(settings(classes=all_classes(), **config), seed)
+    harness.update_endpoints(ready_endpoints(6), ListKind.CACHED)
     for step in steps:
-        play(world, step)
-    world.advance(5_000_000)  # everything is answered by its due time
+        play(harness, step)
+    harness.advance(5_000_000)  # everything is answered by its due time
 
 
 def busy_day(config: dict[str, object], seed: int) -> list[object]:
-    """Heavy use with every kind of fault, so that slots run out and requests wait and are reissued."""
+    """Heavy use with every kind of fault, so that slots run out and requests are buffered and retried."""
     dice = random.Random(seed)
-    world = World(settings(classes=many_classes(), **config), seed)
-    world.tell_list(upstreams(6), ListKind.CACHED)
+    harness = BalancerHarness(settings(classes=all_classes(), **config), seed)
+    harness.update_endpoints(ready_endpoints(6), ListKind.CACHED)
     for _ in range(1500):
         kind = dice.choices(
             ["arrive", "end", "advance", "list", "restart", "quit", "stream", "fail"],
@@ -132,12 +147,12 @@
         elif kind in ("list", "restart"):
             number = dice.randrange(8)
             extra = dice.choice(list(EndpointStatus)) if kind == "list" else dice.randrange(30_000_000)
-        play(world, (kind, number, extra))
-    world.advance(5_000_000)
-    return list(world.log)
+        play(harness, (kind, number, extra))
+    harness.advance(5_000_000)
+    return list(harness.log)
 
 
-def test_busy_days_break_no_rule_and_are_decided_alike_each_time() -> None:
+def test_heavy_use_breaks_no_rule_and_is_decided_alike_each_time() -> None:
     for seed in range(12):
         config: dict[str, object] = {
             "hedging": seed % 2 == 0,
@@ -149,67 +164,104 @@
         assert busy_day(config, seed) == busy_day(config, seed)
 
 
-def pushed_share(skew: list[int], outcome: Outcome, cost_us: int = 0) -> float:
-    """The most work over budget that sidecars send one warming upstream in an `overload_duration_us`.
+@dataclass
+class InFlight:
+    """One attempt that an endpoint will end."""
 
-    The upstream is new among nine of one core, which serve in turn and turn away what would wait over 300 ms;
-    requests take 40 ms of a warm one. Each sidecar gets `skew` requests a tick of 4 ms: up to 26 times what
-    the nine can do."""
-    config = settings(instances=len(skew), classes=[RequestClass("read", 300_000, 1_500_000)])
-    balancers = [LoadBalancer(config, n, START_US) for n in range(len(skew))]
-    listed = [Endpoint(1, started_us=START_US), *[Endpoint(n) for n in range(2, 11)]]
+    ends_us: int
+    instance: int
+    request: int
+    endpoint_id: int
+    attempt: int
+    outcome: Outcome
+    sent_us: int
 
-    def warmth(at_us: int) -> float:
-        return (
-            config.warm_up_initial_capacity
-            + (1 - config.warm_up_initial_capacity) * (at_us - START_US) / config.warm_up_us
-        )
 
-    free_us = {entry.id: START_US for entry in listed}
-    sent: list[int] = []
-    ends: list[tuple[int, int, int, int, int, Outcome, int]] = []
-    tries: dict[int, int] = {}
-    timers: list[tuple[int, int]] = []
-    now_us, request = START_US, 0
-    for balancer in balancers:
-        balancer.handle(now_us, EndpointsUpdated(ListKind.FULL, listed))
-    while now_us < START_US + 8_000_000:
-        events: list[tuple[int, object]] = []
-        for number, rate in enumerate(skew):
+class StartingEndpoint:
+    """An endpoint that starts among nine others of one core, under several times their capacity.
+
+    They serve one request at a time and reject what would wait over 300 ms; a request takes a warm one 40 ms.
+    Each instance gets `skew` requests a tick of 4 ms, up to 26 times the capacity of the nine.
+    """
+
+    def __init__(self, skew: list[int], outcome: Outcome) -> None:
+        self.skew = skew
+        self.outcome = outcome  # of each attempt at the endpoint that starts
+        self.settings = settings(instances=len(skew), classes=[RequestClass("read", 300_000, 1_500_000)])
+        self.balancers = [LoadBalancer(self.settings, n, START_US) for n in range(len(skew))]
+        listed = [Endpoint(1, started_us=START_US), *[Endpoint(n) for n in range(2, 11)]]
+        self.free_us = {entry.id: START_US for entry in listed}
+        self.sent: list[int] = []
+        self.in_flight: list[InFlight] = []
+        self.attempts: Counter[int] = Counter()
+        self.timers: list[tuple[int, int]] = []
+        self.now_us = START_US
+        self.request = 0
+        for balancer in self.balancers:
+            balancer.handle(self.now_us, EndpointsUpdated(ListKind.FULL, listed))
+
+    def fraction(self, at_us: int) -> float:
+        """The warm-up fraction of the endpoint that starts."""
+        initial = self.settings.warm_up_initial_capacity
+        return initial + (1 - initial) * (at_us - START_US) / self.settings.warm_up_us
+
+    def run(self, until_us: int) -> None:
+        while self.now_us < until_us:
+            for number, event in self.due_events():
+                for action in self.balancers[number].handle(self.now_us, event):
+                    if isinstance(action, Send):
+                        self.send(number, action)
+            self.now_us += 4_000
+
+    def due_events(self) -> list[tuple[int, Event]]:
+        events: list[tuple[int, Event]] = []
+        for number, rate in enumerate(self.skew):
             for _ in range(rate):
-                request += 1
-                events.append((number, RequestArrived(request, now_us + 1_500_000, cost_us=cost_us)))
-        for end in [e for e in ends if e[0] <= now_us]:
-            ends.remove(end)
-            how, took_us = end[5], now_us - end[6]
-            events.append((end[1], AttemptEnded(end[2], end[4], end[3], how, took_us, how is Outcome.OK)))
-        for timer in [t for t in timers if t[0] <= now_us]:
-            timers.remove(timer)
+                self.request += 1
+                events.append((number, RequestArrived(self.request, self.now_us + 1_500_000)))
+        for end in [each for each in self.in_flight if each.ends_us <= self.now_us]:
+            self.in_flight.remove(end)
+            took_us = self.now_us - end.sent_us
+            ok = end.outcome is Outcome.OK
+            ended = AttemptEnded(end.request, end.attempt, end.endpoint_id, end.outcome, took_us, ok)
+            events.append((end.instance, ended))
+        for timer in [each for each in self.timers if each[0] <= self.now_us]:
+            self.timers.remove(timer)
             events.append((timer[1], TimerFired(0)))
-        for number, event in events:
-            for action in balancers[number].handle(now_us, event):  # type: ignore[arg-type]
-                if isinstance(action, Send):
-                    nth = tries.get(action.request, 0)
-                    tries[action.request] = nth + 1
-                    slower = warmth(now_us) if action.endpoint_id == 1 else 1.0
-                    ready_us = max(free_us[action.endpoint_id], now_us) + int(40_000 / slower)
-                    how = outcome if action.endpoint_id == 1 else Outcome.OK
-                    if how is not Outcome.OK or ready_us > now_us + 300_000:
-                        ready_us, how = now_us + 4_000, Outcome.REJECTED if how is Outcome.OK else how
-                    else:
-                        free_us[action.endpoint_id] = ready_us
-                    ends.append((ready_us, number, action.request, action.endpoint_id, nth, how, now_us))
-                    if action.endpoint_id == 1:
-                        sent.append(now_us)
-        now_us += 4_000
-    worst = 0.0
-    for start in sent:
-        pushed = 40_000 * sum(1 for at in sent if start <= at < start + config.overload_duration_us)
-        worst = max(worst, pushed / (config.overload_factor * warmth(start) * config.overload_duration_us))
-    return worst
-
-
-def test_a_cold_upstream_is_not_pushed_over_by_all_sidecars_together() -> None:
+        return events
+
+    def send(self, number: int, action: Send) -> None:
+        attempt = self.attempts[action.request]
+        self.attempts[action.request] += 1
+        is_new = action.endpoint_id == 1
+        fraction = self.fraction(self.now_us) if is_new else 1.0
+        ends_us = max(self.free_us[action.endpoint_id], self.now_us) + int(40_000 / fraction)
+        outcome = self.outcome if is_new else Outcome.OK
+        if outcome is not Outcome.OK or ends_us > self.now_us + 300_000:
+            ends_us = self.now_us + 4_000
+            outcome = Outcome.REJECTED if outcome is Outcome.OK else outcome
+        else:
+            self.free_us[action.endpoint_id] = ends_us
+        self.in_flight.append(
+            InFlight(ends_us, number, action.request, action.endpoint_id, attempt, outcome, self.now_us)
+        )
+        if is_new:
+            self.sent.append(self.now_us)
+
+    def peak_load(self) -> float:
+        """The most work sent to it in `overload_duration_us`, of what overloads it."""
+        duration_us = self.settings.overload_duration_us
+        worst = 0.0
+        for start in self.sent:
+            work_us = 40_000 * sum(1 for at_us in self.sent if start <= at_us < start + duration_us)
+            budget_us = self.settings.overload_factor * self.fraction(start) * duration_us
+            worst = max(worst, work_us / budget_us)
+        return worst
+
+
+def test_an_endpoint_that_starts_is_not_overloaded_by_all_instances_together() -> None:
     for skew in ([1, 1, 1], [3, 0, 0], [1] * 8, [1] * 24, [4, 1, 1, 1]):
         for outcome in (Outcome.OK, Outcome.REJECTED, Outcome.ERROR, Outcome.CONNECT_FAILED):
-            assert 0 < pushed_share(skew, outcome) <= 1, (skew, outcome)
+            starting = StartingEndpoint(skew, outcome)
+            starting.run(START_US + 8_000_000)
+            assert 0 < starting.peak_load() <= 1, (skew, outcome)
--- a/tests/decisions/load_balancing/test_endpoint_updates.py
+++ b/tests/decisions/load_balancing/test_endpoint_updates.py
@@ -1,4 +1,4 @@
-"""The upstream list: asking for it, failures, deltas, full lists, restarts."""
+"""Endpoint lists: polls, failures, deltas, full lists, restarts."""
 
 from __future__ import annotations
 
@@ -19,51 +19,52 @@
     TimerFired,
 )
 from plovertrail.decisions.load_balancing.balancer import LoadBalancer
-from tests.decisions.load_balancing.harness import START_US, World, settings, upstreams
+from tests.decisions.load_balancing.harness import START_US, BalancerHarness, ready_endpoints, settings
 
 
-def asking_world() -> World:
-    world = World(settings(endpoints_on_request=True, max_poll_interval_us=10_000_000))
-    world.tell_list(upstreams(4), ListKind.CACHED)
-    return world
+def polling_harness() -> BalancerHarness:
+    harness = BalancerHarness(settings(endpoints_on_request=True, max_poll_interval_us=10_000_000))
+    harness.update_endpoints(ready_endpoints(4), ListKind.CACHED)
+    return harness
 
 
-def asks(world: World) -> list[int]:
-    """When the world's balancer asked, seen by stepping through time."""
-    return [i for i, action in enumerate(world.log) if isinstance(action, Subscribe)]
+def poll_positions(harness: BalancerHarness) -> list[int]:
+    """The positions of the polls in the log of actions."""
+    return [i for i, action in enumerate(harness.log) if isinstance(action, Subscribe)]
 
 
-def test_a_list_that_must_be_asked_for_is_subscribed_to() -> None:
-    world = asking_world()
-    world.advance(2_000_000)
-    assert len(asks(world)) >= 1
+def test_a_list_on_request_is_watched() -> None:
+    harness = polling_harness()
+    harness.advance(2_000_000)
+    assert len(poll_positions(harness)) >= 1
 
 
-def test_a_pushed_list_is_never_asked_for() -> None:
-    world = World()
-    world.tell_list(upstreams(4), ListKind.CACHED)
-    world.advance(60_000_000)
-    assert not asks(world)
+def test_a_pushed_list_is_never_polled() -> None:
+    harness = BalancerHarness()
+    harness.update_endpoints(ready_endpoints(4), ListKind.CACHED)
+    harness.advance(60_000_000)
+    assert not poll_positions(harness)
 
 
-def test_a_failed_list_call_is_repeated_with_growing_waits_inside_ask_within() -> None:
-    world = asking_world()
-    world.advance(2_000_000)
+def test_a_failed_poll_is_retried_with_backoff_within_the_poll_interval() -> None:
+    harness = polling_harness()
+    harness.advance(2_000_000)
     waits = []
     for _ in range(12):
-        before = len(asks(world))
-        world.tell(EndpointsUpdated(ListKind.FAILED))
-        start_us = world.now_us
-        while len(asks(world)) == before:
-            world.advance(10_000)
-            assert world.now_us - start_us < 10_000_000
-        waits.append(world.now_us - start_us)
-    assert waits[0] < 500_000 and waits[-1] > 1_000_000
+        before = len(poll_positions(harness))
+        harness.handle_event(EndpointsUpdated(ListKind.FAILED))
+        start_us = harness.now_us
+        while len(poll_positions(harness)) == before:
+            harness.advance(10_000)
+            assert harness.now_us - start_us < 10_000_000
+        waits.append(harness.now_us - start_us)
+    assert waits[0] < 500_000
+    assert waits[-1] > 1_000_000
 
 
 @pytest.mark.parametrize("instances", [1, 40, 200, 5_000])
-def test_a_silent_subscription_is_renewed_before_what_it_missed_counts_as_told(instances: int) -> None:
-    """6 s after its last word, and the 2 s of a drain; 3 s are over when it is seen."""
+def test_a_stalled_watch_is_renewed_before_missed_changes_count_as_known(instances: int) -> None:
+    """The limit is 6 s after its last line and 2 s of grace; 3 s have passed when it is noticed."""
     waits = []
     for seed in range(40):
         found = settings(
@@ -73,7 +74,7 @@
             instances=instances,
         )
         balancer = LoadBalancer(found, seed, START_US)
-        balancer.handle(START_US, EndpointsUpdated(ListKind.FULL, upstreams(4), 1))
+        balancer.handle(START_US, EndpointsUpdated(ListKind.FULL, ready_endpoints(4), 1))
         now_us = START_US + 30_000_000
         actions = balancer.handle(now_us, EndpointsUpdated(ListKind.FAILED, watch_stalled=True))
         while not any(isinstance(action, Subscribe) for action in actions):
@@ -86,7 +87,7 @@
     assert instances < 40 or max(waits) > 1_000_000  # spread, where there are many
 
 
-def test_where_it_is_known_what_discovery_bears_even_silent_subscriptions_keep_to_it() -> None:
+def test_a_stated_discovery_rate_holds_even_for_stalled_watches() -> None:
     calls: Counter[int] = Counter()
     for seed in range(5_000):
         balancer = LoadBalancer(
@@ -105,71 +106,73 @@
     assert max(calls.values()) <= 500
 
 
-def test_a_second_failure_before_the_repeat_does_not_double_the_calls() -> None:
-    world = asking_world()
-    world.advance(2_000_000)
-    before = len(asks(world))
-    world.tell(EndpointsUpdated(ListKind.FAILED))
-    world.tell(EndpointsUpdated(ListKind.FAILED))
-    world.advance(4_000_000)
-    world.tell_list(upstreams(4), ListKind.DELTA)
-    assert len(asks(world)) == before + 1
+def test_a_second_failure_before_the_retry_does_not_double_the_polls() -> None:
+    harness = polling_harness()
+    harness.advance(2_000_000)
+    before = len(poll_positions(harness))
+    harness.handle_event(EndpointsUpdated(ListKind.FAILED))
+    harness.handle_event(EndpointsUpdated(ListKind.FAILED))
+    harness.advance(4_000_000)
+    harness.update_endpoints(ready_endpoints(4), ListKind.DELTA)
+    assert len(poll_positions(harness)) == before + 1
 
 
-def test_a_call_that_is_never_answered_is_made_again_within_ask_within() -> None:
-    world = asking_world()
-    world.advance(10_000_000)
-    assert len(asks(world)) >= 2
+def test_a_poll_without_a_response_is_retried_within_the_poll_interval() -> None:
+    harness = polling_harness()
+    harness.advance(10_000_000)
+    assert len(poll_positions(harness)) >= 2
 
 
-def test_a_delta_changes_only_what_it_names() -> None:
-    world = World()
-    world.tell_list(upstreams(2))
-    world.tell_list([Endpoint(100, EndpointStatus.DRAINING)], ListKind.DELTA)
+def test_a_delta_changes_only_the_endpoints_in_it() -> None:
+    harness = BalancerHarness()
+    harness.update_endpoints(ready_endpoints(2))
+    harness.update_endpoints([Endpoint(100, EndpointStatus.DRAINING)], ListKind.DELTA)
     for _ in range(10):
-        world.end(world.arrive(0), 0, Outcome.OK)
-    assert {s.endpoint_id for s in world.sends()} == {101}
+        harness.end_attempt(harness.request_arrives(0), 0, Outcome.OK)
+    assert {s.endpoint_id for s in harness.sends()} == {101}
 
 
-def test_what_a_full_list_leaves_out_is_gone_and_may_come_back() -> None:
-    world = World()
-    world.tell_list(upstreams(2))
-    world.tell_list(upstreams(1))
+def test_endpoints_missing_in_a_full_list_are_removed_and_may_be_listed_again() -> None:
+    harness = BalancerHarness()
+    harness.update_endpoints(ready_endpoints(2))
+    harness.update_endpoints(ready_endpoints(1))
     for _ in range(10):
-        world.end(world.arrive(0), 0, Outcome.OK)
-    assert {s.endpoint_id for s in world.sends()} == {100}
-    world.tell_list(upstreams(2))
+        harness.end_attempt(harness.request_arrives(0), 0, Outcome.OK)
+    assert {s.endpoint_id for s in harness.sends()} == {100}
+    harness.update_endpoints(ready_endpoints(2))
     for _ in range(30):
-        world.end(world.arrive(0), 0, Outcome.OK)
-    assert {s.endpoint_id for s in world.sends()} == {100, 101}
+        harness.end_attempt(harness.request_arrives(0), 0, Outcome.OK)
+    assert {s.endpoint_id for s in harness.sends()} == {100, 101}
 
 
-def test_a_restart_under_the_same_id_is_cold_again() -> None:
-    world = World()
-    world.tell_list(upstreams(3))
-    world.tell_list([Endpoint(100, started_us=START_US)], ListKind.DELTA)
+def test_an_endpoint_that_restarts_under_its_id_warms_up_again() -> None:
+    harness = BalancerHarness()
+    harness.update_endpoints(ready_endpoints(3))
+    harness.update_endpoints([Endpoint(100, started_us=START_US)], ListKind.DELTA)
     for _ in range(60):
-        request = world.arrive(0)
-        world.advance(5_000)
-        world.end(request, 0, Outcome.OK)
-    assert sum(1 for s in world.sends() if s.endpoint_id == 100) <= 6
-
-
-def test_an_empty_list_and_an_empty_delta_are_taken_calmly() -> None:
-    world = World()
-    world.tell_list(upstreams(2))
-    world.tell_list([], ListKind.DELTA)
-    assert world.sends(world.arrive(0))
-    world.tell_list([])
-    request = world.arrive(0)
-    world.advance(2_000_000)
-    assert world.answer(request) is not None
-    assert all(t.at_us > START_US for t in world.log if isinstance(t, SetTimer))
-
-
-def test_forty_that_start_at_once_all_have_the_list_in_time_from_one_that_turns_calls_away() -> None:
-    """Discovery takes three calls in each quarter of a second and turns away the others. Hazard: in step, all
-    would call again at one moment, and most be turned away over and over."""
+        request = harness.request_arrives(0)
+        harness.advance(5_000)
+        harness.end_attempt(request, 0, Outcome.OK)
+    assert sum(1 for s in harness.sends() if s.endpoint_id == 100) <= 6
+
+
+def test_empty_lists_and_deltas_are_accepted() -> None:
+    harness = BalancerHarness()
+    harness.update_endpoints(ready_endpoints(2))
+    harness.update_endpoints([], ListKind.DELTA)
+    assert harness.sends(harness.request_arrives(0))
+    harness.update_endpoints([])
+    request = harness.request_arrives(0)
+    harness.advance(2_000_000)
+    assert harness.answer(request) is not None
+    assert all(t.at_us > START_US for t in harness.log if isinstance(t, SetTimer))
+
+
+def test_forty_instances_starting_together_get_the_list_from_a_discovery_that_rejects() -> None:
+    """Discovery takes three polls in each quarter of a second and rejects the others.
+
+    Without jitter, all would poll again at one moment, and most would be rejected again and again.
+    """
     max_poll_interval_us = 10_000_000
     config = settings(instances=40, endpoints_on_request=True, max_poll_interval_us=max_poll_interval_us)
     balancers = [LoadBalancer(config, seed, START_US) for seed in range(40)]
@@ -198,13 +201,14 @@
             if timers:
                 due[number] = min(timers)
         now_us += 10_000
-    assert len(told) == 40 and max(told.values()) <= START_US + max_poll_interval_us * 3 // 2
+    assert len(told) == 40
+    assert max(told.values()) <= START_US + max_poll_interval_us * 3 // 2
     later = [at_us for at_us in calls if at_us > START_US + 1_000_000]
     assert max(later.count(at_us) for at_us in later) <= 4  # never in step
     assert len(calls) <= 10 * 40
 
 
-def test_one_started_at_once_uses_the_list_it_knows_until_one_comes() -> None:
+def test_an_instance_uses_the_cached_list_until_it_gets_one() -> None:
     config = settings(instances=40, endpoints_on_request=True, max_poll_interval_us=10_000_000)
     balancer = LoadBalancer(config, 1, START_US)
     balancer.handle(START_US, EndpointsUpdated(ListKind.CACHED, [Endpoint(7), Endpoint(8)]))
@@ -222,12 +226,16 @@
                 balancer.handle(
                     START_US, AttemptEnded(request, 0, action.endpoint_id, Outcome.OK, 10_000, True)
                 )
-    assert set(seen) == {8} and len(seen) >= 6
+    assert set(seen) == {8}
+    assert len(seen) >= 6
+
 
+class SequentialDiscovery:
+    """A discovery that processes one poll at a time.
 
-class WorksInTurn:
-    """A discovery that does one call after the other; one that has waited for two seconds fails, and is work
-    all the same when its turn comes; where 32 wait, further ones fail at once."""
+    A poll that has waited for two seconds fails and is processed all the same. While 32 wait, others fail at
+    once.
+    """
 
     PATIENCE_US, MOST = 2_000_000, 32
 
@@ -236,7 +244,7 @@
         self.free_us = 0
 
     def call(self, now_us: int) -> tuple[int, bool]:
-        """When a call ends, and whether with a list."""
+        """When a poll ends, and whether with a list."""
         if self.free_us - now_us > self.MOST * self.each_us:
             return now_us, False
         self.free_us = max(self.free_us, now_us) + self.each_us
@@ -245,13 +253,13 @@
 
 
 @pytest.mark.parametrize("each_us", [125_000, 160_000])
-def test_forty_do_not_keep_a_discovery_down_that_works_on_calls_that_have_failed(each_us: int) -> None:
-    """Hazard: calls that come faster than they are done all fail, for as long as they do."""
+def test_forty_instances_do_not_overload_a_discovery_that_processes_abandoned_polls(each_us: int) -> None:
+    """Polls that come faster than they are processed would all fail."""
     config = settings(
         instances=40, endpoints_on_request=True, max_poll_interval_us=6_600_000, drain_grace_us=2_000_000
     )
     balancers = [LoadBalancer(config, seed, START_US) for seed in range(40)]
-    discovery = WorksInTurn(each_us)
+    discovery = SequentialDiscovery(each_us)
     due: list[tuple[int, int, int]] = [(START_US, number, 0) for number in range(40)]
     told: dict[int, int] = {}
     calls = 0
@@ -271,22 +279,25 @@
                 heapq.heappush(due, (ends_us, number, 1 if done else 2))
             elif isinstance(action, SetTimer):
                 heapq.heappush(due, (action.at_us, number, 0))
-    assert len(told) == 40 and max(told.values()) <= START_US + 12_000_000
+    assert len(told) == 40
+    assert max(told.values()) <= START_US + 12_000_000
     assert calls <= 3 * 40
 
 
-def test_waits_after_failed_calls_stay_within_what_rule_3_allows() -> None:
-    """After a failed call an instance counts as told when it has not asked for four times ask-within."""
+def test_backoff_after_failed_polls_stays_within_rule_3() -> None:
+    """After a failed poll, changes count as known once it has not polled for four poll intervals."""
     for seed in range(20):
-        world = World(settings(instances=40, endpoints_on_request=True, max_poll_interval_us=6_600_000), seed)
-        world.tell_list(upstreams(4), ListKind.CACHED)
-        world.advance(3_300_000)
-        assert len(asks(world)) == 1  # at the start within half of it
+        harness = BalancerHarness(
+            settings(instances=40, endpoints_on_request=True, max_poll_interval_us=6_600_000), seed
+        )
+        harness.update_endpoints(ready_endpoints(4), ListKind.CACHED)
+        harness.advance(3_300_000)
+        assert len(poll_positions(harness)) == 1  # at the start within half of it
         for _ in range(6):
-            before = len(asks(world))
-            world.advance(1_000_000)  # it waits in vain
-            start_us = world.now_us
-            world.tell(EndpointsUpdated(ListKind.FAILED))
-            while len(asks(world)) == before:
-                world.advance(50_000)
-            assert world.now_us - start_us < 6_600_000
+            before = len(poll_positions(harness))
+            harness.advance(1_000_000)  # it waits in vain
+            start_us = harness.now_us
+            harness.handle_event(EndpointsUpdated(ListKind.FAILED))
+            while len(poll_positions(harness)) == before:
+                harness.advance(50_000)
+            assert harness.now_us - start_us < 6_600_000
--- a/tests/decisions/load_balancing/test_fleet_of_40.py
+++ b/tests/decisions/load_balancing/test_fleet_of_40.py
@@ -1,4 +1,4 @@
-"""Forty sidecars and sixty upstreams: the hard cases of a large fleet, counted over all sidecars."""
+"""Forty instances and sixty endpoints: the hard cases of a large fleet, counted over all instances."""
 
 from __future__ import annotations
 
@@ -13,54 +13,63 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_six_in_ten_replaced_within_seven_seconds(seed: int) -> None:
-    """Leavers get nothing after word (checked at each send), no joiner is pushed over by the sum."""
+def test_six_in_ten_endpoints_are_replaced_within_seven_seconds(seed: int) -> None:
+    """Draining endpoints get nothing (checked at each send), and no new one is overloaded."""
     fleet = Fleet(60, seed=seed)
     fleet.play(2.0, PER_S)
     for number in range(1, 37):
-        fleet.change(replace(fleet.servers[number].entry, state=EndpointStatus.DRAINING), late_us=SECOND_US)
-        fleet.change(Endpoint(100 + number, zone=number % 3, started_us=fleet.now_us), late_us=SECOND_US)
+        fleet.update_endpoint(
+            replace(fleet.servers[number].listed, state=EndpointStatus.DRAINING), late_us=SECOND_US
+        )
+        fleet.update_endpoint(
+            Endpoint(100 + number, zone=number % 3, started_us=fleet.now_us), late_us=SECOND_US
+        )
         fleet.play(7.0 / 36, PER_S)
     fleet.play(6.0, PER_S)
-    fleet.settle()
-    pushed = [fleet.pushed(100 + number) for number in range(1, 37)]
+    fleet.finish()
+    pushed = [fleet.peak_load(100 + number) for number in range(1, 37)]
     assert 0.0 < max(pushed) <= 1.0
-    assert min(len(fleet.servers[100 + number].sent) for number in range(1, 37)) > 0
-    assert fleet.ended["served"] > 0.6 * fleet.ended.total()
+    assert min(len(fleet.servers[100 + number].sent_at_us) for number in range(1, 37)) > 0
+    assert fleet.answers["served"] > 0.6 * fleet.answers.total()
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_zone_goes_silent_and_comes_back_cold_under_requests_that_may_not_be_repeated(seed: int) -> None:
-    """An unsafe request that it swallowed is never sent again (checked at each send)."""
+def test_a_zone_that_stops_answering_and_restarts_under_at_most_once_requests(seed: int) -> None:
+    """An at-most-once request that got no response is never sent again (checked at each send)."""
     fleet = Fleet(60, seed=seed)
     fleet.play(2.0, PER_S)
     lost = [number for number in fleet.servers if number % 3 == 0]
     for number in lost:
-        fleet.servers[number].silent = True
+        fleet.servers[number].is_silent = True
     fleet.play(3.0, PER_S)
-    assert fleet.outcomes[Outcome.TIMEOUT] > 0 and fleet.outcomes[Outcome.RESET] > 0
+    assert fleet.outcomes[Outcome.TIMEOUT] > 0
+    assert fleet.outcomes[Outcome.RESET] > 0
     for number in lost:
-        fleet.change(replace(fleet.servers[number].entry, state=EndpointStatus.REMOVED), late_us=SECOND_US)
+        fleet.update_endpoint(
+            replace(fleet.servers[number].listed, state=EndpointStatus.REMOVED), late_us=SECOND_US
+        )
     fleet.play(3.0, PER_S)
     for number in lost:
-        fleet.change(Endpoint(number + 100, zone=0, started_us=fleet.now_us), late_us=SECOND_US)
+        fleet.update_endpoint(Endpoint(number + 100, zone=0, started_us=fleet.now_us), late_us=SECOND_US)
     fleet.play(5.0, PER_S)
-    fleet.settle()
-    assert 0.0 < max(fleet.pushed(number + 100) for number in lost) <= 1.0
+    fleet.finish()
+    assert 0.0 < max(fleet.peak_load(number + 100) for number in lost) <= 1.0
     swallowed = fleet.outcomes[Outcome.TIMEOUT] + fleet.outcomes[Outcome.RESET]
-    assert fleet.ended["failed"] <= swallowed < 0.1 * fleet.ended.total()  # they were soon left alone
+    assert fleet.answers["failed"] <= swallowed < 0.1 * fleet.answers.total()  # they were soon left alone
 
 
-def test_full_tables_of_connections_cost_no_request_its_life() -> None:
-    """Each upstream takes 16 connections, fewer than the sidecars would have: what finds a table full never
-    ran, and goes to where there is room."""
+def test_full_connection_tables_make_no_request_fail() -> None:
+    """Each endpoint takes 16 connections, fewer than the instances would open.
+
+    A request that is refused a connection never ran, and is sent elsewhere.
+    """
     fleet, roomy = Fleet(60, table=16), Fleet(60)
     for each in (fleet, roomy):
         each.play(8.0, PER_S)
-        each.settle()
-    most = max(server.connections for server in roomy.servers.values())
+        each.finish()
+    most = max(endpoint.connections for endpoint in roomy.servers.values())
     assert most > 16, "the tables of this test would never be full"
-    assert max(server.connections for server in fleet.servers.values()) == 16
+    assert max(endpoint.connections for endpoint in fleet.servers.values()) == 16
     assert fleet.outcomes[Outcome.CONNECT_FAILED] > 0
-    assert fleet.ended["failed"] == 0
-    assert fleet.ended["refused"] <= fleet.outcomes[Outcome.CONNECT_FAILED] / 4
+    assert fleet.answers["failed"] == 0
+    assert fleet.answers["refused"] <= fleet.outcomes[Outcome.CONNECT_FAILED] / 4
--- a/tests/decisions/load_balancing/test_overload_logging.py
+++ b/tests/decisions/load_balancing/test_overload_logging.py
@@ -4,43 +4,43 @@
 
 from plovertrail.decisions.actions import Log
 from plovertrail.decisions.events import Outcome
-from tests.decisions.load_balancing.harness import World
+from tests.decisions.load_balancing.harness import BalancerHarness
 from tests.decisions.load_balancing.scenarios import (
     PAY,
     READ,
-    churn,
-    ready_world,
+    ready_harness,
+    run_requests,
 )
 
 
-def log_lines(world: World) -> list[str]:
-    return [action.text for action in world.log if isinstance(action, Log)]
+def log_lines(harness: BalancerHarness) -> list[str]:
+    return [action.text for action in harness.log if isinstance(action, Log)]
 
 
-def churn_all(world: World, outcome: Outcome) -> None:
-    """A few requests, and one outcome for all that is out."""
+def end_all_attempts(harness: BalancerHarness, outcome: Outcome) -> None:
+    """Start a few requests, and end all attempts in flight with one outcome."""
     for _ in range(20):
-        world.arrive(PAY)
-    world.advance(10_000)
-    for ident, owed in list(world.owed.items()):
-        for attempt in owed.out():
-            world.end(ident, attempt, outcome)
+        harness.request_arrives(PAY)
+    harness.advance(10_000)
+    for request_id, record in list(harness.requests.items()):
+        for attempt in record.in_flight():
+            harness.end_attempt(request_id, attempt, outcome)
 
 
 def test_overload_is_logged_when_it_begins_and_ends() -> None:
-    world = ready_world(2)
+    harness = ready_harness(2)
     for _ in range(100):
-        world.arrive(READ)
-    assert log_lines(world) == ["overload begins"]
-    world.advance(5_000_000)
-    churn(world, 1500)
-    assert log_lines(world)[-1] == "overload ends"
+        harness.request_arrives(READ)
+    assert log_lines(harness) == ["overload begins"]
+    harness.advance(5_000_000)
+    run_requests(harness, 1500)
+    assert log_lines(harness)[-1] == "overload ends"
 
 
 def test_log_lines_are_limited_to_one_a_second() -> None:
-    world = ready_world(50)
-    begin_us = world.now_us
+    harness = ready_harness(50)
+    begin_us = harness.now_us
     for fault in (Outcome.REJECTED, Outcome.OK, Outcome.REJECTED, Outcome.OK):
         for _ in range(30):
-            churn_all(world, fault)
-    assert 1 <= len(log_lines(world)) <= 1 + (world.now_us - begin_us) / 1_000_000
+            end_all_attempts(harness, fault)
+    assert 1 <= len(log_lines(harness)) <= 1 + (harness.now_us - begin_us) / 1_000_000
--- a/tests/decisions/load_balancing/test_poll_schedule.py
+++ b/tests/decisions/load_balancing/test_poll_schedule.py
@@ -1,4 +1,4 @@
-"""The bounds of calls for the list: what discovery has is known in time, whatever calls failed before."""
+"""The bounds of polls: changes are known in time, whatever polls failed before."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 from plovertrail.decisions.settings import Settings
 from tests.decisions.load_balancing.harness import START_US, settings
 
-SLACK_US = 50_000  # the protocol page: each time limit is so much longer on sockets
+SLACK_US = 50_000  # the protocol adds this to each time limit on sockets
 GRACES_US = [250_000, 1_000_000, 2_000_000]
 REFUSED, WAITS, LOST = "refused at once", "503 after its wait", "no answer at all"
 
 
-def asked(grace_us: int, **changes: object) -> Settings:
+def polling_settings(grace_us: int, **changes: object) -> Settings:
     values: dict[str, object] = {
         "endpoints_on_request": True,
         "max_poll_interval_us": 10_000_000,
@@ -39,7 +39,7 @@
 
 @dataclass
 class Discovery:
-    """One that is down for a while. A call that is made meanwhile fails, also if it is back by then."""
+    """A discovery that is down for a while; polls that begin meanwhile fail, whenever they end."""
 
     back_us: int
     how: str
@@ -48,7 +48,7 @@
     told: list[int] = field(default_factory=list)
 
     def call(self, now_us: int) -> tuple[int, EndpointsUpdated]:
-        """When a call ends, and how."""
+        """When a poll ends, and how."""
         if now_us < self.back_us:
             waits_us = {REFUSED: 1_000, WAITS: RESPONSE_LIMIT_US, LOST: POLL_TIMEOUT_US}[self.how]
             return now_us + waits_us, EndpointsUpdated(ListKind.FAILED)
@@ -58,13 +58,13 @@
 
 
 def next_us(actions: list[Action], now_us: int) -> int:
-    """When to look again: at the next timer, or soon, as one may have been asked for before."""
+    """The time of the next event: the next timer, or soon, as one may have been requested before."""
     timers = [action.at_us for action in actions if isinstance(action, SetTimer)]
     return min([*timers, now_us + 10_000])
 
 
-def told_at(config: Settings, discovery: Discovery, seed: int) -> int:
-    """When an instance has the list after discovery's return."""
+def known_at(config: Settings, discovery: Discovery, seed: int) -> int:
+    """When an instance has the list after the outage of discovery."""
     balancer = LoadBalancer(config, seed, START_US)
     due: list[tuple[int, int, EndpointsUpdated | TimerFired]] = [(START_US, 0, TimerFired(0))]
     number = 0
@@ -85,35 +85,35 @@
 
 @pytest.mark.parametrize("grace_us", GRACES_US)
 @pytest.mark.parametrize("how", [REFUSED, WAITS, LOST])
-def test_what_discovery_has_is_known_in_time_after_an_outage(grace_us: int, how: str) -> None:
-    """Six seconds after its return, and the grace of a drain, of one instance and of two hundred alike."""
+def test_changes_are_known_in_time_after_an_outage_of_discovery(grace_us: int, how: str) -> None:
+    """The limit is six seconds after the outage, and the grace period, for 1 to 200 instances."""
     worst_us = 0
     for seed in range(60):
         rng = random.Random(seed)
         instances = rng.choice([1, 5, 40, 200])
         back_us = START_US + rng.randint(0, 20_000_000)
-        config = asked(
+        config = polling_settings(
             grace_us, instances=instances, max_poll_interval_us=rng.choice([4_000_000, 60_000_000])
         )
-        told_us = told_at(config, Discovery(back_us, how, rng), seed)
+        told_us = known_at(config, Discovery(back_us, how, rng), seed)
         worst_us = max(worst_us, told_us - back_us)
     assert RESPONSE_LIMIT_US < worst_us <= NOTIFICATION_LIMIT_US + grace_us + SLACK_US
 
 
 @pytest.mark.parametrize("grace_us", GRACES_US)
-def test_the_sum_of_the_bounds_keeps_to_the_term(grace_us: int) -> None:
-    config = asked(grace_us)
+def test_the_bounds_add_up_to_the_notification_limit(grace_us: int) -> None:
+    config = polling_settings(grace_us)
     assert max_notification_delay_us(config) <= NOTIFICATION_LIMIT_US + grace_us
     assert NOTIFICATION_LIMIT_US + grace_us >= WATCH_TIMEOUT_US + MIN_SPREAD_US + RESPONSE_LIMIT_US
     assert max_poll_gap_us(config) >= WATCH_TIMEOUT_US
 
 
 @pytest.mark.parametrize("grace_us", GRACES_US)
-def test_what_a_silent_subscription_misses_is_known_in_time(grace_us: int) -> None:
-    """It fell silent after its last word, and is broken once nothing has come for `WATCH_TIMEOUT_US`."""
+def test_changes_missed_by_a_stalled_watch_are_known_in_time(grace_us: int) -> None:
+    """A watch is considered broken once nothing has come for `WATCH_TIMEOUT_US`."""
     for seed in range(60):
         rng = random.Random(seed)
-        config = asked(grace_us, instances=rng.choice([1, 40, 200]))
+        config = polling_settings(grace_us, instances=rng.choice([1, 40, 200]))
         balancer = LoadBalancer(config, seed, START_US)
         balancer.handle(START_US, EndpointsUpdated(ListKind.FULL, [Endpoint(1)], 1))
         heard_us = START_US + 30_000_000
@@ -125,11 +125,10 @@
         assert now_us + RESPONSE_LIMIT_US <= heard_us + NOTIFICATION_LIMIT_US + grace_us + SLACK_US
 
 
-def test_a_fleet_that_has_failed_together_does_not_call_again_together() -> None:
-    """All two hundred wait for three seconds in vain; what the bound leaves is a span to be spread over, and
-    no single moment."""
+def test_polls_that_failed_together_are_not_retried_together() -> None:
+    """All two hundred polls fail after three seconds; the retries are spread over the time that is left."""
     calls: list[int] = []
-    config = asked(2_000_000, instances=200)
+    config = polling_settings(2_000_000, instances=200)
     for seed in range(200):
         balancer = LoadBalancer(config, seed, START_US)
         now_us, made = START_US, 0
@@ -146,7 +145,9 @@
     assert worst <= 80
 
 
-def test_a_stated_rate_goes_before_the_six_seconds() -> None:
-    """Where the settings say what discovery bears, a fleet keeps to that, and is told later."""
-    config = asked(250_000, instances=5_000, discovery_rate_per_s=500.0, max_poll_interval_us=60_000_000)
+def test_a_stated_rate_takes_precedence_over_the_six_seconds() -> None:
+    """If the settings state the rate of discovery, a fleet keeps to it and knows changes later."""
+    config = polling_settings(
+        250_000, instances=5_000, discovery_rate_per_s=500.0, max_poll_interval_us=60_000_000
+    )
     assert max_poll_gap_us(config) > 5 * NOTIFICATION_LIMIT_US
--- a/tests/decisions/load_balancing/test_site_settings.py
+++ b/tests/decisions/load_balancing/test_site_settings.py
@@ -11,7 +11,7 @@
 
 from plovertrail.decisions.events import EndpointStatus, ListKind
 from plovertrail.decisions.settings import RequestClass, Settings
-from tests.decisions.load_balancing.harness import World, upstreams
+from tests.decisions.load_balancing.harness import BalancerHarness, ready_endpoints
 from tests.decisions.load_balancing.test_contract_rules import FAULTS, play
 
 FOLDER = Path(__file__).parents[3] / "deploy" / "sites"
@@ -23,8 +23,8 @@
     return tomllib.loads(path.read_text(encoding="utf-8"))
 
 
-def stated(site: dict[str, Any]) -> Settings:
-    """What a sidecar of that deployment is told, as far as decisions on requests go."""
+def settings_of(site: dict[str, Any]) -> Settings:
+    """The settings of an instance of that deployment, as far as load balancing needs them."""
     classes = [
         RequestClass(
             kind["name"],
@@ -65,9 +65,9 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_no_rule_is_broken_under_other_customers_settings(path: Path, seed: int) -> None:
     dice = random.Random(seed)
-    config = stated(read(path))
-    world = World(config, seed)
-    world.tell_list(upstreams(6), ListKind.CACHED)
+    config = settings_of(read(path))
+    harness = BalancerHarness(config, seed)
+    harness.update_endpoints(ready_endpoints(6), ListKind.CACHED)
     for _ in range(1500):
         what = dice.choices(
             ["arrive", "end", "advance", "list", "restart", "quit", "fail"], [50, 40, 10, 1, 1, 1, 1]
@@ -85,12 +85,12 @@
             step = (what, dice.randrange(8), dice.choice(list(EndpointStatus)))
         elif what == "restart":
             step = (what, dice.randrange(8), dice.randrange(30_000_000))
-        play(world, step)
-    world.advance(2 * max(kind.deadline_us for kind in config.classes))  # all is answered by its due time
+        play(harness, step)
+    harness.advance(2 * max(kind.deadline_us for kind in config.classes))  # all is answered by its due time
 
 
-def test_they_differ_in_what_could_be_taken_for_granted() -> None:
-    """Each of these holds at one of them at least."""
+def test_the_sites_differ_in_what_could_be_taken_for_granted() -> None:
+    """Each of these is true of at least one of them."""
     sites = [read(path) for path in SITES]
     classes = [kind for site in sites for kind in site["class"]]
     deadlines = {kind["deadline_ms"] for kind in classes}
--- a/tests/decisions/load_balancing/test_unexpected_events.py
+++ b/tests/decisions/load_balancing/test_unexpected_events.py
@@ -1,4 +1,4 @@
-"""Odd but legal events are taken calmly; direct misuse is told plainly."""
+"""Unexpected but legal events change nothing; invalid settings raise errors."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from plovertrail.decisions.events import ListKind as Kind
 from plovertrail.decisions.load_balancing.balancer import LoadBalancer
 from plovertrail.decisions.settings import RequestClass, Tenant
-from tests.decisions.load_balancing.harness import START_US, World, settings, upstreams
+from tests.decisions.load_balancing.harness import START_US, BalancerHarness, ready_endpoints, settings
 
 
-def test_events_about_what_is_unknown_change_nothing() -> None:
-    world = World()
-    world.tell_list(upstreams(3))
+def test_events_about_unknown_requests_and_endpoints_change_nothing() -> None:
+    harness = BalancerHarness()
+    harness.update_endpoints(ready_endpoints(3))
     for event in (
         AttemptEnded(77, 0, 100, Outcome.OK, 5, True),
         RequestCancelled(77),
@@ -34,45 +34,46 @@
         PeerMessage(1, b"hi"),
         EndpointsUpdated(Kind.FAILED),
     ):
-        assert world.tell(event) == []
-    assert world.sends(world.arrive(0))
+        assert harness.handle_event(event) == []
+    assert harness.sends(harness.request_arrives(0))
 
 
-def test_outcomes_after_the_answer_and_gone_after_the_end_are_ignored() -> None:
-    world = World()
-    world.tell_list(upstreams(3))
-    request = world.arrive(0)
-    world.quit(request)
-    assert world.end(request, 0, Outcome.ERROR) == []
-    assert world.tell(AttemptEnded(request, 0, 100, Outcome.OK, 5, True)) == []
-    assert world.tell(RequestCancelled(request)) == []
-    served = world.arrive(0)
-    world.end(served, 0, Outcome.OK)
-    assert world.tell(RequestCancelled(served)) == []
+def test_outcomes_and_cancellations_after_the_answer_are_ignored() -> None:
+    harness = BalancerHarness()
+    harness.update_endpoints(ready_endpoints(3))
+    request = harness.request_arrives(0)
+    harness.cancel_request(request)
+    assert harness.end_attempt(request, 0, Outcome.ERROR) == []
+    assert harness.handle_event(AttemptEnded(request, 0, 100, Outcome.OK, 5, True)) == []
+    assert harness.handle_event(RequestCancelled(request)) == []
+    served = harness.request_arrives(0)
+    harness.end_attempt(served, 0, Outcome.OK)
+    assert harness.handle_event(RequestCancelled(served)) == []
 
 
 def test_an_outcome_of_an_attempt_never_made_is_ignored() -> None:
-    world = World()
-    world.tell_list(upstreams(3))
-    request = world.arrive(0)
-    assert world.tell(AttemptEnded(request, 9, 100, Outcome.OK, 5, False)) == []
+    harness = BalancerHarness()
+    harness.update_endpoints(ready_endpoints(3))
+    request = harness.request_arrives(0)
+    assert harness.handle_event(AttemptEnded(request, 9, 100, Outcome.OK, 5, False)) == []
 
 
 def test_a_stream_that_breaks_is_not_sent_again() -> None:
-    world = World(settings(classes=[RequestClass("feed", 100_000, 500_000, stream=True)]))
-    world.tell_list(upstreams(3))
-    request = world.arrive(0)
-    world.begin_stream(request, 0)
-    world.advance(3_000_000)
-    world.end(request, 0, Outcome.RESET)
-    assert len(world.sends(request)) == 1 and not isinstance(world.answer(request), Fail)
+    harness = BalancerHarness(settings(classes=[RequestClass("feed", 100_000, 500_000, stream=True)]))
+    harness.update_endpoints(ready_endpoints(3))
+    request = harness.request_arrives(0)
+    harness.start_stream(request, 0)
+    harness.advance(3_000_000)
+    harness.end_attempt(request, 0, Outcome.RESET)
+    assert len(harness.sends(request)) == 1
+    assert not isinstance(harness.answer(request), Fail)
 
 
 def test_the_same_events_and_seed_give_the_same_actions() -> None:
     first, second, other = (LoadBalancer(settings(), seed, START_US) for seed in (5, 5, 6))
     told = []
     for balancer in (first, second, other):
-        actions = balancer.handle(START_US, EndpointsUpdated(Kind.FULL, upstreams(9)))
+        actions = balancer.handle(START_US, EndpointsUpdated(Kind.FULL, ready_endpoints(9)))
         for n in range(20):
             actions += balancer.handle(START_US, RequestArrived(n, START_US + 900_000))
         told.append(actions)
@@ -95,7 +96,7 @@
         (lambda: settings(classes=[]), "at least one request class"),
     ],
 )
-def test_misuse_says_what_was_expected(make: object, words: str) -> None:
+def test_an_invalid_setting_raises_an_error_that_says_what_was_expected(make: object, words: str) -> None:
     with pytest.raises(ValueError, match="expected") as caught:
         make()  # type: ignore[operator]
     assert words in str(caught.value)
--- a/tests/decisions/load_balancing/test_weighted_sampler.py
+++ b/tests/decisions/load_balancing/test_weighted_sampler.py
@@ -1,4 +1,4 @@
-"""Draws in proportion to weights, whatever comes and goes."""
+"""Sampling in proportion to weights while members are added and removed."""
 
 from __future__ import annotations
 
@@ -14,7 +14,9 @@
 
 
 @given(CHANGES, st.floats(0, 1, exclude_max=True))
-def test_a_draw_falls_where_the_sums_say(changes: list[tuple[int, float | None]], uniform: float) -> None:
+def test_a_sample_has_a_weight_whatever_was_added_changed_and_removed(
+    changes: list[tuple[int, float | None]], uniform: float
+) -> None:
     made, plain = WeightedSampler(), dict[int, float]()
     for member, weight in changes:
         if weight is None:
@@ -23,7 +25,8 @@
         else:
             made.set(member, weight)
             plain[member] = weight
-    assert set(made) == set(plain) and len(made) == len(plain)
+    assert set(made) == set(plain)
+    assert len(made) == len(plain)
     assert all((member in made) == (member in plain) for member in range(41))
     drawn = made.sample(uniform)
     if drawn is None:
@@ -32,7 +35,7 @@
         assert plain[drawn] > 0
 
 
-def test_each_member_is_drawn_as_often_as_its_weight_says() -> None:
+def test_each_member_is_sampled_in_proportion_to_its_weight() -> None:
     made, rng = WeightedSampler(), random.Random(5)
     weights = {number: float(1 + number % 7) for number in range(100)}
     for number, weight in weights.items():
@@ -51,7 +54,7 @@
     assert chi_square < 110  # 65 degrees of freedom; over 110 one time in 2,000
 
 
-def test_nothing_is_drawn_from_nothing() -> None:
+def test_without_weights_nothing_is_sampled() -> None:
     made = WeightedSampler()
     assert made.sample(0.5) is None
     made.set(1, 0.0)
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -29,7 +29,7 @@
     penalties_for_pool,
     penalty_of,
 )
-from tests.decisions.load_balancing.harness import START_US, upstreams
+from tests.decisions.load_balancing.harness import START_US, ready_endpoints
 from tests.decisions.load_balancing.harness import settings as module_settings
 
 S = 1_000_000
@@ -265,7 +265,7 @@
     sent = dict.fromkeys(range(100, 108), 0)
     for seed in range(250):
         balancer = LoadBalancer(module_settings(hedging=False), seed, START_US)
-        balancer.handle(START_US, EndpointsUpdated(ListKind.FULL, upstreams(8)))
+        balancer.handle(START_US, EndpointsUpdated(ListKind.FULL, ready_endpoints(8)))
         balancer.handle(START_US, PeerHealthUpdated(penalties))
         for request in range(4):
             for action in balancer.handle(START_US, RequestArrived(request, START_US + S)):
@@ -291,7 +291,7 @@
     sent = []
     for seed in range(40):
         balancer = LoadBalancer(module_settings(hedging=False), seed, START_US)
-        balancer.handle(START_US, EndpointsUpdated(ListKind.FULL, upstreams(4)))
+        balancer.handle(START_US, EndpointsUpdated(ListKind.FULL, ready_endpoints(4)))
         for server in list(balancer.endpoints.values())[1:]:
             balancer.table.set_active(server, True, START_US)
         balancer.handle(START_US, PeerHealthUpdated({(100, 0): 0.4}))
@@ -304,11 +304,11 @@
 
 def test_penalties_replace_earlier_ones_and_apply_to_listed_endpoints_only() -> None:
     balancer = LoadBalancer(module_settings(), 1, START_US)
-    balancer.handle(START_US, EndpointsUpdated(ListKind.FULL, upstreams(8)))
+    balancer.handle(START_US, EndpointsUpdated(ListKind.FULL, ready_endpoints(8)))
     balancer.handle(START_US, PeerHealthUpdated({(100, 0): 0.5, (999, 0): 1.0, (101, 77): 1.0}))
     assert balancer.endpoints[100].peer_penalties == {0: 0.5}
     assert balancer.peer_penalties.penalized == {100}
-    balancer.handle(START_US, EndpointsUpdated(ListKind.FULL, upstreams(8)[1:]))
+    balancer.handle(START_US, EndpointsUpdated(ListKind.FULL, ready_endpoints(8)[1:]))
     balancer.handle(START_US, PeerHealthUpdated({(102, 0): 0.5}))
     assert balancer.peer_penalties.penalized == {102}
     assert balancer.endpoints[101].peer_penalties is None
--- a/tests/decisions/test_warm_state.py
+++ b/tests/decisions/test_warm_state.py
@@ -21,7 +21,7 @@
     restore_endpoint,
     restore_mean_latencies,
 )
-from tests.decisions.load_balancing.harness import START_US, settings, upstreams
+from tests.decisions.load_balancing.harness import START_US, ready_endpoints, settings
 
 GOOD = EndpointHistory(5.0, 0.5, 0.0, 0.0, (0.0, 0.0), (0, 0))
 BAD = EndpointHistory(0.1, 3.0, 0.8, 0.6, (0.4, 0.0), (5, 1))
@@ -45,7 +45,7 @@
             and restore_endpoint(made, server, fit(judged[server.listed.id]), age_us)
         )
     )
-    made.handle(START_US, EndpointsUpdated(ListKind.CACHED, upstreams(8)))
+    made.handle(START_US, EndpointsUpdated(ListKind.CACHED, ready_endpoints(8)))
     return made
 
 
