--- a/tests/decisions/load_balancing/test_fleet_warm_up.py
+++ b/tests/decisions/load_balancing/test_fleet_warm_up.py
@@ -21,9 +21,9 @@
 ]
 
 
-def random_fleet(instance_count: int, ready_endpoints: int, rng: random.Random) -> Fleet:
+def random_fleet(instance_count: int, endpoint_count: int, rng: random.Random) -> Fleet:
     """A fleet with random settings."""
-    fleet = Fleet(ready_endpoints, instance_count=instance_count, seed=rng.randrange(2**30))
+    fleet = Fleet(endpoint_count, instance_count=instance_count, seed=rng.randrange(2**30))
     s = fleet.settings
     s.warm_up_initial_capacity, warm_s, s.overload_factor, fall_s = rng.choice(SETTINGS)
     s.warm_up_us, s.overload_duration_us = int(warm_s * SECOND_US), int(fall_s * SECOND_US)
@@ -35,12 +35,12 @@
 def join(fleet: Fleet, count: int, work_us: int) -> list[int]:
     """Replace some endpoints by new ones at one moment; all instances learn it within 0.25 s."""
     for number in range(1, count + 1):
-        gone = replace(fleet.servers[number].listed, state=EndpointStatus.DRAINING)
-        fleet.update_endpoint(gone, SECOND_US // 4)
+        draining = replace(fleet.endpoints[number].listed, state=EndpointStatus.DRAINING)
+        fleet.update_endpoint(draining, SECOND_US // 4)
         fleet.update_endpoint(
             Endpoint(1000 + number, zone=number % 3, started_us=fleet.now_us), SECOND_US // 4
         )
-    for endpoint in fleet.servers.values():
+    for endpoint in fleet.endpoints.values():
         endpoint.work_us, endpoint.max_wait_us = work_us, SECOND_US
     return [1000 + number for number in range(1, count + 1)]
 
@@ -57,19 +57,19 @@
     """
     rng = random.Random(f"{instance_count} {part}")
     for _ in range(2 if instance_count == 200 else 6):
-        ready_endpoints, work_us = rng.choice([8, 20, 30]), rng.choice([15_000, 60_000, 80_000])
-        fleet = random_fleet(instance_count, ready_endpoints, rng)
-        full_per_s = ready_endpoints * SECOND_US / work_us
+        endpoint_count, work_us = rng.choice([8, 20, 30]), rng.choice([15_000, 60_000, 80_000])
+        fleet = random_fleet(instance_count, endpoint_count, rng)
+        full_per_s = endpoint_count * SECOND_US / work_us
         per_s = min(600.0, rng.choice([0.4, 0.9, 1.5]) * full_per_s)
         if rng.random() < 0.4:
             fleet.busy_instance, fleet.busy_share = 0, min(0.6, 5.0 / instance_count)
         fleet.play(0.1 if rng.random() < 0.3 else 2.0, per_s)
-        cold = join(fleet, max(1, int(part * ready_endpoints)), work_us)
+        started = join(fleet, max(1, int(part * endpoint_count)), work_us)
         fleet.play(0.5, per_s)
         for number in range(instance_count * 7 // 10 if rng.random() < 0.5 else 0):
             fleet.restart_instance(number)
         fleet.play(2.5, per_s)
-        assert max(fleet.excess_over_budget(number) for number in cold) <= ROOTS
+        assert max(fleet.excess_over_budget(number) for number in started) <= ROOTS
         assert (
-            sum(len(fleet.servers[number].sent_at_us) for number in cold) > len(cold) // 2
+            sum(len(fleet.endpoints[number].sent_at_us) for number in started) > len(started) // 2
         )  # they are not shut
--- a/tests/decisions/load_balancing/test_warm_up_end.py
+++ b/tests/decisions/load_balancing/test_warm_up_end.py
@@ -21,7 +21,7 @@
 def set_work(fleet: Fleet, work_us: int) -> None:
     """Give the old endpoints another response time; they reject nothing."""
     for number in OLD:
-        fleet.servers[number].work_us, fleet.servers[number].max_wait_us = work_us, 60 * SECOND_US
+        fleet.endpoints[number].work_us, fleet.endpoints[number].max_wait_us = work_us, 60 * SECOND_US
 
 
 def join(fleet: Fleet, age_s: float = 0.0) -> None:
@@ -33,9 +33,9 @@
 
 def sent(fleet: Fleet, numbers: range, seconds: float, per_s: float = PER_S) -> int:
     """How many requests these endpoints are sent in the next seconds."""
-    before = sum(len(fleet.servers[number].sent_at_us) for number in numbers)
+    before = sum(len(fleet.endpoints[number].sent_at_us) for number in numbers)
     fleet.play(seconds, per_s)
-    return sum(len(fleet.servers[number].sent_at_us) for number in numbers) - before
+    return sum(len(fleet.endpoints[number].sent_at_us) for number in numbers) - before
 
 
 def test_an_instance_keeps_using_new_endpoints_that_were_fast_during_warm_up() -> None:
@@ -47,9 +47,9 @@
     join(fleet)
     assert sent(fleet, NEW, 20.0) > 0
     in_use = len(fleet.instances[0].table.groups[0].active)
-    to_old = sum(len(fleet.servers[number].sent_at_us) for number in OLD)
+    to_old = sum(len(fleet.endpoints[number].sent_at_us) for number in OLD)
     to_new = sent(fleet, NEW, 4.0)
-    to_old = sum(len(fleet.servers[number].sent_at_us) for number in OLD) - to_old
+    to_old = sum(len(fleet.endpoints[number].sent_at_us) for number in OLD) - to_old
     assert to_new > 4 * to_old
     assert len(fleet.instances[0].table.groups[0].active) <= in_use + len(NEW)
 
