--- a/benchmarks/capacity/evidence_load.py
+++ b/benchmarks/capacity/evidence_load.py
@@ -71,7 +71,7 @@
         self.keys = [(server, CLASS_KEY) for pool in self.pools for server in pool]
         self.pool_keys = [PoolKeys(dict(enumerate(pool)), (CLASS_KEY,)) for pool in self.pools]
         self.background = BackgroundScheduler(crowd.local_us)
-        self.background.add(EVALUATION, crowd.local_us, EVALUATION.every_us)
+        self.background.add(EVALUATION, crowd.local_us, EVALUATION.interval_us)
         self.next_pool = 0
         self.looks = 0
         self._due_attempts = 0.0
@@ -88,21 +88,21 @@
             self.meter.call(self.detector.record_attempt, self.keys[place], result, self.crowd.local_us)
         if self.detector.has_urgent_news:
             self.crowd.flush_news(self.number)
-            self.background.hurry(EVALUATION.name, self.crowd.local_us)
+            self.background.make_due(EVALUATION.name, self.crowd.local_us)
         self.crowd.queue.after(STEP_US, self._attempts)
 
     def _look_when_due(self) -> None:
         """One slice of the look, a service's, if the background work's budget lets it run now."""
         now_us = self.crowd.local_us
-        if self.background.next(now_us) is not None:
+        if self.background.next_task(now_us) is not None:
             before_ns = self.meter.total_ns
             self.meter.call(self._look_at_pool, self.next_pool, now_us)
             took_us = (self.meter.total_ns - before_ns) // 1_000
             self.next_pool = (self.next_pool + 1) % len(self.pools)
             over = self.next_pool == 0
             self.looks += over
-            self.background.ran(EVALUATION.name, took_us, over, now_us)
-        due_us = self.background.look_us(now_us)
+            self.background.slice_ended(EVALUATION.name, took_us, over, now_us)
+        due_us = self.background.next_check_us(now_us)
         assert due_us is not None
         self.crowd.queue.after(max(LEAST_WAIT_US, due_us - now_us), self._look_when_due)
 
--- a/plovertrail/background.py
+++ b/plovertrail/background.py
@@ -1,4 +1,4 @@
-"""Runs background work on the loop, a slice a turn, as decisions/background.py has it."""
+"""Runs background tasks on the event loop, a slice a turn, as decisions/background.py schedules them."""
 
 from __future__ import annotations
 
@@ -8,98 +8,110 @@
 from typing import Any
 
 from plovertrail.clock import clock_us
-from plovertrail.decisions.background import BackgroundScheduler, BackgroundTask
+from plovertrail.decisions.background import BackgroundScheduler, BackgroundTask, TaskState
 
 log = logging.getLogger(__name__)
-Begin = Callable[[], Iterator[None]]  # one run: what lies between two yields is a slice
+Run = Iterator[None]  # what lies between two yields is a slice
+StartRun = Callable[[], Run]
 
 
 class BackgroundRunner:
-    """All background work of one daemon."""
+    """All background tasks of one daemon."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.background = BackgroundScheduler(clock_us())
-        self.begins: dict[str, Begin] = {}
-        self.under_way: dict[str, Iterator[None]] = {}
+        self.scheduler = BackgroundScheduler(clock_us())
+        self.start_run: dict[str, StartRun] = {}
+        self.runs: dict[str, Run] = {}  # that have begun
         self.timer: asyncio.TimerHandle | None = None
-        self.wanted_us = 0  # when that should fire
+        self.timer_due_us = 0
         self.stopped = False
 
-    def add(self, work: BackgroundTask, begin: Begin, first_us: int = 0) -> None:
-        """Work that is done again and again; a run that is under way goes on."""
-        self.begins[work.name] = begin
-        self.background.add(work, clock_us(), first_us)
-        self._arm()
+    def add(self, task: BackgroundTask, start_run: StartRun, first_us: int = 0) -> None:
+        """Run a task again and again; a run that has begun goes on."""
+        self.start_run[task.name] = start_run
+        self.scheduler.add(task, clock_us(), first_us)
+        self._schedule_turn()
 
-    def hurry(self, name: str) -> None:
-        """It should not wait for its time."""
-        self.background.hurry(name, clock_us())
-        self._arm()
+    def make_due(self, name: str) -> None:
+        """Run a task now instead of when it is due."""
+        self.scheduler.make_due(name, clock_us())
+        self._schedule_turn()
 
     def remove(self, name: str) -> None:
-        """Drop a work by its name, with the run that is under way; nothing happens if there is none."""
-        self.background.remove(name)
-        self.begins.pop(name, None)
-        self.under_way.pop(name, None)
-        self._arm()
+        """Remove a task by its name, with the run that has begun; nothing happens if there is none."""
+        self.scheduler.remove(name)
+        self.start_run.pop(name, None)
+        self.runs.pop(name, None)
+        self._schedule_turn()
 
-    def _arm(self, lag_us: int = 0) -> None:
+    def _schedule_turn(self, lag_us: int = 0) -> None:
         now_us = clock_us()
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        at_us = None if self.stopped else self.background.look_us(now_us, lag_us)
+        if self.stopped:
+            return
+        at_us = self.scheduler.next_check_us(now_us, lag_us)
         if at_us is not None:
-            self.wanted_us = max(at_us, now_us)
+            self.timer_due_us = max(at_us, now_us)
             self.timer = self.loop.call_later(max(0, at_us - now_us + 1) / 1e6, self._turn)
 
     def _turn(self) -> None:
+        """Run one slice, if one is due."""
         self.timer = None
         began_us = clock_us()
-        lag_us = began_us - self.wanted_us
-        name = self.background.next(began_us, lag_us)
+        lag_us = began_us - self.timer_due_us
+        name = self.scheduler.next_task(began_us, lag_us)
         if name is not None:
-            over, failed = True, False
-            run = self.under_way.pop(name, None)
-            try:
-                if run is None:
-                    run = self.begins[name]()
-                next(run)
-                over = False
-            except StopIteration:
-                pass
-            except Exception:
-                # hazard: a fault in one kind of work would end all of it
-                failed = True
-                log.exception("background work failed: %s", name)
-            if not over and run is not None and name in self.begins:
-                self.under_way[name] = run
-            now_us = clock_us()
-            self.background.ran(name, now_us - began_us, over, now_us, failed)
-        self._arm(lag_us)
+            self._run_slice(name, began_us)
+        self._schedule_turn(lag_us)
+
+    def _run_slice(self, name: str, began_us: int) -> None:
+        """Run the next slice of a task."""
+        run_ended = True
+        failed = False
+        run = self.runs.pop(name, None)
+        try:
+            if run is None:
+                run = self.start_run[name]()
+            next(run)
+            run_ended = False
+        except StopIteration:
+            pass
+        except Exception:
+            # A fault in one task must not end the others.
+            failed = True
+            log.exception("background task failed task=%s", name)
+        if not run_ended and run is not None and name in self.start_run:
+            self.runs[name] = run
+        now_us = clock_us()
+        self.scheduler.slice_ended(name, now_us - began_us, run_ended, now_us, failed)
 
     def status(self) -> dict[str, Any]:
-        """For operators: what each work has taken since it was added."""
-        now_us, found = clock_us(), {}
-        for name, each in self.background.works.items():
-            alive_us = max(1, now_us - self.background.since_us)
-            found[name] = {
-                "priority": each.work.priority.name.lower(),
-                "runs": each.runs,
-                "failed": each.failed,
-                "due_in_s": round((each.due_us - now_us) / 1e6, 3),
-                "running": each.running,
-                "worst_slice_ms": round(each.worst_us / 1e3, 3),
-                "longest_wait_s": round(each.latest_wait_us / 1e6, 3),
-                "share": round(each.took_us / alive_us, 6),
-                "share_at_most": each.work.share,
-            }
-        return found
+        """Report for operators what each task has used since it was added."""
+        now_us = clock_us()
+        alive_us = max(1, now_us - self.scheduler.started_us)
+        return {name: _task_status(state, now_us, alive_us) for name, state in self.scheduler.tasks.items()}
 
     def stop(self) -> None:
-        """Start no further slice from now on, and cancel the timer; can't be undone."""
+        """Start no further slice, and cancel the timer; can't be undone."""
         self.stopped = True
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
+
+
+def _task_status(state: TaskState, now_us: int, alive_us: int) -> dict[str, Any]:
+    """Report one task."""
+    return {
+        "priority": state.task.priority.name.lower(),
+        "runs": state.runs,
+        "failed": state.failures,
+        "due_in_s": round((state.due_us - now_us) / 1e6, 3),
+        "running": state.running,
+        "worst_slice_ms": round(state.longest_slice_us / 1e3, 3),
+        "longest_wait_s": round(state.longest_wait_us / 1e6, 3),
+        "share": round(state.used_us / alive_us, 6),
+        "share_at_most": state.task.loop_fraction,
+    }
--- a/plovertrail/daemon/fleet_tracker.py
+++ b/plovertrail/daemon/fleet_tracker.py
@@ -11,7 +11,7 @@
 from plovertrail.decisions.endpoint_list import Candidate, Entry
 from plovertrail.decisions.fleet_limits import Fleet
 from plovertrail.decisions.list_versions import SourceKey
-from plovertrail.decisions.pacing import InstanceRank, place
+from plovertrail.decisions.pacing import InstanceRank, rank_of
 from plovertrail.sources.first_read import FirstRead
 from plovertrail.sources.instances import InstanceList
 from plovertrail.sources.list_reader import ListReader
@@ -55,7 +55,7 @@
             self.on_change()
 
     def _count(self, instances: tuple[Entry, ...]) -> None:
-        self.rank = place(self.instance_name, [instance.id for instance in instances])
+        self.rank = rank_of(self.instance_name, [instance.id for instance in instances])
         self.fleet = replace(self.fleet, size=self.rank.size)
 
     def status(self) -> dict[str, Any]:
--- a/plovertrail/daemon/pool_manager.py
+++ b/plovertrail/daemon/pool_manager.py
@@ -27,10 +27,10 @@
 log = logging.getLogger(__name__)
 
 SHRINK_SUBSETS = BackgroundTask(
-    "subsets", Priority.LISTS, every_us=1_000_000, latest_us=1_000_000, share=0.02
+    "subsets", Priority.LISTS, interval_us=1_000_000, max_delay_us=1_000_000, loop_fraction=0.02
 )
 REPORT_PROBLEMS = BackgroundTask(
-    "reports", Priority.REPORTS, every_us=2_000_000, latest_us=8_000_000, share=0.01
+    "reports", Priority.REPORTS, interval_us=2_000_000, max_delay_us=8_000_000, loop_fraction=0.01
 )
 
 
@@ -133,8 +133,8 @@
         pools = self.running
         self.with_subset = [pool for pool in pools.values() if pool.pool.subset is not None]
         self.with_problems &= pools.keys()
-        background.add(SHRINK_SUBSETS, self._shrink_subsets, SHRINK_SUBSETS.every_us)
-        background.add(REPORT_PROBLEMS, self._report_problems, REPORT_PROBLEMS.every_us)
+        background.add(SHRINK_SUBSETS, self._shrink_subsets, SHRINK_SUBSETS.interval_us)
+        background.add(REPORT_PROBLEMS, self._report_problems, REPORT_PROBLEMS.interval_us)
 
     def _shrink_subsets(self) -> Iterator[None]:
         for pool in self.with_subset:
--- a/plovertrail/daemon/running_pool.py
+++ b/plovertrail/daemon/running_pool.py
@@ -114,17 +114,17 @@
             self.started = True
             self._start_admission(fleet, slow_start)
         elif self.pool.admission is not None:
-            self.pool.admission.size = fleet.size
+            self.pool.admission.instances = fleet.size
         bounds, endpoints = self.config.bounds, len(self.registry.state.members)
         self.oversubscribed = oversubscribed(fleet, bounds, endpoints)
         limits = instance_limits(fleet, bounds, endpoints)
         if limits != self.limits:
             self.limits = limits
-            self.connections.limit(limits, rank.part(self.random()))
+            self.connections.limit(limits, rank.delay_fraction(self.random()))
 
     def resume_after_pause(self, fleet: Fleet, rank: InstanceRank, slow_start: bool) -> None:
         """Start slowly again after the process was paused, perhaps with all others of its machine."""
-        self.connections.stood_still(rank.part(self.random()))
+        self.connections.stood_still(rank.delay_fraction(self.random()))
         self._start_admission(fleet, slow_start)
 
     def _start_admission(self, fleet: Fleet, slow_start: bool) -> None:
--- a/plovertrail/daemon/status.py
+++ b/plovertrail/daemon/status.py
@@ -84,9 +84,9 @@
 
 def admission_status(admission: StartupAdmission | None) -> dict[str, Any]:
     """How many requests are admitted at once in a slow start; empty where all are."""
-    if admission is None or admission.over:
+    if admission is None or admission.finished:
         return {}
-    return {"window": int(admission.window), "servers": admission.servers, "refused": admission.refused}
+    return {"window": int(admission.limit), "servers": admission.endpoints, "refused": admission.rejected}
 
 
 def queue_status(queue: RequestQueue | None) -> dict[str, Any]:
--- a/plovertrail/decisions/background.py
+++ b/plovertrail/decisions/background.py
@@ -1,10 +1,9 @@
-"""When work that is no request gets its turn: by priority and budget, and at the latest so long after it is
-due.
+"""Schedules background tasks on an event loop: by priority, within a budget, and with a bound on delays.
 
-Work comes in slices, each a turn of the loop. What a slice took is paid back by waiting: a work never has
-more than its share of the loop's time, and all together never more than theirs. What has waited too long goes
-before all that has not, whatever the budget or the load, one slice after the other with a pause between.
-Pure: times are arguments, in microseconds.
+A task runs in slices, each within one turn of the loop. The time of a slice is paid back by waiting: a task
+never has more than its fraction of the loop's time, and all tasks together never more than theirs. A task
+that has waited for its longest delay goes before all that have not, whatever the budget or the load: one
+slice at a time with a pause between. Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -12,140 +11,148 @@
 import enum
 from dataclasses import dataclass
 
-ALL_SHARE = 0.05  # of the loop's time, for all work together
-MOST_IN_HAND_US = 20_000  # of that, saved up in a calm spell
-BUSY_LAG_US = 5_000  # a turn that comes later than this: requests wait as well, so what can wait longer does
-BUSY_PAUSE_US = 50_000  # till the next look then
-OVERDUE_PAUSE_US = 2_000  # between two slices of what has waited too long: requests have their turns between
+TOTAL_LOOP_FRACTION = 0.05  # of the loop's time, for all tasks together
+MAX_BALANCE_US = 20_000  # of that time, saved up while there is little to do
+BUSY_LAG_US = 5_000  # a turn that comes later than this: requests wait as well, so tasks are put off
+BUSY_INTERVAL_US = 50_000  # until the next check then
+OVERDUE_PAUSE_US = 2_000  # between two slices of overdue tasks, so that requests have their turns
 
 
 class Priority(enum.IntEnum):
-    """What goes first of all that is due."""
+    """Which of all due tasks goes first."""
 
     LISTS = 0  # where requests may go
-    PEERS = 1  # what others should know
-    STATE = 2  # what should outlast the process
+    PEERS = 1  # what other instances should know
+    STATE = 2  # what should outlive the process
     REPORTS = 3  # what people read
 
 
 @dataclass(frozen=True, slots=True)
 class BackgroundTask:
-    """One kind of work. `every_us` counts from the end of one run to the next one's due time."""
+    """One task that is run again and again."""
 
     name: str
     priority: Priority
-    every_us: int
-    latest_us: int  # a run begins, and goes on, at the latest so long after it is due
-    share: float  # of the loop's time, at most, while it is not overdue
+    interval_us: int  # from the end of a run to when the next one is due
+    max_delay_us: int  # a run begins, and goes on, at the latest so long after it is due
+    loop_fraction: float  # of the loop's time, at most, unless it is overdue
 
 
 @dataclass(slots=True)
 class TaskState:
-    """How far a work is, and what it has taken since it was added."""
+    """The progress of a task, and what it has used since it was added."""
 
-    work: BackgroundTask
+    task: BackgroundTask
     due_us: int
     running: bool = False  # a run has begun and is not over
-    next_us: int = 0  # its share lets no slice out before
-    waits_since_us: int = 0  # its last slice's end, or when it became due
+    not_before_us: int = 0  # its fraction of the loop allows no slice earlier
+    waiting_since_us: int = 0  # the end of its last slice, or when it became due
     runs: int = 0
     slices: int = 0
-    failed: int = 0
-    took_us: int = 0
-    worst_us: int = 0  # the longest slice
-    latest_wait_us: int = 0  # the longest that a slice has waited
-
-    def overdue(self, now_us: int) -> bool:
-        """Whether the work has waited for its latest start since it was due."""
-        return now_us - max(self.due_us, self.waits_since_us) >= self.work.latest_us
+    failures: int = 0
+    used_us: int = 0
+    longest_slice_us: int = 0
+    longest_wait_us: int = 0  # of a slice
+
+    def is_overdue(self, now_us: int) -> bool:
+        """Whether the task has waited for its longest delay."""
+        return now_us - max(self.due_us, self.waiting_since_us) >= self.task.max_delay_us
+
+    def slice_ended(self, took_us: int, run_ended: bool, failed: bool, now_us: int) -> None:
+        """Account for a slice, and for the run if that ended with it."""
+        waited_us = now_us - took_us - max(self.due_us, self.waiting_since_us)
+        self.longest_wait_us = max(self.longest_wait_us, waited_us)
+        self.slices += 1
+        self.used_us += took_us
+        self.longest_slice_us = max(self.longest_slice_us, took_us)
+        self.failures += failed
+        self.running = not run_ended
+        self.waiting_since_us = now_us
+        self.not_before_us = now_us + int(took_us / self.task.loop_fraction)
+        if run_ended:
+            self.runs += 1
+            self.due_us = now_us + self.task.interval_us
+            self.waiting_since_us = self.due_us
 
 
 class BackgroundScheduler:
-    """All work of one loop."""
+    """All background tasks of one event loop."""
 
-    def __init__(self, now_us: int, share: float = ALL_SHARE) -> None:
-        self.share = share
-        self.in_hand_us = float(MOST_IN_HAND_US)
-        self.at_us = now_us
+    def __init__(self, now_us: int, loop_fraction: float = TOTAL_LOOP_FRACTION) -> None:
+        self.loop_fraction = loop_fraction
+        self.balance_us = float(MAX_BALANCE_US)  # of the loop's time; below 0 nothing runs but overdue tasks
+        self.refilled_us = now_us
         self.paused_until_us = now_us
-        self.works: dict[str, TaskState] = {}
-        self.since_us = now_us
-
-    def add(self, work: BackgroundTask, now_us: int, first_us: int = 0) -> None:
-        """Its first run is due after `first_us`; one of the same name goes on under the new figures."""
-        old = self.works.get(work.name)
-        if old is not None:
-            old.work = work
-            old.due_us = min(old.due_us, now_us + work.every_us)
+        self.tasks: dict[str, TaskState] = {}
+        self.started_us = now_us
+
+    def add(self, task: BackgroundTask, now_us: int, first_us: int = 0) -> None:
+        """Add a task whose first run is due after `first_us`; one of the same name is updated."""
+        state = self.tasks.get(task.name)
+        if state is not None:
+            state.task = task
+            state.due_us = min(state.due_us, now_us + task.interval_us)
         else:
-            self.works[work.name] = TaskState(work, now_us + first_us, waits_since_us=now_us + first_us)
+            due_us = now_us + first_us
+            self.tasks[task.name] = TaskState(task, due_us, waiting_since_us=due_us)
 
     def remove(self, name: str) -> None:
-        """Forget a work by its name; nothing happens if there is none."""
-        self.works.pop(name, None)
-
-    def hurry(self, name: str, now_us: int) -> None:
-        """It is due now."""
-        standing = self.works[name]
-        if not standing.running and standing.due_us > now_us:
-            standing.due_us = standing.waits_since_us = now_us
-
-    def next(self, now_us: int, lag_us: int = 0) -> str | None:
-        """The work whose next slice runs now, if one does. `lag_us`: how late this turn came."""
-        self._earn(now_us)
-        due = [each for each in self.works.values() if each.due_us <= now_us]
-        overdue = [each for each in due if each.overdue(now_us)]
+        """Remove a task by its name; nothing happens if there is none."""
+        self.tasks.pop(name, None)
+
+    def make_due(self, name: str, now_us: int) -> None:
+        """Make a task due now."""
+        state = self.tasks[name]
+        if not state.running and state.due_us > now_us:
+            state.due_us = now_us
+            state.waiting_since_us = now_us
+
+    def next_task(self, now_us: int, lag_us: int = 0) -> str | None:
+        """Choose the task whose next slice runs now, if one does; `lag_us`: how late this turn came."""
+        self._refill(now_us)
+        due = [state for state in self.tasks.values() if state.due_us <= now_us]
+        overdue = [state for state in due if state.is_overdue(now_us)]
         if overdue:
             if now_us < self.paused_until_us:
                 return None
-            return min(overdue, key=lambda each: each.waits_since_us + each.work.latest_us).work.name
-        if lag_us > BUSY_LAG_US or self.in_hand_us <= 0.0:
+            return min(overdue, key=lambda each: each.waiting_since_us + each.task.max_delay_us).task.name
+        if lag_us > BUSY_LAG_US or self.balance_us <= 0.0:
             return None
-        ready = [each for each in due if each.next_us <= now_us]
+        ready = [state for state in due if state.not_before_us <= now_us]
         if not ready:
             return None
-        return min(ready, key=lambda each: (each.work.priority, each.due_us)).work.name
-
-    def ran(self, name: str, took_us: int, over: bool, now_us: int, failed: bool = False) -> None:
-        """A slice has ended; `over`: and the run with it."""
-        self._earn(now_us)
-        self.in_hand_us -= took_us
+        return min(ready, key=lambda each: (each.task.priority, each.due_us)).task.name
+
+    def slice_ended(
+        self, name: str, took_us: int, run_ended: bool, now_us: int, failed: bool = False
+    ) -> None:
+        """Account for a slice of a task, which may have been removed meanwhile."""
+        self._refill(now_us)
+        self.balance_us -= took_us
         self.paused_until_us = now_us + OVERDUE_PAUSE_US
-        standing = self.works.get(name)
-        if standing is None:
-            return
-        standing.latest_wait_us = max(
-            standing.latest_wait_us, now_us - took_us - max(standing.due_us, standing.waits_since_us)
-        )
-        standing.slices += 1
-        standing.took_us += took_us
-        standing.worst_us = max(standing.worst_us, took_us)
-        standing.failed += failed
-        standing.running = not over
-        standing.waits_since_us = now_us
-        standing.next_us = now_us + int(took_us / standing.work.share)
-        if over:
-            standing.runs += 1
-            standing.due_us = standing.waits_since_us = now_us + standing.work.every_us
-
-    def look_us(self, now_us: int, lag_us: int = 0) -> int | None:
-        """When to ask for the next slice; None: there is no work."""
-        if not self.works:
+        state = self.tasks.get(name)
+        if state is not None:
+            state.slice_ended(took_us, run_ended, failed, now_us)
+
+    def next_check_us(self, now_us: int, lag_us: int = 0) -> int | None:
+        """Compute when to ask for the next slice; None: there is no task."""
+        if not self.tasks:
             return None
-        self._earn(now_us)
-        earliest = []
-        for each in self.works.values():
-            begins_us = max(each.due_us, each.waits_since_us)
-            at_us = max(each.due_us, each.next_us)
-            if self.in_hand_us <= 0.0:
-                at_us = max(at_us, now_us + 1 + int(-self.in_hand_us / self.share))
-            if lag_us > BUSY_LAG_US:
-                at_us = max(at_us, now_us + BUSY_PAUSE_US)
-            latest_us = max(begins_us + each.work.latest_us, self.paused_until_us)
-            earliest.append(min(at_us, latest_us))
-        return max(min(earliest), now_us)
-
-    def _earn(self, now_us: int) -> None:
-        earned = max(0, now_us - self.at_us) * self.share
-        self.in_hand_us = min(float(MOST_IN_HAND_US), self.in_hand_us + earned)
-        self.at_us = max(self.at_us, now_us)
+        self._refill(now_us)
+        earliest_us = min(self._next_slice_us(state, now_us, lag_us) for state in self.tasks.values())
+        return max(earliest_us, now_us)
+
+    def _next_slice_us(self, state: TaskState, now_us: int, lag_us: int) -> int:
+        """Compute when the next slice of a task may run."""
+        at_us = max(state.due_us, state.not_before_us)
+        if self.balance_us <= 0.0:
+            at_us = max(at_us, now_us + 1 + int(-self.balance_us / self.loop_fraction))
+        if lag_us > BUSY_LAG_US:
+            at_us = max(at_us, now_us + BUSY_INTERVAL_US)
+        overdue_us = max(state.due_us, state.waiting_since_us) + state.task.max_delay_us
+        return min(at_us, max(overdue_us, self.paused_until_us))
+
+    def _refill(self, now_us: int) -> None:
+        earned_us = max(0, now_us - self.refilled_us) * self.loop_fraction
+        self.balance_us = min(float(MAX_BALANCE_US), self.balance_us + earned_us)
+        self.refilled_us = max(self.refilled_us, now_us)
--- a/plovertrail/decisions/pacing.py
+++ b/plovertrail/decisions/pacing.py
@@ -1,7 +1,7 @@
-"""Turns of one instance among many that come to life, wake or begin anew at one moment.
+"""When one instance acts among many that start, resume or reconfigure at one moment.
 
-Those who know their place in the list of instances take turns by it: an even spread, with no two at one
-moment. Those who don't take random ones. Pure.
+Instances that know their rank in the list of instances spread evenly by it, no two at one moment. Those that
+don't spread at random.
 """
 
 from __future__ import annotations
@@ -12,23 +12,27 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceRank:
-    """Where an instance stands among all. `rank` None: it isn't known."""
+    """The rank of an instance among all; a `rank` of None is not known."""
 
     rank: int | None = None
     size: int = 1
 
-    def part(self, draw: float) -> float:
-        """Which part of a span, from 0 to 1, its turn comes after; `draw` is a random number from 0 to 1.
-        Hazard: by rank alone, two whose lists differ, or who go by one name, would come at the same moment
-        each time; so the turn lies at random within the part that falls to the rank."""
+    def delay_fraction(self, draw: float) -> float:
+        """Compute after which part of a span, from 0 to 1, this instance acts.
+
+        `draw` is a random number from 0 to 1. It moves the instance within the part that falls to its rank:
+        by rank alone, two whose lists differ or who share a name would act at the same moment each time.
+        """
         if self.rank is None:
             return draw
         return (self.rank + draw) / self.size
 
 
-def place(name: str, names: Sequence[str]) -> InstanceRank:
-    """The place of `name` among the instances that a list names, in whatever order; one that is not in it has
-    none, and takes turns at random."""
+def rank_of(name: str, names: Sequence[str]) -> InstanceRank:
+    """Find the rank of an instance among those that a list names, in whatever order.
+
+    An instance that is not in the list has no rank.
+    """
     sorted_names = sorted(set(names))
     size = max(1, len(sorted_names))
     return InstanceRank(sorted_names.index(name), size) if name in sorted_names else InstanceRank(None, size)
--- a/plovertrail/dispatch/pool_sequence.py
+++ b/plovertrail/dispatch/pool_sequence.py
@@ -90,7 +90,7 @@
         pool = request.pools[number]
         failover.pools_tried = number + 1
         if pool.queue is None and pool.admission is not None and not pool.admits():
-            after_us = pool.admission.back_after_us() if pool.settings.retry_after else 0
+            after_us = pool.admission.retry_after_us() if pool.settings.retry_after else 0
             self.try_next_pool(request, ProxyResponse(ResponseKind.REJECTED, after_us))
             return
         request.pool = pool
--- a/plovertrail/dispatch/pools.py
+++ b/plovertrail/dispatch/pools.py
@@ -75,7 +75,7 @@
             self.attempt_observer.attempt_ended(pool, attempt.endpoint_id, class_index, outcome, elapsed_us)
         if pool.admission is not None:
             objective_us = pool.settings.classes[class_index].latency_objective_us
-            pool.admission.ended(outcome, elapsed_us, objective_us, clock_us())
+            pool.admission.attempt_ended(outcome, elapsed_us, objective_us, clock_us())
 
     def remove(self, pool: ServerPool) -> None:
         """Take a pool out of force: its load balancer hears that no endpoint is listed."""
--- a/plovertrail/dispatch/server_pool.py
+++ b/plovertrail/dispatch/server_pool.py
@@ -127,8 +127,8 @@
         admission = self.admission
         if admission is None:
             return True
-        admission.reckon(len(self.serving))
-        return admission.may(len(self.balancer.requests), clock_us())
+        admission.endpoints_changed(len(self.serving))
+        return admission.admits(len(self.balancer.requests), clock_us())
 
     def retry_after_us(self, action: Reject) -> int:
         """When a rejected client should come back: in vain before a connection that it needs may be made."""
--- a/plovertrail/health_reporter.py
+++ b/plovertrail/health_reporter.py
@@ -30,7 +30,9 @@
 from plovertrail.endpoint_registry import EndpointRegistry
 
 # Evidence is gossiped five times a second as a rule, so health is evaluated as often.
-EVALUATION = BackgroundTask("opinions", Priority.PEERS, every_us=200_000, latest_us=1_000_000, share=0.02)
+EVALUATION = BackgroundTask(
+    "opinions", Priority.PEERS, interval_us=200_000, max_delay_us=1_000_000, loop_fraction=0.02
+)
 RESULTS = {
     Outcome.OK: AttemptResult.SUCCESS,
     Outcome.ERROR: AttemptResult.FAILURE,
@@ -93,9 +95,9 @@
         for pool in self._registry_of:
             pool.balancer.report_no_response_to(partial(self.no_response, pool) if enabled else None)
         if enabled:
-            runner.add(EVALUATION, self.evaluate, EVALUATION.every_us)
+            runner.add(EVALUATION, self.evaluate, EVALUATION.interval_us)
             self.exchange.report_urgently(self.evaluate_soon)
-        elif self.health or EVALUATION.name in runner.begins:
+        elif self.health or EVALUATION.name in runner.start_run:
             runner.remove(EVALUATION.name)
             self._clear()
 
@@ -109,8 +111,8 @@
 
     def evaluate_soon(self) -> None:
         """Evaluate before the regular time, as an endpoint has turned unhealthy."""
-        if self.runner is not None and EVALUATION.name in self.runner.begins:
-            self.runner.hurry(EVALUATION.name)
+        if self.runner is not None and EVALUATION.name in self.runner.start_run:
+            self.runner.make_due(EVALUATION.name)
 
     def attempt_ended(
         self, pool: ServerPool, endpoint_id: int, class_index: int, outcome: Outcome, elapsed_us: int
--- a/plovertrail/simulation/instances.py
+++ b/plovertrail/simulation/instances.py
@@ -89,7 +89,7 @@
             self.fleet.number, around.bounds.subset_size or len(around.servers)
         )
         self.budget = fleet_limits.instance_limits(self.fleet, around.bounds, len(around.servers))
-        turn = self.place.part(self.rng.random()) if around.by_list else self.rng.random()
+        turn = self.place.delay_fraction(self.rng.random()) if around.by_list else self.rng.random()
         self.dials = (
             connect_rate.ConnectRateLimiter(self.budget.connect_interval_us, now_us, turn)
             if self.budget.connect_interval_us
@@ -151,9 +151,9 @@
         """A request has come."""
         now_us = self.around.clock.now_us
         if self.admission is not None:
-            self.admission.reckon(len(self.balancer.endpoints))
-            if not self.admission.may(len(self.owed), now_us):
-                reply(False, self.admission.back_after_us())
+            self.admission.endpoints_changed(len(self.balancer.endpoints))
+            if not self.admission.admits(len(self.owed), now_us):
+                reply(False, self.admission.retry_after_us())
                 return
         self.owed[ident] = reply
         self.tell(RequestArrived(ident, due_us, excluded=self))
@@ -258,7 +258,7 @@
             self.close(number)
         served, elapsed_us = outcome is Outcome.OK, now_us - out.sent_us
         if self.admission is not None:
-            self.admission.ended(
+            self.admission.attempt_ended(
                 outcome, elapsed_us, self.around.settings.classes[0].latency_objective_us, now_us
             )
         if served:
--- a/plovertrail/store/warm_state.py
+++ b/plovertrail/store/warm_state.py
@@ -30,7 +30,9 @@
 SLICE_LENGTH = 200  # endpoints or keys in one turn of the loop: under a millisecond
 MAX_UNCHANGED_POOLS = 200  # that are passed over in one turn of the loop
 # Once a second with few endpoints; with 10,000 of them as often as the share of the loop allows.
-COLLECTION = BackgroundTask("state", Priority.STATE, every_us=1_000_000, latest_us=10_000_000, share=0.005)
+COLLECTION = BackgroundTask(
+    "state", Priority.STATE, interval_us=1_000_000, max_delay_us=10_000_000, loop_fraction=0.005
+)
 Pools = Callable[[], Mapping[str, tuple[ServerPool, State]]]
 
 
@@ -89,7 +91,7 @@
     def schedule(self, runner: BackgroundRunner) -> None:
         """Collect in the background from now on, where there is a state file."""
         if self.store.path:
-            runner.add(COLLECTION, self.collect, COLLECTION.every_us)
+            runner.add(COLLECTION, self.collect, COLLECTION.interval_us)
 
     # Restoring
 
--- a/tests/decisions/test_background.py
+++ b/tests/decisions/test_background.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from plovertrail.decisions.background import MOST_IN_HAND_US, BackgroundScheduler, BackgroundTask, Priority
+from plovertrail.decisions.background import MAX_BALANCE_US, BackgroundScheduler, BackgroundTask, Priority
 
 S = 1_000_000
 LISTS = BackgroundTask("lists", Priority.LISTS, 250_000, 500_000, 0.02)
@@ -31,7 +31,7 @@
     def until(self, end_us: int) -> None:
         turns = 0
         while True:
-            at_us = self.background.look_us(self.now_us, self.lag_us)
+            at_us = self.background.next_check_us(self.now_us, self.lag_us)
             assert at_us is not None
             if at_us >= end_us:
                 self.now_us = end_us
@@ -39,14 +39,14 @@
             turns += 1
             assert turns < 200_000, "it asks for turns in which nothing runs"
             self.now_us = max(self.now_us + 1, at_us)
-            name = self.background.next(self.now_us, self.lag_us)
+            name = self.background.next_task(self.now_us, self.lag_us)
             if name is not None:
                 self.ran.append((self.now_us, name))
                 slices = self.took.get(name, [100])
                 self.left[name] = (self.left[name] or len(slices)) - 1
                 took_us = slices[len(slices) - 1 - self.left[name]]
                 self.now_us += took_us
-                self.background.ran(name, took_us, self.left[name] == 0, self.now_us)
+                self.background.slice_ended(name, took_us, self.left[name] == 0, self.now_us)
 
     def times(self, name: str) -> list[int]:
         return [at_us for at_us, each in self.ran if each == name]
@@ -63,7 +63,7 @@
 def test_a_long_run_never_has_more_than_its_share_of_the_loop() -> None:
     loop = Loop(STATE, took={"state": [500] * 200})  # 0.1 s of work: at 0.005 of the loop, 20 s
     loop.until(200 * S)
-    took_us = loop.background.works["state"].took_us
+    took_us = loop.background.tasks["state"].used_us
     assert 0.9 * 0.0045 * 200 * S < took_us <= 0.005 * 200 * S + 500
     gaps = [b - a for a, b in zip(loop.times("state"), loop.times("state")[1:], strict=False)]
     assert min(gaps) >= 500 / 0.005
@@ -73,9 +73,9 @@
     loop = Loop(LISTS, STATE, REPORTS, took={"state": [300] * 5}, lag_us=50_000)
     loop.until(300 * S)
     for work in (LISTS, STATE, REPORTS):
-        standing = loop.background.works[work.name]
-        assert standing.slices and standing.latest_wait_us <= work.latest_us + 100_000, work.name
-    assert loop.times("lists")[0] >= LISTS.latest_us  # it did wait
+        standing = loop.background.tasks[work.name]
+        assert standing.slices and standing.longest_wait_us <= work.max_delay_us + 100_000, work.name
+    assert loop.times("lists")[0] >= LISTS.max_delay_us  # it did wait
 
 
 def test_after_a_stop_of_the_process_what_is_due_comes_out_one_by_one_with_turns_between() -> None:
@@ -91,14 +91,14 @@
 def test_new_figures_and_haste_move_what_is_due() -> None:
     background = BackgroundScheduler(0)
     background.add(REPORTS, 0, first_us=9 * S)
-    assert background.next(S) is None and background.look_us(S) == 9 * S
+    assert background.next_task(S) is None and background.next_check_us(S) == 9 * S
     background.add(BackgroundTask("reports", Priority.REPORTS, 2 * S, S, 0.01), S)
-    assert background.look_us(S) == 3 * S
-    background.hurry("reports", 2 * S)
-    assert background.next(2 * S) == "reports"
+    assert background.next_check_us(S) == 3 * S
+    background.make_due("reports", 2 * S)
+    assert background.next_task(2 * S) == "reports"
     background.remove("reports")
-    background.ran("reports", 10, True, 2 * S)  # one that was removed in its own slice
-    assert background.look_us(2 * S) is None
+    background.slice_ended("reports", 10, True, 2 * S)  # one that was removed in its own slice
+    assert background.next_check_us(2 * S) is None
 
 
 @settings(max_examples=60, deadline=None)
@@ -129,11 +129,14 @@
     # overdue ones wait for each other at most: one slice each, and the pause behind it
     room_us = (len(works) + 1) * (longest_us + 2_000) * 2 + 60_000
     for work in works:
-        standing = loop.background.works[work.name]
-        waits_us = max(standing.latest_wait_us, loop.now_us - max(standing.due_us, standing.waits_since_us))
-        assert waits_us <= work.latest_us + room_us
-    if not lag_us and all(work.latest_us > 10 * S for work in works):
-        took_us = sum(standing.took_us for standing in loop.background.works.values())
-        assert took_us <= 0.05 * 40 * S + MOST_IN_HAND_US + longest_us or any(
-            standing.latest_wait_us >= standing.work.latest_us for standing in loop.background.works.values()
+        standing = loop.background.tasks[work.name]
+        waits_us = max(
+            standing.longest_wait_us, loop.now_us - max(standing.due_us, standing.waiting_since_us)
+        )
+        assert waits_us <= work.max_delay_us + room_us
+    if not lag_us and all(work.max_delay_us > 10 * S for work in works):
+        took_us = sum(standing.used_us for standing in loop.background.tasks.values())
+        assert took_us <= 0.05 * 40 * S + MAX_BALANCE_US + longest_us or any(
+            standing.longest_wait_us >= standing.task.max_delay_us
+            for standing in loop.background.tasks.values()
         )
--- a/tests/store/test_restart.py
+++ b/tests/store/test_restart.py
@@ -53,7 +53,7 @@
             bad = next(iter(it.daemon.pools["main"].pool.balancer.endpoints.values()))
             before = round(bad.failure_penalty, 2)  # as it is kept
             assert before > 0.2
-            it.daemon.services.background.hurry("state")
+            it.daemon.services.background.make_due("state")
             await until(lambda: bool(it.daemon.services.store.written.warm_state_image))
             shutil.copytree(here, killed)  # what a kill at this moment would leave
         async with started(killed, servers) as it:
@@ -132,7 +132,7 @@
                 raise RuntimeError("a fault in one kind of work")
 
             it.daemon.services.warm_state.limiters = breaks  # type: ignore[assignment]
-            it.daemon.services.background.hurry("state")
+            it.daemon.services.background.make_due("state")
             await until(lambda: it.daemon.status()["background"]["state"]["failed"] > 0)
             assert (await it.ask(message("GET /"))).status == 200
             it.daemon.services.warm_state.limiters = dict
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -88,7 +88,7 @@
         async with one_of_many(tmp_path, held) as it:
             admission = it.daemon.pools["main"].pool.admission
             assert admission is not None
-            admission.over = True
+            admission.finished = True
             it.daemon.resume_after_pause(5_000_000)
             assert sorted(await crowd(it, held, 4, 2)) == [200] * 2 + [503] * 2
 
@@ -135,7 +135,7 @@
         ) as it:
             admission = it.daemon.pools["main"].pool.admission
             assert admission is not None
-            admission.may = lambda at_once, now_us: at_once < 1  # type: ignore[method-assign]
+            admission.admits = lambda in_flight, now_us: in_flight < 1  # type: ignore[method-assign]
             first = await send(it)
             await until(lambda: len(held.server.arrivals) == 1)
             assert (await it.ask(message("GET /"))).status == 200
