--- a/tests/cli/test_balances.py
+++ b/tests/cli/test_balances.py
@@ -71,7 +71,8 @@
 def test_the_page_names_the_socket_and_reads_the_hint_that_a_drain_gives(tmp_path: Path) -> None:
     async def test(daemon: Daemon, port: int) -> None:
         got = await asyncio.to_thread(urllib.request.urlopen, f"http://127.0.0.1:{port}/balances", None, 10)
-        assert got.read() == PAGE and b'"/live"' in PAGE
+        assert got.read() == PAGE
+        assert b'"/live"' in PAGE
         async with connect(f"ws://127.0.0.1:{port}/live") as peer:
             news = json.loads(await peer.recv())
             assert set(news["balances"]) == set(READERS)
@@ -80,9 +81,11 @@
                 while True:
                     await peer.recv()
         told = caught.value.rcvd
-        assert told is not None and told.code == 1012
+        assert told is not None
+        assert told.code == 1012
         pattern = re.search(rb"/(retry-after=.*?)/\.exec", PAGE)
-        assert pattern is not None and re.search(pattern[1].decode(), told.reason)
+        assert pattern is not None
+        assert re.search(pattern[1].decode(), told.reason)
         async with connect(f"ws://127.0.0.1:{port}/live") as peer:
             assert json.loads(await peer.recv())["server"] != news["server"]
 
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -16,29 +16,33 @@
     return CliRunner().invoke(main, list(arguments))
 
 
-def test_check_says_what_a_good_file_holds_and_what_is_wrong_with_a_bad_one(tmp_path: Path) -> None:
+def test_check_sums_up_a_good_file_and_lists_the_problems_of_a_bad_one(tmp_path: Path) -> None:
     good = call("check", str(EXAMPLE))
-    assert good.exit_code == 0 and "7 routes, 2 pools with 4 servers, 4 classes" in good.output
+    assert good.exit_code == 0
+    assert "7 routes, 2 pools with 4 servers, 4 classes" in good.output
     path = tmp_path / "bad.toml"
     path.write_text(
         EXAMPLE.read_text().replace('"chapter-buy"', '"chapter-by"').replace('"127.0.0.1:9001"', '"s1"')
     )
     bad = call("check", str(path))
-    assert bad.exit_code == 2 and "2 problems" in bad.output
-    assert 'did you mean "chapter-buy"?' in bad.output and "pools.store.servers[0].address" in bad.output
+    assert bad.exit_code == 2
+    assert "2 problems" in bad.output
+    assert 'did you mean "chapter-buy"?' in bad.output
+    assert "pools.store.servers[0].address" in bad.output
     assert call("check", str(tmp_path / "none")).exit_code == 2
 
 
 @pytest.mark.parametrize(
     ("place", "told"), [("no/such/state", "there is no folder"), ("", "is a folder"), ("state", "")]
 )
-def test_check_refuses_a_state_file_that_could_not_be_kept(tmp_path: Path, place: str, told: str) -> None:
+def test_check_refuses_a_state_file_that_can_not_be_written(tmp_path: Path, place: str, told: str) -> None:
     path, state = tmp_path / "site.toml", tmp_path / "disk" / place
     (tmp_path / "disk").mkdir()
     path.write_text(f'[daemon]\nstate_file = "{state}"\n' + EXAMPLE.read_text().replace("[daemon]", "[was]"))
     found = call("check", str(path))
     assert (found.exit_code == 0) == (not told), found.output
-    assert told in found.output and (not told or "daemon.state_file" in found.output)
+    assert told in found.output
+    assert not told or "daemon.state_file" in found.output
 
 
 @pytest.mark.parametrize(
@@ -84,7 +88,8 @@
 )
 def test_route_exits_with_1_where_no_route_takes_a_request(arguments: tuple[str, ...], told: str) -> None:
     done = call("route", str(EXAMPLE), *arguments)
-    assert done.exit_code == 1 and told in done.output
+    assert done.exit_code == 1
+    assert told in done.output
 
 
 def test_route_wants_headers_with_a_name() -> None:
@@ -93,8 +98,10 @@
 
 def test_the_demo_serves_and_ends_with_a_summary() -> None:
     done = call("demo", "--seconds", "1")
-    assert done.exit_code == 0 and "curl -i http://127.0.0.1:" in done.output
-    assert "answered 200" in done.output and "s3: " in done.output
+    assert done.exit_code == 0
+    assert "curl -i http://127.0.0.1:" in done.output
+    assert "answered 200" in done.output
+    assert "s3: " in done.output
 
 
 def test_check_tells_of_lists_in_files(tmp_path: Path) -> None:
@@ -103,5 +110,6 @@
     torn.write_bytes(b"127.0.0.1:80\n")
     path.write_text(EXAMPLE.read_text().replace("attempts = 4", f'servers_from = ["{listed}", "{torn}"]'))
     good = call("check", str(path))
-    assert good.exit_code == 0 and f"{listed}: 1 servers" in good.output
+    assert good.exit_code == 0
+    assert f"{listed}: 1 servers" in good.output
     assert f"{torn}: no list now: it doesn't end with its checksum" in good.output
--- a/tests/cli/test_hook.py
+++ b/tests/cli/test_hook.py
@@ -72,7 +72,8 @@
 def test_the_examples_pass_the_daemons_own_check(name: str) -> None:
     counters = ("--counter", "blocked", "--counter", "tagged")
     result = hook("check", str(EXAMPLES / name), "--config", "codes=A", *counters)
-    assert result.exit_code == 0 and "good: on_request; sha256 " in result.output
+    assert result.exit_code == 0
+    assert "good: on_request; sha256 " in result.output
 
 
 def test_a_new_hook_is_built_checked_and_run(tmp_path: Path) -> None:
@@ -86,7 +87,8 @@
 
 def test_a_new_hook_in_assemblyscript_has_all_that_its_build_needs(tmp_path: Path) -> None:
     result = hook("new", str(tmp_path), "--language", "assemblyscript")
-    assert result.exit_code == 0 and "npm run build" in result.output
+    assert result.exit_code == 0
+    assert "npm run build" in result.output
     assert {path.name for path in tmp_path.iterdir()} == {"hook.ts", "plovertrail.ts", "package.json"}
 
 
@@ -94,9 +96,11 @@
     loop = tmp_path / "loop.wasm"
     loop.write_bytes(wat.module(on_request=wat.LOOP))
     result = hook("run", str(loop))
-    assert result.exit_code == 1 and "used up its fuel" in result.output
+    assert result.exit_code == 1
+    assert "used up its fuel" in result.output
     result = hook("check", str(loop))
-    assert result.exit_code == 1 and "tried out, on_request" in result.output
+    assert result.exit_code == 1
+    assert "tried out, on_request" in result.output
     (tmp_path / "bad.wat").write_text("(module")
     for name, command in (("bad.wat", "check"), ("missing.wasm", "run"), ("bad.wat", "build")):
         assert hook(command, str(tmp_path / name)).exit_code == 2
@@ -106,7 +110,8 @@
     assert hook("check", str(loop), "--memory", "1").exit_code == 2
     (tmp_path / "request.json").write_text('{"verb": "GET"}')
     result = hook("run", str(loop), "--request", str(tmp_path / "request.json"))
-    assert result.exit_code == 2 and "verb" in result.output
+    assert result.exit_code == 2
+    assert "verb" in result.output
 
 
 @pytest.mark.parametrize("phase", ["on_request", "on_answer", "on_end"])
@@ -123,9 +128,11 @@
     hooks = f'[hooks.mine]\nfile = "{good}"\n'
     path.write_text(hooks + GOOD.replace('name = "rest"', 'name = "rest"\nhooks = ["mine"]'))
     result = CliRunner().invoke(main, ["check", str(path)])
-    assert result.exit_code == 0 and "hooks.mine: on_request; sha256 " in result.output
+    assert result.exit_code == 0
+    assert "hooks.mine: on_request; sha256 " in result.output
     result = CliRunner().invoke(main, ["route", str(path), "GET", "/x"])
     assert "hooks     mine (without one it fails; not asked here)" in result.output
     good.write_bytes(b"noise")
     result = CliRunner().invoke(main, ["check", str(path)])
-    assert result.exit_code == 2 and "hooks.mine.file" in result.output
+    assert result.exit_code == 2
+    assert "hooks.mine.file" in result.output
--- a/tests/cli/test_tests.py
+++ b/tests/cli/test_tests.py
@@ -53,7 +53,9 @@
             while not reload.done():
                 assert (await it.ask(message("POST /buy", body=b"x"))).status == 200
                 answered += 1
-            assert not reload.result() and answered >= 2 and it.daemon.generation.number == 1
+            assert not reload.result()
+            assert answered >= 2
+            assert it.daemon.generation.number == 1
             assert await it.change(text + "\n# the same")
             assert it.daemon.generation.number == 2
 
@@ -64,8 +66,11 @@
     async def test() -> None:
         async with running(tmp_path, {"main": [WebServer()]}) as it:
 
-            async def approve(path: str) -> str:
+            def change(path: str) -> None:
                 Path(path).write_text(Path(path).read_text() + "\n# another")
+
+            async def approve(path: str) -> str:
+                await asyncio.to_thread(change, path)
                 return ""
 
             it.daemon.reloader.approve = approve
@@ -101,7 +106,8 @@
         text=True,
         timeout=60,
     )
-    assert done.returncode == 2 and "class is 'buy', not 'read'" in done.stderr
+    assert done.returncode == 2
+    assert "class is 'buy', not 'read'" in done.stderr
 
 
 def test_a_change_is_tested_again(tmp_path: Path) -> None:
@@ -125,7 +131,8 @@
             with suppress(queue.Empty):
                 found.append(lines.get(timeout=0.2))
                 break
-        assert found and "BROKEN" in found[0]
+        assert found
+        assert "BROKEN" in found[0]
     finally:
         watching.terminate()
         watching.wait(timeout=30)
--- a/tests/cli/test_top.py
+++ b/tests/cli/test_top.py
@@ -29,7 +29,7 @@
     }
 
 
-def test_shares_and_rates_are_of_the_time_between_two_looks() -> None:
+def test_shares_and_rates_are_of_the_time_between_two_refreshes() -> None:
     before = {"main": {"a": tenant(100, 9.0), "b": tenant(10, 1.0), "idle": tenant(5, 1.0)}}
     now = {"main": {"a": tenant(120, 10.0), "b": tenant(80, 4.0, 3, 4), "idle": tenant(5, 1.0)}}
     assert tenant_rows(before, now, 2.0) == [
@@ -64,7 +64,7 @@
         listener.close()
 
 
-def test_it_draws_the_tenants_as_often_as_asked(tmp_path: Path) -> None:
+def test_it_draws_the_tenants_as_many_times_as_given(tmp_path: Path) -> None:
     looks: list[dict[str, Any]] = [
         {"main": {"fair": {"kidlat": tenant(n, n / 10)}}, "plain": {"fair": {}}} for n in range(3)
     ]
@@ -75,18 +75,22 @@
             env={"COLUMNS": "120"},
         )
     assert result.exit_code == 0, result.output
-    assert "kidlat" in result.output and "100.0 %" in result.output and "plain" not in result.output
+    assert "kidlat" in result.output
+    assert "100.0 %" in result.output
+    assert "plain" not in result.output
 
 
-def test_without_a_door_or_a_daemon_it_says_so(tmp_path: Path) -> None:
+def test_without_a_fair_queue_or_a_daemon_it_says_so(tmp_path: Path) -> None:
     with daemon(tmp_path / "control", [{"plain": {"fair": {}}}]):
         result = CliRunner().invoke(main, ["top", "--socket", str(tmp_path / "control")])
-    assert result.exit_code == 0 and "write fair = {}" in result.output
+    assert result.exit_code == 0
+    assert "write fair = {}" in result.output
     result = CliRunner().invoke(main, ["top", "--socket", str(tmp_path / "nothing")])
-    assert result.exit_code == 1 and "no daemon answers" in result.output
+    assert result.exit_code == 1
+    assert "no daemon answers" in result.output
 
 
-def test_what_is_counted_over_the_fleet_stands_below(tmp_path: Path) -> None:
+def test_shared_counts_are_listed_largest_first() -> None:
     peers = {
         "heard": 2,
         "size": 4,
@@ -101,7 +105,7 @@
     assert count_rows({}) == []
 
 
-def test_the_phase_other_instances_and_what_is_told_of_servers_are_shown(tmp_path: Path) -> None:
+def test_the_phase_other_instances_and_outliers_are_shown(tmp_path: Path) -> None:
     own = {"attempts": 2.0, "faults": 1.0, "silent": 0.5, "full": 0.0}
 
     def opinion(held_back: float) -> dict[str, Any]:
--- a/tests/cli/test_wait.py
+++ b/tests/cli/test_wait.py
@@ -27,12 +27,15 @@
         ) as it:
             await it.daemon.control.start()
             found = await called("wait", "--phase", "serving in part", "--within", "20", "--socket", socket)
-            assert found.exit_code == 0 and found.output.startswith("serving in part for ")
+            assert found.exit_code == 0
+            assert found.output.startswith("serving in part for ")
             found = await called("wait", "--within", "0", "--socket", socket)
-            assert found.exit_code == 4 and "not full within 0 s" in found.output
+            assert found.exit_code == 4
+            assert "not full within 0 s" in found.output
             assert f"main: file:{path}: No such file" in found.output
             found = await called("status", "--socket", socket)
-            assert "phase: serving in part" in found.output and found.exit_code == 3
+            assert "phase: serving in part" in found.output
+            assert found.exit_code == 3
             assert (await called("wait", "--phase", "happy", "--socket", socket)).exit_code == 2
 
     run(test)
@@ -40,7 +43,8 @@
 
 def test_no_daemon_is_waited_for_as_long_as_was_said(tmp_path: Path) -> None:
     found = CliRunner().invoke(main, ["wait", "--within", "0.1", "--socket", str(tmp_path / "none")])
-    assert found.exit_code == 4 and "no daemon answers" in found.output
+    assert found.exit_code == 4
+    assert "no daemon answers" in found.output
 
 
 def test_check_tells_what_becomes_of_the_state_of_this_file(tmp_path: Path) -> None:
@@ -48,7 +52,8 @@
     path.write_text(site(8080, {"main": []}))
     found = CliRunner().invoke(main, ["check", str(path)]).output
     assert "after a restart: drains by hand: learnt anew, as there is no state file" in found
-    assert "peers" not in found and "hooks" not in found
+    assert "peers" not in found
+    assert "hooks" not in found
     path.write_text(site(8080, {"main": []}, head=f'[daemon]\nstate_file = "{tmp_path}/state"\n'))
     found = CliRunner().invoke(main, ["check", str(path)]).output
     assert "after a restart: drains by hand: the state file" in found
--- /dev/null
+++ b/tests/daemon/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the daemon over real sockets."""
--- a/tests/test_doors.py
+++ b/tests/daemon/test_fair_queue.py
@@ -57,7 +57,7 @@
     return clients
 
 
-def test_a_small_tenant_goes_before_what_a_big_one_has_waiting(tmp_path: Path) -> None:
+def test_a_small_tenant_is_admitted_before_the_queue_of_a_big_one(tmp_path: Path) -> None:
     async def test() -> None:
         held = Held()
         async with site(tmp_path, held) as it:
@@ -80,7 +80,7 @@
     run(test)
 
 
-def test_one_whose_client_goes_leaves_the_door(tmp_path: Path) -> None:
+def test_a_request_whose_client_disconnects_leaves_the_queue(tmp_path: Path) -> None:
     async def test() -> None:
         held = Held()
         async with site(tmp_path, held) as it:
@@ -97,7 +97,7 @@
     run(test)
 
 
-def test_one_that_waits_for_too_long_is_told_when_to_come_back(tmp_path: Path) -> None:
+def test_a_request_queued_for_too_long_is_rejected_with_retry_after(tmp_path: Path) -> None:
     async def test() -> None:
         held = Held()
         async with site(tmp_path, held, 'fair = { max_wait = "100ms" }') as it:
@@ -115,7 +115,7 @@
     run(test)
 
 
-def test_one_with_less_time_than_those_before_it_is_refused_within_it(tmp_path: Path) -> None:
+def test_a_request_with_a_shorter_deadline_than_those_ahead_is_rejected_within_it(tmp_path: Path) -> None:
     """And as one that never ran: 503, not the 504 of a time-out."""
 
     async def test() -> None:
@@ -135,7 +135,9 @@
     run(test)
 
 
-def test_a_full_door_refuses_the_one_with_the_most_waiting_and_the_next_pool_takes_it(tmp_path: Path) -> None:
+def test_a_full_queue_rejects_from_the_longest_tenant_queue_and_the_next_pool_takes_it(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
         held, spare = Held(), WebServer()
         extra = 'fair = { max_wait = "14s", max_waiting = 2 }'
@@ -158,7 +160,7 @@
 
 
 @pytest.mark.parametrize("change", ["weights", "off"])
-def test_a_reload_loses_nobody_who_waits(change: str, tmp_path: Path) -> None:
+def test_a_reload_loses_no_queued_request(change: str, tmp_path: Path) -> None:
     async def test() -> None:
         held = Held()
         async with site(tmp_path, held) as it:
@@ -184,7 +186,7 @@
     run(test)
 
 
-def test_a_stop_answers_all_who_wait(tmp_path: Path) -> None:
+def test_a_stop_answers_all_queued_requests(tmp_path: Path) -> None:
     async def test() -> None:
         held = Held()
         async with site(tmp_path, held) as it:
@@ -200,7 +202,7 @@
     run(test)
 
 
-def test_a_tenants_names_that_are_not_listed_share_one_place(tmp_path: Path) -> None:
+def test_tenants_that_are_not_listed_share_one_queue(tmp_path: Path) -> None:
     async def test() -> None:
         held = Held()
         async with site(tmp_path, held) as it:
@@ -217,7 +219,7 @@
     run(test)
 
 
-def test_without_the_table_there_is_no_door(tmp_path: Path) -> None:
+def test_without_its_table_a_pool_has_no_fair_queue(tmp_path: Path) -> None:
     async def test() -> None:
         held = Held()
         held.release.release()
@@ -228,7 +230,7 @@
     run(test)
 
 
-def test_one_that_goes_on_to_the_next_pool_is_at_work_in_the_first_no_more(tmp_path: Path) -> None:
+def test_a_request_that_fails_over_is_in_flight_in_the_first_pool_no_more(tmp_path: Path) -> None:
     async def test() -> None:
         held, spare = Held(), WebServer()
         held.server.script = always(NOT_RUN)
@@ -248,7 +250,7 @@
     run(test)
 
 
-def test_handshakes_wait_at_a_door_and_hold_no_slot_once_they_are_sockets(tmp_path: Path) -> None:
+def test_handshakes_are_queued_and_hold_no_slot_once_they_are_websockets(tmp_path: Path) -> None:
     """A burst of them, where slots open one answer at a time: each waits, and none is refused."""
 
     async def test() -> None:
--- a/tests/test_many_lists.py
+++ b/tests/daemon/test_many_lists.py
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize("blocking", [False, True])
-def test_good_lists_serve_beside_one_that_is_missing_and_one_that_hangs_at_the_start(
+def test_a_start_serves_readable_lists_beside_a_missing_and_a_hung_one(
     tmp_path: Path, blocking: bool
 ) -> None:
     async def test() -> None:
@@ -115,10 +115,8 @@
             assert asyncio.get_running_loop().time() - began < FIRST_READ_S + PATIENCE_S
             assert ports(daemon) == {"missing": [], "hangs": [], **dict.fromkeys(names[2:], [1])}
             missing = daemon.services.recovery.state.failed_sources
-            assert (
-                set(missing) == {f"{name}: file:{site.list_of(name)}" for name in ("missing", "hangs")}
-                and "No such file" in missing[f"missing: file:{site.list_of('missing')}"]
-            )
+            assert set(missing) == {f"{name}: file:{site.list_of(name)}" for name in ("missing", "hangs")}
+            assert "No such file" in missing[f"missing: file:{site.list_of('missing')}"]
             await until(lambda: daemon.status()["lists"]["hung"] == [str(site.list_of("hangs"))])
             put(site.list_of("good3"), 2)
             scan(daemon)
@@ -132,7 +130,7 @@
     run(test)
 
 
-def test_a_half_written_list_waits_for_nobody_and_nobody_for_it(tmp_path: Path) -> None:
+def test_a_half_written_list_delays_no_other_list(tmp_path: Path) -> None:
     async def test() -> None:
         site = Site(tmp_path)
         names = [f"p{number}" for number in range(200)]
@@ -153,7 +151,7 @@
     run(test)
 
 
-def test_a_reload_that_adds_and_drops_pools_during_a_read(tmp_path: Path) -> None:
+def test_a_reload_adds_and_removes_pools_during_a_read(tmp_path: Path) -> None:
     async def test() -> None:
         site, files = Site(tmp_path), BlockedFiles()
         for name in ("dropped", "stays", "added"):
@@ -194,21 +192,23 @@
         site.write(["a"])
         async with serving(site) as daemon:
             taken = free_port()
-            server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", taken)
+            server = await asyncio.start_server(lambda _reader, _writer: None, "127.0.0.1", taken)
             before, site.port = site.port, taken
             site.write(["a", "b"])
-            assert not await daemon.reload() and "can't listen" in daemon.status()["reload"]["problem"]
+            assert not await daemon.reload()
+            assert "can't listen" in daemon.status()["reload"]["problem"]
             assert list(daemon.lists.followed) == [SourceKey(str(site.list_of("a")))]
             server.close()
             site.port = before
             site.write(["a", "b"])
-            assert await daemon.reload() and ports(daemon) == {"a": [1], "b": [1]}
+            assert await daemon.reload()
+            assert ports(daemon) == {"a": [1], "b": [1]}
             assert daemon.status()["reload"] == {"on": "signal", "problem": ""}
 
     run(test)
 
 
-def test_a_pool_that_is_added_has_its_list_at_once_though_another_pool_reads_it(tmp_path: Path) -> None:
+def test_an_added_pool_has_a_list_that_another_pool_follows_at_once(tmp_path: Path) -> None:
     async def test() -> None:
         site = Site(tmp_path)
         put(site.list_of("a"), 1)
@@ -223,7 +223,7 @@
     run(test)
 
 
-def test_a_pool_that_is_added_has_the_last_good_list_of_a_file_that_hangs(tmp_path: Path) -> None:
+def test_an_added_pool_has_the_last_good_list_of_a_hung_file(tmp_path: Path) -> None:
     async def test() -> None:
         site, files = Site(tmp_path), BlockedFiles()
         put(site.list_of("a"), 1)
@@ -246,7 +246,7 @@
     run(test)
 
 
-def test_the_operators_file_is_followed_where_it_says_so(
+def test_the_configuration_file_is_watched_where_it_says_so(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
@@ -260,14 +260,16 @@
 
             async def approve(path: str) -> str:
                 approved.append(path)
-                return "it breaks its tests" if "pools.c" in Path(path).read_text() else ""
+                text = await asyncio.to_thread(Path(path).read_text)
+                return "it breaks its tests" if "pools.c" in text else ""
 
             daemon.reloader.approve = approve
             digest = daemon.status()["lists"]["digest"]
             site.write(["a", "b"], watched)
             scan(daemon)
             await until(lambda: ports(daemon) == {"a": [1], "b": [1]})
-            assert approved == [str(site.path)] and daemon.status()["lists"]["digest"] != digest
+            assert approved == [str(site.path)]
+            assert daemon.status()["lists"]["digest"] != digest
             for text, wrong in (("[pools", "not TOML"), (None, "breaks its tests")):
                 if text is None:
                     site.write(["a", "c"], watched)
@@ -277,7 +279,8 @@
                 assert set(ports(daemon)) == {"a", "b"}
             site.write(["b"])  # and from now on by the signal only
             await until(lambda: set(ports(daemon)) == {"b"})
-            assert daemon.services.config_watcher.subscription is None and daemon.status()["reload"] == {
+            assert daemon.services.config_watcher.subscription is None
+            assert daemon.status()["reload"] == {
                 "on": "signal",
                 "problem": "",
             }
@@ -285,14 +288,15 @@
             site.write(["a"])
             scan(daemon)
             await asyncio.sleep(0.5)
-            assert set(ports(daemon)) == {"b"} and len(approved) == reloads
+            assert set(ports(daemon)) == {"b"}
+            assert len(approved) == reloads
 
     with caplog.at_level(logging.ERROR):
         run(test)
     assert "the configuration in force stays" in caplog.text
 
 
-def test_a_change_of_one_pool_touches_no_other(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_change_of_one_pool_updates_no_other(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         site = Site(tmp_path)
         names = [f"p{number}" for number in range(50)]
@@ -312,11 +316,9 @@
             put(site.list_of("p3"), 2)
             scan(daemon)
             await until(lambda: ports(daemon)["p3"] == [2])
-            assert (
-                touched == ["p3"]
-                and not daemon.services.pools.with_subset
-                and not daemon.services.pools.with_problems
-            )
+            assert touched == ["p3"]
+            assert not daemon.services.pools.with_subset
+            assert not daemon.services.pools.with_problems
             site.list_of("p4").unlink()
             scan(daemon)
             await until(
@@ -329,7 +331,7 @@
     run(test)
 
 
-def test_servers_of_other_pools_are_known_by_id_and_address(tmp_path: Path) -> None:
+def test_endpoints_of_other_pools_are_known_by_id_and_address(tmp_path: Path) -> None:
     async def test() -> None:
         site = Site(tmp_path)
         for name in ("a", "b"):
@@ -343,7 +345,8 @@
             known: Mapping[tuple[str, tuple[str, int]], int] = EndpointsOfOtherPools(
                 "b", daemon.services.pools.table
             )
-            assert dict(known) == {("s", ("127.0.0.1", 2)): came_us} and came_us > 0
+            assert dict(known) == {("s", ("127.0.0.1", 2)): came_us}
+            assert came_us > 0
             assert known.get(("s", ("127.0.0.1", 1)), 7) == 7
             assert not EndpointsOfOtherPools("a", daemon.services.pools.table)
 
@@ -363,7 +366,7 @@
         yield jump
 
 
-def test_a_start_that_takes_long_did_not_stand_still_but_reads_its_lists_again(tmp_path: Path) -> None:
+def test_a_slow_start_is_no_pause_but_reads_its_lists_again(tmp_path: Path) -> None:
     async def test() -> None:
         site, files = Site(tmp_path), BlockedFiles()
         put(site.list_of("a"), 1)
@@ -389,7 +392,7 @@
 # Descriptors
 
 
-def test_pools_that_write_no_max_connections_share_what_is_left() -> None:
+def test_pools_without_max_connections_share_what_is_left() -> None:
     none = PoolNeed(None, 0)
     assert default_connections(1001, [none], None) == 256
     assert default_connections(1001, [none] * 200, 20_000) == (20_000 - 64 - 1001) // 200 == 94
@@ -398,7 +401,7 @@
     assert default_connections(1001, [none] * 200, 1000) == 1
 
 
-def test_a_pool_that_comes_changes_the_parts_of_others_and_not_what_they_have_learnt(
+def test_an_added_pool_changes_the_connections_of_others_and_replaces_none(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("plovertrail.config.pools.descriptors_allowed", lambda: 1001 + 64 + 120)
@@ -419,7 +422,7 @@
     run(test)
 
 
-def test_too_few_descriptors_end_the_start_with_what_to_write(
+def test_too_few_descriptors_end_the_start_with_what_to_set(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     site = Site(tmp_path)
@@ -429,7 +432,8 @@
     site.write(names)
     done = CliRunner().invoke(main, ["check", str(site.path)])
     pools, part = default_pool_connections(load(str(site.path)))
-    assert pools == 20 and f"max_connections of 20 pools that write none: {part} each" in done.output
+    assert pools == 20
+    assert f"max_connections of 20 pools that write none: {part} each" in done.output
     check_module = importlib.import_module("plovertrail.cli.check")
     for module in (pools_module, resource_limits, check_module):
         monkeypatch.setattr(module, "descriptors_allowed", lambda: 1001 + 64 + 140)
@@ -438,14 +442,15 @@
         raise_descriptor_limit(setup)
     assert f"ulimit -n) to {1001 + 64 + 160} or more" in str(caught.value)
     done = CliRunner().invoke(main, ["check", str(site.path)])
-    assert "7 each, of the 1205 descriptors" in done.output and "would not start here" in done.output
+    assert "7 each, of the 1205 descriptors" in done.output
+    assert "would not start here" in done.output
     assert descriptors.LEAST_BY_DEFAULT == 8
 
 
 # Status
 
 
-def test_status_and_explain_tell_what_was_read_of_each_file(tmp_path: Path) -> None:
+def test_status_and_explain_report_what_was_read_of_each_file(tmp_path: Path) -> None:
     async def test() -> None:
         site, files = Site(tmp_path), BlockedFiles()
         for name in ("a", "b"):
@@ -462,13 +467,19 @@
             await until(lambda: len(daemon.lists.in_force.accepted) == 2)
             code, text = await call("status", "--json")
             lists = json.loads(text)["lists"]
-            assert code == 0 and lists["generation"] == 3 and len(lists["digest"]) == 64
+            assert code == 0
+            assert lists["generation"] == 3
+            assert len(lists["digest"]) == 64
             source = next(each for each in lists["sources"] if each["path"] == str(site.list_of("a")))
             assert (source["state"], source["servers"], source["subscribers"]) == ("good", 1, ["a"])
             code, text = await call("status")
-            assert code == 0 and f"lists: generation 3, 2 files, digest {lists['digest'][:16]}" in text
+            assert code == 0
+            assert f"lists: generation 3, 2 files, digest {lists['digest'][:16]}" in text
             code, text = await call("explain", "list", str(site.list_of("a")))
-            assert code == 0 and "good" in text and "followed by a" in text and source["digest"] in text
+            assert code == 0
+            assert "good" in text
+            assert "followed by a" in text
+            assert source["digest"] in text
             files.block(site.list_of("a"))
             put(site.list_of("a"), 2)
             site.list_of("b").write_bytes(b"torn")
@@ -479,18 +490,23 @@
                 )
             )
             code, text = await call("explain", "list", str(site.list_of("a")))
-            assert code == 3 and "hangs for" in text and "what was read last stays" in text
+            assert code == 3
+            assert "hangs for" in text
+            assert "what was read last stays" in text
             code, text = await call("explain", "list", str(site.list_of("b")))
-            assert code == 3 and "doesn't end with its checksum" in text
+            assert code == 3
+            assert "doesn't end with its checksum" in text
             code, text = await call("status")
-            assert code == 3 and "hangs for" in text
+            assert code == 3
+            assert "hangs for" in text
             code, text = await call("explain", "list", "/none")
-            assert code == 1 and "no list is read" in text
+            assert code == 1
+            assert "no list is read" in text
 
     run(test)
 
 
-def test_threads_of_hung_reads_don_t_keep_the_process_from_its_end(tmp_path: Path) -> None:
+def test_threads_of_hung_reads_do_not_keep_the_process_alive(tmp_path: Path) -> None:
     async def test() -> None:
         site, files = Site(tmp_path), BlockedFiles()
         put(site.list_of("a"), 1)
@@ -498,6 +514,7 @@
         files.block(site.list_of("a"))
         async with serving(site, files):
             readers = [each for each in threading.enumerate() if each.name.startswith("list-reader")]
-            assert readers and all(each.daemon for each in readers)
+            assert readers
+            assert all(each.daemon for each in readers)
 
     run(test)
--- a/tests/test_slow_start.py
+++ b/tests/daemon/test_slow_start.py
@@ -37,8 +37,10 @@
 
 
 async def crowd(it: Running, held: list[Held], size: int, at_once: int) -> list[int]:
-    """So many requests at one moment, of which so many are at servers together; the rest is refused before
-    any of these is let go. The statuses."""
+    """Send `size` requests at one moment, of which `at_once` are in flight together; returns the statuses.
+
+    The rest is rejected before any of these is let go.
+    """
     before = came(held)
     clients = [await send(it) for _ in range(size)]
     await until(lambda: came(held) == before + at_once)
@@ -115,7 +117,8 @@
             tasks = [asyncio.create_task(client.reply()) for client in clients]
             for _ in range(3):
                 await asyncio.sleep(0)
-            assert came(held) == 2 and not any(task.done() for task in tasks)
+            assert came(held) == 2
+            assert not any(task.done() for task in tasks)
             for each in held:
                 for _ in range(5):
                     each.release.release()
@@ -135,7 +138,7 @@
         ) as it:
             admission = it.daemon.pools["main"].pool.admission
             assert admission is not None
-            admission.admits = lambda in_flight, now_us: in_flight < 1  # type: ignore[method-assign]
+            admission.admits = lambda in_flight, _now_us: in_flight < 1  # type: ignore[method-assign, assignment]
             first = await send(it)
             await until(lambda: len(held.server.arrivals) == 1)
             assert (await it.ask(message("GET /"))).status == 200
@@ -153,10 +156,8 @@
         path.write_text("".join(f"127.0.0.1:{9000 + n} id=app-{n}\n" for n in range(4)))
         head = f'[fleet]\nname = "app-2"\ninstances_from = "{path}"\n'
         async with running(tmp_path, {"main": [WebServer()]}, routes=ROUTE, head=head) as it:
-            assert (
-                it.daemon.services.pools.fleet.rank == InstanceRank(2, 4)
-                and it.daemon.services.pools.fleet.fleet.size == 4
-            )
+            assert it.daemon.services.pools.fleet.rank == InstanceRank(2, 4)
+            assert it.daemon.services.pools.fleet.fleet.size == 4
             path.write_text("".join(f"127.0.0.1:{9000 + n} id=app-{n}\n" for n in range(1, 3)))
             await until(lambda: it.daemon.services.pools.fleet.rank == InstanceRank(1, 2))
 
--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -177,7 +177,7 @@
         self.release = asyncio.Semaphore(0)
         self.server = WebServer(self.script)
 
-    async def script(self, server: WebServer, arrival: Arrival, line: Line) -> bytes:
+    async def script(self, _server: WebServer, _arrival: Arrival, _line: Line) -> bytes:
         await self.release.acquire()
         return OK
 
