--- a/plovertrail/config/listeners.py
+++ b/plovertrail/config/listeners.py
@@ -9,7 +9,7 @@
 from plovertrail.config.setup import ListenerSetup, WebSocketSetup
 from plovertrail.config.table_reader import TableReader
 from plovertrail.config.tables import duration_us, key_path, read_table, size_bytes
-from plovertrail.decisions import sockets
+from plovertrail.decisions import websocket_messages
 
 ORIGIN = re.compile(r"[A-Za-z][A-Za-z0-9+.-]*://[A-Za-z0-9._-]+(:[0-9]{1,5})?")
 
@@ -69,7 +69,7 @@
                 )
         return WebSocketSetup(
             frozenset(origin.lower() for origin in table.origins),
-            sockets.Limits(
+            websocket_messages.SessionLimits(
                 size_bytes(table.max_message, f"{place}.max_message", self.problems, 1, 1 << 30),
                 table.messages_per_s,
                 table.burst,
--- a/plovertrail/daemon/listeners.py
+++ b/plovertrail/daemon/listeners.py
@@ -11,7 +11,7 @@
 from plovertrail.dispatch.dispatcher import Dispatcher
 from plovertrail.generation import CurrentGeneration
 from plovertrail.listeners.ordinary import OrdinaryFront
-from plovertrail.listeners.sockets import SocketKeeper
+from plovertrail.listeners.websocket_service import WebSocketService
 
 BACKLOG = 1024  # connections that the kernel completes before they are accepted
 
@@ -45,7 +45,7 @@
         self,
         dispatcher: Dispatcher,
         current: CurrentGeneration,
-        websockets: SocketKeeper,
+        websockets: WebSocketService,
         sockets: ListenerSockets,
     ) -> None:
         self.dispatcher = dispatcher
--- a/plovertrail/daemon/wiring.py
+++ b/plovertrail/daemon/wiring.py
@@ -23,7 +23,7 @@
 from plovertrail.generation import CurrentGeneration, Generation
 from plovertrail.health_reporter import HealthReporter
 from plovertrail.hooks.loader import HookLoader
-from plovertrail.listeners.sockets import SocketKeeper
+from plovertrail.listeners.websocket_service import WebSocketService
 from plovertrail.peers.keeper import PeerKeeper
 from plovertrail.recovery_manager import RecoveryManager
 from plovertrail.sources.list_reader import ListReader
@@ -68,7 +68,7 @@
     current: CurrentGeneration
     dispatcher: Dispatcher
     event_log: EventSink
-    websockets: SocketKeeper
+    websockets: WebSocketService
     peers: PeerKeeper
     store: StoreService
     warm_state: WarmStateManager
@@ -98,7 +98,7 @@
     loop = asyncio.get_running_loop()
     dispatcher = Dispatcher(turn_staleness(loop))
     event_log = environment.open_event_log(setup.socket_log)
-    websockets = SocketKeeper(dispatcher, environment.new_seed(), event_log)
+    websockets = WebSocketService(dispatcher, environment.new_seed(), event_log)
     peers = environment.peer_service(environment.new_seed, lists)
     table = PoolTable()
     limiters = LimiterTable(environment.new_seed)
--- a/plovertrail/listeners/ordinary.py
+++ b/plovertrail/listeners/ordinary.py
@@ -25,7 +25,7 @@
     told_by,
 )
 from plovertrail.decisions.routes import FixedAnswer
-from plovertrail.decisions.sockets import Cause
+from plovertrail.decisions.websocket_messages import CloseCause
 from plovertrail.dispatch.dispatcher import Dispatcher
 from plovertrail.dispatch.types import ProxyRequest, ProxyResponse, ResponseKind, TransportResult, Tunnel
 from plovertrail.generation import CurrentGeneration, RoutePlan, headers_replaced_by
@@ -33,7 +33,12 @@
 from plovertrail.http1.heads import Headers, answer_head, end_to_end
 from plovertrail.http1.requests import RequestMessage, RequestReader
 from plovertrail.listeners.connections import ClientConnection, Listener, Patience, State
-from plovertrail.listeners.sockets import Asker, PendingSocket, SocketKeeper, SocketLimitError
+from plovertrail.listeners.websocket_service import (
+    HandshakeContext,
+    HandshakeRejectedError,
+    PendingHandshake,
+    WebSocketService,
+)
 from plovertrail.websocket.handshake import (
     OWN_HEADERS,
     HandshakeError,
@@ -87,7 +92,7 @@
         self.message: RequestMessage | None = None  # the one that is open
         self.plan: RoutePlan | None = None
         self.trail: Trail | None = None  # the open request's way through its route's hooks
-        self.socket: PendingSocket | None = None  # what the open request asks for
+        self.socket: PendingHandshake | None = None  # what the open request asks for
         self.taking = False
         self.write_paused = False
         self.address = ""
@@ -96,7 +101,7 @@
         """The connection is over: let go of its reader, its handshake and its hooks."""
         self.reader.release()
         if self.socket is not None:
-            self.socket.never_opened(Cause.CLIENT_GONE)
+            self.socket.abandon(CloseCause.CLIENT_LEFT_HANDSHAKE)
             self.socket = None
         self.end_trail(b"gone", 0)
 
@@ -167,7 +172,7 @@
         except HandshakeError as bad:
             # hazard: what follows may be frames already, and must not be read as requests
             self.reject(bad.status, bad.why, extra=bad.headers, last=True)
-        except SocketLimitError as away_now:
+        except HandshakeRejectedError as away_now:
             self.reject_for_now(str(away_now), away_now.retry_after_us)
         except RequestRefusedError as refused:
             extra = retry_after(refused.retry_after_us)
@@ -187,7 +192,7 @@
     def call(self, message: RequestMessage) -> tuple[ProxyRequest, RoutePlan] | LocalReply:
         """Find a request's route: the call to make with the plan of its route, or the route's own answer.
 
-        Raises RequestRejectedError, HandshakeError, SocketLimitError or RequestRefusedError.
+        Raises RequestRejectedError, HandshakeError, HandshakeRejectedError or RequestRefusedError.
         """
         front, generation = self.front, self.front.current.generation
         arrived_us = self.arrived_us()
@@ -251,8 +256,8 @@
             check_origin(message.headers, plan.websocket.origins)
             client_key, offered = check_request(message.method, message.version, message.headers)
             kept = [header for header in kept if header[0].lower() not in OWN_HEADERS]
-            asker = Asker(ident, tenant_name, listener.name, plan)
-            self.socket = front.keeper.ask(asker, client_key, offered)
+            context = HandshakeContext(ident, tenant_name, listener.name, plan)
+            self.socket = front.keeper.request(context, client_key, offered)
         elif message.upgrade:
             message.upgrade = False
             self.reader.read_on()
@@ -321,7 +326,7 @@
             self.switch(socket, result, result.tunnel)
             return
         if socket is not None:
-            socket.never_opened(Cause.NO_SOCKET)
+            socket.abandon(CloseCause.HTTP_RESPONSE)
         if answer.kind is ResponseKind.SERVED and result is not None:
             self.pass_on(result.status, result, SERVED)
         elif socket is not None and result is not None and 200 <= result.status < 400:
@@ -445,15 +450,15 @@
         else:
             self.linger()
 
-    def switch(self, socket: PendingSocket, result: TransportResult, tunnel: Tunnel) -> None:
+    def switch(self, socket: PendingHandshake, result: TransportResult, tunnel: Tunnel) -> None:
         """Both handshakes are right: from now on this is a socket."""
         transport = self.transport
         if transport is None or transport.is_closing():
             tunnel.close()
-            socket.never_opened(Cause.CLIENT_GONE)
+            socket.abandon(CloseCause.CLIENT_LEFT_HANDSHAKE)
             return
         headers = [header for header in end_to_end(result.headers) if header[0].lower() not in OWN_HEADERS]
-        headers += answer_headers(socket.key, tunnel.subprotocol)
+        headers += answer_headers(socket.client_key, tunnel.subprotocol)
         transport.write(answer_head(101, headers, None, b"Upgrade"))
         rest = bytes(self.reader.rest + self.pending)
         self.reader.release()
@@ -478,7 +483,7 @@
         dispatcher: Dispatcher,
         current: CurrentGeneration,
         listener: ListenerSetup,
-        keeper: SocketKeeper,
+        keeper: WebSocketService,
     ) -> None:
         super().__init__(
             dispatcher, listener.max_connections, Patience.of(listener.read_us / 1e6, listener.idle_us / 1e6)
--- a/plovertrail/resource_limits.py
+++ b/plovertrail/resource_limits.py
@@ -8,7 +8,7 @@
 from plovertrail.config.descriptors import LEAST_BY_DEFAULT, OTHER_DESCRIPTORS, descriptors_allowed
 from plovertrail.config.problems import ConfigError, Problem
 from plovertrail.config.setup import Setup
-from plovertrail.listeners.relay import SOCKET_BYTES
+from plovertrail.listeners.websocket_relay import SESSION_BYTES
 
 PIPELINE_LIMIT_BYTES = 64 * 1024  # of pipelined requests, where reading pauses
 LOOP_READ_BYTES = 256 * 1024  # the last read of the event loop before the pause takes effect
@@ -40,7 +40,7 @@
     per_client = limits.max_head + 2 * limits.max_body + PIPELINED_BYTES + limits.max_answer
     clients = sum(listener.max_connections for listener in setup.listeners) * per_client
     endpoints = sum(pool.max_connections for pool in setup.pools.values()) * limits.max_answer
-    websockets = sum(pool.max_sockets for pool in setup.pools.values()) * SOCKET_BYTES
+    websockets = sum(pool.max_sockets for pool in setup.pools.values()) * SESSION_BYTES
     hooks = sum(hook.memory for hook in setup.hooks.values())
     return clients + endpoints + websockets + hooks
 
--- a/tests/config/test_operator.py
+++ b/tests/config/test_operator.py
@@ -464,7 +464,7 @@
     assert setup.routes.routes[0].websocket == "live"
     live = setup.websockets["live"]
     assert live.origins == {"https://shop.example:8443"}
-    assert (live.limits.lifetime_us, live.limits.close_us) == (3_600_000_000, 5_000_000)
+    assert (live.limits.lifetime_us, live.limits.close_timeout_us) == (3_600_000_000, 5_000_000)
     assert (setup.pools["main"].max_sockets, setup.pools["main"].max_sockets_per_server) == (10, 10)
 
 
--- a/tests/listeners/test_sockets.py
+++ b/tests/listeners/test_websockets.py
@@ -28,8 +28,9 @@
 from fakes.live import Line, LiveServer, listen
 from fakes.web import OK
 from plovertrail import event_log
-from plovertrail.decisions.sockets import CLIENT, Cause, Phase
-from plovertrail.listeners.relay import HIGH_WATER, READ_BYTES, SOCKET_BYTES
+from plovertrail.decisions.websocket_messages import CLIENT, CloseCause
+from plovertrail.decisions.websocket_session import Phase
+from plovertrail.listeners.websocket_relay import HIGH_WATER, READ_BYTES, SESSION_BYTES
 from tests.daemons import message, run
 from tests.net import PATIENCE_S, until
 from tests.websocket_site import LiveSite, live_site
@@ -71,8 +72,10 @@
                     await peer.close(4001, "bye")
                 await ended(site)
                 socket = site.ended[0]
-                assert socket.cause is Cause.CLIENT_CLOSED and socket.close_seen == [4001, 4001]
-                assert socket.messages == [6, 6] and socket.bytes[0] == socket.bytes[1] > 115_000
+                assert socket.cause is CloseCause.CLIENT_CLOSED
+                assert [peer.close_received for peer in socket.peers] == [4001, 4001]
+                assert [peer.messages_received for peer in socket.peers] == [6, 6]
+                assert socket.peers[0].bytes_received == socket.peers[1].bytes_received > 115_000
 
     run(test)
 
@@ -98,7 +101,8 @@
             client = await site.open("/live?x=1", "Origin: https://a.example", "Cookie: c=1")
             head = server.lines[0].head.decode()
             assert head.startswith("GET /live?x=1 HTTP/1.1\r\n")
-            assert "Origin: https://a.example" in head and "Cookie: c=1" in head
+            assert "Origin: https://a.example" in head
+            assert "Cookie: c=1" in head
             assert head.lower().count("sec-websocket-key") == head.lower().count("upgrade: websocket") == 1
             assert "X-Request-Id" in head
             client.close()
@@ -115,7 +119,8 @@
         async with live_site(tmp_path, [LiveServer(script)]) as site:
             client = await site.connect()
             reply = await client.ask(opening("/", "Sec-WebSocket-Protocol: live"))
-            assert reply.all("Set-Cookie") == ["seen=1"] and reply.all("Connection") == ["Upgrade"]
+            assert reply.all("Set-Cookie") == ["seen=1"]
+            assert reply.all("Connection") == ["Upgrade"]
             assert reply.all("Sec-WebSocket-Protocol") == ["live"]
             assert len(reply.all("Sec-WebSocket-Accept")) == 1
             client.close()
@@ -148,7 +153,8 @@
             if status == 426:
                 assert reply.all("Sec-WebSocket-Version") == ["13"]
             assert await client.ended()
-            assert not server.lines and not site.ended
+            assert not server.lines
+            assert not site.ended
 
     run(test)
 
@@ -160,7 +166,9 @@
             client = await site.connect()
             inner = frame(TEXT, b"not a body", masked=True)
             reply = await client.ask(opening("/", f"Content-Length: {len(inner)}") + inner)
-            assert reply.status == 400 and await client.ended() and not server.lines
+            assert reply.status == 400
+            assert await client.ended()
+            assert not server.lines
 
     run(test)
 
@@ -222,7 +230,8 @@
         async with live_site(tmp_path, [LiveServer(script)]) as site:
             client = await site.open()
             got = await client.next()
-            assert got.payload == b"first" and not got.masked
+            assert got.payload == b"first"
+            assert not got.masked
             client.close()
 
     run(test)
@@ -277,7 +286,8 @@
             assert taken == 1 if target == "/buy" else taken >= 1
             await ended(site)
             assert (
-                site.ended[0].cause is Cause.NO_SOCKET and not site.daemon.services.websockets.table.by_server
+                site.ended[0].cause is CloseCause.HTTP_RESPONSE
+                and not site.daemon.services.websockets.sessions.capacity.by_endpoint
             )
 
     run(test)
@@ -293,7 +303,8 @@
             for _ in range(10):
                 client = await site.open()
                 client.close()
-            assert bad.lines and len(good.lines) == 10
+            assert bad.lines
+            assert len(good.lines) == 10
 
     run(test)
 
@@ -306,7 +317,8 @@
         async with live_site(tmp_path, [LiveServer(script)]) as site:
             client = await site.connect()
             reply = await client.ask(opening())
-            assert reply.status == 401 and reply.all("WWW-Authenticate") == ["Basic"]
+            assert reply.status == 401
+            assert reply.all("WWW-Authenticate") == ["Basic"]
             assert await client.ended()
 
     run(test)
@@ -319,7 +331,8 @@
             server.stop()
             client = await site.connect()
             reply = await client.ask(opening("/buy"))
-            assert reply.status == 503 and reply.all("Retry-After")
+            assert reply.status == 503
+            assert reply.all("Retry-After")
 
     run(test)
 
@@ -342,7 +355,7 @@
             await ended(site)
             release.set()
             await until(lambda: not server.open)
-            assert [socket.cause for socket in site.ended] == [Cause.CLIENT_GONE]
+            assert [socket.cause for socket in site.ended] == [CloseCause.CLIENT_LEFT_HANDSHAKE]
 
     run(test)
 
@@ -384,7 +397,8 @@
             assert [len(server.open) for server in servers] == [2, 2]
             client = await site.connect()
             reply = await client.ask(opening())
-            assert reply.status == 503 and int(reply.all("Retry-After")[0]) >= 1
+            assert reply.status == 503
+            assert int(reply.all("Retry-After")[0]) >= 1
             client = await site.connect()
             assert (await client.ask(message("GET /x"))).status == 200
             clients[0].close()
@@ -485,7 +499,8 @@
             assert payloads == text + b"\x00" * 300
             client.close()
             await closed(site)
-            assert site.opened[0].messages[0] == 2 and site.opened[0].bytes[0] == len(text) + 300
+            assert site.opened[0].peers[0].messages_received == 2
+            assert site.opened[0].peers[0].bytes_received == len(text) + 300
 
     run(test)
 
@@ -508,28 +523,32 @@
 @pytest.mark.parametrize(
     ("data", "code", "cause"),
     [
-        (frame(TEXT, b"hello", masked=False), 1002, Cause.CLIENT_FAULT),
-        (frame(BINARY, b"", masked=True, claimed=1 << 63), 1002, Cause.CLIENT_FAULT),
-        (frame(BINARY, b"x" * 70_000, masked=True, claimed=(1 << 63) - 1), 1009, Cause.CLIENT_TOO_LONG),
-        (frame(TEXT, b"\xff\xfe", masked=True), 1007, Cause.CLIENT_FAULT),
-        (frame(TEXT, b"\xe2\x82", masked=True), 1007, Cause.CLIENT_FAULT),
-        (frame(CONTINUATION, b"x", masked=True), 1002, Cause.CLIENT_FAULT),
+        (frame(TEXT, b"hello", masked=False), 1002, CloseCause.CLIENT_PROTOCOL_ERROR),
+        (frame(BINARY, b"", masked=True, claimed=1 << 63), 1002, CloseCause.CLIENT_PROTOCOL_ERROR),
+        (
+            frame(BINARY, b"x" * 70_000, masked=True, claimed=(1 << 63) - 1),
+            1009,
+            CloseCause.CLIENT_MESSAGE_TOO_BIG,
+        ),
+        (frame(TEXT, b"\xff\xfe", masked=True), 1007, CloseCause.CLIENT_PROTOCOL_ERROR),
+        (frame(TEXT, b"\xe2\x82", masked=True), 1007, CloseCause.CLIENT_PROTOCOL_ERROR),
+        (frame(CONTINUATION, b"x", masked=True), 1002, CloseCause.CLIENT_PROTOCOL_ERROR),
         (
             frame(TEXT, b"x", final=False, masked=True) + frame(TEXT, b"y", masked=True),
             1002,
-            Cause.CLIENT_FAULT,
+            CloseCause.CLIENT_PROTOCOL_ERROR,
         ),
-        (frame(PING, b"x" * 126, masked=True), 1002, Cause.CLIENT_FAULT),
-        (frame(PING, b"x", final=False, masked=True), 1002, Cause.CLIENT_FAULT),
-        (frame(TEXT, b"x", masked=True, reserved=4), 1002, Cause.CLIENT_FAULT),
-        (frame(3, b"x", masked=True), 1002, Cause.CLIENT_FAULT),
-        (frame(CLOSE, b"\x03", masked=True), 1002, Cause.CLIENT_FAULT),
-        (close_frame(1005, masked=True), 1002, Cause.CLIENT_FAULT),
-        (close_frame(1000, b"\xff", masked=True), 1007, Cause.CLIENT_FAULT),
+        (frame(PING, b"x" * 126, masked=True), 1002, CloseCause.CLIENT_PROTOCOL_ERROR),
+        (frame(PING, b"x", final=False, masked=True), 1002, CloseCause.CLIENT_PROTOCOL_ERROR),
+        (frame(TEXT, b"x", masked=True, reserved=4), 1002, CloseCause.CLIENT_PROTOCOL_ERROR),
+        (frame(3, b"x", masked=True), 1002, CloseCause.CLIENT_PROTOCOL_ERROR),
+        (frame(CLOSE, b"\x03", masked=True), 1002, CloseCause.CLIENT_PROTOCOL_ERROR),
+        (close_frame(1005, masked=True), 1002, CloseCause.CLIENT_PROTOCOL_ERROR),
+        (close_frame(1000, b"\xff", masked=True), 1007, CloseCause.CLIENT_PROTOCOL_ERROR),
     ],
 )
 def test_a_client_that_breaks_the_protocol_is_told_its_code(
-    tmp_path: Path, data: bytes, code: int, cause: Cause
+    tmp_path: Path, data: bytes, code: int, cause: CloseCause
 ) -> None:
     async def test() -> None:
         server = LiveServer(listen)
@@ -567,7 +586,7 @@
             assert (await client.closed()).code == 1011
             client.close()
             await closed(site)
-            assert site.opened[0].cause is Cause.SERVER_FAULT
+            assert site.opened[0].cause is CloseCause.SERVER_PROTOCOL_ERROR
             assert [got.code for got in server.lines[0].frames if got.opcode == CLOSE] == [1002]
 
     run(test)
@@ -582,10 +601,11 @@
                 close_frame(4000, b"done", masked=True) + frame(TEXT, b"after", masked=True) * 50
             )
             got = await client.next()
-            assert got.opcode == CLOSE and got.code == 4000
+            assert got.opcode == CLOSE
+            assert got.code == 4000
             await closed(site)
             assert [(item.opcode, item.code) for item in server.lines[0].frames] == [(CLOSE, 4000)]
-            assert site.opened[0].messages == [0, 0]
+            assert [peer.messages_received for peer in site.opened[0].peers] == [0, 0]
 
     run(test)
 
@@ -609,8 +629,9 @@
 
             task = asyncio.create_task(flood())
             await closed(site)
-            relay_bytes = site.opened[0].bytes
-            assert relay_bytes == [0, 0] and site.opened[0].cause is Cause.CLIENT_CLOSED
+            relay_bytes = [peer.bytes_received for peer in site.opened[0].peers]
+            assert relay_bytes == [0, 0]
+            assert site.opened[0].cause is CloseCause.CLIENT_CLOSED
             task.cancel()
 
     run(test)
@@ -625,7 +646,7 @@
                 client.send(TEXT, b"x")
             assert (await client.closed()).code == 1008
             await closed(site)
-            assert site.opened[0].cause is Cause.TOO_MANY
+            assert site.opened[0].cause is CloseCause.MESSAGE_RATE_EXCEEDED
             assert sum(got.opcode == TEXT for got in server.lines[0].frames) <= 6
 
     run(test)
@@ -642,7 +663,7 @@
             assert (await client.closed()).code == 1008
             client.close()
             await closed(site)
-            assert site.opened[0].cause is Cause.TOO_MANY
+            assert site.opened[0].cause is CloseCause.MESSAGE_RATE_EXCEEDED
 
     run(test)
 
@@ -675,13 +696,13 @@
                 nonlocal held
                 while not site.ended:
                     for relay in relays.values():
-                        held = max(held, *(end.get_write_buffer_size() for end in relay.transports))
+                        held = max(held, *(peer.transport.get_write_buffer_size() for peer in relay.peers))
                     await asyncio.sleep(0.001)
 
             await watch()
-            assert site.opened[0].cause is Cause.CLIENT_SLOW
-            assert HIGH_WATER <= held <= HIGH_WATER + 2 * READ_BYTES <= SOCKET_BYTES
-            assert site.opened[0].bytes[1] <= sent + 16_384
+            assert site.opened[0].cause is CloseCause.CLIENT_SLOW
+            assert HIGH_WATER <= held <= HIGH_WATER + 2 * READ_BYTES <= SESSION_BYTES
+            assert site.opened[0].peers[1].bytes_received <= sent + 16_384
 
     run(test)
 
@@ -735,7 +756,7 @@
             assert (await client.closed()).code == 1013
             task.cancel()
             await closed(site)
-            assert site.opened[0].cause is Cause.SERVER_SLOW
+            assert site.opened[0].cause is CloseCause.SERVER_SLOW
 
     run(test)
 
@@ -749,7 +770,8 @@
         async with live_site(tmp_path, [server], limits='ping_interval = "100ms"') as site:
             client = await site.open()
             ours = await client.next()
-            assert ours.opcode == PING and len(ours.payload) == 8
+            assert ours.opcode == PING
+            assert len(ours.payload) == 8
             client.send(PONG, ours.payload)
             client.send(PING, b"mine")
             while True:
@@ -784,9 +806,10 @@
             if who == "server":
                 while (got := await client.next()).opcode != CLOSE:
                     client.send(PONG, got.payload)
-                assert got.code == 1012 and "retry-after=" in got.reason
+                assert got.code == 1012
+                assert "retry-after=" in got.reason
             await closed(site)
-            wanted = Cause.CLIENT_VANISHED if who == "client" else Cause.SERVER_VANISHED
+            wanted = CloseCause.CLIENT_UNRESPONSIVE if who == "client" else CloseCause.SERVER_UNRESPONSIVE
             assert site.opened[0].cause is wanted
 
     run(test)
@@ -830,8 +853,10 @@
             assert (await client.closed()).code == 1012
             await closed(site)
             frames = server.lines[0].frames
-            assert [got.payload for got in frames[:2]] == [b"half", b"whole"] and frames[1].final
-            assert frames[2].opcode == CLOSE and frames[2].code == 1001
+            assert [got.payload for got in frames[:2]] == [b"half", b"whole"]
+            assert frames[1].final
+            assert frames[2].opcode == CLOSE
+            assert frames[2].code == 1001
 
     run(test)
 
@@ -846,7 +871,7 @@
             site.daemon.drain("main", "s0", True)
             assert (await client.next()).code == 1012
             await closed(site)
-            assert site.opened[0].cause is Cause.DRAINED
+            assert site.opened[0].cause is CloseCause.ENDPOINT_DRAINING
 
     run(test)
 
@@ -868,16 +893,17 @@
             await until(
                 lambda: any(
                     socket.phase is Phase.CLOSING
-                    for socket in site.daemon.services.websockets.table.sockets.values()
+                    for socket in site.daemon.services.websockets.sessions.sessions.values()
                 )
             )
             site.daemon.drain("main", "s0", True)
             await asyncio.sleep(0.05)
             release.set()
             got = await client.next()
-            assert got.opcode == CLOSE and got.code == 4002
+            assert got.opcode == CLOSE
+            assert got.code == 4002
             await closed(site)
-            assert site.opened[0].cause is Cause.CLIENT_CLOSED
+            assert site.opened[0].cause is CloseCause.CLIENT_CLOSED
 
     run(test)
 
@@ -930,10 +956,11 @@
             codes = [got.code for got in await asyncio.gather(*(client.closed() for client in clients))]
             assert codes == [1012] * count
             await closed(site, count)
-            assert [socket.cause for socket in site.opened] == [Cause.DRAINED] * count
+            assert [socket.cause for socket in site.opened] == [CloseCause.ENDPOINT_DRAINING] * count
             # on a slow machine a handshake may be given up at its aim and tried again: no frame comes there
             told = [line for line in server.lines if line.frames]
-            assert len(told) == count and all([got.code for got in line.frames] == [1001] for line in told)
+            assert len(told) == count
+            assert all([got.code for got in line.frames] == [1001] for line in told)
 
     run(test)
 
@@ -948,7 +975,7 @@
             here = len(servers[0].lines)
             assert 0 < here < 10
             await closed(site, here)
-            assert {socket.cause for socket in site.opened} == {Cause.SERVER_GONE}
+            assert {socket.cause for socket in site.opened} == {CloseCause.ENDPOINT_REMOVED}
             assert len(clients) - here == len(site.daemon.services.websockets.relays)
             for line in servers[1].lines:  # with an hour to end by themselves, the stop would wait for them
                 line.reset()
@@ -964,9 +991,10 @@
             client = await site.open()
             server.lines[0].reset()
             got = await client.closed()
-            assert got.code == 1012 and "retry-after=" in got.reason
+            assert got.code == 1012
+            assert "retry-after=" in got.reason
             await closed(site)
-            assert site.opened[0].cause is Cause.SERVER_LOST
+            assert site.opened[0].cause is CloseCause.SERVER_LOST
 
     run(test)
 
@@ -978,7 +1006,7 @@
             client = await site.open()
             client.writer.transport.abort()
             await closed(site)
-            assert site.opened[0].cause is Cause.CLIENT_LOST
+            assert site.opened[0].cause is CloseCause.CLIENT_LOST
             assert [got.code for got in server.lines[0].frames] == [1001]
 
     run(test)
@@ -995,7 +1023,7 @@
             assert await site.change(routes=routes)
             assert (await client.closed()).code == 1012
             await closed(site)
-            assert site.opened[0].cause is Cause.WITHDRAWN
+            assert site.opened[0].cause is CloseCause.ROUTE_REMOVED
 
     run(test)
 
@@ -1021,7 +1049,7 @@
             stopping = asyncio.create_task(site.daemon.stop())
             assert [(await client.closed()).code for client in clients] == [1012] * 30
             await stopping
-            assert [socket.cause for socket in site.opened] == [Cause.SHUTDOWN] * 30
+            assert [socket.cause for socket in site.opened] == [CloseCause.SHUTDOWN] * 30
 
     run(test)
 
@@ -1070,7 +1098,7 @@
                 'cause="closed by the client"',
             ):
                 assert part in line
-            assert site.opened[0].close_seen[CLIENT] == 4003
+            assert site.opened[0].peers[CLIENT].close_received == 4003
 
     run(test)
 
@@ -1117,7 +1145,7 @@
             client = await site.open()
             client.writer.transport.abort()
             await until(lambda: not site.daemon.services.listeners.connection_count())
-            assert site.daemon.services.websockets.table.sockets  # and none, asserted once it has stopped
+            assert site.daemon.services.websockets.sessions.sessions  # and none, asserted once it has stopped
         assert [socket.phase for socket in site.ended] == [Phase.ENDED]
 
     run(test)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -20,7 +20,6 @@
 NOT_SPLIT_YET = {
     "counts.py": 529,
     "leases.py": 477,
-    "sockets.py": 754,
 }
 # in classes and functions of the modules besides load balancing, which has none
 OTHER_FIGURES: dict[str, set[float]] = {
--- a/tests/websocket_site.py
+++ b/tests/websocket_site.py
@@ -15,8 +15,8 @@
 from plovertrail.config.operator import load
 from plovertrail.daemon.process import Daemon
 from plovertrail.daemon.wiring import Environment
-from plovertrail.decisions.sockets import Socket
-from plovertrail.listeners.sockets import Asker, log_line
+from plovertrail.decisions.websocket_session import WebSocketSession
+from plovertrail.listeners.websocket_service import HandshakeContext, log_line
 from tests.daemons import Client
 from tests.net import PATIENCE_S
 
@@ -93,15 +93,17 @@
     port: int
     path: Path
     text: Callable[..., str]
-    ended: list[Socket] = field(default_factory=list)
+    ended: list[WebSocketSession] = field(default_factory=list)
     lines: list[str] = field(default_factory=list)
 
     async def connect(self) -> SocketClient:
         return SocketClient(*await asyncio.open_connection("127.0.0.1", self.port))
 
     async def open(self, target: str = "/", *headers: str) -> SocketClient:
-        """A socket. A daemon that has just started opens its slots one answer at a time, and refuses a burst
-        meanwhile: so a refusal is followed by another try."""
+        """Open a session, with retries.
+
+        A daemon that has just started opens its slots one answer at a time and rejects a burst meanwhile.
+        """
         async with asyncio.timeout(PATIENCE_S):
             while True:
                 client = await self.connect()
@@ -113,13 +115,13 @@
                 await asyncio.sleep(0.02)
 
     @property
-    def opened(self) -> list[Socket]:
+    def opened(self) -> list[WebSocketSession]:
         """Those of `ended` that were open."""
         return [socket for socket in self.ended if socket.opened_us]
 
-    def keep(self, socket: Socket, asker: Asker) -> None:
+    def keep(self, socket: WebSocketSession, context: HandshakeContext) -> None:
         self.ended.append(socket)
-        self.lines.append(log_line(socket, asker, ""))
+        self.lines.append(log_line(socket, context, ""))
 
     async def change(self, **more: str) -> bool:
         """Replace parts of the file, and have it read again."""
@@ -156,7 +158,7 @@
     path.write_text(text())
     daemon = Daemon(load(str(path)), Environment(new_seed=itertools.count(1).__next__))
     site = LiveSite(daemon, port, path, text)
-    daemon.services.websockets.ended = site.keep
+    daemon.services.websockets.observe_ends(site.keep)
     try:
         yield site
     finally:
@@ -164,6 +166,6 @@
             await daemon.stop()
         for server in servers:
             server.stop()
-    assert not daemon.services.websockets.table.sockets and not daemon.services.websockets.relays
-    idents = [socket.ident for socket in site.ended]
+    assert not daemon.services.websockets.sessions.sessions and not daemon.services.websockets.relays
+    idents = [socket.session_id for socket in site.ended]
     assert len(idents) == len(set(idents)), "a socket ended twice"
