--- a/benchmarks/fellows.py
+++ b/benchmarks/cluster_membership.py
@@ -117,7 +117,7 @@
 
 def main() -> int:
     """Measure fleets of several sizes and print their table; returns 1 if a bar is missed."""
-    parser = argparse.ArgumentParser(prog="python -m benchmarks.fellows")
+    parser = argparse.ArgumentParser(prog="python -m benchmarks.cluster_membership")
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--short", action="store_true", help="small fleets only")
--- a/plovertrail/cli/__init__.py
+++ b/plovertrail/cli/__init__.py
@@ -8,10 +8,10 @@
 from plovertrail.cli.counts import counts
 from plovertrail.cli.demo import demo
 from plovertrail.cli.drain import drain, undrain
-from plovertrail.cli.fellows import explain, fellows
 from plovertrail.cli.hook import hook
 from plovertrail.cli.import_nginx import import_nginx
 from plovertrail.cli.lists import list_file
+from plovertrail.cli.members import explain, fellows, members
 from plovertrail.cli.route import route
 from plovertrail.cli.seal import seal
 from plovertrail.cli.serve import serve
@@ -33,6 +33,7 @@
     test,
     route,
     counts,
+    members,
     fellows,
     explain,
     status,
--- a/tests/peers/test_membership_transport.py
+++ b/tests/peers/test_membership_transport.py
@@ -85,6 +85,7 @@
                 return made.output
 
             assert "i2: 2 others are there" in await command("fellows")
+            assert "i2: 2 others are there" in await command("members")
             told = await command("explain", "server", "main0")
             assert "main main0, read: drawn less, by" in told
             assert "2 others find it wrong" in told
