--- a/simulator/adapter.py
+++ b/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""Hosts many instances of the decision module on the bench's wire: one reply for each batch."""
+"""Runs many load balancers on the simulator's wire: one reply for each batch of events."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def read_exactly(source: BinaryIO, size: int) -> bytes:
-    """`size` bytes, or fewer at the end of input."""
+    """Return `size` bytes, or fewer at the end of input."""
     data = source.read(size)
     while len(data) < size:
         more = source.read(size - len(data))
@@ -21,8 +21,8 @@
     return data
 
 
-class Host:
-    """The running instances; they share nothing but the decoder's upstream lists."""
+class InstanceHost:
+    """The running instances; they share nothing but the decoder's endpoint lists."""
 
     def __init__(self) -> None:
         self.decoder = wire.Decoder()
@@ -31,7 +31,7 @@
     def batch(self, now_us: int, count: int, body: bytes) -> bytes:
         """Apply one batch of `count` event records and return the encoded reply with the actions.
 
-        `now_us` is the time of the batch. An exception in the decision module becomes an InternalError
+        `now_us` is the time of the batch. An exception in a load balancer becomes an InternalError
         record. Raises WireError on a batch that does not follow the format.
         """
         records: list[bytes] = []
@@ -49,7 +49,7 @@
                 try:
                     actions = self.instances[instance].handle(now_us, event)
                     records.extend([wire.encode(instance, action) for action in actions])
-                except Exception as error:  # a bug in the decisions is told on the wire, not hidden
+                except Exception as error:  # a bug is reported on the wire, and the others go on
                     text = f"{type(error).__name__}: {error}"
                     records.append(wire.encode(instance, wire.InternalError(text)))
         return wire.reply(records)
@@ -57,7 +57,7 @@
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer batches until the input ends."""
-    host = Host()
+    host = InstanceHost()
     number = 0
     while True:
         header = read_exactly(source, wire.HEADER.size)
@@ -79,14 +79,14 @@
 
 
 def main() -> int:
-    """Serve the wire on standard input and output; returns the exit code."""
+    """Serve the wire on standard input and output, and return the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as error:
         print(f"plovertrail: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
-        print("plovertrail: the reader of our replies is gone", file=sys.stderr)
+        print("plovertrail: the reader of the replies has closed", file=sys.stderr)
         return 3
     return 0
 
--- a/simulator/wire.py
+++ b/simulator/wire.py
@@ -1,10 +1,13 @@
-"""The bench's wire: frames to events, actions to frames, settings from text.
+"""The simulator's wire: frames to events, actions to frames, settings from text.
 
-No decision is made here. `WireError` says in one line what is malformed and where.
+The wire's own names are translated here and nowhere else: upstream is endpoint, members is an endpoint list,
+verdict is outcome, ticket is request, refuse is reject, probe is health check, fetch is poll. `WireError`
+says in one line what is malformed and where.
 """
 
 from __future__ import annotations
 
+import enum
 import math
 import struct
 from collections.abc import Callable, Iterator
@@ -43,17 +46,51 @@
 )
 from plovertrail.decisions.settings import Settings
 
+
+class EventCode(enum.IntEnum):
+    """The code in front of an event's record."""
+
+    ATTEMPT_ENDED = 10
+    STREAM_STARTED = 20
+    PEER_MESSAGE = 30
+    INSTANCE_STOPPED = 40
+    TIMER_FIRED = 50
+    REQUEST_CANCELLED = 60
+    REQUEST_ARRIVED = 70
+    ENDPOINTS_UPDATED = 80
+    HEALTH_CHECK_ENDED = 90
+    INSTANCE_STARTED = 100
+    ENDPOINT_LIST = 110
+
+
+class ActionCode(enum.IntEnum):
+    """The code in front of an action's record."""
+
+    POLL_ENDPOINTS = 10
+    SEND = 20
+    SET_TIMER = 30
+    REJECT = 40
+    SEND_TO_PEER = 50
+    INTERNAL_ERROR = 60
+    SUBSCRIBE = 70
+    HEALTH_CHECK = 80
+    FAIL = 90
+    CANCEL = 100
+    CLOSE_IDLE = 110
+    LOG = 120
+
+
 HEADER = struct.Struct("<IIQ")
 REPLY_HEADER = struct.Struct("<II")
-_ENTRY = struct.Struct("<IBBHBfQ")
-_LIST_HEAD = struct.Struct("<II")
-_POWER_ON = struct.Struct("<QI")
-_MEMBERS = struct.Struct("<BII")
-_ACCEPT = struct.Struct("<IBIQIBQ")
-_COMPLETED = struct.Struct("<IBIHIBB")
-_BEGUN = struct.Struct("<IBII")
-_HEALTH = struct.Struct("<IHIB")
-_DATAGRAM = struct.Struct("<HH")
+_ENDPOINT = struct.Struct("<IBBHBfQ")
+_LIST_HEADER = struct.Struct("<II")
+_INSTANCE_STARTED = struct.Struct("<QI")
+_ENDPOINTS_UPDATED = struct.Struct("<BII")
+_REQUEST_ARRIVED = struct.Struct("<IBIQIBQ")
+_ATTEMPT_ENDED = struct.Struct("<IBIHIBB")
+_STREAM_STARTED = struct.Struct("<IBII")
+_HEALTH_CHECK_ENDED = struct.Struct("<IHIB")
+_PEER_MESSAGE = struct.Struct("<HH")
 _U16 = struct.Struct("<H")
 _U32 = struct.Struct("<I")
 
@@ -79,7 +116,7 @@
 
 @dataclass(slots=True)
 class InstanceStarted:
-    """An instance comes up with no state."""
+    """An instance starts without state."""
 
     seed: int
     options: str
@@ -92,7 +129,7 @@
 
 @dataclass(slots=True)
 class InternalError:
-    """Action: the decision code has failed; the text says how."""
+    """Action: the load balancer raised an exception."""
 
     text: str
 
@@ -102,21 +139,22 @@
 
 
 class Decoder:
-    """Reads batches; remembers the numbered upstream lists, which events refer to."""
+    """Reads batches, and keeps the numbered endpoint lists that events refer to."""
 
     def __init__(self) -> None:
         self.lists: dict[int, list[Endpoint]] = {}
         self.data = b""
-        self.at = 0
+        self.position = 0
 
     def batch(self, data: bytes, count: int) -> Iterator[tuple[int, Record]]:
-        """The (instance, event) pairs of a batch's body, in order."""
-        self.data, self.at = data, 0
+        """Yield the (instance, event) pairs of a batch's body in order; raises WireError."""
+        self.data = data
+        self.position = 0
         for index in range(count):
-            start = self.at
+            start = self.position
             try:
                 code = self.take(1)[0]
-                if code == 110:
+                if code == EventCode.ENDPOINT_LIST:
                     self.read_list()
                     continue
                 reader = _READERS.get(code)
@@ -127,44 +165,41 @@
             except (WireError, UnicodeDecodeError) as error:
                 raise WireError(f"record {index} at byte {start}: {error}") from error
             yield instance, event
-        if self.at != len(data):
-            raise WireError(f"{len(data) - self.at} bytes left over after {count} records")
+        if self.position != len(data):
+            raise WireError(f"{len(data) - self.position} bytes left over after {count} records")
 
     def take(self, size: int) -> bytes:
-        """The next `size` bytes; raises WireError if fewer are left."""
-        end = self.at + size
+        """Return the next `size` bytes; raises WireError if fewer are left."""
+        end = self.position + size
         if end > len(self.data):
-            raise WireError(f"truncated: {size} bytes wanted, {len(self.data) - self.at} left")
-        piece = self.data[self.at : end]
-        self.at = end
+            raise WireError(f"truncated: {size} bytes wanted, {len(self.data) - self.position} left")
+        piece = self.data[self.position : end]
+        self.position = end
         return piece
 
     def fields(self, layout: struct.Struct) -> tuple[int, ...]:
-        """The next fields of a fixed layout; raises WireError if it is cut short."""
+        """Return the next fields of a fixed layout; raises WireError if it is truncated."""
         return layout.unpack(self.take(layout.size))
 
     def floats(self, count: int) -> list[float]:
-        """The next `count` 32-bit floats; raises WireError if one is not finite."""
+        """Return the next `count` 32-bit floats; raises WireError if one is not finite."""
         values = list(struct.unpack(f"<{count}f", self.take(4 * count)))
         if not all(map(math.isfinite, values)):
             raise WireError("a load report value that is not a finite number")
         return values
 
     def read_list(self) -> None:
-        """Read a list of upstreams and keep it under its number, for the events that refer to it."""
-        number, count = self.fields(_LIST_HEAD)
-        entries = []
-        for upstream, zone, kind, cell, state, weight, started in _ENTRY.iter_unpack(
-            self.take(_ENTRY.size * count)
+        """Read a list of endpoints and keep it under its number, for the events that refer to it."""
+        number, count = self.fields(_LIST_HEADER)
+        endpoints = []
+        for endpoint_id, zone, kind, cell, state, weight, started_us in _ENDPOINT.iter_unpack(
+            self.take(_ENDPOINT.size * count)
         ):
             if not math.isfinite(weight):
-                raise WireError(f"upstream {upstream} has a weight that is not a finite number")
-            entries.append(
-                Endpoint(
-                    upstream, _known(_STATES, state, "upstream condition"), zone, kind, cell, weight, started
-                )
-            )
-        self.lists[number] = entries
+                raise WireError(f"upstream {endpoint_id} has a weight that is not a finite number")
+            status = _known(_STATES, state, "upstream condition")
+            endpoints.append(Endpoint(endpoint_id, status, zone, kind, cell, weight, started_us))
+        self.lists[number] = endpoints
 
 
 def _known(table: dict[int, V], code: int, what: str) -> V:
@@ -175,17 +210,17 @@
 
 
 def _started(frame: Decoder) -> Record:
-    seed, size = frame.fields(_POWER_ON)
+    seed, size = frame.fields(_INSTANCE_STARTED)
     return InstanceStarted(seed, frame.take(size).decode())
 
 
-def _stopped(frame: Decoder) -> Record:
+def _stopped(_frame: Decoder) -> Record:
     return InstanceStopped()
 
 
-def _members(frame: Decoder) -> Record:
-    how, version, number = frame.fields(_MEMBERS)
-    kind = _known(_LIST_KINDS, how, "list kind")
+def _endpoints_updated(frame: Decoder) -> Record:
+    kind_code, version, number = frame.fields(_ENDPOINTS_UPDATED)
+    kind = _known(_LIST_KINDS, kind_code, "list kind")
     if kind is ListKind.FAILED:
         return EndpointsUpdated(kind, [], version)
     if number not in frame.lists:
@@ -193,100 +228,117 @@
     return EndpointsUpdated(kind, frame.lists[number], version)
 
 
-def _accept(frame: Decoder) -> Record:
-    request, class_index, tenant, key, cost, marks, due = frame.fields(_ACCEPT)
+def _request_arrived(frame: Decoder) -> Record:
+    request, class_index, tenant, key, cost_us, flags, due_us = frame.fields(_REQUEST_ARRIVED)
     return RequestArrived(
-        request, due, class_index, tenant, key, cost if marks & 1 else 0, bool(marks & 2), bool(marks & 4)
+        request,
+        due_us,
+        class_index,
+        tenant,
+        key,
+        cost_us if flags & 1 else 0,
+        bool(flags & 2),
+        bool(flags & 4),
     )
 
 
-def _completed(frame: Decoder) -> Record:
-    request, attempt, upstream, verdict, spent, last, count = frame.fields(_COMPLETED)
+def _attempt_ended(frame: Decoder) -> Record:
+    request, attempt, endpoint_id, outcome, elapsed_us, final, count = frame.fields(_ATTEMPT_ENDED)
     return AttemptEnded(
         request,
         attempt,
-        upstream,
-        _known(_OUTCOMES, verdict, "outcome"),
-        spent,
-        bool(last),
+        endpoint_id,
+        _known(_OUTCOMES, outcome, "outcome"),
+        elapsed_us,
+        bool(final),
         frame.floats(count),
     )
 
 
-def _begun(frame: Decoder) -> Record:
-    request, attempt, spent, upstream = frame.fields(_BEGUN)
-    return StreamStarted(request, attempt, upstream, spent)
+def _stream_started(frame: Decoder) -> Record:
+    request, attempt, elapsed_us, endpoint_id = frame.fields(_STREAM_STARTED)
+    return StreamStarted(request, attempt, endpoint_id, elapsed_us)
 
 
-def _health(frame: Decoder) -> Record:
-    upstream, verdict, spent, count = frame.fields(_HEALTH)
-    return HealthCheckEnded(upstream, _known(_OUTCOMES, verdict, "outcome"), spent, frame.floats(count))
+def _health_check_ended(frame: Decoder) -> Record:
+    endpoint_id, outcome_code, elapsed_us, count = frame.fields(_HEALTH_CHECK_ENDED)
+    outcome = _known(_OUTCOMES, outcome_code, "outcome")
+    return HealthCheckEnded(endpoint_id, outcome, elapsed_us, frame.floats(count))
 
 
-def _datagram(frame: Decoder) -> Record:
-    sender, size = frame.fields(_DATAGRAM)
+def _peer_message(frame: Decoder) -> Record:
+    sender, size = frame.fields(_PEER_MESSAGE)
     return PeerMessage(sender, frame.take(size))
 
 
 _READERS: dict[int, Callable[[Decoder], Record]] = {
-    10: _completed,
-    20: _begun,
-    30: _datagram,
-    40: _stopped,
-    50: lambda frame: TimerFired(frame.fields(_U32)[0]),
-    60: lambda frame: RequestCancelled(frame.fields(_U32)[0]),
-    70: _accept,
-    80: _members,
-    90: _health,
-    100: _started,
+    EventCode.ATTEMPT_ENDED: _attempt_ended,
+    EventCode.STREAM_STARTED: _stream_started,
+    EventCode.PEER_MESSAGE: _peer_message,
+    EventCode.INSTANCE_STOPPED: _stopped,
+    EventCode.TIMER_FIRED: lambda frame: TimerFired(frame.fields(_U32)[0]),
+    EventCode.REQUEST_CANCELLED: lambda frame: RequestCancelled(frame.fields(_U32)[0]),
+    EventCode.REQUEST_ARRIVED: _request_arrived,
+    EventCode.ENDPOINTS_UPDATED: _endpoints_updated,
+    EventCode.HEALTH_CHECK_ENDED: _health_check_ended,
+    EventCode.INSTANCE_STARTED: _started,
 }
 
 
-def _pack(code: int, layout: str) -> Callable[..., bytes]:
+def _pack(code: ActionCode, layout: str) -> Callable[..., bytes]:
+    """Return a writer of records with this code and these fields after the instance."""
     packer = struct.Struct("<BH" + layout)
     return lambda instance, *values: packer.pack(code, instance, *values)
 
 
-_send, _refuse, _fail = _pack(20, "IIi"), _pack(40, "II"), _pack(90, "I")
-_cancel, _probe, _timer = _pack(100, "IB"), _pack(80, "I"), _pack(30, "QI")
-_subscribe, _fetch, _close = _pack(70, "B"), _pack(10, ""), _pack(110, "I")
-_tell, _text_log, _text_error = _pack(50, "IH"), _pack(120, "H"), _pack(60, "H")
+_send = _pack(ActionCode.SEND, "IIi")
+_reject = _pack(ActionCode.REJECT, "II")
+_fail = _pack(ActionCode.FAIL, "I")
+_cancel = _pack(ActionCode.CANCEL, "IB")
+_health_check = _pack(ActionCode.HEALTH_CHECK, "I")
+_set_timer = _pack(ActionCode.SET_TIMER, "QI")
+_subscribe = _pack(ActionCode.SUBSCRIBE, "B")
+_poll_endpoints = _pack(ActionCode.POLL_ENDPOINTS, "")
+_close_idle = _pack(ActionCode.CLOSE_IDLE, "I")
+_send_to_peer = _pack(ActionCode.SEND_TO_PEER, "IH")
+_log_header = _pack(ActionCode.LOG, "H")
+_error_header = _pack(ActionCode.INTERNAL_ERROR, "H")
 
 
-def _text(head: Callable[..., bytes], instance: int, text: str) -> bytes:
+def _text(header: Callable[..., bytes], instance: int, text: str) -> bytes:
     raw = text.encode()[:0xFFFF]
-    return head(instance, len(raw)) + raw
+    return header(instance, len(raw)) + raw
 
 
 _WRITERS: dict[type, Callable[[int, Any], bytes]] = {
     Send: lambda i, a: _send(i, a.request, a.endpoint_id, a.timeout_us),
-    Reject: lambda i, a: _refuse(i, a.request, a.retry_after_us),
+    Reject: lambda i, a: _reject(i, a.request, a.retry_after_us),
     Fail: lambda i, a: _fail(i, a.request),
     Cancel: lambda i, a: _cancel(i, a.request, a.attempt),
-    HealthCheck: lambda i, a: _probe(i, a.endpoint_id),
-    SetTimer: lambda i, a: _timer(i, a.at_us, a.token),
+    HealthCheck: lambda i, a: _health_check(i, a.endpoint_id),
+    SetTimer: lambda i, a: _set_timer(i, a.at_us, a.token),
     Subscribe: lambda i, a: _subscribe(i, int(a.active)),
-    PollEndpoints: lambda i, a: _fetch(i),
-    CloseIdle: lambda i, a: _close(i, a.endpoint_id),
-    SendToPeer: lambda i, a: _tell(i, _U32_MAX if a.to is None else a.to, len(a.payload)) + a.payload,
-    Log: lambda i, a: _text(_text_log, i, a.text),
-    InternalError: lambda i, a: _text(_text_error, i, a.text),
+    PollEndpoints: lambda i, _: _poll_endpoints(i),
+    CloseIdle: lambda i, a: _close_idle(i, a.endpoint_id),
+    SendToPeer: lambda i, a: _send_to_peer(i, _U32_MAX if a.to is None else a.to, len(a.payload)) + a.payload,
+    Log: lambda i, a: _text(_log_header, i, a.text),
+    InternalError: lambda i, a: _text(_error_header, i, a.text),
 }
 
 
 def encode(instance: int, action: Reply) -> bytes:
-    """One action record."""
+    """Return the record of one action."""
     return _WRITERS[type(action)](instance, action)
 
 
 def reply(records: list[bytes]) -> bytes:
-    """A whole reply frame."""
+    """Return a complete reply frame."""
     body = b"".join(records)
     return REPLY_HEADER.pack(len(body), len(records)) + body
 
 
 def parse_settings(text: str) -> Settings:
-    """The settings of one instance; keys that are not known are skipped."""
+    """Return the settings of one instance; unknown keys are skipped. Raises WireError."""
     pairs: dict[str, str] = {}
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -223,7 +223,7 @@
 
 def test_instances_act_alike_in_one_process_and_in_several() -> None:
     def day(instances: list[int]) -> dict[int, list[bytes]]:
-        host = adapter.Host()
+        host = adapter.InstanceHost()
         seen: dict[int, list[bytes]] = {i: [] for i in instances}
         start = [bytes.fromhex(LIST)]
         for i in instances:
