--- a/benchmarks/long_lists.py
+++ b/benchmarks/long_lists.py
@@ -20,7 +20,7 @@
 from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.dispatch.dispatcher import Dispatcher
 from plovertrail.sources.discovery import SETTLE_S, Directory, Discovery
-from plovertrail.upstreams.connections import ConnectionPool
+from plovertrail.upstreams.connection_pool import ConnectionPool
 
 SERVERS = 10_000
 CHANGES = 10
--- a/fakes/fleet/instances.py
+++ b/fakes/fleet/instances.py
@@ -20,7 +20,7 @@
 from plovertrail.dispatch.dispatcher import Dispatcher
 from plovertrail.dispatch.types import ProxyRequest, ProxyResponse, ResponseKind
 from plovertrail.sources.discovery import Directory, Discovery
-from plovertrail.upstreams.connections import ConnectionPool
+from plovertrail.upstreams.connection_pool import ConnectionPool
 
 AIM_US, DEADLINE_US = 400_000, 1_200_000
 MOST_CONNECTIONS = 64
@@ -69,8 +69,8 @@
         """A list of servers has come: hand it to the host, and fit the budget to its length."""
         self.dispatcher.pools.update_endpoints(self.pool, event, addresses)
         budget = fleet_limits.instance_limits(self.fleet, self.bounds, len(self.pool.feed.listed))
-        if budget != self.connections.budget:
-            self.connections.limit(budget, self.rng.random())
+        if budget != self.connections.limits.instance:
+            self.connections.apply_limits(budget, self.rng.random())
 
 
 class Load:
--- a/plovertrail/__main__.py
+++ b/plovertrail/__main__.py
@@ -16,7 +16,7 @@
 from plovertrail.listeners.application import Server
 from plovertrail.logs import log_to_stderr
 from plovertrail.sources.discovery import Directory, Discovery
-from plovertrail.upstreams.connections import ConnectionPool
+from plovertrail.upstreams.connection_pool import ConnectionPool
 
 log = logging.getLogger(__name__)
 
@@ -47,7 +47,7 @@
     """Serve until told to stop, then answer what comes and what is open."""
     loop = asyncio.get_running_loop()
     dial_timeout_us = settings.settings.connect_timeout_us
-    pool = ConnectionPool(settings.idle_us, dial_timeout_us, most=settings.sockets * 3 // 8)
+    pool = ConnectionPool(settings.idle_us, dial_timeout_us, max_connections=settings.sockets * 3 // 8)
     dispatcher = Dispatcher()
     servers = dispatcher.pools.add("", settings.settings, settings.seed, pool)
     directory = Directory(settings.zones, settings.kinds)
--- a/plovertrail/daemon/running_pool.py
+++ b/plovertrail/daemon/running_pool.py
@@ -14,17 +14,25 @@
 from plovertrail.decisions.subsetting import EndpointSubset
 from plovertrail.dispatch.dispatcher import Dispatcher
 from plovertrail.endpoint_registry import EndpointRegistry
-from plovertrail.upstreams.connections import AnswerRules, ConnectionPool
+from plovertrail.upstreams.connection_pool import ConnectionPool
+from plovertrail.upstreams.response_reader import ResponseRules
 
 # Responses that tell of the endpoint's health, not of the request.
 ENDPOINT_FAULT_STATUSES = frozenset((429, 500, 502, 503, 504))
-ConnectionFactory = Callable[[PoolSetup, AnswerRules], ConnectionPool]
+StalenessCheck = Callable[[], bool]  # whether the process was paused in this turn of the loop
+ConnectionFactory = Callable[[PoolSetup, ResponseRules, StalenessCheck], ConnectionPool]
 
 
-def open_connection_pool(config: PoolSetup, rules: AnswerRules) -> ConnectionPool:
+def open_connection_pool(
+    config: PoolSetup, rules: ResponseRules, turn_is_stale: StalenessCheck
+) -> ConnectionPool:
     """Make the connection pool of a configured pool; connections are opened as requests need them."""
     return ConnectionPool(
-        config.idle_us, config.settings.connect_timeout_us, most=config.max_connections, rules=rules
+        config.idle_us,
+        config.settings.connect_timeout_us,
+        config.max_connections,
+        rules,
+        turn_is_stale,
     )
 
 
@@ -78,8 +86,8 @@
     ) -> None:
         self.spec = spec
         self.registry = registry
-        self.connections = connect(spec.config, AnswerRules(spec.max_response_bytes, ENDPOINT_FAULT_STATUSES))
-        self.connections.stale = dispatcher.turn_is_stale
+        rules = ResponseRules(spec.max_response_bytes, ENDPOINT_FAULT_STATUSES)
+        self.connections = connect(spec.config, rules, dispatcher.turn_is_stale)
         self.pool = dispatcher.pools.add(spec.config.name, spec.config.settings, seed, self.connections)
         self.limits = InstanceLimits()
         self.oversubscribed = ""  # what the endpoints can't bear from the whole fleet; empty: nothing
@@ -99,7 +107,7 @@
     def reconfigure(self, spec: PoolSpec) -> None:
         """Continue under a specification that the pool can become."""
         self.spec = spec
-        self.connections.allow(spec.config.max_connections)
+        self.connections.configure(spec.config.max_connections)
 
     def use_fair_queue(self, dispatcher: Dispatcher, seed: int) -> None:
         """Queue requests by tenant as configured now."""
@@ -120,11 +128,11 @@
         limits = instance_limits(fleet, bounds, endpoints)
         if limits != self.limits:
             self.limits = limits
-            self.connections.limit(limits, rank.delay_fraction(self.random()))
+            self.connections.apply_limits(limits, rank.delay_fraction(self.random()))
 
     def resume_after_pause(self, fleet: Fleet, rank: InstanceRank, slow_start: bool) -> None:
         """Start slowly again after the process was paused, perhaps with all others of its machine."""
-        self.connections.stood_still(rank.delay_fraction(self.random()))
+        self.connections.process_paused(rank.delay_fraction(self.random()))
         self._start_admission(fleet, slow_start)
 
     def _start_admission(self, fleet: Fleet, slow_start: bool) -> None:
--- a/plovertrail/dispatch/attempts.py
+++ b/plovertrail/dispatch/attempts.py
@@ -11,7 +11,7 @@
 from plovertrail.dispatch.live_request import LiveAttempt, LiveRequest
 from plovertrail.dispatch.server_pool import ServerPool
 from plovertrail.dispatch.timers import call_at
-from plovertrail.dispatch.types import Address, TransportResult, WebSocketHandshake
+from plovertrail.dispatch.types import Address, AttemptTimes, TransportResult, WebSocketHandshake
 
 
 class AttemptOwner(Protocol):
@@ -59,9 +59,8 @@
             action.endpoint_id,
             address,
             request.proxied,
-            timeout_us,
+            AttemptTimes(timeout_us, action.start_within_us),
             lambda result: self.owner.end_attempt(request, number, result),
-            action.start_within_us,
         )
 
     def cancel(self, request: LiveRequest, action: Cancel) -> None:
--- a/plovertrail/dispatch/dispatcher.py
+++ b/plovertrail/dispatch/dispatcher.py
@@ -36,7 +36,7 @@
 from plovertrail.dispatch.attempts import AttemptRunner
 from plovertrail.dispatch.event_queue import EventQueue
 from plovertrail.dispatch.live_request import LiveAttempt, LiveRequest
-from plovertrail.dispatch.observers import DiscoverySubscriber, NoDiscovery, never_stale
+from plovertrail.dispatch.observers import DiscoverySubscriber, NoDiscovery
 from plovertrail.dispatch.pool_sequence import PoolSequence, rejection_without_endpoints
 from plovertrail.dispatch.pools import Pools
 from plovertrail.dispatch.server_pool import ServerPool
@@ -48,6 +48,7 @@
     ResponseKind,
     TransportResult,
     WebSocketHandshake,
+    never_stale,
 )
 
 if TYPE_CHECKING:  # imported where they are configured: the platform's start has none of them
--- a/plovertrail/dispatch/observers.py
+++ b/plovertrail/dispatch/observers.py
@@ -36,8 +36,3 @@
 
     def subscribe(self, active: bool) -> None:
         """Do nothing."""
-
-
-def never_stale() -> bool:
-    """False: nobody watches for pauses of the process."""
-    return False
--- a/plovertrail/dispatch/types.py
+++ b/plovertrail/dispatch/types.py
@@ -56,6 +56,11 @@
         """The endpoint has accepted; returns whether the WebSocket may open."""
 
 
+def never_stale() -> bool:
+    """False: nobody watches for pauses of the process."""
+    return False
+
+
 def never_disconnected() -> bool:
     """False: no connection of a client can tell whether it has closed."""
     return False
@@ -127,6 +132,14 @@
     tunnel: Tunnel | None = None
 
 
+@dataclass(slots=True)
+class AttemptTimes:
+    """Within what an attempt is of use, in microseconds from now."""
+
+    timeout_us: int  # the endpoint is told that its response is awaited for so long
+    start_within_us: int = 0  # nothing is written after this; 0: at any time
+
+
 class AttemptHandle(Protocol):
     """An attempt that is in flight."""
 
@@ -146,15 +159,10 @@
         endpoint_id: int,
         address: Address,
         request: ProxyRequest,
-        timeout_us: int,
+        times: AttemptTimes,
         on_end: Callable[[TransportResult], None],
-        start_within_us: int = 0,
     ) -> AttemptHandle:
-        """Begin an attempt.
-
-        `on_end` is called once, later, unless the attempt is cancelled first. Nothing is written after
-        `start_within_us`; 0: whenever its connection is up.
-        """
+        """Begin an attempt; `on_end` is called once, later, unless the attempt is cancelled first."""
 
     def unreachable(self, needs_new_connection: bool) -> Container[int]:
         """The endpoints that no attempt could reach now; a live view.
--- a/plovertrail/scenario_tests/servers.py
+++ b/plovertrail/scenario_tests/servers.py
@@ -9,7 +9,7 @@
 
 from plovertrail.decisions.events import Outcome
 from plovertrail.decisions.fleet_limits import InstanceLimits
-from plovertrail.dispatch.types import ProxyRequest, TransportResult
+from plovertrail.dispatch.types import AttemptTimes, ProxyRequest, TransportResult
 
 USUAL_US = 20_000
 REFUSED_US = 200  # a refused connection is told so soon
@@ -77,16 +77,15 @@
 
     def start(
         self,
-        upstream: int,
+        endpoint_id: int,
         address: tuple[str, int],
-        call: ProxyRequest,
-        timeout_us: int,
-        ended: Callable[[TransportResult], None],
-        within_us: int = 0,
+        request: ProxyRequest,
+        times: AttemptTimes,
+        on_end: Callable[[TransportResult], None],
     ) -> PlayedFlight:
-        """Send an attempt: `ended` is called when its server's behaviour says so, never if it is silent."""
+        """Send an attempt: `on_end` is called when its server's behaviour says so, never if it is silent."""
         behaviour = self.behaviour(address)
-        over = self.sent(self.pool, upstream, address, call, behaviour)
+        over = self.sent(self.pool, endpoint_id, address, request, behaviour)
         flight = PlayedFlight(behaviour.does)
         flight.given_up = lambda: over("given up")
         if behaviour.does is not Does.SILENT:
@@ -98,7 +97,7 @@
 
             def end() -> None:
                 over(behaviour.does.value)
-                ended(result)
+                on_end(result)
 
             after_us = REFUSED_US if behaviour.does is Does.REFUSE else behaviour.after_us
             flight.timer = self.loop.call_later(after_us / 1e6, end)
@@ -116,14 +115,14 @@
         """0 us: a connection may be opened at once."""
         return 0
 
-    def close_idle(self, upstream: int) -> None:
+    def close_idle(self, endpoint_id: int) -> None:
         """There are no idle connections to close."""
 
-    def forget(self, upstream: int) -> None:
+    def forget(self, endpoint_id: int) -> None:
         """Nothing is kept of a server that has left."""
 
-    def limit(self, budget: InstanceLimits, turn: float) -> None:
-        """Budgets of connections are not played."""
+    def apply_limits(self, limits: InstanceLimits, first: float) -> None:
+        """Limits of connections are not played."""
 
-    def allow(self, most: int) -> None:
+    def configure(self, max_connections: int) -> None:
         """Bounds of connections are not played."""
--- /dev/null
+++ b/plovertrail/upstreams/attempt.py
@@ -0,0 +1,95 @@
+"""One attempt over HTTP/1.1: what is written, and whom its end is reported to."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from plovertrail.clock import clock_us
+from plovertrail.dispatch.types import (
+    Address,
+    AttemptTimes,
+    Headers,
+    ProxyRequest,
+    TransportResult,
+    WebSocketHandshake,
+    never_disconnected,
+)
+
+if TYPE_CHECKING:
+    from plovertrail.upstreams.connection import Connection
+
+BODYLESS_METHODS = (b"GET", b"HEAD", b"OPTIONS", b"DELETE")  # no length is told where there is no body
+
+
+def request_head(
+    request: ProxyRequest, address: Address, timeout_us: int, upgrade: Headers | None = None
+) -> bytes:
+    """The head of an attempt: the client's own, the time that is left, and what asks for a WebSocket."""
+    host = request.host or b"%s:%d" % (address[0].encode(), address[1])
+    lines = [b"%s %s HTTP/1.1\r\nHost: %s" % (request.method, request.target, host)]
+    lines.extend([b"%s: %s" % header for header in request.headers])
+    lines.extend([b"%s: %s" % header for header in upgrade or ()])
+    lines.append(b"X-Deadline-Ms: %d" % max(1, timeout_us // 1000))
+    if request.body or request.method not in BODYLESS_METHODS:
+        lines.append(b"Content-Length: %d" % len(request.body))
+    return b"\r\n".join(lines) + b"\r\n\r\n"
+
+
+@dataclass(slots=True, eq=False)
+class Attempt:
+    """One attempt (dispatch.types.AttemptHandle): it has a connection, or waits until that is up."""
+
+    data: bytes
+    on_end: Callable[[TransportResult], None]
+    head_only: bool = False  # its response has no body
+    handshake: WebSocketHandshake | None = None
+    handshake_key: bytes = b""
+    client_disconnected: Callable[[], bool] = never_disconnected
+    start_before_us: int = 0  # it may not begin later; 0: at any time
+    connection: Connection | None = None
+    written: bool = False
+    cancelled: bool = False
+
+    def may_begin(self) -> bool:
+        """Whether it is still of use, and harmless, now that its connection is up."""
+        too_late = self.start_before_us and clock_us() >= self.start_before_us
+        return not too_late and not self.client_disconnected()
+
+    def cancel(self) -> None:
+        """Report no end. A connection that has carried it is closed; one still coming up stays."""
+        self.cancelled = True
+        connection, self.connection = self.connection, None
+        if connection is not None:
+            connection.attempt = None
+            if self.written:
+                connection.close()
+
+    def end(self, result: TransportResult) -> None:
+        """Report the result, and let go of the connection."""
+        self.connection = None
+        self.on_end(result)
+
+
+def make_attempt(
+    request: ProxyRequest, address: Address, times: AttemptTimes, on_end: Callable[[TransportResult], None]
+) -> Attempt:
+    """An attempt at an address. A handshake may begin at any time, as it makes a connection of its own."""
+    handshake = request.handshake
+    if handshake is None:
+        return Attempt(
+            request_head(request, address, times.timeout_us) + request.body,
+            on_end,
+            request.method == b"HEAD",
+            client_disconnected=request.client_disconnected,
+            start_before_us=clock_us() + times.start_within_us if times.start_within_us else 0,
+        )
+    key, upgrade = handshake.upgrade_request()
+    return Attempt(
+        request_head(request, address, times.timeout_us, upgrade),
+        on_end,
+        handshake=handshake,
+        handshake_key=key,
+        client_disconnected=request.client_disconnected,
+    )
--- /dev/null
+++ b/plovertrail/upstreams/connect_limits.py
@@ -0,0 +1,69 @@
+"""How many connections a pool may have, and how fast it may make them."""
+
+from __future__ import annotations
+
+from plovertrail.clock import clock_us
+from plovertrail.decisions.connect_rate import ConnectRateLimiter
+from plovertrail.decisions.fleet_limits import InstanceLimits
+
+
+class ConnectLimits:
+    """The operator's bound, and this instance's part of what the endpoints bear from the whole fleet."""
+
+    def __init__(self, max_connections: int) -> None:
+        self.configured_max = max_connections
+        self.max_connections = max_connections
+        self.instance = InstanceLimits()
+        self.rate: ConnectRateLimiter | None = None
+
+    def configure(self, max_connections: int) -> None:
+        """Apply another bound of the operator's."""
+        self.configured_max = max_connections
+        self.max_connections = min(max_connections, self.instance.connections or max_connections)
+
+    def apply(self, limits: InstanceLimits, first: float) -> None:
+        """Keep to another part of the fleet's.
+
+        The first connect comes after `first`, from 0 to 1, of the interval between two.
+        """
+        self.instance = limits
+        self.max_connections = min(self.configured_max, limits.connections or self.configured_max)
+        if not limits.connect_interval_us:
+            self.rate = None
+        elif self.rate is None:
+            self.rate = ConnectRateLimiter(limits.connect_interval_us, clock_us(), first)
+        else:
+            self.rate.set_interval(limits.connect_interval_us, clock_us())
+
+    def process_paused(self, first: float) -> None:
+        """The process did nothing for a while; `first` as for `apply`."""
+        if self.rate is not None:
+            self.rate.process_paused(clock_us(), first)
+
+    @property
+    def are_fleet_wide(self) -> bool:
+        """Whether a connect may be refused because of the fleet's limits."""
+        return bool(self.instance.connections) or self.rate is not None
+
+    def allow_connect(self, at_endpoint: int, total: int, any_idle: bool) -> bool:
+        """Whether one more connection may be made beside those that there are.
+
+        Where some are idle, one of them can make room.
+        """
+        per_endpoint = self.instance.connections_per_endpoint
+        if per_endpoint and at_endpoint >= per_endpoint:
+            return False
+        if self.instance.connections and total >= self.max_connections and not any_idle:
+            return False
+        return self.rate is None or self.rate.allows(clock_us())
+
+    def next_connect_us(self) -> int:
+        """When a further connection may be made; 0 without a limit on the rate."""
+        return self.rate.next_us if self.rate is not None else 0
+
+    def promised_connect_us(self, longest_us: int) -> int:
+        """When a client that was rejected for want of a connect should come back; 0: no such want."""
+        now_us = clock_us()
+        if self.rate is None or self.rate.allows(now_us):
+            return 0
+        return self.rate.reserve_retry_us(now_us, longest_us)
--- /dev/null
+++ b/plovertrail/upstreams/connection_pool.py
@@ -0,0 +1,227 @@
+"""The connections to the endpoints of one pool, and the attempts that they carry."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import socket
+from collections.abc import Callable, Container
+
+from plovertrail.clock import clock_us
+from plovertrail.decisions.events import Outcome
+from plovertrail.decisions.fleet_limits import InstanceLimits
+from plovertrail.dispatch.types import (
+    Address,
+    AttemptTimes,
+    ProxyRequest,
+    TransportResult,
+    never_stale,
+)
+from plovertrail.upstreams.attempt import Attempt, make_attempt
+from plovertrail.upstreams.connect_limits import ConnectLimits
+from plovertrail.upstreams.connection import Connection
+from plovertrail.upstreams.idle_connections import IdleConnections
+from plovertrail.upstreams.response_reader import ResponseRules
+
+log = logging.getLogger(__name__)
+
+# The settings say when an endpoint closes an idle connection. It may do so while a request is on its way, and
+# a sidecar under a CPU limit may be paused for as long.
+IDLE_MARGIN_US = 300_000
+
+
+class TooManyConnectionsError(OSError):
+    """There may be no further connection, and none is idle."""
+
+
+class UnreachableEndpoints:
+    """The endpoints that no attempt can reach now; a live view of a pool.
+
+    `needs_new_connection`: idle connections are of no use, as for a handshake.
+    """
+
+    def __init__(self, pool: ConnectionPool, needs_new_connection: bool) -> None:
+        self.pool = pool
+        self.needs_new_connection = needs_new_connection
+
+    def __contains__(self, endpoint_id: object) -> bool:
+        assert isinstance(endpoint_id, int)
+        if not self.needs_new_connection and endpoint_id in self.pool.idle.by_endpoint:
+            return False
+        return not self.pool.may_connect(endpoint_id)
+
+
+class ConnectionPool:
+    """Connections to all endpoints of a list (dispatch.types.EndpointTransport).
+
+    `idle_us`: when endpoints close idle connections. `turn_is_stale`: see dispatch.Dispatcher.
+    """
+
+    def __init__(
+        self,
+        idle_us: int,
+        connect_timeout_us: int,
+        max_connections: int,
+        rules: ResponseRules | None = None,
+        turn_is_stale: Callable[[], bool] = never_stale,
+    ) -> None:
+        self.loop = asyncio.get_running_loop()
+        self.connect_timeout_us = connect_timeout_us
+        self.rules = rules or ResponseRules()
+        self.turn_is_stale = turn_is_stale
+        self.limits = ConnectLimits(max_connections)
+        self.connections: dict[int, set[Connection]] = {}  # all there are, also those coming up
+        self.count = 0
+        self.idle = IdleConnections(self.loop, max(0, idle_us - IDLE_MARGIN_US))
+        self.connects: set[asyncio.Task[None]] = set()
+
+    # Attempts
+
+    def start(
+        self,
+        endpoint_id: int,
+        address: Address,
+        request: ProxyRequest,
+        times: AttemptTimes,
+        on_end: Callable[[TransportResult], None],
+    ) -> Attempt:
+        """Begin an attempt, on an idle connection or a new one.
+
+        Where there can be no connection, `on_end` is called only after this has returned.
+        """
+        attempt = make_attempt(request, address, times, on_end)
+        now_us = clock_us()
+        if attempt.handshake is None:
+            connection = self.idle.take(endpoint_id, now_us)
+            if connection is not None:
+                connection.send(attempt)
+                return attempt
+        if not self.may_connect(endpoint_id):
+            # The load balancer knew, but several attempts may have been sent to one free place.
+            self.loop.call_soon(end_unsent, attempt, Outcome.NOT_SENT)
+            return attempt
+        if self.limits.rate is not None:
+            self.limits.rate.consume(now_us)
+        try:
+            # Made before its connect begins, so that it is there when its endpoint is forgotten.
+            connection = self._make(endpoint_id, attempt)
+        except OSError:
+            self.loop.call_soon(end_unsent, attempt, Outcome.CONNECT_FAILED)
+            return attempt
+        task = self.loop.create_task(self._connect(connection, address, attempt))
+        self.connects.add(task)
+        task.add_done_callback(self.connects.discard)
+        return attempt
+
+    def _make(self, endpoint_id: int, attempt: Attempt) -> Connection:
+        """A connection that is to carry an attempt first; raises OSError if there may be no more."""
+        # Silent endpoints, with a connection for each attempt, would use up the descriptors.
+        if self.count >= self.limits.max_connections and not self.idle.close_oldest():
+            raise TooManyConnectionsError("too many connections to endpoints")
+        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        sock.setblocking(False)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        connection = Connection(self, endpoint_id, sock)
+        connection.attempt = attempt
+        attempt.connection = connection
+        return connection
+
+    async def _connect(self, connection: Connection, address: Address, attempt: Attempt) -> None:
+        """Bring a connection up in time; else its attempt ends with CONNECT_FAILED. Raises nothing."""
+        if attempt.cancelled:  # before this task's first step
+            connection.sock.close()
+            self.remove(connection)
+            return
+        try:
+            async with asyncio.timeout(self.connect_timeout_us / 1e6 or None):
+                await self.loop.sock_connect(connection.sock, address)
+            await self.loop.create_connection(lambda: connection, sock=connection.sock)
+        except Exception as error:
+            # Refused, unreachable, not up in time; or no address at all, which is no OSError.
+            if not isinstance(error, OSError):
+                log.warning("connect failed endpoint=%d error=%r", connection.endpoint_id, error)
+            connection.attempt = None
+            connection.sock.close()
+            self.remove(connection)
+            if not attempt.cancelled and not attempt.written:
+                attempt.end(TransportResult(Outcome.CONNECT_FAILED))
+
+    # Limits
+
+    def configure(self, max_connections: int) -> None:
+        """Apply another bound; what is open beyond it closes as it becomes idle."""
+        self.limits.configure(max_connections)
+
+    def apply_limits(self, limits: InstanceLimits, first: float) -> None:
+        """Keep to this instance's part; what is open beyond it closes as it becomes idle.
+
+        The first connect comes after `first`, from 0 to 1, of the interval between two.
+        """
+        self.limits.apply(limits, first)
+
+    def process_paused(self, first: float) -> None:
+        """The process did nothing for a while; `first` as for `apply_limits`."""
+        self.limits.process_paused(first)
+
+    def may_connect(self, endpoint_id: int) -> bool:
+        """Whether a further connection to an endpoint may be made."""
+        at_endpoint = len(self.connections.get(endpoint_id, ()))
+        return self.limits.allow_connect(at_endpoint, self.count, bool(self.idle.by_endpoint))
+
+    def unreachable(self, needs_new_connection: bool) -> Container[int]:
+        """The endpoints that can't be reached now; a live view."""
+        if not self.limits.are_fleet_wide:
+            return frozenset()
+        return UnreachableEndpoints(self, needs_new_connection)
+
+    def next_connect_us(self) -> int:
+        """When a further connection may be made; 0 without a limit on the rate."""
+        return self.limits.next_connect_us()
+
+    def promised_connect_us(self, longest_us: int) -> int:
+        """When a client that was rejected for want of a connect should come back; 0: no such want."""
+        return self.limits.promised_connect_us(longest_us)
+
+    # Connections
+
+    def add(self, connection: Connection) -> None:
+        """Count a connection from now on."""
+        self.connections.setdefault(connection.endpoint_id, set()).add(connection)
+        self.count += 1
+
+    def remove(self, connection: Connection) -> None:
+        """Count a connection no more; nothing happens if it isn't there."""
+        self.idle.discard(connection)
+        group = self.connections.get(connection.endpoint_id, set())
+        if connection in group:
+            group.remove(connection)
+            self.count -= 1
+        if not group:
+            self.connections.pop(connection.endpoint_id, None)
+
+    def keep_idle(self, connection: Connection) -> None:
+        """Keep a connection for later requests; closes it if there are too many or none is to be kept."""
+        if self.count > self.limits.max_connections or not self.limits.instance.keep_idle:
+            connection.close()
+        else:
+            self.idle.add(connection)
+
+    def record_reuse(self, idle_us: int, broke: bool) -> None:
+        """Learn how a connection fared that had been idle for so long."""
+        self.idle.record_reuse(idle_us, broke)
+
+    def close_idle(self, endpoint_id: int) -> None:
+        """Close all idle connections to an endpoint."""
+        self.idle.close_all(endpoint_id)
+
+    def forget(self, endpoint_id: int) -> None:
+        """An endpoint was removed or has moved: what is in use closes once its attempt has ended."""
+        self.close_idle(endpoint_id)
+        for connection in self.connections.get(endpoint_id, set()):
+            connection.endpoint_removed = True
+
+
+def end_unsent(attempt: Attempt, outcome: Outcome) -> None:
+    """End an attempt for which there was no connection, unless it was cancelled meanwhile."""
+    if not attempt.cancelled:
+        attempt.end(TransportResult(outcome))
--- a/tests/daemon/test_many_lists.py
+++ b/tests/daemon/test_many_lists.py
@@ -413,10 +413,10 @@
         site.write(["a", "b"])
         async with serving(site) as daemon:
             learnt = daemon.pools["a"].pool.balancer
-            assert daemon.pools["a"].connections.most == 60
+            assert daemon.pools["a"].connections.limits.max_connections == 60
             site.write(["a", "b", "c"])
             assert await daemon.reload()
-            assert {pool.connections.most for pool in daemon.pools.values()} == {40}
+            assert {pool.connections.limits.max_connections for pool in daemon.pools.values()} == {40}
             assert daemon.pools["a"].pool.balancer is learnt
 
     run(test)
--- a/tests/listeners/test_connections.py
+++ b/tests/listeners/test_connections.py
@@ -16,7 +16,7 @@
 from plovertrail.decisions.settings import RequestClass
 from plovertrail.listeners import application, connections
 from plovertrail.listeners.connections import ClientConnection, State
-from plovertrail.upstreams.connections import ConnectionPool
+from plovertrail.upstreams.connection_pool import ConnectionPool
 from tests.daemons import Held, message, run, running
 from tests.net import (
     NOT_RUN,
--- a/tests/test_endpoint_registry.py
+++ b/tests/test_endpoint_registry.py
@@ -259,7 +259,7 @@
         await door.shut()
         for name, client in zip(names[50:], clients[50:], strict=True):
             client.writer.write(message(f"POST /{name}"))
-        await until(lambda: sum(len(pool.connections.dials) for pool in it.daemon.pools.values()) == 20)
+        await until(lambda: sum(len(pool.connections.connects) for pool in it.daemon.pools.values()) == 20)
         written = write_list(path, {"stays": other})
         await until(lambda: all(set(members(it, name)) == {"stays"} for name in names))
         assert time.monotonic() - written < 2.0
--- a/tests/test_share.py
+++ b/tests/test_share.py
@@ -22,7 +22,7 @@
 from plovertrail.dispatch.dispatcher import Dispatcher
 from plovertrail.dispatch.endpoint_feed import SLICE_SIZE
 from plovertrail.dispatch.server_pool import ServerPool
-from plovertrail.upstreams.connections import ConnectionPool
+from plovertrail.upstreams.connection_pool import ConnectionPool
 from tests.daemons import Client, message, run, running, site
 from tests.net import until
 
@@ -75,7 +75,7 @@
         async with running(
             tmp_path, {"main": servers}, routes=ROUTE, pool_extra=extra, head="[limits]\ninstances = 100000\n"
         ) as it:
-            turns = it.daemon.pools["main"].connections.dial_turns
+            turns = it.daemon.pools["main"].connections.limits.rate
             assert turns is not None and turns.interval_us > 1_000_000_000
             assert began_us < turns.next_us <= clock_us() + turns.interval_us
             # the drawn one may come at any moment
@@ -103,7 +103,7 @@
         async with running(
             tmp_path, {"main": servers}, routes=ROUTE, pool_extra=extra, head="[limits]\ninstances = 1000\n"
         ) as it:
-            turns = it.daemon.pools["main"].connections.dial_turns
+            turns = it.daemon.pools["main"].connections.limits.rate
             assert turns is not None
             dispatcher = it.daemon.dispatcher
             turns.full_burst_us = dispatcher.pools[0].balancer.now_us + 3_600_000_000
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -20,11 +20,13 @@
 from plovertrail.decisions.load_balancing.concurrency_limits import MAX_LIMIT
 from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.dispatch.dispatcher import Dispatcher
-from plovertrail.dispatch.types import ProxyRequest, TransportResult
+from plovertrail.dispatch.types import AttemptTimes, ProxyRequest, TransportResult
 from plovertrail.listeners import application as server
 from plovertrail.listeners import connections
 from plovertrail.sources import discovery as discovery_module
-from plovertrail.upstreams.connections import Attempt, Connection, ConnectionPool
+from plovertrail.upstreams.attempt import Attempt
+from plovertrail.upstreams.connection import Connection
+from plovertrail.upstreams.connection_pool import ConnectionPool
 from tests.net import (
     NOT_RUN,
     OK,
@@ -253,28 +255,30 @@
 
 def test_connections_to_upstreams_are_bounded() -> None:
     async def test() -> None:
-        pool, results = ConnectionPool(60_000_000, 10_000_000, most=2), list[TransportResult]()
+        pool, results = ConnectionPool(60_000_000, 10_000_000, max_connections=2), list[TransportResult]()
         upstreams = [Upstream(answering(OK)), Upstream(silent), Upstream(silent)]
         for upstream in upstreams:
             await upstream.start()
         call = ProxyRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
 
         def begin(number: int) -> Attempt:
-            return pool.start(number, ("127.0.0.1", upstreams[number].port), call, 0, results.append)
+            return pool.start(
+                number, ("127.0.0.1", upstreams[number].port), call, AttemptTimes(0), results.append
+            )
 
         begin(0)
         await until(lambda: len(results) == 1)
-        assert results[0].outcome is Outcome.OK and len(pool.idle[0]) == 1
+        assert results[0].outcome is Outcome.OK and len(pool.idle.by_endpoint[0]) == 1
         open_ones = [begin(1), begin(2)]  # the idle one makes room
         await until(lambda: sum(len(upstream.requests) for upstream in upstreams) == 3)
-        assert pool.idle == {}
+        assert pool.idle.by_endpoint == {}
         begin(0)
         await until(lambda: len(results) == 2)
         assert results[1].outcome is Outcome.CONNECT_FAILED
         for attempt in open_ones:
             attempt.cancel()
         begin(0).cancel()  # before its dial began
-        await until(lambda: not pool.dials and pool.connections == {})
+        await until(lambda: not pool.connects and pool.connections == {})
         assert len(upstreams[0].requests) == 1
         for upstream in upstreams:
             upstream.stop()
@@ -284,15 +288,19 @@
 
 def test_connections_idle_for_as_long_as_others_that_broke_are_not_used() -> None:
     async def test() -> None:
-        pool = ConnectionPool(60_000_000, 10_000_000, most=10)
+        pool = ConnectionPool(60_000_000, 10_000_000, max_connections=10)
         for _ in range(30):
-            assert pool.trusted(200_000) and pool.trusted(20_000)
-            pool.learn(200_000, broke=False)
-            pool.learn(20_000, broke=False)
+            assert pool.idle.is_trusted(200_000) and pool.idle.is_trusted(20_000)
+            pool.record_reuse(200_000, broke=False)
+            pool.record_reuse(20_000, broke=False)
         for _ in range(3):
-            pool.learn(200_000, broke=True)
-        assert not pool.trusted(210_000) and pool.trusted(20_000) and pool.trusted(2_000_000)
-        await until(lambda: pool.trusted(200_000))  # they are tried again in time
+            pool.record_reuse(200_000, broke=True)
+        assert (
+            not pool.idle.is_trusted(210_000)
+            and pool.idle.is_trusted(20_000)
+            and pool.idle.is_trusted(2_000_000)
+        )
+        await until(lambda: pool.idle.is_trusted(200_000))  # they are tried again in time
 
     async def over_sockets() -> None:
         async def script(
@@ -308,10 +316,10 @@
 
         upstream, results = Upstream(script), list[TransportResult]()
         await upstream.start()
-        pool = ConnectionPool(60_000_000, 10_000_000, most=10)
+        pool = ConnectionPool(60_000_000, 10_000_000, max_connections=10)
         call = ProxyRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
         for number in range(80):
-            pool.start(1, ("127.0.0.1", upstream.port), call, 0, results.append)
+            pool.start(1, ("127.0.0.1", upstream.port), call, AttemptTimes(0), results.append)
             await until(partial(ended, number + 1))
         assert 0 < [result.outcome for result in results].count(Outcome.RESET) < 30  # else each second one
         upstream.stop()
@@ -416,7 +424,7 @@
 def test_a_request_that_was_not_written_whole_never_ran_and_its_connection_ends(early: bytes) -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        pool, results = ConnectionPool(60_000_000, 10_000_000, most=10), list[TransportResult]()
+        pool, results = ConnectionPool(60_000_000, 10_000_000, max_connections=10), list[TransportResult]()
         with socket.socket() as listener:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             listener.bind(("127.0.0.1", 0))
@@ -437,7 +445,7 @@
         peer.close()
         await until(lambda: bool(results))
         assert [result.outcome for result in results] == [Outcome.OK if early else Outcome.CONNECT_FAILED]
-        assert pool.idle == {} and pool.connections == {} and connection.closed
+        assert pool.idle.by_endpoint == {} and pool.connections == {} and connection.closed
 
     run(test)
 
--- a/tests/upstreams/test_connections.py
+++ b/tests/upstreams/test_connections.py
@@ -8,8 +8,8 @@
 from plovertrail.clock import clock_us
 from plovertrail.decisions.events import Outcome
 from plovertrail.decisions.fleet_limits import InstanceLimits
-from plovertrail.dispatch.types import ProxyRequest, TransportResult
-from plovertrail.upstreams.connections import IDLE_MARGIN_US, ConnectionPool
+from plovertrail.dispatch.types import AttemptTimes, ProxyRequest, TransportResult
+from plovertrail.upstreams.connection_pool import IDLE_MARGIN_US, ConnectionPool
 from tests.daemons import run
 from tests.net import until
 
@@ -25,12 +25,12 @@
         pool = ConnectionPool(10_000_000, 1_000_000, 10)
         ends: list[TransportResult] = []
         for _ in range(4):
-            pool.start(1, ("127.0.0.1", server.port), get(), 1_000_000, ends.append)
+            pool.start(1, ("127.0.0.1", server.port), get(), AttemptTimes(1_000_000), ends.append)
         await until(lambda: pool.count == 4)
-        pool.limit(InstanceLimits(connections=2, connections_per_endpoint=2), 0.5)
+        pool.apply_limits(InstanceLimits(connections=2, connections_per_endpoint=2), 0.5)
         await until(lambda: len(ends) == 4)
         assert pool.count == 2
-        assert not pool.may_dial(1) and pool.may_dial(2)
+        assert not pool.may_connect(1) and pool.may_connect(2)
         assert (
             1 not in pool.unreachable(False)
             and 1 in pool.unreachable(True)
@@ -46,10 +46,10 @@
         server = WebServer()
         await server.start()
         pool = ConnectionPool(10_000_000, 1_000_000, 10)
-        pool.limit(InstanceLimits(connections=3, connections_per_endpoint=2), 0.5)
+        pool.apply_limits(InstanceLimits(connections=3, connections_per_endpoint=2), 0.5)
         ends: list[TransportResult] = []
         for _ in range(5):  # in one turn of the loop
-            pool.start(1, ("127.0.0.1", server.port), get(), 1_000_000, ends.append)
+            pool.start(1, ("127.0.0.1", server.port), get(), AttemptTimes(1_000_000), ends.append)
         await until(lambda: len(ends) == 5)
         assert [end.outcome for end in ends].count(Outcome.NOT_SENT) == 3 and server.count == 2
         assert server.connections == 2 and pool.count == 2
@@ -61,9 +61,9 @@
 def test_an_attempt_given_up_before_it_could_be_told_of_the_limit_ends_once() -> None:
     async def test() -> None:
         pool = ConnectionPool(10_000_000, 1_000_000, 10)
-        pool.limit(InstanceLimits(connect_interval_us=3_600_000_000), 0.9)
+        pool.apply_limits(InstanceLimits(connect_interval_us=3_600_000_000), 0.9)
         ends: list[TransportResult] = []
-        pool.start(1, ("127.0.0.1", 1), get(), 1_000_000, ends.append).cancel()
+        pool.start(1, ("127.0.0.1", 1), get(), AttemptTimes(1_000_000), ends.append).cancel()
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         assert ends == [] and pool.count == 0
@@ -79,11 +79,11 @@
         ends: list[TransportResult] = []
         call, gone = get(), False
         call.client_disconnected = lambda: gone
-        pool.start(1, ("127.0.0.1", server.port), call, 1_000_000, ends.append)
+        pool.start(1, ("127.0.0.1", server.port), call, AttemptTimes(1_000_000), ends.append)
         gone = True  # the dial has not begun
         await until(lambda: bool(ends))
         assert ends[0].outcome is Outcome.NOT_SENT and not server.arrivals
-        pool.start(1, ("127.0.0.1", server.port), get(), 1_000_000, ends.append)
+        pool.start(1, ("127.0.0.1", server.port), get(), AttemptTimes(1_000_000), ends.append)
         await until(lambda: len(ends) == 2)
         assert ends[1].outcome is Outcome.OK and server.connections == 1
         server.stop()
@@ -101,11 +101,11 @@
         for _ in range(20):
             call = get()
             call.client_disconnected = lambda: bool(gone)
-            pool.start(1, ("127.0.0.1", server.port), call, 1_000_000, ends.append)
+            pool.start(1, ("127.0.0.1", server.port), call, AttemptTimes(1_000_000), ends.append)
         gone.append(True)  # all at once, before any connection is up
         await until(lambda: len(ends) == 20)
         assert {end.outcome for end in ends} == {Outcome.NOT_SENT} and not server.arrivals
-        assert len(pool.idle[1]) == pool.count == 20  # what has come up is of use to others
+        assert len(pool.idle.by_endpoint[1]) == pool.count == 20  # what has come up is of use to others
         server.stop()
 
     run(test)
@@ -117,10 +117,10 @@
         await server.start()
         pool = ConnectionPool(10_000_000, 1_000_000, 10)
         ends: list[TransportResult] = []
-        pool.start(1, ("127.0.0.1", server.port), get(), 1_000_000, ends.append, within_us=1)
+        pool.start(1, ("127.0.0.1", server.port), get(), AttemptTimes(1_000_000, 1), ends.append)
         await until(lambda: len(ends) == 1)
         assert ends[0].outcome is Outcome.NOT_SENT and not server.arrivals
-        pool.start(1, ("127.0.0.1", server.port), get(), 1_000_000, ends.append, within_us=10_000_000)
+        pool.start(1, ("127.0.0.1", server.port), get(), AttemptTimes(1_000_000, 10_000_000), ends.append)
         await until(lambda: len(ends) == 2)
         assert ends[1].outcome is Outcome.OK
         server.stop()
@@ -136,14 +136,14 @@
         await server.start()
         pool = ConnectionPool(10_000_000, 1_000_000, 10)
         ends: list[TransportResult] = []
-        pool.start(1, ("127.0.0.1", server.port), get(), 1_000_000, ends.append)
+        pool.start(1, ("127.0.0.1", server.port), get(), AttemptTimes(1_000_000), ends.append)
         pool.forget(1)  # the dial has not had its first step
         await until(lambda: len(ends) == 1)
         assert ends[0].outcome is Outcome.CONNECT_FAILED and not server.arrivals
         assert pool.count == 0 and not pool.connections
-        pool.start(1, ("127.0.0.1", server.port), get(), 1_000_000, ends.append)
+        pool.start(1, ("127.0.0.1", server.port), get(), AttemptTimes(1_000_000), ends.append)
         pool.forget(1)
-        pool.start(2, ("127.0.0.1", server.port), get(), 1_000_000, ends.append)
+        pool.start(2, ("127.0.0.1", server.port), get(), AttemptTimes(1_000_000), ends.append)
         await until(lambda: len(ends) == 3)
         assert sorted(end.outcome.value for end in ends[1:]) == ["connect_failed", "ok"]
         assert len(server.arrivals) == 1
@@ -157,13 +157,13 @@
         server = WebServer()
         await server.start()
         pool = ConnectionPool(IDLE_MARGIN_US + 50_000, 1_000_000, 10)
-        assert pool.sweeper is None, "an instance without connections has nothing to look at"
+        assert pool.idle.sweeper is None, "an instance without connections has nothing to look at"
         ends: list[TransportResult] = []
         for _ in range(3):
-            pool.start(1, ("127.0.0.1", server.port), get(), 1_000_000, ends.append)
+            pool.start(1, ("127.0.0.1", server.port), get(), AttemptTimes(1_000_000), ends.append)
         await until(lambda: len(ends) == 3)
-        assert pool.count == 3 and pool.sweeper is not None
-        await until(lambda: pool.count == 0 and pool.sweeper is None)
+        assert pool.count == 3 and pool.idle.sweeper is not None
+        await until(lambda: pool.count == 0 and pool.idle.sweeper is None)
         server.stop()
 
     run(test)
@@ -176,9 +176,9 @@
         server = WebServer()
         await server.start()
         pool = ConnectionPool(10_000_000, 1_000_000, 10)
-        pool.stale = lambda: True
+        pool.turn_is_stale = lambda: True
         ends: list[TransportResult] = []
-        pool.start(1, ("127.0.0.1", server.port), get(), 1_000_000, ends.append)
+        pool.start(1, ("127.0.0.1", server.port), get(), AttemptTimes(1_000_000), ends.append)
         await until(lambda: bool(ends))
         assert ends[0].outcome is Outcome.CONNECT_FAILED and not server.count and not pool.count
         server.stop()
