--- a/plovertrail/cli/members.py
+++ b/plovertrail/cli/members.py
@@ -1,4 +1,4 @@
-"""`plovertrail members` (and its alias `fellows`) and `plovertrail explain`: cluster members, endpoint health.
+"""`plovertrail members` (alias `fellows`) and `plovertrail explain`: cluster members, endpoint health.
 
 The status keys that are read here are listed in peers/membership_transport.py and health_reporter.py.
 """
@@ -11,7 +11,7 @@
 
 import click
 
-from plovertrail.cli.control import SOCKET, ask
+from plovertrail.cli.daemon_client import SOCKET_OPTION, status_or_exit
 
 NOT_ENABLED = "instances don't know one another: the daemon's file has no [fellows]"
 EXIT_ISOLATED = 3
@@ -66,7 +66,7 @@
 
 def show_members(path: str, as_json: bool) -> None:
     """Print the members that the daemon at a control socket sees."""
-    status = ask(path, do="status")["status"].get("fellows")
+    status = status_or_exit(path).get("fellows")
     if not status:
         click.echo(NOT_ENABLED, err=True)
         sys.exit(1)
@@ -79,7 +79,7 @@
 
 
 @click.command()
-@SOCKET
+@SOCKET_OPTION
 @click.option("--json", "as_json", is_flag=True, help="All of it, as JSON.")
 def members(path: str, as_json: bool) -> None:
     """Show the members of the cluster and their states; exits with 3 if none is heard."""
@@ -87,7 +87,7 @@
 
 
 @click.command()
-@SOCKET
+@SOCKET_OPTION
 @click.option("--json", "as_json", is_flag=True, help="All of it, as JSON.")
 def fellows(path: str, as_json: bool) -> None:
     """Show the members: the older name of `members`."""
@@ -102,10 +102,10 @@
 @explain.command()
 @click.argument("server")
 @click.option("--pool", help="Of this pool only.")
-@SOCKET
+@SOCKET_OPTION
 def server(server: str, pool: str | None, path: str) -> None:
     """Show the health evidence on SERVER, own and peers', and its penalty."""
-    status = ask(path, do="status")["status"]
+    status = status_or_exit(path)
     pools = [
         name
         for name, each in status["pools"].items()
