--- a/plovertrail/daemon/configuration_apply.py
+++ b/plovertrail/daemon/configuration_apply.py
@@ -68,7 +68,7 @@
     def put_into_force(self, prepared: PreparedConfiguration) -> None:
         """Replace the configuration in force; requests in flight keep the generation they began with."""
         services, setup = self.services, prepared.setup
-        superseded = services.pools.apply(setup, prepared.first_lists, services.recovery)
+        superseded = services.pools.apply(setup, prepared.first_lists)
         counts = self._apply_peers(prepared)
         services.limiters.apply(setup, counts, services.warm_state)
         self._replace_generation(prepared)
--- a/plovertrail/daemon/pool_manager.py
+++ b/plovertrail/daemon/pool_manager.py
@@ -5,7 +5,6 @@
 import logging
 from collections.abc import Callable, Iterator, Mapping
 from dataclasses import dataclass, field
-from functools import partial
 from typing import Protocol
 
 from plovertrail.background import BackgroundRunner
@@ -58,6 +57,7 @@
     current: CurrentGeneration
     warm_state: WarmStateManager
     lists: ListReader
+    source_observer: SourceObserver
     new_seed: Callable[[], int]
     connect: ConnectionFactory
     fleet: FleetTracker = field(init=False)
@@ -74,9 +74,7 @@
 
     # Configurations
 
-    def apply(
-        self, setup: Setup, first_lists: Mapping[SourceKey, FirstRead], observer: SourceObserver
-    ) -> SupersededPools:
+    def apply(self, setup: Setup, first_lists: Mapping[SourceKey, FirstRead]) -> SupersededPools:
         """Build the pools of a configuration, or keep those that can become what it says."""
         remaining = dict(self.running)
         replaced = []
@@ -94,7 +92,7 @@
                 replaced.append(previous)
                 registry = previous.registry
             else:
-                registry = self._make_registry(name, observer)
+                registry = self._make_registry(name)
             running[name] = self._build_pool(spec, registry, first_lists)
         # Until here the table has the previous pools, which know since when an endpoint is listed.
         self.table.running = running
@@ -110,16 +108,10 @@
         registry.attach(pool.pool)
         return pool
 
-    def _make_registry(self, name: str, observer: SourceObserver) -> EndpointRegistry:
+    def _make_registry(self, name: str) -> EndpointRegistry:
         started = bool(self.current.generation.number)
         state = self.warm_state.take_lists(name) or State(started=started)
-        elsewhere = EndpointsOfOtherPools(name, self.table)
-        registry = EndpointRegistry(
-            name, self.dispatcher, state, lambda: elsewhere, partial(self.endpoints_changed, name), self.lists
-        )
-        registry.heard = partial(observer.source_read, name)
-        registry.lasting = partial(self.problems_persist, name)
-        return registry
+        return EndpointRegistry(name, self.dispatcher, state, self, self.lists)
 
     def retire(self, superseded: SupersededPools) -> None:
         """Take pools out of service that no new request uses."""
@@ -147,7 +139,15 @@
                 self.running[name].registry.speak()
             yield
 
-    # Events
+    # What the registries ask and tell: see endpoint_registry.RegistryOwner
+
+    def endpoints_of_other_pools(self, name: str) -> EndpointsOfOtherPools:
+        """Since when (us) the endpoints of all pools but this are known."""
+        return EndpointsOfOtherPools(name, self.table)
+
+    def source_read(self, name: str, source: str, problem: str) -> None:
+        """A source of a pool was read; `problem` is empty if it gave a list."""
+        self.source_observer.source_read(name, source, problem)
 
     def endpoints_changed(self, name: str) -> None:
         """The endpoints of one pool have changed."""
@@ -163,6 +163,8 @@
         else:
             self.with_problems.discard(name)
 
+    # Operators and pauses
+
     def resume_after_pause(self) -> None:
         """Start all pools slowly, as the process was paused."""
         slow_start = self.current.generation.setup.fleet.slow_start
--- a/plovertrail/daemon/wiring.py
+++ b/plovertrail/daemon/wiring.py
@@ -6,6 +6,7 @@
 import os
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from functools import partial
 from typing import Protocol
 
 from plovertrail.background import BackgroundRunner
@@ -70,17 +71,21 @@
     event_log: EventSink
     websockets: WebSocketService
     peers: PeerKeeper
-    store: StoreService
     warm_state: WarmStateManager
     pools: PoolManager
     limiters: LimiterTable
     health_reporter: HealthReporter
     background: BackgroundRunner
     listeners: ListenerSet
-    hooks: HookLoader
     lists: ListReader
     config_watcher: ConfigWatcher
     recovery: RecoveryManager
+    hooks: HookLoader = field(default_factory=partial(HookLoader, clock_us))
+
+    @property
+    def store(self) -> StoreService:
+        """What writes the state file."""
+        return self.warm_state.store
 
 
 def instance_name(setup: Setup) -> str:
@@ -95,38 +100,50 @@
 ) -> Services:
     """Make the services of a daemon for its first configuration; nothing is in force yet."""
     current = CurrentGeneration(Generation(0, setup, {}, {}, {}))
-    loop = asyncio.get_running_loop()
-    dispatcher = Dispatcher(turn_staleness(loop))
+    dispatcher = Dispatcher(turn_staleness(asyncio.get_running_loop()))
     event_log = environment.open_event_log(setup.socket_log)
     websockets = WebSocketService(dispatcher, environment.new_seed(), event_log)
     peers = environment.peer_service(environment.new_seed, lists)
     table = PoolTable()
     limiters = LimiterTable(environment.new_seed)
-    store = StoreService(setup.state_file, instance_name(setup))
-
-    def shared_counts() -> Counts | None:
-        return peers.counts
-
-    warm_state = WarmStateManager(store, table.pools_with_endpoints, limiters.in_force, shared_counts)
+    warm_state = _make_warm_state(setup, table, limiters, peers)
+    reload_done, on_pause = events.wait_for_reload, events.resume_after_pause
+    recovery = RecoveryManager(dispatcher, table.registries, reload_done, on_pause)
+    pools = PoolManager(
+        table=table,
+        dispatcher=dispatcher,
+        current=current,
+        warm_state=warm_state,
+        lists=lists,
+        source_observer=recovery,
+        new_seed=environment.new_seed,
+        connect=environment.connect,
+    )
     return Services(
         current=current,
         dispatcher=dispatcher,
         event_log=event_log,
         websockets=websockets,
         peers=peers,
-        store=store,
         warm_state=warm_state,
-        pools=PoolManager(
-            table, dispatcher, current, warm_state, lists, environment.new_seed, environment.connect
-        ),
+        pools=pools,
         limiters=limiters,
         health_reporter=HealthReporter(dispatcher, table.registries, peers),
-        background=BackgroundRunner(loop),
+        background=BackgroundRunner(dispatcher.loop),
         listeners=ListenerSet(dispatcher, current, websockets, environment.listener_sockets),
-        hooks=HookLoader(clock_us),
         lists=lists,
         config_watcher=ConfigWatcher(lists, events.reload_changed),
-        recovery=RecoveryManager(
-            dispatcher, table.registries, events.wait_for_reload, events.resume_after_pause
-        ),
+        recovery=recovery,
     )
+
+
+def _make_warm_state(
+    setup: Setup, table: PoolTable, limiters: LimiterTable, peers: PeerKeeper
+) -> WarmStateManager:
+    """Make the state file's services; what the file has is read here, which blocks."""
+    store = StoreService(setup.state_file, instance_name(setup))
+
+    def shared_counts() -> Counts | None:
+        return peers.counts
+
+    return WarmStateManager(store, table.pools_with_endpoints, limiters.in_force, shared_counts)
--- a/plovertrail/endpoint_registry.py
+++ b/plovertrail/endpoint_registry.py
@@ -6,9 +6,10 @@
 import hashlib
 import logging
 import time
-from collections.abc import Callable, Mapping
+from collections.abc import Mapping
 from dataclasses import replace
 from functools import lru_cache, partial
+from typing import Protocol
 
 from plovertrail.clock import clock_us
 from plovertrail.decisions import endpoint_list
@@ -26,7 +27,22 @@
 REPEAT_S = 10.0  # a loud report is repeated so often while it lasts
 INLINE = "inline"
 FEW_SERVERS = 500  # a step among no more of them takes less time on the loop than the way off it
-Elsewhere = Callable[[], Mapping[tuple[str, Address], int]]
+
+
+class RegistryOwner(Protocol):
+    """What a registry asks and tells the owner of all pools."""
+
+    def endpoints_of_other_pools(self, pool: str) -> Mapping[tuple[str, Address], int]:
+        """Since when (us) the endpoints of all pools but this are known, by id and address."""
+
+    def endpoints_changed(self, pool: str) -> None:
+        """The endpoints of a pool have changed."""
+
+    def source_read(self, pool: str, source: str, problem: str) -> None:
+        """A source of a pool was read; `problem` is empty if it gave a list."""
+
+    def problems_persist(self, pool: str, persist: bool) -> None:
+        """A pool's lists have a problem that is to be logged again and again, or have it no more."""
 
 
 @lru_cache(maxsize=4096)
@@ -44,19 +60,14 @@
         name: str,
         dispatcher: Dispatcher,
         state: State,
-        elsewhere: Elsewhere,
-        changed: Callable[[], None],
+        owner: RegistryOwner,
         lists: ListReader,
     ) -> None:
         self.name = name
         self.dispatcher = dispatcher
         self.state = state
-        self.elsewhere = elsewhere
-        self.changed = changed  # called after each step that changed the state
-        # called with a source that was read, and what is wrong with it
-        self.heard: Callable[[str, str], None] = lambda source, wrong: None
-        # called with whether something is wrong that lasts, and so has to be said again
-        self.lasting: Callable[[bool], None] = lambda lasting: None
+        self.owner = owner
+        self.known_elsewhere = owner.endpoints_of_other_pools(name)
         self.guards = Guards()
         self.order: tuple[str, ...] = ()
         self.home_zone = ""
@@ -97,7 +108,9 @@
                 layers = {layer.source for layer in self.state.layers}
                 everything = (*self.order, *(name for name in layers if name not in self.order))
                 self.carry_out(
-                    endpoint_list.reduce(self.state, found, clock_us(), guards, everything, self.elsewhere())
+                    endpoint_list.reduce(
+                        self.state, found, clock_us(), guards, everything, self.known_elsewhere
+                    )
                 )
         self.step(Candidate(INLINE, inline, by_operator=True))
         self.state = replace(self.state, started=True)
@@ -117,7 +130,7 @@
             self.unreadable.pop(candidate.source, None)
             if candidate.source not in self.order:
                 return "it is followed no more"
-            self.heard(candidate.source, "")
+            self.owner.source_read(self.name, candidate.source, "")
             before = self.state
             if len(candidate.entries) + len(before.members) <= FEW_SERVERS:
                 self.step(candidate)
@@ -133,11 +146,13 @@
         """A source has no list that can be used: the last good one stays."""
         if source in self.order:
             self.unreadable[source] = why
-            self.heard(source, why)
+            self.owner.source_read(self.name, source, why)
             self.speak()
 
     def _reduced(self, state: State, candidate: Candidate | None) -> Step:
-        return endpoint_list.reduce(state, candidate, clock_us(), self.guards, self.order, self.elsewhere())
+        return endpoint_list.reduce(
+            state, candidate, clock_us(), self.guards, self.order, self.known_elsewhere
+        )
 
     def step(self, candidate: Candidate | None) -> None:
         """One step on the loop."""
@@ -171,7 +186,7 @@
                 max(0, due_us - clock_us() + 1000) / 1e6, self.step, None
             )
         if changes or self.state.by_hand != before.by_hand or self.state.layers is not before.layers:
-            self.changed()
+            self.owner.endpoints_changed(self.name)
 
     def upstream(self, member: Member, gone: bool = False) -> Endpoint:
         """A member as the module knows it."""
@@ -211,7 +226,7 @@
         would fill the log, and one alone scrolls away while the list stays wrong."""
         now = time.monotonic()
         lasting = self.loud()
-        self.lasting(bool(lasting))
+        self.owner.problems_persist(self.name, bool(lasting))
         keys = {text[:60]: text for text in lasting}  # a figure in it may change with each look
         self.said = {key: at for key, at in self.said.items() if key in keys}
         for key, text in keys.items():
--- a/tests/test_endpoint_registry.py
+++ b/tests/test_endpoint_registry.py
@@ -176,7 +176,7 @@
 
     with caplog.at_level(logging.ERROR):
         run(test)
-    assert "can't be written" in caplog.text
+    assert "state file write failed" in caplog.text
 
 
 class Door:
