--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -53,7 +53,7 @@
 
 
 Make = Callable[[Settings, int, int], Balancer]
-MODULES: dict[str, Make] = {"module": LoadBalancer, "reference": reference_balance.Balancer}
+MODULES: dict[str, Make] = {"module": LoadBalancer, "reference": reference_balance.LoadBalancer}
 
 
 class Run:
--- a/tests/decisions/load_balancing/test_selection_reference.py
+++ b/tests/decisions/load_balancing/test_selection_reference.py
@@ -44,7 +44,7 @@
 
 def choices(balancer: LoadBalancer, request: RequestState) -> dict[int, float]:
     """The endpoints that the reference would select from, with their weights, in the present state."""
-    old = object.__new__(reference_balance.Balancer)
+    old = object.__new__(reference_balance.LoadBalancer)
     old.settings, old.now_us = balancer.settings, balancer.now_us
     endpoints = list(balancer.endpoints.values())
     index = request.event.class_index
@@ -70,7 +70,10 @@
 
 
 def free_slots(
-    old: reference_balance.Balancer, request: RequestState, endpoints: list[EndpointState], may_exclude: bool
+    old: reference_balance.LoadBalancer,
+    request: RequestState,
+    endpoints: list[EndpointState],
+    may_exclude: bool,
 ) -> dict[int, float]:
     found = old.free_slots(request, endpoints, may_exclude)  # type: ignore[arg-type]
     return {
