--- a/plovertrail/decisions/load_balancing/balancer.py
+++ b/plovertrail/decisions/load_balancing/balancer.py
@@ -48,8 +48,8 @@
 from plovertrail.decisions.load_balancing.warm_up_scheduler import WarmUpScheduler
 from plovertrail.decisions.settings import Settings
 
-# Of an admitted request: while all endpoints warm up, nothing else would open their slots.
-IDLE_PROGRESS = 0.1
+# Of an admitted request. If all endpoints warm up, no responses would open their slots.
+PROGRESS_PER_ARRIVAL = 0.1
 
 
 class LoadBalancer:
@@ -67,29 +67,29 @@
         self.requests: dict[int, RequestState] = {}
         self.latencies = LatencyEstimates(settings.classes)
         self.table = EndpointTable(settings, now_us)
-        self.retry_budget = retry_budget or RetryBudget()
+        self._retry_budget = retry_budget or RetryBudget()
         self.timers = TimerQueue()
         self.rechecks = RecheckQueue()
         self.exclusions = ClassExclusions(self.table)
         self.penalties = FailurePenalties(self.table)
         self.peer_penalties = PeerPenalties(self.table)
-        self.limiter = ConcurrencyLimiter(self.latencies)
-        self.tenants = TenantUsage(settings)
-        self.buffer = RequestBuffer(settings, self.latencies, self.tenants)
-        self.retries = RetryPolicy(settings, self.latencies, self.retry_budget)
+        self._limiter = ConcurrencyLimiter(self.latencies)
+        self._tenants = TenantUsage(settings)
+        self.buffer = RequestBuffer(settings, self.latencies, self._tenants)
+        self.retries = RetryPolicy(settings, self.latencies, self._retry_budget)
         self.reopener = SlotReopener(self.table, self.rechecks, self.penalties, self.exclusions)
-        self.random = random.Random(seed)
-        self.polls = PollSchedule(settings, self.timers, self.random, now_us)
-        self.warm_ups = WarmUpScheduler(self.table, self.random)
-        self.updates = EndpointUpdates(self.table, self.warm_ups, self.reopener)
-        self.selector = EndpointSelector(self.table, self.exclusions, self.random)
-        self.ejector = OutlierEjector(self.penalties, self.rechecks, self.random)
-        self.tracker = ResponseTracker(self.table, self.exclusions, self.random)
+        self._random = random.Random(seed)
+        self.polls = PollSchedule(settings, self.timers, self._random, now_us)
+        self._warm_ups = WarmUpScheduler(self.table, self._random)
+        self._updates = EndpointUpdates(self.table, self._warm_ups, self.reopener)
+        self.selector = EndpointSelector(self.table, self.exclusions, self._random)
+        self._ejector = OutlierEjector(self.penalties, self.rechecks, self._random)
+        self._tracker = ResponseTracker(self.table, self.exclusions, self._random)
         self._actions = PendingActions(now_us)
         self._overload = OverloadMonitor()
-        self._sender = AttemptSender(self.table, self.warm_ups, self.retries, self.tracker, self.timers)
-        health = EndpointHealth(self.latencies, self.limiter, self.ejector)
-        self._recorder = OutcomeRecorder(self.table, self.latencies, health, self.tracker, self._actions)
+        self._sender = AttemptSender(self.table, self._warm_ups, self.retries, self._tracker, self.timers)
+        health = EndpointHealth(self.latencies, self._limiter, self._ejector)
+        self._recorder = OutcomeRecorder(self.table, self.latencies, health, self._tracker, self._actions)
 
     @property
     def endpoints(self) -> dict[int, EndpointState]:
@@ -98,11 +98,11 @@
 
     def restore_endpoints_with(self, restorer: EndpointRestorer) -> None:
         """Have each endpoint that is added from now on restored to what was known of it before a restart."""
-        self.updates.restorer = restorer
+        self._updates.restorer = restorer
 
     def report_no_response_to(self, listener: NoResponseListener | None) -> None:
         """Report each attempt that has had no response for longer than one takes to a listener."""
-        self.tracker.listener = listener
+        self._tracker.listener = listener
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
         """Handle an event and return the actions to carry out, in their order."""
@@ -133,7 +133,7 @@
             sampler.total_weight > 0.0 for group in self.table.groups for sampler in group.samplers
         ):
             return True
-        self.limiter.last_shortage_us = now_us
+        self._limiter.last_shortage_us = now_us
         return False
 
     def next_slot_opening_us(self) -> int:
@@ -147,7 +147,7 @@
         if endpoint.concurrency_limit < 1.0:
             # After a restart of all instances, each of them would try a failing endpoint at once.
             mean_us = sum(self.latencies.mean_us) / len(self.latencies.mean_us)
-            self.ejector.eject(endpoint, mean_us, self.now_us)
+            self._ejector.eject(endpoint, mean_us, self.now_us)
         self.table.update_selection_weight(endpoint, self.now_us)
 
     def _handle_other(self, event: Event) -> None:
@@ -169,7 +169,7 @@
         request_class = self.settings.classes[event.class_index]
         request = RequestState(event, request_class, self.now_us)
         self.requests[event.request] = request
-        self.tenants.record_arrival(event.tenant)
+        self._tenants.record_arrival(event.tenant)
         self._dispatch(request)
         self._overload.record_arrival(bool(request.attempts), self._actions, self.now_us)
 
@@ -182,12 +182,12 @@
             return
         for group in self.table.groups:
             group.admission.replenish(now_us)
-            group.warm_up.progress += IDLE_PROGRESS * group.admission.probability
+            group.warm_up.progress += PROGRESS_PER_ARRIVAL * group.admission.probability
         endpoint = self._select_endpoint(request)
         if endpoint is not None:
             self._send(request, endpoint)
             return
-        self.limiter.last_shortage_us = now_us
+        self._limiter.last_shortage_us = now_us
         if not self.retries.may_send(request, now_us) or not self.buffer.accepts(request):
             self._answer(request)
             return
@@ -246,7 +246,7 @@
             return
         if event.kind is not ListKind.CACHED:
             self.polls.record_list()
-        self.updates.apply(event, self.now_us)
+        self._updates.apply(event, self.now_us)
 
     def _answer(self, request: RequestState) -> None:
         """Give the final answer; the only place of one, so that rules 1 and 2 of the contract hold."""
@@ -254,7 +254,7 @@
             for group in self.table.groups:
                 group.warm_up.record_rejection(self.now_us)
         self._close(request)
-        self._actions.pending.append(self.retries.final_answer(request, self.random.random()))
+        self._actions.pending.append(self.retries.final_answer(request, self._random.random()))
 
     def _close(self, request: RequestState) -> None:
         request.is_closed = True
@@ -275,7 +275,7 @@
             elif self.buffer.waiting is not None and self.buffer.waiting.event.request == request_id:
                 self._answer(self.buffer.waiting)
         timers.all_due_popped()
-        timers.require_by(self.tracker.check_overdue(self.now_us))
+        timers.require_by(self._tracker.check_overdue(self.now_us))
 
     def _arm_timer(self) -> None:
         at_us = self.timers.next_due_us
--- a/tests/decisions/load_balancing/test_concurrency_limits.py
+++ b/tests/decisions/load_balancing/test_concurrency_limits.py
@@ -93,7 +93,7 @@
 
 
 def test_limits_grow_fast_after_the_start_of_a_busy_instance() -> None:
-    def refused(kind: ListKind) -> int:
+    def count_rejected(kind: ListKind) -> int:
         harness = BalancerHarness(settings())
         harness.update_endpoints(ready_endpoints(4), kind)
         count = 0
@@ -106,4 +106,4 @@
                 harness.end_attempt(request, 0, Outcome.OK)
         return count
 
-    assert refused(ListKind.CACHED) < refused(ListKind.FULL) * 0.8
+    assert count_rejected(ListKind.CACHED) < count_rejected(ListKind.FULL) * 0.8
--- a/tests/decisions/load_balancing/test_endpoint_updates.py
+++ b/tests/decisions/load_balancing/test_endpoint_updates.py
@@ -177,23 +177,23 @@
     config = settings(instances=40, endpoints_on_request=True, max_poll_interval_us=max_poll_interval_us)
     balancers = [LoadBalancer(config, seed, START_US) for seed in range(40)]
     due = dict.fromkeys(range(40), START_US)
-    asked = dict.fromkeys(range(40), START_US)
-    told: dict[int, int] = {}
+    polled_us = dict.fromkeys(range(40), START_US)
+    received_us: dict[int, int] = {}
     calls: list[int] = []
     now_us = START_US
-    while len(told) < 40 and now_us < START_US + 2 * max_poll_interval_us:
+    while len(received_us) < 40 and now_us < START_US + 2 * max_poll_interval_us:
         for number in [number for number, at_us in due.items() if at_us <= now_us]:
             del due[number]
             actions = balancers[number].handle(now_us, TimerFired(0))
             if any(isinstance(action, Subscribe) for action in actions):
-                taken = sum(1 for at_us in told.values() if at_us > now_us - 250_000) < 3
+                taken = sum(1 for at_us in received_us.values() if at_us > now_us - 250_000) < 3
                 calls.append(now_us)
                 assert (
-                    now_us - asked[number] <= max_poll_interval_us // 2 + 20_000
+                    now_us - polled_us[number] <= max_poll_interval_us // 2 + 20_000
                 )  # rule 3 goes by the asking
-                asked[number] = now_us
+                polled_us[number] = now_us
                 if taken:
-                    told[number] = now_us
+                    received_us[number] = now_us
                 kind = ListKind.FULL if taken else ListKind.FAILED
                 listed = [Endpoint(1)] if taken else []
                 actions += balancers[number].handle(now_us, EndpointsUpdated(kind, listed))
@@ -201,8 +201,8 @@
             if timers:
                 due[number] = min(timers)
         now_us += 10_000
-    assert len(told) == 40
-    assert max(told.values()) <= START_US + max_poll_interval_us * 3 // 2
+    assert len(received_us) == 40
+    assert max(received_us.values()) <= START_US + max_poll_interval_us * 3 // 2
     later = [at_us for at_us in calls if at_us > START_US + 1_000_000]
     assert max(later.count(at_us) for at_us in later) <= 4  # never in step
     assert len(calls) <= 10 * 40
@@ -261,13 +261,13 @@
     balancers = [LoadBalancer(config, seed, START_US) for seed in range(40)]
     discovery = SequentialDiscovery(each_us)
     due: list[tuple[int, int, int]] = [(START_US, number, 0) for number in range(40)]
-    told: dict[int, int] = {}
+    received_us: dict[int, int] = {}
     calls = 0
     while due and due[0][0] < START_US + 30_000_000:
         now_us, number, how = heapq.heappop(due)
         if how:
             if how == 1:
-                told.setdefault(number, now_us)
+                received_us.setdefault(number, now_us)
             kind, listed = (ListKind.FULL, [Endpoint(1)]) if how == 1 else (ListKind.FAILED, [])
             actions = balancers[number].handle(now_us, EndpointsUpdated(kind, listed))
         else:
@@ -279,8 +279,8 @@
                 heapq.heappush(due, (ends_us, number, 1 if done else 2))
             elif isinstance(action, SetTimer):
                 heapq.heappush(due, (action.at_us, number, 0))
-    assert len(told) == 40
-    assert max(told.values()) <= START_US + 12_000_000
+    assert len(received_us) == 40
+    assert max(received_us.values()) <= START_US + 12_000_000
     assert calls <= 3 * 40
 
 
--- a/tests/decisions/load_balancing/test_poll_schedule.py
+++ b/tests/decisions/load_balancing/test_poll_schedule.py
@@ -4,7 +4,7 @@
 
 import heapq
 import random
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
 import pytest
 
@@ -25,7 +25,7 @@
 
 SLACK_US = 50_000  # the protocol adds this to each time limit on sockets
 GRACES_US = [250_000, 1_000_000, 2_000_000]
-REFUSED, WAITS, LOST = "refused at once", "503 after its wait", "no answer at all"
+REJECTED, WAITS, LOST = "refused at once", "503 after its wait", "no answer at all"
 
 
 def polling_settings(grace_us: int, **changes: object) -> Settings:
@@ -44,13 +44,11 @@
     back_us: int
     how: str
     rng: random.Random
-    silent_us: int = 0  # when open subscriptions fall silent, once
-    told: list[int] = field(default_factory=list)
 
     def call(self, now_us: int) -> tuple[int, EndpointsUpdated]:
         """When a poll ends, and how."""
         if now_us < self.back_us:
-            waits_us = {REFUSED: 1_000, WAITS: RESPONSE_LIMIT_US, LOST: POLL_TIMEOUT_US}[self.how]
+            waits_us = {REJECTED: 1_000, WAITS: RESPONSE_LIMIT_US, LOST: POLL_TIMEOUT_US}[self.how]
             return now_us + waits_us, EndpointsUpdated(ListKind.FAILED)
         return now_us + self.rng.randint(0, RESPONSE_LIMIT_US), EndpointsUpdated(
             ListKind.FULL, [Endpoint(1)], 1
@@ -84,7 +82,7 @@
 
 
 @pytest.mark.parametrize("grace_us", GRACES_US)
-@pytest.mark.parametrize("how", [REFUSED, WAITS, LOST])
+@pytest.mark.parametrize("how", [REJECTED, WAITS, LOST])
 def test_changes_are_known_in_time_after_an_outage_of_discovery(grace_us: int, how: str) -> None:
     """The limit is six seconds after the outage, and the grace period, for 1 to 200 instances."""
     worst_us = 0
@@ -95,8 +93,8 @@
         config = polling_settings(
             grace_us, instances=instances, max_poll_interval_us=rng.choice([4_000_000, 60_000_000])
         )
-        told_us = known_at(config, Discovery(back_us, how, rng), seed)
-        worst_us = max(worst_us, told_us - back_us)
+        known_us = known_at(config, Discovery(back_us, how, rng), seed)
+        worst_us = max(worst_us, known_us - back_us)
     assert RESPONSE_LIMIT_US < worst_us <= NOTIFICATION_LIMIT_US + grace_us + SLACK_US
 
 
--- a/tests/decisions/load_balancing/test_selection_reference.py
+++ b/tests/decisions/load_balancing/test_selection_reference.py
@@ -134,11 +134,11 @@
                     number % 3, key=number, excluded=frozenset((100,)) if number % 5 == 0 else ()
                 )
         elif what == "end":
-            out = [
+            in_flight = [
                 (request_id, n) for request_id, record in played.requests.items() for n in record.in_flight()
             ]
-            if out:
-                played.end_attempt(*out[number % len(out)], OUTCOMES[number % len(OUTCOMES)])
+            if in_flight:
+                played.end_attempt(*in_flight[number % len(in_flight)], OUTCOMES[number % len(OUTCOMES)])
         elif what == "time":
             played.advance((1, 1_000, 30_000, 200_000, 900_000)[number % 5])
         elif what == "quit":
--- a/tests/decisions/load_balancing/test_unexpected_events.py
+++ b/tests/decisions/load_balancing/test_unexpected_events.py
@@ -71,13 +71,13 @@
 
 def test_the_same_events_and_seed_give_the_same_actions() -> None:
     first, second, other = (LoadBalancer(settings(), seed, START_US) for seed in (5, 5, 6))
-    told = []
+    results = []
     for balancer in (first, second, other):
         actions = balancer.handle(START_US, EndpointsUpdated(Kind.FULL, ready_endpoints(9)))
         for n in range(20):
             actions += balancer.handle(START_US, RequestArrived(n, START_US + 900_000))
-        told.append(actions)
-    assert told[0] == told[1] != told[2]
+        results.append(actions)
+    assert results[0] == results[1] != results[2]
 
 
 @pytest.mark.parametrize(
--- a/tests/decisions/load_balancing/test_weighted_sampler.py
+++ b/tests/decisions/load_balancing/test_weighted_sampler.py
@@ -17,47 +17,47 @@
 def test_a_sample_has_a_weight_whatever_was_added_changed_and_removed(
     changes: list[tuple[int, float | None]], uniform: float
 ) -> None:
-    made, plain = WeightedSampler(), dict[int, float]()
+    sampler, plain = WeightedSampler(), dict[int, float]()
     for member, weight in changes:
         if weight is None:
-            made.discard(member)
+            sampler.discard(member)
             plain.pop(member, None)
         else:
-            made.set(member, weight)
+            sampler.set(member, weight)
             plain[member] = weight
-    assert set(made) == set(plain)
-    assert len(made) == len(plain)
-    assert all((member in made) == (member in plain) for member in range(41))
-    drawn = made.sample(uniform)
-    if drawn is None:
+    assert set(sampler) == set(plain)
+    assert len(sampler) == len(plain)
+    assert all((member in sampler) == (member in plain) for member in range(41))
+    sampled = sampler.sample(uniform)
+    if sampled is None:
         assert not any(plain.values())
     else:
-        assert plain[drawn] > 0
+        assert plain[sampled] > 0
 
 
 def test_each_member_is_sampled_in_proportion_to_its_weight() -> None:
-    made, rng = WeightedSampler(), random.Random(5)
+    sampler, rng = WeightedSampler(), random.Random(5)
     weights = {number: float(1 + number % 7) for number in range(100)}
     for number, weight in weights.items():
-        made.set(number, weight * 3)
-        made.set(number, weight)
+        sampler.set(number, weight * 3)
+        sampler.set(number, weight)
     for number in range(0, 100, 3):
-        made.discard(number)
+        sampler.discard(number)
         del weights[number]
     count = 40_000
-    drawn = Counter(made.sample(rng.random()) for _ in range(count))
-    whole = sum(weights.values())
+    sampled = Counter(sampler.sample(rng.random()) for _ in range(count))
+    total = sum(weights.values())
     chi_square = sum(
-        (drawn[number] - count * weight / whole) ** 2 / (count * weight / whole)
+        (sampled[number] - count * weight / total) ** 2 / (count * weight / total)
         for number, weight in weights.items()
     )
     assert chi_square < 110  # 65 degrees of freedom; over 110 one time in 2,000
 
 
 def test_without_weights_nothing_is_sampled() -> None:
-    made = WeightedSampler()
-    assert made.sample(0.5) is None
-    made.set(1, 0.0)
-    assert made.sample(0.5) is None
-    made.set(2, 1e-300)
-    assert made.sample(0.999) == 2
+    sampler = WeightedSampler()
+    assert sampler.sample(0.5) is None
+    sampler.set(1, 0.0)
+    assert sampler.sample(0.5) is None
+    sampler.set(2, 1e-300)
+    assert sampler.sample(0.999) == 2
