--- a/plovertrail/cli/check.py
+++ b/plovertrail/cli/check.py
@@ -62,7 +62,7 @@
 
 
 def state_file_problem(path: str) -> str:
-    """What is wrong with the place of a state file; empty if nothing is."""
+    """Return the problem of a state file's path, empty if it has none."""
     folder = os.path.dirname(path) or "."
     if not os.path.isdir(folder):
         return f"there is no folder {folder}"
@@ -93,7 +93,7 @@
 
 
 def summary_line(file: str, setup: Setup) -> str:
-    """How much a good file configures, and what it may hold at most."""
+    """Sum up a valid file and the resources it may use."""
     servers = sum(len(pool.servers) for pool in setup.pools.values())
     return (
         f"{file}: good: {len(setup.listeners)} listeners, {len(setup.routes.routes)} routes, "
--- a/plovertrail/cli/lists.py
+++ b/plovertrail/cli/lists.py
@@ -1,4 +1,4 @@
-"""`plovertrail explain list`: what was read of a watched file, and which pools follow it."""
+"""`plovertrail explain list`: the last reads of a watched file, and the pools that follow it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def print_source(source: dict[str, Any], pools: dict[str, Any]) -> None:
-    """Print what was read of a file, when, and what became of it in each pool that follows it."""
+    """Print the last reads of a file, and its problems in each pool that follows it."""
     headline = f"{source['path']}: {source['state']}"
     if source["hung_for_s"] is not None:
         headline += f" for {source['hung_for_s']:.1f} s; what was read last stays"
--- a/plovertrail/cli/status.py
+++ b/plovertrail/cli/status.py
@@ -47,7 +47,7 @@
 
 
 def print_lists(lists: dict[str, Any]) -> None:
-    """Print what is in force of all watched files, and which of them can't be read."""
+    """Print the generation of all watched files, and which of them can't be read."""
     click.echo(
         f"lists: generation {lists['generation']}, {len(lists['sources'])} files, "
         f"digest {lists['digest'][:DIGEST_CHARACTERS]}, a change is seen "
--- a/plovertrail/cli/top.py
+++ b/plovertrail/cli/top.py
@@ -131,7 +131,7 @@
 
 
 def summary_lines(status: dict[str, Any]) -> list[str]:
-    """The lines above the tables: the phase, what is missing, slow starts and the other instances."""
+    """Return the lines above the tables: phase, failed sources, slow starts and other instances."""
     lines = []
     if recovery := status.get("recovery"):
         lines.append(f"phase: {phase_text(recovery)}")
--- a/plovertrail/daemon/config_watcher.py
+++ b/plovertrail/daemon/config_watcher.py
@@ -1,4 +1,4 @@
-"""Follows changes of the operator's file, where it says `reload = "watch"`."""
+"""Reloads the operator's file when it changes, where it sets `reload = "watch"`."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         self._reloads: set[asyncio.Task[None]] = set()
 
     def apply(self, setup: Setup) -> None:
-        """Watch the file of a configuration that has come into force, if it says so."""
+        """Watch the file of the configuration in force, where it sets `reload = "watch"`."""
         self.digest_in_force = setup.digest
         self.problem = ""
         self.lists.in_force.use_setup(setup.digest)
--- a/plovertrail/daemon/control_socket.py
+++ b/plovertrail/daemon/control_socket.py
@@ -27,7 +27,7 @@
         """The daemon's status; values that JSON can hold."""
 
     def drain(self, pool: str, server: str, drain: bool) -> str:
-        """Drain an endpoint by hand, or end that; returns what is wrong, or an empty text."""
+        """Drain an endpoint by hand, or end that; returns an error text, empty on success."""
 
 
 class ControlSocket:
@@ -43,10 +43,7 @@
         self.callers = 0
 
     async def start(self) -> None:
-        """Listen, if a path is configured; raises OSError.
-
-        A socket file that nobody listens on is replaced.
-        """
+        """Listen, if a path is configured, and replace a stale socket file; raises OSError."""
         if not self.path:
             return
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -105,7 +102,7 @@
         except (ValueError, KeyError, TypeError, RecursionError) as error:
             return {"ok": False, "error": f"not understood: {error!r}"}
         except Exception:
-            # A defect in the status must not end the daemon; the caller is told where to look.
+            # A defect in the status must not end the daemon; the log has the traceback.
             log.exception("control command failed")
             return {"ok": False, "error": "it failed; the daemon's log tells why"}
         return {"ok": False, "error": f"unknown: {name!r}"}
--- a/plovertrail/daemon/fleet_tracker.py
+++ b/plovertrail/daemon/fleet_tracker.py
@@ -59,7 +59,7 @@
         self.fleet = replace(self.fleet, size=self.rank.size)
 
     def status(self) -> dict[str, Any]:
-        """For operators: the number of instances that limits are set for, and what is wrong with the list."""
+        """Return the number of instances that limits are set for, and the problem of their list."""
         return {"instances": self.fleet.size, "problem": self.instance_list.problem}
 
     def stop(self) -> None:
--- a/plovertrail/daemon/pool_manager.py
+++ b/plovertrail/daemon/pool_manager.py
@@ -34,7 +34,7 @@
 
 
 class SourceObserver(Protocol):
-    """Is told of each read of a source of endpoints."""
+    """Follows the reads of all sources of endpoints."""
 
     def source_read(self, pool: str, source: str, problem: str) -> None:
         """Note that a source of a pool was read; `problem` is empty if it gave a list."""
@@ -75,7 +75,7 @@
     # Configurations
 
     def apply(self, setup: Setup, first_lists: Mapping[SourceKey, FirstRead]) -> SupersededPools:
-        """Build the pools of a configuration, or keep those that can become what it says."""
+        """Build the pools of a configuration, and keep those that can become its pools."""
         remaining = dict(self.running)
         replaced = []
         running: dict[str, RunningPool] = {}
@@ -172,7 +172,7 @@
             pool.resume_after_pause(self.fleet.fleet, self.fleet.rank, slow_start)
 
     def drain(self, pool_name: str, endpoint: str, drain: bool) -> str:
-        """Drain an endpoint by hand, or end that; returns what is wrong, or an empty text."""
+        """Drain an endpoint by hand, or end that; returns an error text, empty on success."""
         if pool_name not in self.running:
             return f'no pool is called "{pool_name}"'
         registry = self.running[pool_name].registry
--- a/plovertrail/daemon/reload.py
+++ b/plovertrail/daemon/reload.py
@@ -15,7 +15,7 @@
 
 log = logging.getLogger(__name__)
 
-Approve = Callable[[str], Awaitable[str]]  # returns what is wrong with a file; empty: nothing
+Approve = Callable[[str], Awaitable[str]]  # takes a path; returns why it is refused, empty if it is not
 
 
 def file_digest(path: str) -> bytes:
@@ -30,7 +30,7 @@
     """Reloads the operator's file, one reload at a time."""
 
     def __init__(self, applier: ConfigurationApplier, approve: Approve | None = None) -> None:
-        """A file is taken only if `approve` finds nothing wrong with it."""
+        """A file is taken only if `approve` returns an empty text."""
         self.applier = applier
         self.services = applier.services
         self.approve = approve
@@ -88,12 +88,12 @@
 
 
 async def _load_approved(path: str, approve: Approve) -> Setup:
-    """Load a file that `approve` finds nothing wrong with; raises ConfigError."""
+    """Load a file that `approve` accepts; raises ConfigError."""
     digest_before = await asyncio.to_thread(file_digest, path)
     wrong = await approve(path)
     setup = await asyncio.to_thread(operator.load, path)
     if not wrong and await asyncio.to_thread(file_digest, path) != digest_before:
-        wrong = "it changed while it was read"  # what was approved may be another content
+        wrong = "it changed while it was read"  # so another content may have been approved
     if wrong:
         raise ConfigError(path, [Problem("", wrong)])
     return setup
--- a/plovertrail/daemon/wiring.py
+++ b/plovertrail/daemon/wiring.py
@@ -50,16 +50,16 @@
 
 
 class DaemonEvents(Protocol):
-    """What services report to the daemon they belong to."""
+    """The callbacks of services to their daemon."""
 
     async def wait_for_reload(self) -> None:
-        """Return once no reload is under way."""
+        """Return once no reload is in progress."""
 
     async def reload_changed(self, digest: str) -> None:
         """The operator's file has changed to the content with this digest."""
 
     def resume_after_pause(self, gap_us: int) -> None:
-        """The process was paused for so long; called before any event is handled."""
+        """Handle a pause of the process of this length, before any other event."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/plovertrail/resource_limits.py
+++ b/plovertrail/resource_limits.py
@@ -52,7 +52,7 @@
 
 
 def descriptor_shortage(setup: Setup) -> Problem | None:
-    """What is wrong where too few descriptors are left to the pools that set no max_connections."""
+    """Return the problem of a setup that leaves too few descriptors to pools without max_connections."""
     default = default_pool_connections(setup)
     if not default.pools or default.per_pool >= LEAST_BY_DEFAULT:
         return None
