--- a/tests/test_share.py
+++ b/tests/daemon/test_fleet_limits.py
@@ -1,4 +1,4 @@
-"""A daemon that is one of many: its part of connections, dials and servers, over real sockets."""
+"""A daemon that is one of many instances: its limits of connections, connects and endpoints."""
 
 from __future__ import annotations
 
@@ -13,16 +13,8 @@
 from plovertrail.clock import another_clock, clock_us
 from plovertrail.config.operator import load
 from plovertrail.config.problems import ConfigError
-from plovertrail.decisions.actions import Action
 from plovertrail.decisions.connect_rate import BURST
-from plovertrail.decisions.events import Endpoint, EndpointStatus, EndpointsUpdated, Event, ListKind
 from plovertrail.decisions.pacing import InstanceRank
-from plovertrail.decisions.settings import RequestClass, Settings
-from plovertrail.decisions.subsetting import EndpointSubset
-from plovertrail.dispatch.dispatcher import Dispatcher
-from plovertrail.dispatch.endpoint_feed import SLICE_SIZE
-from plovertrail.dispatch.server_pool import ServerPool
-from plovertrail.upstreams.connection_pool import ConnectionPool
 from tests.daemons import Client, message, run, running, site
 from tests.net import until
 
@@ -30,7 +22,7 @@
 FLEET = '[fleet]\nname = "app-1"\n'
 
 
-def test_connections_stay_within_the_part_of_one_of_many(tmp_path: Path) -> None:
+def test_connections_stay_within_the_limits_of_one_instance(tmp_path: Path) -> None:
     """60 clients at once, and each server gets no more connections than it bears from 4 instances."""
 
     async def test() -> None:
@@ -54,16 +46,19 @@
             found = [status for each in await asyncio.gather(*map(ask, clients)) for status in each]
             for client in clients:
                 client.close()
-            assert 1 < budget.connections <= 40 and budget.keep_idle
-            assert set(found) <= {200, 503} and found.count(200) > 0
-            assert 0 < most <= budget.connections_per_endpoint and most * 4 <= 40
+            assert 1 < budget.connections <= 40
+            assert budget.keep_idle
+            assert set(found) <= {200, 503}
+            assert found.count(200) > 0
+            assert 0 < most <= budget.connections_per_endpoint
+            assert most * 4 <= 40
             assert it.daemon.pools["main"].connections.count <= budget.connections
 
     run(test)
 
 
 @pytest.mark.parametrize("machine_up_s", [60, 10_000, 1_000_000])
-def test_without_a_turn_to_dial_a_request_is_refused_and_told_when_to_come_back(
+def test_over_the_connect_rate_a_request_is_rejected_with_retry_after(
     tmp_path: Path, machine_up_s: int
 ) -> None:
     """The clock counts from the start of the machine, which may be less than a turn ago or many turns."""
@@ -76,12 +71,14 @@
             tmp_path, {"main": servers}, routes=ROUTE, pool_extra=extra, head="[limits]\ninstances = 100000\n"
         ) as it:
             turns = it.daemon.pools["main"].connections.limits.rate
-            assert turns is not None and turns.interval_us > 1_000_000_000
+            assert turns is not None
+            assert turns.interval_us > 1_000_000_000
             assert began_us < turns.next_us <= clock_us() + turns.interval_us
             # the drawn one may come at any moment
             turns.full_burst_us = clock_us() + turns.interval_us * BURST
             reply = await it.ask(message("GET /"))  # it waits for half its aim in the buffer
-            assert reply.status == 503 and float(reply.all("Retry-After")[0]) > 1
+            assert reply.status == 503
+            assert float(reply.all("Retry-After")[0]) > 1
             assert sum(server.connections for server in servers) == 0
             # one connect is allowed, and no more
             turns.full_burst_us = clock_us() + turns.interval_us * (BURST - 1)
@@ -95,7 +92,7 @@
         run(test)
 
 
-def test_a_request_that_waits_for_a_turn_is_sent_when_it_comes(tmp_path: Path) -> None:
+def test_a_request_that_waits_for_the_connect_rate_is_sent_when_it_allows(tmp_path: Path) -> None:
     async def test() -> None:
         servers = [WebServer()]
         # a request waits for half its aim: far longer than any machine needs for this
@@ -111,7 +108,8 @@
             client.writer.write(message("GET /"))
             await until(lambda: bool(dispatcher.requests))
             timer = dispatcher.pools[0].connect_timer
-            assert timer is not None and servers[0].connections == 0
+            assert timer is not None
+            assert servers[0].connections == 0
             turns.full_burst_us = 0
             dispatcher.sequence._on_connectable(dispatcher.pools[0])  # what the timer does
             assert (await client.reply()).status == 200
@@ -121,7 +119,7 @@
     run(test)
 
 
-def test_an_instance_keeps_to_its_servers_until_they_drain(tmp_path: Path) -> None:
+def test_an_instance_keeps_to_its_subset_until_its_endpoints_drain(tmp_path: Path) -> None:
     async def test() -> None:
         servers = [WebServer() for _ in range(10)]
         async with running(
@@ -142,13 +140,14 @@
                 assert (await it.ask(message("GET /"))).status == 200
             after = [server.count for server in servers]
             now = {number for number in range(10) if after[number] > before[number]}
-            assert len(now) == 2 and now.isdisjoint(mine)
+            assert len(now) == 2
+            assert now.isdisjoint(mine)
             assert it.daemon.status()["pools"]["main"]["share"]["servers"] == 2
 
     run(test)
 
 
-def test_a_keyed_request_goes_on_within_its_whole_cell(tmp_path: Path) -> None:
+def test_a_deduplicated_request_is_retried_within_its_whole_cell(tmp_path: Path) -> None:
     """The one that got it breaks; the others of its cell are in the subset, however small that is."""
 
     async def test() -> None:
@@ -172,7 +171,7 @@
     run(test)
 
 
-def test_the_fleet_is_counted_by_its_list_and_a_bad_list_changes_nothing(tmp_path: Path) -> None:
+def test_the_fleet_size_follows_its_list_and_an_invalid_list_changes_nothing(tmp_path: Path) -> None:
     async def test() -> None:
         path = tmp_path / "instances.txt"
         path.write_text("".join(f"127.0.0.1:{9000 + n} id=app-{n}\n" for n in range(50)))
@@ -205,7 +204,7 @@
     run(test)
 
 
-def test_more_instances_than_connections_are_told_loudly_and_none_is_kept(tmp_path: Path) -> None:
+def test_oversubscription_is_reported_and_no_idle_connection_is_kept(tmp_path: Path) -> None:
     async def test() -> None:
         servers = [WebServer() for _ in range(2)]
         head = "[limits]\ninstances = 5000\n"
@@ -213,7 +212,8 @@
             tmp_path, {"main": servers}, routes=ROUTE, pool_extra="share = { connections = 100 }", head=head
         ) as it:
             problems = it.daemon.status()["pools"]["main"]["problems"]
-            assert problems and "5000 instances on 2 servers" in problems[0]
+            assert problems
+            assert "5000 instances on 2 servers" in problems[0]
             assert not it.daemon.pools["main"].limits.keep_idle
             assert (await it.ask(message("GET /"))).status == 200
             assert it.daemon.pools["main"].connections.count == 0
@@ -230,7 +230,9 @@
         ("", "{ connections = -3 }", "pools.main.share.connections"),
     ],
 )
-def test_what_is_wrong_is_told_with_its_place(tmp_path: Path, head: str, share: str, told: str) -> None:
+def test_a_configuration_problem_is_reported_with_its_place(
+    tmp_path: Path, head: str, share: str, told: str
+) -> None:
     path = tmp_path / "site.toml"
     server = WebServer(port=free_port())
     path.write_text(site(free_port(), {"main": [server]}, ROUTE, pool_extra=f"share = {share}", head=head))
@@ -239,7 +241,9 @@
     assert told in str(caught.value)
 
 
-def test_a_name_from_the_environment_chooses(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_instance_name_from_the_environment_selects_the_subset(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     path = tmp_path / "site.toml"
     server = WebServer(port=free_port())
     path.write_text(site(free_port(), {"main": [server]}, ROUTE, head='[fleet]\nname = "env:POD"\n'))
@@ -248,138 +252,3 @@
         monkeypatch.setenv("POD", name)
         numbers.append(load(str(path)).fleet.fleet.number)
     assert numbers[0] == numbers[2] != numbers[1]
-
-
-# Long lists
-
-
-class Told:
-    """A host with one pool, and the lists that its module gets."""
-
-    def __init__(self) -> None:
-        self.dispatcher = Dispatcher()
-        settings = Settings(classes=[RequestClass("read", 100_000, 400_000)])
-        self.pool: ServerPool = self.dispatcher.pools.add(
-            "p", settings, 1, ConnectionPool(1_000_000, 1_000_000, 10)
-        )
-        self.lists: list[EndpointsUpdated] = []
-        handle = self.pool.balancer.handle
-
-        def listen(now_us: int, event: Event) -> list[Action]:
-            if isinstance(event, EndpointsUpdated):
-                self.lists.append(event)
-            return handle(now_us, event)
-
-        self.pool.balancer.handle = listen  # type: ignore[method-assign]
-
-    def tell(self, kind: ListKind, entries: list[Endpoint]) -> None:
-        self.dispatcher.pools.update_endpoints(self.pool, EndpointsUpdated(kind, entries), where(entries))
-
-    async def settle(self) -> None:
-        while self.pool.feed.has_pending:
-            await asyncio.sleep(0)
-
-
-def where(entries: list[Endpoint]) -> dict[int, tuple[str, int]]:
-    return {entry.id: ("127.0.0.1", 1 + entry.id) for entry in entries}
-
-
-def test_a_long_list_is_told_in_slices_and_drains_overtake_it() -> None:
-    async def test() -> None:
-        told = Told()
-        entries = [Endpoint(number) for number in range(1, 1_101)]
-        told.tell(ListKind.CACHED, entries)
-        assert len(told.pool.balancer.endpoints) == SLICE_SIZE
-        await asyncio.sleep(0)
-        assert len(told.pool.balancer.endpoints) == 2 * SLICE_SIZE
-        # before the rest has been told: one that is known drains, one that isn't yet goes, another changes
-        told.tell(
-            ListKind.DELTA,
-            [
-                Endpoint(1, EndpointStatus.DRAINING),
-                Endpoint(1_000, EndpointStatus.REMOVED),
-                Endpoint(1_001, weight=7.0),
-            ],
-        )
-        assert 1 not in told.pool.balancer.endpoints and 1 not in told.pool.serving
-        await told.settle()
-        servers = told.pool.balancer.endpoints
-        assert servers.keys() == set(range(2, 1_101)) - {1_000} and servers[1_001].listed.weight == 7.0
-        assert told.pool.serving == servers.keys() == told.pool.addresses.keys()
-        assert all(len(event.endpoints) <= SLICE_SIZE for event in told.lists)
-        assert all(server.fast_growth for server in servers.values() if server.listed.id != 1_001)
-
-        # a whole list without half of them: these go before anything else is told
-        told.tell(ListKind.FULL, entries[10:600])
-        await asyncio.sleep(0)
-        gone = [entry for event in told.lists[-2:] for entry in event.endpoints]
-        assert len(gone) == 2 * SLICE_SIZE and {entry.state for entry in gone} == {EndpointStatus.REMOVED}
-        await told.settle()
-        assert told.pool.serving == set(range(11, 601)) == told.pool.balancer.endpoints.keys()
-        told.tell(ListKind.FULL, entries[:3])
-        await told.settle()
-        assert told.pool.balancer.endpoints.keys() == {1, 2, 3} == told.pool.serving
-        assert all(len(event.endpoints) <= SLICE_SIZE for event in told.lists)
-        told.dispatcher.retire(told.pool)
-        assert not told.pool.balancer.endpoints and not told.pool.serving
-
-    run(test)
-
-
-def test_what_a_whole_list_drops_before_it_was_told_never_comes() -> None:
-    async def test() -> None:
-        told = Told()
-        told.tell(ListKind.FULL, [Endpoint(number) for number in range(1, 1_001)])
-        told.tell(ListKind.FULL, [Endpoint(number) for number in range(701, 1_001)])
-        await told.settle()
-        assert told.pool.balancer.endpoints.keys() == set(range(701, 1_001)) == told.pool.serving
-        assert told.pool.feed.listed.keys() == told.pool.serving
-
-    run(test)
-
-
-def test_a_watch_that_fails_between_two_slices_loses_nothing() -> None:
-    async def test() -> None:
-        told = Told()
-        told.tell(ListKind.FULL, [Endpoint(number) for number in range(1, 1_001)])
-        told.tell(ListKind.FAILED, [])
-        await told.settle()
-        assert len(told.pool.balancer.endpoints) == 1_000 == len(told.pool.serving)
-        kinds = [event.kind for event in told.lists]
-        assert kinds == [ListKind.FULL, ListKind.FAILED] + [ListKind.FULL] * 3
-
-    run(test)
-
-
-def test_a_long_list_is_ranked_in_slices_and_none_is_chosen_before_all_are_known() -> None:
-    async def test() -> None:
-        told = Told()
-        told.pool.use_subset(EndpointSubset(5, 4))
-        entries = [Endpoint(number) for number in range(1, 1_101)]
-        told.tell(ListKind.CACHED, entries)
-        assert not told.pool.serving
-        await told.settle()
-        whole = EndpointSubset(5, 4)
-        whole.update(entries, where(entries))
-        assert told.pool.serving == whole.selected.keys() == told.pool.balancer.endpoints.keys()
-        drained = min(whole.selected)
-        told.tell(ListKind.DELTA, [Endpoint(drained, EndpointStatus.DRAINING)])
-        assert drained not in told.pool.serving and len(told.pool.serving) == 4
-        told.tell(ListKind.FULL, entries[:600])
-        await told.settle()
-        assert len(told.pool.serving) == 4 and max(told.pool.serving) <= 600
-        told.dispatcher.retire(told.pool)
-
-    run(test)
-
-
-def test_a_pool_that_retires_forgets_what_was_not_told_yet() -> None:
-    async def test() -> None:
-        told = Told()
-        told.tell(ListKind.FULL, [Endpoint(number) for number in range(1, 1_001)])
-        told.dispatcher.retire(told.pool)
-        for _ in range(5):
-            await asyncio.sleep(0)
-        assert not told.pool.balancer.endpoints and not told.pool.serving
-
-    run(test)
--- a/tests/test_slices.py
+++ b/tests/dispatch/test_endpoint_feed_properties.py
@@ -1,4 +1,4 @@
-"""Whatever lists come, and however they cross, what a pool serves ends up as the last word of each server."""
+"""In whatever order endpoint lists and slices cross, the last update of each endpoint holds."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from plovertrail.decisions.events import Endpoint, EndpointStatus, ListKind
 from plovertrail.decisions.subsetting import EndpointSubset
 from tests.daemons import run
-from tests.test_share import Told, where
+from tests.dispatch.feed_recorder import FeedRecorder, addresses_of
 
 READY, DRAINING, GONE = EndpointStatus.READY, EndpointStatus.DRAINING, EndpointStatus.REMOVED
 STATES = (READY, READY, DRAINING, GONE)
@@ -26,44 +26,45 @@
     """Tell lists in slices of three, with turns of the loop between them or without."""
 
     async def test() -> None:
-        told = Told()
+        recorder = FeedRecorder()
         truth: dict[int, Endpoint] = {}
         if subset:
-            told.pool.use_subset(EndpointSubset(1, 4))
+            recorder.pool.use_subset(EndpointSubset(1, 4))
         for what, rows in steps:
             entries = {
                 number: Endpoint(number, STATES[state], weight=float(weight))
                 for number, state, weight in rows
             }
             if what == "change":
-                told.tell(ListKind.DELTA, list(entries.values()))
+                recorder.update(ListKind.DELTA, list(entries.values()))
                 truth |= entries
             elif what in ("whole", "cached"):
                 listed = {n: e for n, e in entries.items() if e.state is not GONE}
                 kind = ListKind.FULL if what == "whole" else ListKind.CACHED
-                told.tell(kind, list(listed.values()))
+                recorder.update(kind, list(listed.values()))
                 truth = listed
             elif what == "failed":
-                told.tell(ListKind.FAILED, [])
-            elif what == "short" and told.pool.subset is not None:
-                told.pool.feed.widen_subset(told.pool.balancer.now_us)
+                recorder.update(ListKind.FAILED, [])
+            elif what == "short" and recorder.pool.subset is not None:
+                recorder.pool.feed.widen_subset(recorder.pool.balancer.now_us)
             else:
                 await asyncio.sleep(0)
             if what in ("change", "whole", "cached") and len(rows) <= 3:
                 # no word of an end waits behind what is new
                 ends = {n for n, e in truth.items() if e.state is not READY}
-                assert told.pool.feed.pending_removals or told.pool.serving.isdisjoint(ends)
-        await told.settle()
+                assert recorder.pool.feed.pending_removals or recorder.pool.serving.isdisjoint(ends)
+        await recorder.settle()
         ready = {n: e for n, e in truth.items() if e.state is READY}
-        servers = told.pool.balancer.endpoints
-        assert servers.keys() == told.pool.serving == told.pool.addresses.keys()
+        servers = recorder.pool.balancer.endpoints
+        assert servers.keys() == recorder.pool.serving == recorder.pool.addresses.keys()
         if subset:
-            assert servers.keys() <= ready.keys() and len(servers) >= min(4, len(ready))
+            assert servers.keys() <= ready.keys()
+            assert len(servers) >= min(4, len(ready))
         else:
             assert servers.keys() == ready.keys()
         assert all(servers[number].listed.weight == ready[number].weight for number in servers)
-        assert told.pool.feed.listed == where([e for e in truth.values() if e.state is not GONE])
-        told.dispatcher.retire(told.pool)
+        assert recorder.pool.feed.listed == addresses_of([e for e in truth.values() if e.state is not GONE])
+        recorder.dispatcher.retire(recorder.pool)
 
     with patch("plovertrail.dispatch.endpoint_feed.SLICE_SIZE", 3):
         run(test)
@@ -71,7 +72,7 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.lists(STEP, max_size=12), st.booleans())
-def test_the_last_word_on_each_server_is_in_force_once_all_is_told(
+def test_the_last_update_of_each_endpoint_holds_once_all_slices_are_given(
     steps: list[tuple[str, list[tuple[int, int, int]]]], subset: bool
 ) -> None:
     play(steps, subset)
