--- a/benchmarks/capacity/hollow_readers.py
+++ b/benchmarks/capacity/hollow_readers.py
@@ -24,7 +24,7 @@
 from benchmarks.capacity.slopes import Axis, Situation, Slope, Unit
 from benchmarks.capacity.target import BUDGET, TARGET
 from benchmarks.report import Bar
-from plovertrail.decisions.endpoint_list import Candidate
+from plovertrail.decisions.endpoint_list import EndpointList
 from plovertrail.decisions.list_versions import SourceKey
 from plovertrail.sources.list_reader import ListReader
 
@@ -60,11 +60,11 @@
                 reader.subscribe(key, f"reader {number}", taken, self.refused)
         return made
 
-    async def taken(self, candidate: Candidate) -> str:
+    async def taken(self, candidate: EndpointList) -> str:
         """Another list."""
         return ""
 
-    async def taken_first(self, candidate: Candidate) -> str:
+    async def taken_first(self, candidate: EndpointList) -> str:
         """A version of the first list."""
         self.told[candidate.version] = self.told.get(candidate.version, 0) + 1
         self.last_s[candidate.version] = time.monotonic()
--- a/benchmarks/capacity/reducer_role.py
+++ b/benchmarks/capacity/reducer_role.py
@@ -11,7 +11,13 @@
 from benchmarks.capacity.roles import Figure, RoleResult, TargetCost
 from benchmarks.capacity.slopes import Axis, Sample, Situation, Slope, Unit
 from benchmarks.capacity.target import TARGET
-from plovertrail.decisions.endpoint_list import UNGUARDED, Candidate, Entry, State, reduce
+from plovertrail.decisions.endpoint_list import (
+    UNGUARDED,
+    EndpointList,
+    EndpointListState,
+    ListedEndpoint,
+    apply_list,
+)
 
 SERVICES, SHORT_SERVICES = (1, 10, 50, 200), (1, 4, 10, 20)
 SERVERS, SHORT_SERVERS = (3, 9, 30, 100), (3, 6, 9, 12)
@@ -36,10 +42,10 @@
     seed: int
 
 
-def entries_of(service: int, servers: int) -> tuple[Entry, ...]:
+def entries_of(service: int, servers: int) -> tuple[ListedEndpoint, ...]:
     """The servers of one service."""
     return tuple(
-        Entry(
+        ListedEndpoint(
             f"service-{service}-server-{server}",
             (f"10.{service & 255}.{server >> 8}.{server & 255}", 8_080),
             zone=f"z{server % ZONES}",
@@ -48,12 +54,12 @@
     )
 
 
-def started_states(services: int, servers: int) -> list[State]:
+def started_states(services: int, servers: int) -> list[EndpointListState]:
     """Each service's state after its first list."""
     states = []
     for service in range(services):
-        candidate = Candidate(SOURCE, entries_of(service, servers), version=1)
-        state, _, _ = reduce(State(), candidate, 0, UNGUARDED)
+        candidate = EndpointList(SOURCE, entries_of(service, servers), version=1)
+        state, _, _ = apply_list(EndpointListState(), candidate, 0, UNGUARDED)
         states.append(replace(state, started=True))
     return states
 
@@ -69,9 +75,9 @@
         place = number // case.services % case.servers
         changed = replace(entries[place], drain=not entries[place].drain)
         lists[service] = (*entries[:place], changed, *entries[place + 1 :])
-        candidate = Candidate(SOURCE, lists[service], version=number + 2)
+        candidate = EndpointList(SOURCE, lists[service], version=number + 2)
         now_us = number * 1_000_000
-        states[service], changes, _ = meter.call(reduce, states[service], candidate, now_us, UNGUARDED)
+        states[service], changes, _ = meter.call(apply_list, states[service], candidate, now_us, UNGUARDED)
         assert len(changes) == 1
     return meter.total_ns / 1e9 / case.changes
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -30,7 +30,13 @@
 from plovertrail.clock import clock_us
 from plovertrail.config.operator import load
 from plovertrail.daemon.process import Daemon, freeze_heap
-from plovertrail.decisions.endpoint_list import Candidate, Entry, Guards, State, reduce
+from plovertrail.decisions.endpoint_list import (
+    EndpointList,
+    EndpointListState,
+    Guards,
+    ListedEndpoint,
+    apply_list,
+)
 from plovertrail.sources.list_reader import ListReader
 from plovertrail.sources.lists import parse, sealed
 from plovertrail.store.clock_reading import ClockReading
@@ -93,9 +99,9 @@
     return daemon, port
 
 
-def members(daemon: Daemon) -> dict[str, Entry]:
+def members(daemon: Daemon) -> dict[str, ListedEndpoint]:
     """The servers in force in the daemon's pool, by id."""
-    return {ident: member.entry for ident, member in daemon.pools["main"].registry.state.members.items()}
+    return {ident: member.listed for ident, member in daemon.pools["main"].registry.state.members.items()}
 
 
 async def until(condition: Callable[[], bool]) -> None:
@@ -153,7 +159,7 @@
     stall, slowest = Stall(), 0.0
     for number in range(changes):
         began = await asyncio.to_thread(put, path, datas[number])
-        await until(lambda: first.state.members["first"].entry.weight == 2.0 + number)  # noqa: B023
+        await until(lambda: first.state.members["first"].listed.weight == 2.0 + number)  # noqa: B023
         slowest = max(slowest, (time.perf_counter() - began) * 1e3)
         await asyncio.sleep(0.5)
     worst = stall.worst_ms
@@ -220,7 +226,7 @@
         listing([(f"s{n}", f"127.0.0.1:{9000 + lot * 50 + n}", 1.0) for n in range(3 + lot % 5)])
         for lot in range(20)
     ]
-    good = {frozenset(parse("x.json", data, "", True).entries) for data in wholes}
+    good = {frozenset(parse("x.json", data, "", True).endpoints) for data in wholes}
     put(path, wholes[0])
     daemon, _ = daemon_in(folder, damping=False)
     rng = random.Random(3)
@@ -251,7 +257,7 @@
             await asyncio.sleep(0.002)
             invalid += frozenset(members(daemon).values()) not in good
     put(path, wholes[-1])
-    last = frozenset(parse("x.json", wholes[-1], "", True).entries)
+    last = frozenset(parse("x.json", wholes[-1], "", True).endpoints)
     await until(lambda: frozenset(members(daemon).values()) == last)
     await daemon.stop()
     return writes, invalid
@@ -259,10 +265,12 @@
 
 def states(count: int, source: str) -> bytes:
     """The state file's bytes, with one pool of so many servers from one source."""
-    entries = tuple(Entry(f"s{n}", ("127.0.0.1", 1000 + n)) for n in range(count))
-    state = reduce(State(started=True), Candidate(source, entries), clock_us(), Guards())[0]
+    entries = tuple(ListedEndpoint(f"s{n}", ("127.0.0.1", 1000 + n)) for n in range(count))
+    state = apply_list(EndpointListState(started=True), EndpointList(source, entries), clock_us(), Guards())[
+        0
+    ]
     return encode_snapshot(
-        {"main": changed_records("main", State(), state, 0)}, "", 0, ClockReading(0, 0), bytes(8)
+        {"main": changed_records("main", EndpointListState(), state, 0)}, "", 0, ClockReading(0, 0), bytes(8)
     )
 
 
--- a/benchmarks/planted_fault_list.py
+++ b/benchmarks/planted_fault_list.py
@@ -59,8 +59,8 @@
     Fault(
         "a drain is ignored",
         ENDPOINTS,
-        "state = EndpointStatus.DRAINING if entry.drain else EndpointStatus.READY",
-        "state = EndpointStatus.READY",
+        "status = EndpointStatus.DRAINING if listed.drain else EndpointStatus.READY",
+        "status = EndpointStatus.READY",
     ),
     Fault(
         "a server that has gone is kept",
@@ -102,10 +102,10 @@
         "a leave is told late by a second",
         ENDPOINTS,
         "            self.dispatcher.pools.update_endpoints(\n"
-        "                self.pool, EndpointsUpdated(ListKind.DELTA, entries), addresses\n",
+        "                self.pool, EndpointsUpdated(ListKind.DELTA, endpoints), addresses\n",
         "            self.dispatcher.loop.call_later(\n"
         "                1.0, self.dispatcher.pools.update_endpoints,\n"
-        "                self.pool, EndpointsUpdated(ListKind.DELTA, entries), addresses\n",
+        "                self.pool, EndpointsUpdated(ListKind.DELTA, endpoints), addresses\n",
     ),
     Fault(
         "an unsafe request is tried again",
--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -25,7 +25,14 @@
 from benchmarks.report import Bar, close, table
 from plovertrail.clock import clock_us
 from plovertrail.daemon.process import Daemon
-from plovertrail.decisions.endpoint_list import Candidate, Entry, Guards, State, drained_by_hand, reduce
+from plovertrail.decisions.endpoint_list import (
+    EndpointList,
+    EndpointListState,
+    Guards,
+    ListedEndpoint,
+    apply_list,
+    set_drained_by_operator,
+)
 from plovertrail.store.clock_reading import ClockReading
 from plovertrail.store.disk import replace_file
 from plovertrail.store.endpoint_list_records import changed_records
@@ -34,27 +41,29 @@
 MOST_MS, MOST_SHARE = 5.0, 0.01
 
 
-def servers(count: int) -> State:
+def servers(count: int) -> EndpointListState:
     """The state of a pool with this many servers."""
-    entries = tuple(Entry(f"s{n}", (f"127.{n >> 16}.{n >> 8 & 255}.{n & 255}", 9)) for n in range(count))
-    return reduce(State(started=True), Candidate("file:x", entries), 1, Guards())[0]
+    entries = tuple(
+        ListedEndpoint(f"s{n}", (f"127.{n >> 16}.{n >> 8 & 255}.{n & 255}", 9)) for n in range(count)
+    )
+    return apply_list(EndpointListState(started=True), EndpointList("file:x", entries), 1, Guards())[0]
 
 
 def drains(count: int, steps: int, folder: Path) -> dict[str, tuple[float, int]]:
     """The median ms, and the bytes written, of one drain among so many servers, by three ways to keep it."""
     clocks, states = ClockReading(clock_us(), time.time_ns() // 1000), [servers(count)]
     for number in range(steps):
-        states.append(drained_by_hand(states[-1], f"s{number}", True, 1, Guards())[0])
+        states.append(set_drained_by_operator(states[-1], f"s{number}", True, 1, Guards())[0])
     found: dict[str, list[float]] = {"journal": [], "whole file": [], "sqlite": []}
     files = StateFiles(str(folder / "state"))
-    files.write_snapshot({"main": changed_records("main", State(), states[0], 0)}, 0, clocks)
+    files.write_snapshot({"main": changed_records("main", EndpointListState(), states[0], 0)}, 0, clocks)
     base = sqlite3.connect(folder / "base", isolation_level=None)
     base.execute("pragma journal_mode=wal")
     base.execute("pragma synchronous=full")
     base.execute("create table servers (id text primary key, row text)")
     base.executemany(
         "insert into servers values (?, ?)",
-        [(ident, json.dumps(member.entry.address)) for ident, member in states[0].members.items()],
+        [(ident, json.dumps(member.listed.address)) for ident, member in states[0].members.items()],
     )
     sizes = {"journal": 0, "whole file": 0, "sqlite": 4096}
     for number, (before, after) in enumerate(zip(states, states[1:], strict=False)):
@@ -65,7 +74,7 @@
         sizes["journal"] = files.journal_bytes - written
         began = time.perf_counter()
         whole = json.dumps(
-            [[ident, *member.entry.address, member.entry.drain] for ident, member in after.members.items()]
+            [[ident, *member.listed.address, member.listed.drain] for ident, member in after.members.items()]
         ).encode()
         replace_file(str(folder / "whole"), whole)
         found["whole file"].append(time.perf_counter() - began)
--- a/plovertrail/cli/check.py
+++ b/plovertrail/cli/check.py
@@ -30,7 +30,7 @@
         _, found = source.read(0.0, settle=False)
     except (InvalidListError, OSError) as error:
         return f"{path}: no list now: {error}"
-    return f"{path}: {len(found.entries) if found is not None else 0} servers"
+    return f"{path}: {len(found.endpoints) if found is not None else 0} servers"
 
 
 def descriptor_lines(setup: Setup) -> list[str]:
--- a/plovertrail/config/pools.py
+++ b/plovertrail/config/pools.py
@@ -26,7 +26,7 @@
 from plovertrail.config.table_reader import TableReader
 from plovertrail.config.tables import duration_us, key_path, read_table
 from plovertrail.decisions.affinity import Affinity, AffinitySource
-from plovertrail.decisions.endpoint_list import Entry, Guards
+from plovertrail.decisions.endpoint_list import Guards, ListedEndpoint
 from plovertrail.decisions.fair_queue import FairQueueSettings
 from plovertrail.decisions.fleet_limits import FleetLimits
 from plovertrail.decisions.settings import RequestClass, Settings, Tenant
@@ -160,7 +160,7 @@
             self.context.weights, fair.default_weight, fair.max_waiting, wait_us, max_retry_after_us
         )
 
-    def _servers(self, raw: list[Any], place: str) -> tuple[Entry, ...]:
+    def _servers(self, raw: list[Any], place: str) -> tuple[ListedEndpoint, ...]:
         """The servers that the file itself lists; no two may have one id or one address."""
         found = []
         ids: dict[str, int] = {}
@@ -185,7 +185,7 @@
                     "write another one: one server under two names gets twice its share",
                 )
             ids[table.id] = addresses[address] = number
-            found.append(Entry(table.id, address, table.zone, table.cell, table.weight, table.drain))
+            found.append(ListedEndpoint(table.id, address, table.zone, table.cell, table.weight, table.drain))
         return tuple(found)
 
 
--- a/plovertrail/daemon/config_watcher.py
+++ b/plovertrail/daemon/config_watcher.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable
 
 from plovertrail.config.setup import Setup
-from plovertrail.decisions.endpoint_list import Candidate
+from plovertrail.decisions.endpoint_list import EndpointList
 from plovertrail.decisions.list_versions import SourceKey, SourceKind
 from plovertrail.sources.list_reader import ListReader
 from plovertrail.sources.subscriptions import Subscription
@@ -39,7 +39,7 @@
         if key is not None and self.subscription is None:
             self.subscription = self.lists.subscribe(key, "operator's file", self._changed, self._unreadable)
 
-    async def _changed(self, _candidate: Candidate) -> str:
+    async def _changed(self, _candidate: EndpointList) -> str:
         """Begin a reload of a file that has settled; returns what becomes of the change.
 
         A reload runs as a task of its own, as it may take minutes with its tests and no list may wait for it.
--- a/plovertrail/daemon/fleet_tracker.py
+++ b/plovertrail/daemon/fleet_tracker.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from plovertrail.config.setup import FleetSetup
-from plovertrail.decisions.endpoint_list import Candidate, Entry
+from plovertrail.decisions.endpoint_list import EndpointList, ListedEndpoint
 from plovertrail.decisions.fleet_limits import Fleet
 from plovertrail.decisions.list_versions import SourceKey
 from plovertrail.decisions.pacing import InstanceRank, rank_of
@@ -44,17 +44,17 @@
         self.fleet = setup.fleet
         self.rank = InstanceRank()
         first = first_lists.get(SourceKey(setup.list_path, False))
-        if isinstance(first, Candidate) and first.entries:
-            self._count(first.entries)
+        if isinstance(first, EndpointList) and first.endpoints:
+            self._count(first.endpoints)
 
-    def _listed(self, instances: tuple[Entry, ...]) -> None:
+    def _listed(self, instances: tuple[ListedEndpoint, ...]) -> None:
         previous = self.fleet
         self._count(instances)
         if self.fleet != previous:
             log.info("fleet size changed instances=%d", self.fleet.size)
             self.on_change()
 
-    def _count(self, instances: tuple[Entry, ...]) -> None:
+    def _count(self, instances: tuple[ListedEndpoint, ...]) -> None:
         self.rank = rank_of(self.instance_name, [instance.id for instance in instances])
         self.fleet = replace(self.fleet, size=self.rank.size)
 
--- a/plovertrail/daemon/pool_manager.py
+++ b/plovertrail/daemon/pool_manager.py
@@ -14,7 +14,7 @@
 from plovertrail.daemon.running_pool import ConnectionFactory, PoolSpec, RunningPool
 from plovertrail.decisions import subsetting
 from plovertrail.decisions.background import BackgroundTask, Priority
-from plovertrail.decisions.endpoint_list import State
+from plovertrail.decisions.endpoint_list import EndpointListState
 from plovertrail.decisions.list_versions import SourceKey
 from plovertrail.dispatch.dispatcher import Dispatcher
 from plovertrail.endpoint_registry import EndpointRegistry
@@ -110,7 +110,7 @@
 
     def _make_registry(self, name: str) -> EndpointRegistry:
         started = bool(self.current.generation.number)
-        state = self.warm_state.take_lists(name) or State(started=started)
+        state = self.warm_state.take_lists(name) or EndpointListState(started=started)
         return EndpointRegistry(name, self.dispatcher, state, self, self.lists)
 
     def retire(self, superseded: SupersededPools) -> None:
@@ -136,7 +136,7 @@
     def _report_problems(self) -> Iterator[None]:
         for name in list(self.with_problems):
             if name in self.running:
-                self.running[name].registry.speak()
+                self.running[name].registry.log_problems()
             yield
 
     # What the registries ask and tell: see endpoint_registry.RegistryOwner
--- a/plovertrail/daemon/pool_table.py
+++ b/plovertrail/daemon/pool_table.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator, Mapping
 
 from plovertrail.daemon.running_pool import RunningPool
-from plovertrail.decisions.endpoint_list import Address, State
+from plovertrail.decisions.endpoint_list import Address, EndpointListState
 from plovertrail.dispatch.server_pool import ServerPool
 from plovertrail.endpoint_registry import EndpointRegistry
 
@@ -20,11 +20,11 @@
         """The endpoint registry of each pool."""
         return {name: pool.registry for name, pool in self.running.items()}
 
-    def endpoint_states(self) -> dict[str, State]:
+    def endpoint_states(self) -> dict[str, EndpointListState]:
         """The endpoints of each pool; immutable values."""
         return {name: pool.registry.state for name, pool in self.running.items()}
 
-    def pools_with_endpoints(self) -> dict[str, tuple[ServerPool, State]]:
+    def pools_with_endpoints(self) -> dict[str, tuple[ServerPool, EndpointListState]]:
         """Each pool as requests use it, with its endpoints."""
         return {name: (pool.pool, pool.registry.state) for name, pool in self.running.items()}
 
@@ -43,14 +43,14 @@
         endpoint_id, address = endpoint
         for name, pool in reversed(list(self.table.running.items())):
             member = pool.registry.state.members.get(endpoint_id) if name != self.pool_name else None
-            if member is not None and member.entry.address == address:
-                return member.came_us
+            if member is not None and member.listed.address == address:
+                return member.started_us
         raise KeyError(endpoint)
 
     def __iter__(self) -> Iterator[tuple[str, Address]]:
         for pool in self._other_pools():
             for endpoint_id, member in pool.registry.state.members.items():
-                yield endpoint_id, member.entry.address
+                yield endpoint_id, member.listed.address
 
     def __len__(self) -> int:
         return sum(len(pool.registry.state.members) for pool in self._other_pools())
--- a/plovertrail/daemon/status.py
+++ b/plovertrail/daemon/status.py
@@ -7,7 +7,7 @@
 from plovertrail.daemon.reload import Reloader
 from plovertrail.daemon.running_pool import RunningPool
 from plovertrail.daemon.wiring import Services
-from plovertrail.decisions.endpoint_list import State
+from plovertrail.decisions.endpoint_list import EndpointListState
 from plovertrail.decisions.rate_limits import RateLimiter
 from plovertrail.decisions.startup_admission import StartupAdmission
 from plovertrail.dispatch.server_pool import RequestQueue
@@ -47,9 +47,9 @@
     state = running.registry.state
     return {
         "generation": state.generation,
-        "drained_by_hand": sorted(state.by_hand),
-        "held_back": sorted(state.held),
-        "problems": [*running.registry.loud(), *filter(None, [running.oversubscribed])],
+        "drained_by_hand": sorted(state.drained_by_operator),
+        "held_back": sorted(state.held_joins),
+        "problems": [*running.registry.problems(), *filter(None, [running.oversubscribed])],
         "share": {
             "connections": running.limits.connections,
             "connections_each": running.limits.connections_per_endpoint,
@@ -59,24 +59,25 @@
         "admission": admission_status(running.pool.admission),
         "fair": queue_status(running.pool.queue),
         "sources": {
-            layer.source: {"servers": len(layer.entries), "version": layer.version} for layer in state.layers
+            layer.source: {"servers": len(layer.endpoints), "version": layer.version}
+            for layer in state.layers
         },
-        "leaving": [member.entry.id for member, _ in state.leaving.values()],
+        "leaving": [member.listed.id for member, _ in state.removed.values()],
         "servers": endpoints_status(running, state),
     }
 
 
-def endpoints_status(running: RunningPool, state: State) -> list[dict[str, Any]]:
+def endpoints_status(running: RunningPool, state: EndpointListState) -> list[dict[str, Any]]:
     """The endpoints of a pool in the order of its list."""
     in_flight = {number: endpoint.in_flight for number, endpoint in running.pool.balancer.endpoints.items()}
     return [
         {
             "id": endpoint_id,
-            "address": "{}:{}".format(*member.entry.address),
-            "state": "draining" if member.entry.drain else "ready",
-            "zone": member.entry.zone,
-            "weight": member.entry.weight,
-            "open": in_flight.get(member.number, 0),
+            "address": "{}:{}".format(*member.listed.address),
+            "state": "draining" if member.listed.drain else "ready",
+            "zone": member.listed.zone,
+            "weight": member.listed.weight,
+            "open": in_flight.get(member.endpoint_id, 0),
         }
         for endpoint_id, member in state.members.items()
     ]
--- a/plovertrail/decisions/endpoint_list.py
+++ b/plovertrail/decisions/endpoint_list.py
@@ -1,8 +1,9 @@
-"""The servers of one pool: what sources say of them becomes one atomic step, or nothing.
+"""The endpoints of one pool: what sources list becomes one atomic step, or nothing.
 
-A candidate is a whole list of one source. `reduce` checks it whole, lays the sources over each other, and
-tells what joins, leaves, drains or changes. States are immutable values: a reader on another thread sees one
-or the other, never a mixture. A leave or a drain is never held back once its list is taken; joins can be.
+An `EndpointList` is the complete list of one source. `apply_list` checks it, merges the lists of all sources,
+and tells which endpoints join, leave, drain or change. States are immutable values: a reader on another
+thread sees one or the other, never a mixture. A removal or a drain is never held back once its list is
+accepted; joins of flapping endpoints are.
 """
 
 from __future__ import annotations
@@ -11,19 +12,23 @@
 import math
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field, replace
+from typing import NamedTuple
 
 Address = tuple[str, int]
+KnownElsewhere = Mapping[tuple[str, Address], int]  # start times of the endpoints of other pools
+
 FLAP_HALF_LIFE_US = 60_000_000
-FREE_RETURNS = 2.0  # leaves within about a minute that cost a server nothing
-FIRST_HOLD_US = 2_000_000  # doubles with each further leave
+FREE_REMOVALS = 2.0  # within about a minute, after which a join is held back
+FIRST_HOLD_US = 2_000_000  # doubles with each further removal
 LONGEST_HOLD_US = 60_000_000
-MOST_FLAPS = 10_000  # servers that leaves are remembered of: the oldest go first
-LEAVING_US = 120_000_000  # a server that has left is remembered for so long as leaving
+MAX_FLAPS = 10_000  # endpoints whose removals are remembered; the oldest go first
+REMOVED_KEPT_US = 120_000_000  # for so long a removed endpoint stays in the state
+MAX_REPORTED = 5  # names or problems in one line of a report
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
-    """What a source says of one server."""
+class ListedEndpoint:
+    """What a source says of one endpoint."""
 
     id: str
     address: Address
@@ -36,74 +41,81 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Candidate:
-    """A whole list, as a source has it now; `version` 0 = it has none."""
+class EndpointList:
+    """The complete list of one source; `version` 0 = it has none."""
 
     source: str
-    entries: tuple[Entry, ...]
+    endpoints: tuple[ListedEndpoint, ...]
     version: int = 0
     by_operator: bool = False  # written by hand into the operator's file: what it drops was meant
 
 
 @dataclass(frozen=True, slots=True)
 class Guards:
-    """What a list must keep to. The reasons of the defaults: docs/membership.md."""
+    """What a list must keep to; docs/membership.md has the reasons of the defaults."""
 
     allow_empty: bool = False
-    most_dropped: float = 0.5  # share of the servers that one list may drop or move
-    judged_from: int = 4  # with fewer servers the share says nothing
-    allow_older: bool = False  # a version may go backwards
-    largest_weight: float = 1000.0
+    max_dropped_fraction: float = 0.5  # of the endpoints, that one list may drop or move
+    min_checked_size: int = 4  # of a list, below which that fraction says nothing
+    allow_older_version: bool = False
+    max_weight: float = 1000.0
     zones: frozenset[str] = frozenset()  # empty: any
-    damping: bool = True
-    shared_addresses: bool = False  # for a while, as one server takes another's place
+    damping: bool = True  # hold back joins of flapping endpoints
+    allow_shared_addresses: bool = False  # for a while, as one endpoint takes another's place
 
 
 UNGUARDED = Guards(
-    allow_empty=True, most_dropped=1.0, largest_weight=math.inf, damping=False, shared_addresses=True
+    allow_empty=True,
+    max_dropped_fraction=1.0,
+    max_weight=math.inf,
+    damping=False,
+    allow_shared_addresses=True,
 )  # for a source that is known to be right, as the platform's
 
 
 @dataclass(frozen=True, slots=True)
-class Member:
-    """A server in force. Hazard: a number is never used again, so that nothing learnt of a server, and no
-    connection to it, passes to one that comes after it."""
+class EndpointMember:
+    """An endpoint in use.
+
+    An id is never used again, so that nothing learnt of an endpoint, and no connection to it, passes to one
+    that comes after it.
+    """
 
-    number: int
-    entry: Entry  # `drain` as all sources together have it
-    came_us: int  # 0 = long ago
+    endpoint_id: int
+    listed: ListedEndpoint  # `drain` as all sources together have it
+    started_us: int  # 0 = long ago
 
 
 @dataclass(frozen=True, slots=True)
 class Flap:
-    """How often a server has left of late, the old times fading."""
+    """How often an endpoint was removed of late; the count decays."""
 
-    leaves: float
-    at_us: int
+    removals: float
+    updated_us: int
 
-    def now(self, now_us: int) -> float:
-        """The number of leaves as it counts at `now_us`: halved for each FLAP_HALF_LIFE_US since `at_us`."""
-        return self.leaves * math.exp2((self.at_us - now_us) / FLAP_HALF_LIFE_US)
+    def removals_at(self, now_us: int) -> float:
+        """Compute the count at `now_us`, halved for each FLAP_HALF_LIFE_US."""
+        return self.removals * math.exp2((self.updated_us - now_us) / FLAP_HALF_LIFE_US)
 
 
 @dataclass(frozen=True, slots=True)
-class State:
-    """All that is known of a pool's servers."""
+class EndpointListState:
+    """All that is known of a pool's endpoints."""
 
     generation: int = 0
-    started: bool = False  # set by the owner once the first lists are in: who comes later is cold
-    layers: tuple[Candidate, ...] = ()  # the last good list of each source, the one that wins first
-    by_hand: frozenset[str] = frozenset()  # drained by the operator
-    members: Mapping[str, Member] = field(default_factory=dict)
-    leaving: Mapping[int, tuple[Member, int]] = field(default_factory=dict)  # by number, since when
+    started: bool = False  # set by the owner once the first lists are in: endpoints added later warm up
+    layers: tuple[EndpointList, ...] = ()  # the last good list of each source, the one that wins first
+    drained_by_operator: frozenset[str] = frozenset()
+    members: Mapping[str, EndpointMember] = field(default_factory=dict)
+    removed: Mapping[int, tuple[EndpointMember, int]] = field(default_factory=dict)  # by id, since when
     flaps: Mapping[str, Flap] = field(default_factory=dict)
-    held: Mapping[str, int] = field(default_factory=dict)  # joins held back, until when
-    refused: Mapping[str, tuple[str, ...]] = field(default_factory=dict)  # what is wrong with a source's list
-    last_number: int = 0
+    held_joins: Mapping[str, int] = field(default_factory=dict)  # until when each is held back
+    rejected_lists: Mapping[str, tuple[str, ...]] = field(default_factory=dict)  # problems by source
+    last_endpoint_id: int = 0
 
 
-class Kind(enum.Enum):
-    """Of a change."""
+class ChangeKind(enum.Enum):
+    """What happened to an endpoint; the values are logged."""
 
     JOIN = "joins"
     LEAVE = "leaves"
@@ -113,208 +125,284 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
-    """One server's change in a step, with the member as it is after the change; on a leave, as it was
-    before."""
+class EndpointChange:
+    """One endpoint's change in a step, with the member after the change; when it leaves, before it."""
+
+    kind: ChangeKind
+    member: EndpointMember
+
+
+@dataclass(frozen=True, slots=True)
+class ListReport:
+    """What operators should see: `problems` as long as they persist, `notices` once."""
+
+    problems: tuple[str, ...] = ()
+    notices: tuple[str, ...] = ()
 
-    kind: Kind
-    member: Member
+
+class ListStep(NamedTuple):
+    """The result of a step: the new state, and what led to it."""
+
+    state: EndpointListState
+    changes: tuple[EndpointChange, ...]
+    report: ListReport
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
-    """What the operator should hear: `loud` as long as it lasts."""
+class ListContext:
+    """What a list is merged with."""
 
-    loud: tuple[str, ...] = ()
-    told: tuple[str, ...] = ()
+    order: Sequence[str] = ()  # all sources, the one that wins first; lists of others are dropped
+    elsewhere: KnownElsewhere | None = None  # endpoints of other pools don't warm up again in this one
 
 
-Step = tuple[State, tuple[Change, ...], Report]
+def list_problems(state: EndpointListState, listed: EndpointList, guards: Guards) -> tuple[str, ...]:
+    """Find all that is wrong with a list; it is accepted only if nothing is."""
+    problems = _endpoint_problems(listed, guards)
+    if not listed.by_operator:
+        problems += _change_problems(state, listed, guards)
+    return tuple(problems)
 
 
-def problems(state: State, candidate: Candidate, guards: Guards) -> tuple[str, ...]:
-    """All that is wrong with a list; it is taken only if nothing is."""
-    found: list[str] = []
+def _endpoint_problems(listed: EndpointList, guards: Guards) -> list[str]:
+    """Find what is wrong with the endpoints of a list."""
+    problems: list[str] = []
     ids: set[str] = set()
     addresses: dict[Address, str] = {}
-    for entry in candidate.entries:
-        if entry.id in ids:
-            found.append(f'two servers are called "{entry.id}"')
-        if entry.address in addresses and not guards.shared_addresses:
-            found.append(f'"{entry.id}" has the address of "{addresses[entry.address]}"')
-        if not (math.isfinite(entry.weight) and 0 < entry.weight <= guards.largest_weight):
-            found.append(
-                f'"{entry.id}" has a weight of {entry.weight}: '
-                f"expected more than 0, at most {guards.largest_weight:g}"
+    for endpoint in listed.endpoints:
+        if endpoint.id in ids:
+            problems.append(f'two servers are called "{endpoint.id}"')
+        if endpoint.address in addresses and not guards.allow_shared_addresses:
+            problems.append(f'"{endpoint.id}" has the address of "{addresses[endpoint.address]}"')
+        if not (math.isfinite(endpoint.weight) and 0 < endpoint.weight <= guards.max_weight):
+            problems.append(
+                f'"{endpoint.id}" has a weight of {endpoint.weight}: '
+                f"expected more than 0, at most {guards.max_weight:g}"
             )
-        if guards.zones and entry.zone not in guards.zones:
-            found.append(f'"{entry.id}" is in the unknown zone "{entry.zone}"')
-        ids.add(entry.id)
-        addresses[entry.address] = entry.id
-    if candidate.by_operator:
-        return tuple(found)
-    before = next((layer for layer in state.layers if layer.source == candidate.source), None)
-    if not candidate.entries and not guards.allow_empty:
-        found.append("the list is empty")
-    if before is not None:
-        if 0 < candidate.version < before.version and not guards.allow_older:
-            found.append(f"its version {candidate.version} goes backwards, from {before.version}")
-        listed = {(entry.id, entry.address) for entry in candidate.entries}
-        dropped = sum(1 for entry in before.entries if (entry.id, entry.address) not in listed)
-        if (
-            candidate.entries
-            and len(before.entries) >= guards.judged_from
-            and dropped > guards.most_dropped * len(before.entries)
-        ):
-            found.append(
-                f"it drops or moves {dropped} of {len(before.entries)} servers at once: "
-                f"more than {guards.most_dropped:.0%}"
-            )
-    return tuple(found)
+        if guards.zones and endpoint.zone not in guards.zones:
+            problems.append(f'"{endpoint.id}" is in the unknown zone "{endpoint.zone}"')
+        ids.add(endpoint.id)
+        addresses[endpoint.address] = endpoint.id
+    return problems
+
+
+def _change_problems(state: EndpointListState, listed: EndpointList, guards: Guards) -> list[str]:
+    """Find what is wrong with a list beside the source's last one."""
+    problems: list[str] = []
+    if not listed.endpoints and not guards.allow_empty:
+        problems.append("the list is empty")
+    previous = next((layer for layer in state.layers if layer.source == listed.source), None)
+    if previous is None:
+        return problems
+    if 0 < listed.version < previous.version and not guards.allow_older_version:
+        problems.append(f"its version {listed.version} goes backwards, from {previous.version}")
+    present = {(endpoint.id, endpoint.address) for endpoint in listed.endpoints}
+    dropped = sum(1 for endpoint in previous.endpoints if (endpoint.id, endpoint.address) not in present)
+    previous_size = len(previous.endpoints)
+    checked = bool(listed.endpoints) and previous_size >= guards.min_checked_size
+    if checked and dropped > guards.max_dropped_fraction * previous_size:
+        problems.append(
+            f"it drops or moves {dropped} of {previous_size} servers at once: "
+            f"more than {guards.max_dropped_fraction:.0%}"
+        )
+    return problems
 
 
-def merged(layers: Iterable[Candidate], by_hand: frozenset[str], shared: bool = False) -> dict[str, Entry]:
-    """One entry a server: of the first source that lists it, but draining if any source or the operator says
-    so. Unless `shared`, an address that an earlier source has under another id is that server's."""
-    found: dict[str, Entry] = {}
-    taken: dict[Address, str] = {}
-    draining = set(by_hand)
+def merge_lists(
+    layers: Iterable[EndpointList], drained_by_operator: frozenset[str], allow_shared_addresses: bool = False
+) -> dict[str, ListedEndpoint]:
+    """Merge the lists of all sources into one endpoint for each id.
+
+    It is that of the first source that lists it, but drains if any source or the operator says so. An address
+    that an earlier source has under another id belongs to that one, unless sharing is allowed.
+    """
+    merged: dict[str, ListedEndpoint] = {}
+    owners: dict[Address, str] = {}
+    draining = set(drained_by_operator)
     for layer in layers:
-        for entry in layer.entries:
-            if entry.drain:
-                draining.add(entry.id)
-            if entry.id not in found and (taken.setdefault(entry.address, entry.id) == entry.id or shared):
-                found[entry.id] = entry
-    for ident in draining & found.keys():
-        if not found[ident].drain:
-            found[ident] = replace(found[ident], drain=True)
-    return found
-
-
-def reduce(
-    state: State,
-    candidate: Candidate | None,
+        for endpoint in layer.endpoints:
+            if endpoint.drain:
+                draining.add(endpoint.id)
+            if endpoint.id in merged:
+                continue
+            owner = owners.setdefault(endpoint.address, endpoint.id)
+            if owner == endpoint.id or allow_shared_addresses:
+                merged[endpoint.id] = endpoint
+    for name in draining & merged.keys():
+        if not merged[name].drain:
+            merged[name] = replace(merged[name], drain=True)
+    return merged
+
+
+def apply_list(
+    state: EndpointListState,
+    listed: EndpointList | None,
     now_us: int,
     guards: Guards,
-    order: Sequence[str] = (),
-    elsewhere: Mapping[tuple[str, Address], int] | None = None,
-) -> Step:
-    """One step. Without a candidate: the time has come for joins that were held back. `order` has the
-    sources, the one that wins first; lists of others are dropped. `elsewhere` tells since when other pools
-    know a server: it is not cold for having come to this one."""
-    if candidate is not None:
-        wrong = problems(state, candidate, guards)
-        if wrong:
-            refused = {**state.refused, candidate.source: wrong}
-            state = replace(state, refused=refused)
-            return state, (), report(state, now_us)
-        layers = {layer.source: layer for layer in state.layers} | {candidate.source: candidate}
-        names = order or tuple(layers)
-        refused = {
-            name: told for name, told in state.refused.items() if name != candidate.source and name in names
+    context: ListContext | None = None,
+) -> ListStep:
+    """Make one step with a new list, or without one when a join that was held back is due."""
+    context = context or ListContext()
+    if listed is not None:
+        problems = list_problems(state, listed, guards)
+        if problems:
+            rejected = {**state.rejected_lists, listed.source: problems}
+            state = replace(state, rejected_lists=rejected)
+            return ListStep(state, (), make_report(state, now_us))
+        state = _with_layer(state, listed, context.order)
+    # Not `or {}`: whether the mapping is empty may take a look at all pools.
+    return _settle(state, now_us, guards, {} if context.elsewhere is None else context.elsewhere)
+
+
+def _with_layer(state: EndpointListState, listed: EndpointList, order: Sequence[str]) -> EndpointListState:
+    """Put the list of one source in place of its last one."""
+    layers = {layer.source: layer for layer in state.layers} | {listed.source: listed}
+    names = order or tuple(layers)
+    rejected = {
+        source: problems
+        for source, problems in state.rejected_lists.items()
+        if source != listed.source and source in names
+    }
+    ordered = tuple(layers[name] for name in names if name in layers)
+    return replace(state, layers=ordered, rejected_lists=rejected)
+
+
+def set_drained_by_operator(
+    state: EndpointListState, name: str, drain: bool, now_us: int, guards: Guards
+) -> ListStep:
+    """Drain an endpoint by the operator's command, or end that; it holds for the id, listed or not."""
+    drained = state.drained_by_operator | {name} if drain else state.drained_by_operator - {name}
+    return _settle(replace(state, drained_by_operator=drained), now_us, guards, {})
+
+
+class _Settlement:
+    """One step from the members as they are to what the sources list."""
+
+    def __init__(self, state: EndpointListState, now_us: int, guards: Guards) -> None:
+        self.state = state
+        self.now_us = now_us
+        self.guards = guards
+        self.members: dict[str, EndpointMember] = {}
+        self.removed = {
+            endpoint_id: (member, since_us)
+            for endpoint_id, (member, since_us) in state.removed.items()
+            if since_us > now_us - REMOVED_KEPT_US
         }
+        self.flaps = dict(state.flaps)
+        self.held_joins: dict[str, int] = {}
+        self.last_endpoint_id = state.last_endpoint_id
+        self.changes: list[EndpointChange] = []
+
+    def remove(self, name: str, member: EndpointMember) -> None:
+        """Remove a member that is listed no more, or at another address."""
+        self.removed[member.endpoint_id] = member, self.now_us
+        if self.guards.damping:
+            flap = self.flaps.pop(name, None)  # and put in again as the newest
+            earlier = flap.removals_at(self.now_us) if flap is not None else 0.0
+            self.flaps[name] = Flap(1.0 + earlier, self.now_us)
+        self.changes.append(EndpointChange(ChangeKind.LEAVE, member))
+
+    def keep(self, name: str, member: EndpointMember, listed: ListedEndpoint) -> None:
+        """Keep a member, with what is listed of it now."""
+        if member.listed == listed:
+            self.members[name] = member
+            return
+        kind = ChangeKind.CHANGE
+        if member.listed.drain != listed.drain:
+            kind = ChangeKind.DRAIN if listed.drain else ChangeKind.UNDRAIN
+        started_us = member.started_us if listed.started_us is None else listed.started_us
+        self.members[name] = EndpointMember(member.endpoint_id, listed, started_us)
+        self.changes.append(EndpointChange(kind, self.members[name]))
+
+    def join(self, name: str, listed: ListedEndpoint, elsewhere: KnownElsewhere) -> None:
+        """Add a member, or hold its join back if it flaps."""
+        state = self.state
+        flap = self.flaps.get(name)
+        hold_us = _hold_us(flap, self.now_us) if self.guards.damping and state.started else 0
+        until_us = state.held_joins.get(name, self.now_us + hold_us)
+        if until_us > self.now_us:
+            self.held_joins[name] = until_us
+            return
+        started_us = self.now_us if state.started else 0
+        if flap is None:
+            started_us = elsewhere.get((name, listed.address), started_us)
+        if listed.started_us is not None:
+            started_us = listed.started_us
+        self.last_endpoint_id += 1
+        self.members[name] = EndpointMember(self.last_endpoint_id, listed, started_us)
+        self.changes.append(EndpointChange(ChangeKind.JOIN, self.members[name]))
+
+    def step(self) -> ListStep:
+        """Return the step that was made."""
+        while len(self.flaps) > MAX_FLAPS:
+            del self.flaps[next(iter(self.flaps))]
+        changes = tuple(self.changes)
         state = replace(
-            state, layers=tuple(layers[name] for name in names if name in layers), refused=refused
+            self.state,
+            members=self.members,
+            removed=self.removed,
+            flaps=self.flaps,
+            held_joins=self.held_joins,
+            last_endpoint_id=self.last_endpoint_id,
+            generation=self.state.generation + bool(changes),
         )
-    # hazard: whether a mapping is empty may take a look at all pools
-    return _settle(state, now_us, guards, {} if elsewhere is None else elsewhere)
-
-
-def drained_by_hand(state: State, ident: str, drain: bool, now_us: int, guards: Guards) -> Step:
-    """The operator drains a server, or ends that; it holds for the id, listed or not."""
-    by_hand = state.by_hand | {ident} if drain else state.by_hand - {ident}
-    return _settle(replace(state, by_hand=by_hand), now_us, guards, {})
-
-
-def _settle(state: State, now_us: int, guards: Guards, elsewhere: Mapping[tuple[str, Address], int]) -> Step:
-    """Bring the members to what the sources say."""
-    wanted = merged(state.layers, state.by_hand, guards.shared_addresses)
-    members: dict[str, Member] = {}
-    leaving = {number: left for number, left in state.leaving.items() if left[1] > now_us - LEAVING_US}
-    flaps, held = dict(state.flaps), {}
-    last_number = state.last_number
-    changes: list[Change] = []
-    for ident, member in state.members.items():
-        entry = wanted.get(ident)
-        if entry is None or entry.address != member.entry.address:
-            leaving[member.number] = member, now_us
-            if guards.damping:
-                flap = flaps.pop(ident, None)  # put last: the oldest go first
-                flaps[ident] = Flap(1.0 + (flap.now(now_us) if flap is not None else 0.0), now_us)
-            changes.append(Change(Kind.LEAVE, member))
-    for ident, entry in wanted.items():
-        old = state.members.get(ident)
-        if old is not None and old.entry.address == entry.address:
-            if old.entry == entry:
-                members[ident] = old
-                continue
-            kind = Kind.CHANGE
-            if old.entry.drain != entry.drain:
-                kind = Kind.DRAIN if entry.drain else Kind.UNDRAIN
-            came_us = old.came_us if entry.started_us is None else entry.started_us
-            members[ident] = Member(old.number, entry, came_us)
-            changes.append(Change(kind, members[ident]))
-            continue
-        hold_us = _hold_us(flaps.get(ident), now_us) if guards.damping and state.started else 0
-        until_us = state.held.get(ident, now_us + hold_us)
-        if until_us > now_us:
-            held[ident] = until_us
-            continue
-        last_number += 1
-        cold_us = now_us if state.started else 0
-        came_us = elsewhere.get((ident, entry.address), cold_us) if ident not in flaps else cold_us
-        if entry.started_us is not None:
-            came_us = entry.started_us
-        members[ident] = Member(last_number, entry, came_us)
-        changes.append(Change(Kind.JOIN, members[ident]))
-    while len(flaps) > MOST_FLAPS:
-        del flaps[next(iter(flaps))]
-    new = replace(
-        state,
-        members=members,
-        leaving=leaving,
-        flaps=flaps,
-        held=held,
-        last_number=last_number,
-        generation=state.generation + bool(changes),
-    )
-    return new, tuple(changes), report(new, now_us, tuple(changes))
+        return ListStep(state, changes, make_report(state, self.now_us, changes))
+
+
+def _settle(state: EndpointListState, now_us: int, guards: Guards, elsewhere: KnownElsewhere) -> ListStep:
+    """Bring the members to what the sources list."""
+    wanted = merge_lists(state.layers, state.drained_by_operator, guards.allow_shared_addresses)
+    settlement = _Settlement(state, now_us, guards)
+    for name, member in state.members.items():
+        listed = wanted.get(name)
+        if listed is None or listed.address != member.listed.address:
+            settlement.remove(name, member)
+    for name, listed in wanted.items():
+        member_before = state.members.get(name)
+        if member_before is not None and member_before.listed.address == listed.address:
+            settlement.keep(name, member_before, listed)
+        else:
+            settlement.join(name, listed, elsewhere)
+    return settlement.step()
 
 
 def _hold_us(flap: Flap | None, now_us: int) -> int:
-    """How long a join is held back after so many leaves of late."""
-    leaves = flap.now(now_us) if flap is not None else 0.0
-    if leaves <= FREE_RETURNS:
+    """Compute for how long a join is held back after the removals of late."""
+    removals = flap.removals_at(now_us) if flap is not None else 0.0
+    if removals <= FREE_REMOVALS:
         return 0
-    return min(LONGEST_HOLD_US, int(FIRST_HOLD_US * math.exp2(leaves - FREE_RETURNS)))
+    return min(LONGEST_HOLD_US, int(FIRST_HOLD_US * math.exp2(removals - FREE_REMOVALS)))
 
 
-def report(state: State, now_us: int, changes: tuple[Change, ...] = ()) -> Report:
-    """What is to be told of a state, and of the step that led to it."""
-    held = state.held
-    loud = [
-        f"the list of {source} is refused, the last good one stays: {'; '.join(_first(told))}"
-        for source, told in state.refused.items()
+def make_report(
+    state: EndpointListState, now_us: int, changes: tuple[EndpointChange, ...] = ()
+) -> ListReport:
+    """Report a state, and the changes that led to it, for operators."""
+    problems = [
+        f"the list of {source} is refused, the last good one stays: {'; '.join(_shortened(found))}"
+        for source, found in state.rejected_lists.items()
     ]
-    if held:
-        longest_s = (max(held.values()) - now_us) / 1e6
-        loud.append(
-            f"{len(held)} servers come and go, and are held back for up to {longest_s:.0f} s: "
-            f"{', '.join(_first(tuple(held)))}"
+    held_joins = state.held_joins
+    if held_joins:
+        longest_s = (max(held_joins.values()) - now_us) / 1e6
+        problems.append(
+            f"{len(held_joins)} servers come and go, and are held back for up to {longest_s:.0f} s: "
+            f"{', '.join(_shortened(tuple(held_joins)))}"
         )
-    counts: dict[Kind, list[str]] = {}
+    names: dict[ChangeKind, list[str]] = {}
     for change in changes:
-        counts.setdefault(change.kind, []).append(change.member.entry.id)
-    return Report(
-        tuple(loud), tuple(f"{', '.join(_first(tuple(ids)))}: {kind.value}" for kind, ids in counts.items())
-    )
+        names.setdefault(change.kind, []).append(change.member.listed.id)
+    notices = [f"{', '.join(_shortened(tuple(each)))}: {kind.value}" for kind, each in names.items()]
+    return ListReport(tuple(problems), tuple(notices))
 
 
-def _first(words: tuple[str, ...]) -> tuple[str, ...]:
-    """The first few. Hazard: of 10,000 bad entries the log would take one line of a megabyte."""
-    return words if len(words) <= 5 else (*words[:5], f"and {len(words) - 5} more")
+def _shortened(words: tuple[str, ...]) -> tuple[str, ...]:
+    """Shorten a list of words: of 10,000 bad endpoints the log would get one line of a megabyte."""
+    if len(words) <= MAX_REPORTED:
+        return words
+    return (*words[:MAX_REPORTED], f"and {len(words) - MAX_REPORTED} more")
 
 
-def next_due_us(state: State) -> int | None:
-    """When a join that is held back may come."""
-    return min(state.held.values(), default=None)
+def next_join_us(state: EndpointListState) -> int | None:
+    """Return when the next join that is held back is due; None: none is."""
+    return min(state.held_joins.values(), default=None)
--- a/plovertrail/endpoint_registry.py
+++ b/plovertrail/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""Keeps one pool's servers: sources in, steps through the reducer, changes out to the pool's module."""
+"""Keeps the endpoints of one pool: lists of sources in, changes out to the pool's load balancer."""
 
 from __future__ import annotations
 
@@ -13,7 +13,17 @@
 
 from plovertrail.clock import clock_us
 from plovertrail.decisions import endpoint_list
-from plovertrail.decisions.endpoint_list import Address, Candidate, Guards, Kind, Member, State, Step
+from plovertrail.decisions.endpoint_list import (
+    ChangeKind,
+    EndpointList,
+    EndpointListState,
+    EndpointMember,
+    Guards,
+    KnownElsewhere,
+    ListContext,
+    ListedEndpoint,
+    ListStep,
+)
 from plovertrail.decisions.events import Endpoint, EndpointStatus, EndpointsUpdated, ListKind
 from plovertrail.decisions.list_versions import SourceKey
 from plovertrail.dispatch.dispatcher import Dispatcher
@@ -24,220 +34,255 @@
 
 log = logging.getLogger(__name__)
 
-REPEAT_S = 10.0  # a loud report is repeated so often while it lasts
-INLINE = "inline"
-FEW_SERVERS = 500  # a step among no more of them takes less time on the loop than the way off it
+PROBLEM_LOG_INTERVAL_S = 10.0  # a problem is logged again this often while it persists
+INLINE = "inline"  # the source that is the operator's own file
+MAX_INLINE_STEP = (
+    500  # endpoints; a step among no more of them takes less time on the loop than the way off it
+)
 
 
 class RegistryOwner(Protocol):
     """What a registry asks and tells the owner of all pools."""
 
-    def endpoints_of_other_pools(self, pool: str) -> Mapping[tuple[str, Address], int]:
-        """Since when (us) the endpoints of all pools but this are known, by id and address."""
+    def endpoints_of_other_pools(self, pool: str) -> KnownElsewhere:
+        """Return the start times (us) of the endpoints of all other pools, by id and address."""
 
     def endpoints_changed(self, pool: str) -> None:
-        """The endpoints of a pool have changed."""
+        """Note that a pool's endpoints, or its lists, have changed."""
 
     def source_read(self, pool: str, source: str, problem: str) -> None:
-        """A source of a pool was read; `problem` is empty if it gave a list."""
+        """Note that a source of a pool was read; `problem` is empty if it gave a list."""
 
     def problems_persist(self, pool: str, persist: bool) -> None:
-        """A pool's lists have a problem that is to be logged again and again, or have it no more."""
+        """Note whether a pool's lists have a problem that is to be logged again and again."""
 
 
 @lru_cache(maxsize=4096)
 def name_number(name: str) -> int:
-    """Zones and cells are told apart by number. Hazard: two cells of one number would get each other's
-    repeats; 63 bits of a digest keep them apart, and no table of names grows."""
+    """Return the number that stands for a zone or a cell.
+
+    Endpoints of two cells with one number would count as deduplicating together. 63 bits of a digest keep
+    them apart, and no table of names grows.
+    """
     return 1 + (int.from_bytes(hashlib.sha256(name.encode()).digest()[:8]) >> 1)
 
 
 class EndpointRegistry:
-    """The servers of one pool. It outlives the pool's module, which a reload may replace."""
+    """The endpoints of one pool; it outlives the pool's load balancer, which a reload may replace."""
 
     def __init__(
         self,
         name: str,
         dispatcher: Dispatcher,
-        state: State,
+        state: EndpointListState,
         owner: RegistryOwner,
         lists: ListReader,
     ) -> None:
         self.name = name
         self.dispatcher = dispatcher
         self.state = state
+        self.lists = lists
         self.owner = owner
         self.known_elsewhere = owner.endpoints_of_other_pools(name)
         self.guards = Guards()
-        self.order: tuple[str, ...] = ()
+        self.order: tuple[str, ...] = ()  # the sources, the one that wins first
         self.home_zone = ""
         self.pool: ServerPool | None = None
-        self.lists = lists
-        self.watches: dict[str, Subscription] = {}
-        self.unreadable: dict[str, str] = {}  # what is wrong with a source that gives no list
-        self.said: dict[str, float] = {}  # loud reports, and when they were last logged
+        self.subscriptions: dict[str, Subscription] = {}  # by source
+        self.unreadable_sources: dict[str, str] = {}  # what is wrong with them
+        self.logged_at_s: dict[str, float] = {}  # by the beginning of a problem's text
         self.lock = asyncio.Lock()
-        self.timer: asyncio.TimerHandle | None = None
+        self.join_timer: asyncio.TimerHandle | None = None
 
     # Sources
 
     def configure(
         self,
-        inline: tuple[endpoint_list.Entry, ...],
+        inline: tuple[ListedEndpoint, ...],
         sources: list[SourceKey],
         guards: Guards,
         home_zone: str,
-        fresh: Mapping[SourceKey, FirstRead],
+        first_lists: Mapping[SourceKey, FirstRead],
     ) -> None:
-        """Follow a new setup; `fresh` has what the sources that are new hold. Hazard: a server that moves
-        from one source to another is in neither for a moment, and would come back cold; so what is new goes
-        first, and what the operator's own file no longer lists goes last."""
+        """Follow a new configuration; `first_lists` has what its new sources hold.
+
+        An endpoint that moves from one source to another must be in one of them at each moment, or it would
+        warm up again. So new sources are added first, and what the inline list no longer has goes last.
+        """
         if guards != self.guards:
-            for watch in self.watches.values():
-                watch.judge_again()
-        self.guards, self.home_zone = guards, home_zone
+            for subscription in self.subscriptions.values():
+                subscription.deliver_again()
+        self.guards = guards
+        self.home_zone = home_zone
         self.order = (INLINE, *(source.name for source in sources))
-        self.unreadable = {name: told for name, told in self.unreadable.items() if name in self.order}
-        for source in sources:
-            watched = self.watches.get(source.name)
-            found = fresh.get(source) if watched is None or watched.key != source else None
-            if isinstance(found, str):
-                self.unreadable[source.name] = found
-            elif found is not None:
-                self.unreadable.pop(source.name, None)
-                layers = {layer.source for layer in self.state.layers}
-                everything = (*self.order, *(name for name in layers if name not in self.order))
-                self.carry_out(
-                    endpoint_list.reduce(
-                        self.state, found, clock_us(), guards, everything, self.known_elsewhere
-                    )
-                )
-        self.step(Candidate(INLINE, inline, by_operator=True))
+        self.unreadable_sources = {
+            name: problem for name, problem in self.unreadable_sources.items() if name in self.order
+        }
+        self._add_first_lists(sources, first_lists)
+        self.apply_list(EndpointList(INLINE, inline, by_operator=True))
         self.state = replace(self.state, started=True)
-        for name in self.watches.keys() - set(self.order):
-            self.watches.pop(name).stop()
+        self._subscribe(sources)
+
+    def _add_first_lists(self, sources: list[SourceKey], first_lists: Mapping[SourceKey, FirstRead]) -> None:
+        """Add the lists of new sources, and keep those of the sources that will be dropped."""
         for source in sources:
-            old = self.watches.get(source.name)
-            if old is None or old.key != source:
-                if old is not None:
-                    old.stop()
-                self.watches[source.name] = self.lists.subscribe(source, self.name, self.taken, self.refused)
-
-    async def taken(self, candidate: Candidate) -> str:
-        """A source has a whole list; returns why it is refused, if it is. The step among many servers is made
-        off the loop, as it takes long."""
+            subscription = self.subscriptions.get(source.name)
+            if subscription is not None and subscription.key == source:
+                continue
+            first = first_lists.get(source)
+            if isinstance(first, str):
+                self.unreadable_sources[source.name] = first
+            elif first is not None:
+                self.unreadable_sources.pop(source.name, None)
+                old_sources = {layer.source for layer in self.state.layers}
+                order = (*self.order, *(name for name in old_sources if name not in self.order))
+                context = ListContext(order, self.known_elsewhere)
+                self.apply_step(endpoint_list.apply_list(self.state, first, clock_us(), self.guards, context))
+
+    def _subscribe(self, sources: list[SourceKey]) -> None:
+        """Follow these sources, and no others."""
+        for name in self.subscriptions.keys() - set(self.order):
+            self.subscriptions.pop(name).stop()
+        for source in sources:
+            old = self.subscriptions.get(source.name)
+            if old is not None and old.key == source:
+                continue
+            if old is not None:
+                old.stop()
+            self.subscriptions[source.name] = self.lists.subscribe(
+                source, self.name, self.list_read, self.list_unreadable
+            )
+
+    async def list_read(self, listed: EndpointList) -> str:
+        """Apply the list of a source; returns why it is rejected, or an empty text.
+
+        A step among many endpoints takes long, and is made off the loop.
+        """
         async with self.lock:
-            self.unreadable.pop(candidate.source, None)
-            if candidate.source not in self.order:
+            self.unreadable_sources.pop(listed.source, None)
+            if listed.source not in self.order:
                 return "it is followed no more"
-            self.owner.source_read(self.name, candidate.source, "")
-            before = self.state
-            if len(candidate.entries) + len(before.members) <= FEW_SERVERS:
-                self.step(candidate)
+            self.owner.source_read(self.name, listed.source, "")
+            old_state = self.state
+            if len(listed.endpoints) + len(old_state.members) <= MAX_INLINE_STEP:
+                self.apply_list(listed)
             else:
-                step = await self.lists.off_loop(partial(self._reduced, before, candidate))
-                if self.state is before:
-                    self.carry_out(step)
-                else:  # a hand drain or a reload came between
-                    self.step(candidate)
-            return "; ".join(self.state.refused.get(candidate.source, ()))
-
-    async def refused(self, source: str, why: str) -> None:
-        """A source has no list that can be used: the last good one stays."""
+                step = await self.lists.run_off_loop(partial(self._make_step, old_state, listed))
+                if self.state is old_state:
+                    self.apply_step(step)
+                else:  # a drain by hand or a reload came between
+                    self.apply_list(listed)
+            return "; ".join(self.state.rejected_lists.get(listed.source, ()))
+
+    async def list_unreadable(self, source: str, problem: str) -> None:
+        """Note that a source has no usable list; its last good one stays."""
         if source in self.order:
-            self.unreadable[source] = why
-            self.owner.source_read(self.name, source, why)
-            self.speak()
+            self.unreadable_sources[source] = problem
+            self.owner.source_read(self.name, source, problem)
+            self.log_problems()
 
-    def _reduced(self, state: State, candidate: Candidate | None) -> Step:
-        return endpoint_list.reduce(
-            state, candidate, clock_us(), self.guards, self.order, self.known_elsewhere
-        )
+    def _make_step(self, state: EndpointListState, listed: EndpointList | None) -> ListStep:
+        context = ListContext(self.order, self.known_elsewhere)
+        return endpoint_list.apply_list(state, listed, clock_us(), self.guards, context)
 
-    def step(self, candidate: Candidate | None) -> None:
-        """One step on the loop."""
-        self.carry_out(self._reduced(self.state, candidate))
+    def apply_list(self, listed: EndpointList | None) -> None:
+        """Apply a list on the loop, or let the joins that are due come."""
+        self.apply_step(self._make_step(self.state, listed))
 
-    def drain(self, ident: str, drain: bool) -> None:
-        """By the operator's hand; takes effect at once."""
-        self.carry_out(endpoint_list.drained_by_hand(self.state, ident, drain, clock_us(), self.guards))
+    def drain(self, name: str, drain: bool) -> None:
+        """Drain an endpoint by the operator's command, or end that; takes effect at once."""
+        self.apply_step(
+            endpoint_list.set_drained_by_operator(self.state, name, drain, clock_us(), self.guards)
+        )
 
     # Effects
 
-    def carry_out(self, step: Step) -> None:
-        """Put a state into force: one assignment, and one event to the pool's module."""
-        before = self.state
-        self.state, changes, report = step
-        if changes and self.pool is not None:
-            entries = [self.upstream(change.member, change.kind is Kind.LEAVE) for change in changes]
-            addresses = {change.member.number: change.member.entry.address for change in changes}
+    def apply_step(self, step: ListStep) -> None:
+        """Put a state into force: one assignment, and one event to the pool's load balancer."""
+        old_state = self.state
+        self.state = step.state
+        if step.changes and self.pool is not None:
+            endpoints = [
+                self._endpoint(change.member, removed=change.kind is ChangeKind.LEAVE)
+                for change in step.changes
+            ]
+            addresses = {change.member.endpoint_id: change.member.listed.address for change in step.changes}
             self.dispatcher.pools.update_endpoints(
-                self.pool, EndpointsUpdated(ListKind.DELTA, entries), addresses
-            )
-        for text in report.told:
-            log.info("%s: generation %d: %s", self.name, self.state.generation, text)
-        self.speak()
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
-        due_us = endpoint_list.next_due_us(self.state)
-        if due_us is not None:
-            self.timer = self.dispatcher.loop.call_later(
-                max(0, due_us - clock_us() + 1000) / 1e6, self.step, None
+                self.pool, EndpointsUpdated(ListKind.DELTA, endpoints), addresses
             )
-        if changes or self.state.by_hand != before.by_hand or self.state.layers is not before.layers:
+        for notice in step.report.notices:
+            log.info("endpoints changed pool=%s generation=%d: %s", self.name, self.state.generation, notice)
+        self.log_problems()
+        self._schedule_next_join()
+        layers_changed = self.state.layers is not old_state.layers
+        drains_changed = self.state.drained_by_operator != old_state.drained_by_operator
+        if step.changes or drains_changed or layers_changed:
             self.owner.endpoints_changed(self.name)
 
-    def upstream(self, member: Member, gone: bool = False) -> Endpoint:
-        """A member as the module knows it."""
-        entry = member.entry
-        state = EndpointStatus.DRAINING if entry.drain else EndpointStatus.READY
-        zone = 0 if entry.zone == self.home_zone else name_number(entry.zone)
+    def _schedule_next_join(self) -> None:
+        """Set the timer for the next join that is held back."""
+        if self.join_timer is not None:
+            self.join_timer.cancel()
+            self.join_timer = None
+        due_us = endpoint_list.next_join_us(self.state)
+        if due_us is not None:
+            delay_s = max(0, due_us - clock_us() + 1000) / 1e6
+            self.join_timer = self.dispatcher.loop.call_later(delay_s, self.apply_list, None)
+
+    def _endpoint(self, member: EndpointMember, removed: bool = False) -> Endpoint:
+        """Describe a member for the load balancer."""
+        listed = member.listed
+        status = EndpointStatus.DRAINING if listed.drain else EndpointStatus.READY
+        zone = 0 if listed.zone == self.home_zone else name_number(listed.zone)
         return Endpoint(
-            member.number,
-            EndpointStatus.REMOVED if gone else state,
+            member.endpoint_id,
+            EndpointStatus.REMOVED if removed else status,
             zone,
             0,
-            name_number(entry.cell),
-            entry.weight,
-            member.came_us,
+            name_number(listed.cell),
+            listed.weight,
+            member.started_us,
         )
 
     def attach(self, pool: ServerPool) -> None:
-        """A module begins with all members. Hazard: one that starts anew under load would open its slots one
-        answer at a time."""
+        """Give a new load balancer all members at once.
+
+        One that starts anew under load would open the slots of each endpoint one response at a time.
+        """
         self.pool = pool
-        entries = [self.upstream(member) for member in self.state.members.values()]
-        addresses = {member.number: member.entry.address for member in self.state.members.values()}
-        self.dispatcher.pools.update_endpoints(pool, EndpointsUpdated(ListKind.CACHED, entries), addresses)
+        members = self.state.members.values()
+        endpoints = [self._endpoint(member) for member in members]
+        addresses = {member.endpoint_id: member.listed.address for member in members}
+        self.dispatcher.pools.update_endpoints(pool, EndpointsUpdated(ListKind.CACHED, endpoints), addresses)
 
     # Reports
 
-    def loud(self) -> tuple[str, ...]:
-        """What is wrong now, and lasts."""
+    def problems(self) -> tuple[str, ...]:
+        """Return what is wrong now, and persists."""
         unreadable = tuple(
-            f"{source} gives no list, the last good one stays: {why}"
-            for source, why in self.unreadable.items()
+            f"{source} gives no list, the last good one stays: {problem}"
+            for source, problem in self.unreadable_sources.items()
         )
-        return unreadable + endpoint_list.report(self.state, clock_us()).loud
-
-    def speak(self) -> None:
-        """Log what is new, and what has lasted for long enough to be repeated. Hazard: a report for each poll
-        would fill the log, and one alone scrolls away while the list stays wrong."""
-        now = time.monotonic()
-        lasting = self.loud()
-        self.owner.problems_persist(self.name, bool(lasting))
-        keys = {text[:60]: text for text in lasting}  # a figure in it may change with each look
-        self.said = {key: at for key, at in self.said.items() if key in keys}
-        for key, text in keys.items():
-            if now - self.said.get(key, -REPEAT_S) >= REPEAT_S:
-                self.said[key] = now
-                log.error("%s: %s", self.name, text)
+        return unreadable + endpoint_list.make_report(self.state, clock_us()).problems
+
+    def log_problems(self) -> None:
+        """Log the problems that are new, and those that were last logged long enough ago.
+
+        A line for each read would fill the log, and a single line scrolls away while the problem persists.
+        """
+        now_s = time.monotonic()
+        problems = self.problems()
+        self.owner.problems_persist(self.name, bool(problems))
+        by_beginning = {text[:60]: text for text in problems}  # figures in it may change with each read
+        self.logged_at_s = {key: at_s for key, at_s in self.logged_at_s.items() if key in by_beginning}
+        for key, text in by_beginning.items():
+            if now_s - self.logged_at_s.get(key, -PROBLEM_LOG_INTERVAL_S) >= PROBLEM_LOG_INTERVAL_S:
+                self.logged_at_s[key] = now_s
+                log.error("endpoint list problem pool=%s: %s", self.name, text)
 
     def stop(self) -> None:
-        """Stop watching the sources, and cancel the timer for joins that are held back; the state stays as it
-        is."""
-        for watch in self.watches.values():
-            watch.stop()
-        if self.timer is not None:
-            self.timer.cancel()
+        """Follow no source any more, and let no join come; the state stays."""
+        for subscription in self.subscriptions.values():
+            subscription.stop()
+        if self.join_timer is not None:
+            self.join_timer.cancel()
--- a/plovertrail/health_reporter.py
+++ b/plovertrail/health_reporter.py
@@ -15,7 +15,7 @@
 from plovertrail.clock import clock_us
 from plovertrail.decisions.background import BackgroundTask, Priority
 from plovertrail.decisions.counts import key_of
-from plovertrail.decisions.endpoint_list import State
+from plovertrail.decisions.endpoint_list import EndpointListState
 from plovertrail.decisions.events import Outcome
 from plovertrail.decisions.health_evidence import AttemptResult, AttemptWindow, EvidenceKey
 from plovertrail.decisions.load_balancing.endpoint_state import EndpointState
@@ -78,7 +78,9 @@
         self.runner: BackgroundRunner | None = None
         self.health: dict[EvidenceKey, EndpointHealth] = {}  # as last evaluated
         self._registry_of: dict[ServerPool, EndpointRegistry] = {}
-        self._keys: dict[ServerPool, tuple[State, PoolKeys]] = {}  # of this state of the pool's list
+        self._keys: dict[
+            ServerPool, tuple[EndpointListState, PoolKeys]
+        ] = {}  # of this state of the pool's list
         self._penalties: dict[ServerPool, Mapping[tuple[int, int], float]] = {}  # as last passed on
 
     def apply(self, runner: BackgroundRunner) -> None:
@@ -152,7 +154,7 @@
             return cached[1]
         state = registry.state
         endpoints = {
-            member.number: endpoint_key(registry.name, name) for name, member in state.members.items()
+            member.endpoint_id: endpoint_key(registry.name, name) for name, member in state.members.items()
         }
         keys = PoolKeys(endpoints, tuple(class_key(each.name) for each in pool.settings.classes))
         self._keys[pool] = state, keys
@@ -186,9 +188,9 @@
         for pool, registry in self._registry_of.items():
             keys = self._keys_of(pool, registry)
             endpoints = {
-                keys.endpoints[member.number]: name
+                keys.endpoints[member.endpoint_id]: name
                 for name, member in registry.state.members.items()
-                if member.number in keys.endpoints
+                if member.endpoint_id in keys.endpoints
             }
             classes = {key: each.name for key, each in zip(keys.classes, pool.settings.classes, strict=True)}
             for key in detector.accused(now_us):
--- a/plovertrail/recovery_manager.py
+++ b/plovertrail/recovery_manager.py
@@ -53,9 +53,9 @@
     def subscriptions(self) -> dict[str, Subscription]:
         """Return all sources that are watched, by their name for operators."""
         return {
-            source_name(name, watch.key.name): watch
+            source_name(name, subscription.key.name): subscription
             for name, registry in self.registries().items()
-            for watch in registry.watches.values()
+            for subscription in registry.subscriptions.values()
         }
 
     def configuration_applied(self) -> None:
@@ -63,8 +63,8 @@
         now_us = clock_us()
         old_phase = self.state.phase
         for name, registry in self.registries().items():
-            for source in registry.watches.values():
-                problem = registry.unreadable.get(source.key.name, "")
+            for source in registry.subscriptions.values():
+                problem = registry.unreadable_sources.get(source.key.name, "")
                 self.state.source_read(source_name(name, source.key.name), problem, now_us)
         self.state.follow_sources(self.subscriptions(), now_us)
         self._log_phase_change(old_phase)
--- a/plovertrail/scenario_tests/play.py
+++ b/plovertrail/scenario_tests/play.py
@@ -11,7 +11,7 @@
 from plovertrail.clock import another_clock, clock_us
 from plovertrail.config import operator
 from plovertrail.config.setup import Setup
-from plovertrail.decisions.endpoint_list import Entry
+from plovertrail.decisions.endpoint_list import ListedEndpoint
 from plovertrail.scenario_tests.daemon import Asked, PlayedClient, PlayedDaemon
 from plovertrail.scenario_tests.loop import VirtualLoop
 from plovertrail.scenario_tests.peers import begin
@@ -85,7 +85,7 @@
         self.daemon = PlayedDaemon(
             setup, seed, lambda pool, server: self.behaviours.get((pool, server), self.usual)
         )
-        self.gone: dict[tuple[str, str], Entry] = {}
+        self.gone: dict[tuple[str, str], ListedEndpoint] = {}
         self.played = Played(seed, setup, clock_us() + SETTLE_US)
 
     async def play(self) -> Played:
@@ -155,7 +155,7 @@
         elif event.move == "gone":
             entries = self.daemon.pools[event.pool].registry.state.members
             if event.server in entries:
-                self.gone[event.pool, event.server] = entries[event.server].entry
+                self.gone[event.pool, event.server] = entries[event.server].listed
             self.daemon.change_servers(
                 event.pool, lambda listed: tuple(entry for entry in listed if entry.id != event.server)
             )
--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -18,7 +18,15 @@
 
 from plovertrail.clock import clock_us
 from plovertrail.config.platform import parse_address
-from plovertrail.decisions.endpoint_list import UNGUARDED, Candidate, Change, Entry, Kind, State, reduce
+from plovertrail.decisions.endpoint_list import (
+    UNGUARDED,
+    ChangeKind,
+    EndpointChange,
+    EndpointList,
+    EndpointListState,
+    ListedEndpoint,
+    apply_list,
+)
 from plovertrail.decisions.events import Endpoint, EndpointStatus, EndpointsUpdated, ListKind
 from plovertrail.decisions.load_balancing.poll_schedule import POLL_TIMEOUT_US, WATCH_TIMEOUT_US
 
@@ -66,7 +74,7 @@
     def __init__(self, zones: list[str], kinds: list[str]) -> None:
         self.zones = zones
         self.kinds = kinds
-        self.state = State()
+        self.state = EndpointListState()
         self.to_clock_us = clock_us() - time.time_ns() // 1000  # from Unix time, once for all
 
     @property
@@ -89,30 +97,30 @@
             kind = ListKind.FULL if lines["all"] else ListKind.DELTA
         if kind is ListKind.DELTA and rev < known:
             raise OlderChangeError(f"a change of version {rev} after version {known}")
-        listed: dict[str, Entry] = {}
+        listed: dict[str, ListedEndpoint] = {}
         if kind is ListKind.DELTA:
-            listed = {entry.id: entry for layer in self.state.layers for entry in layer.entries}
+            listed = {entry.id: entry for layer in self.state.layers for entry in layer.endpoints}
         for line in lines["targets"]:
             entry = self.entry(line)
             listed.pop(entry.id, None)
             if STATES[line["state"]] is not EndpointStatus.REMOVED:
                 listed[entry.id] = entry
-        candidate = Candidate("discovery", tuple(listed.values()))
-        self.state, changes, report = reduce(self.state, candidate, clock_us(), UNGUARDED)
-        if report.loud:
-            raise ValueError(report.loud[0])
+        candidate = EndpointList("discovery", tuple(listed.values()))
+        self.state, changes, report = apply_list(self.state, candidate, clock_us(), UNGUARDED)
+        if report.problems:
+            raise ValueError(report.problems[0])
         if kind is not ListKind.DELTA:
-            changes = tuple(Change(Kind.JOIN, member) for member in self.state.members.values())
+            changes = tuple(EndpointChange(ChangeKind.JOIN, member) for member in self.state.members.values())
         entries = [self.upstream(change) for change in changes]
-        addresses = {change.member.number: change.member.entry.address for change in changes}
+        addresses = {change.member.endpoint_id: change.member.listed.address for change in changes}
         return EndpointsUpdated(kind, entries, rev), addresses
 
-    def entry(self, line: Any) -> Entry:
+    def entry(self, line: Any) -> ListedEndpoint:
         """One of discovery's entries as sources have them."""
         boot_ms = int(line["boot_ms"])
         weight = float(line["capacity_hint"])
         drains = STATES[line["state"]] is EndpointStatus.DRAINING
-        return Entry(
+        return ListedEndpoint(
             str(line["uid"]),
             endpoint(line["endpoint"]),
             line["az"],
@@ -123,18 +131,18 @@
             boot_ms * 1000 + self.to_clock_us if boot_ms else 0,
         )
 
-    def upstream(self, change: Change) -> Endpoint:
+    def upstream(self, change: EndpointChange) -> Endpoint:
         """A changed server as the module knows it."""
-        member, entry = change.member, change.member.entry
+        member, entry = change.member, change.member.listed
         state = EndpointStatus.DRAINING if entry.drain else EndpointStatus.READY
         return Endpoint(
-            id=member.number,
-            state=EndpointStatus.REMOVED if change.kind is Kind.LEAVE else state,
+            id=member.endpoint_id,
+            state=EndpointStatus.REMOVED if change.kind is ChangeKind.LEAVE else state,
             zone=self.zones.index(entry.zone) if entry.zone in self.zones else len(self.zones),
             kind=self.kinds.index(entry.model) if entry.model in self.kinds else len(self.kinds),
             cell=int(entry.cell),
             weight=entry.weight,
-            started_us=member.came_us,
+            started_us=member.started_us,
         )
 
 
--- a/plovertrail/sources/file_reading.py
+++ b/plovertrail/sources/file_reading.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from plovertrail.decisions.endpoint_list import Candidate, Entry
+from plovertrail.decisions.endpoint_list import EndpointList, ListedEndpoint
 from plovertrail.decisions.list_versions import SourceKey, SourceKind
 from plovertrail.sources.lists import LARGEST, MOST_SERVERS, InvalidListError, parse
 
@@ -104,7 +104,7 @@
     files: FileSystem = LOCAL
     kind: SourceKind = SourceKind.LIST
     seen: dict[str, Seen] = field(default_factory=dict)
-    made: Candidate | InvalidListError | None = None  # of what was seen, as far as it has settled
+    made: EndpointList | InvalidListError | None = None  # of what was seen, as far as it has settled
     digest: str = ""  # of the bytes that `made` was made of
     young: bool = False  # its times are so young that a change may hide under them: look again soon
     opened: bool = False  # the last call read bytes
@@ -143,7 +143,7 @@
         except OSError:
             return False
 
-    def read(self, now: float, settle: bool = True) -> tuple[bool, Candidate | None]:
+    def read(self, now: float, settle: bool = True) -> tuple[bool, EndpointList | None]:
         """Whether the list is new since the last call, and the list; None: it has not settled yet. Blocking;
         raises InvalidListError or OSError. What has not changed is not parsed again."""
         changed = False
@@ -194,10 +194,10 @@
             whole.update(self.seen[name].data)
         return whole.hexdigest()
 
-    def _parsed(self, names: list[str]) -> Candidate:
+    def _parsed(self, names: list[str]) -> EndpointList:
         if self.kind is SourceKind.PLAIN:
-            return Candidate(self.name, ())
-        entries: list[Entry] = []
+            return EndpointList(self.name, ())
+        entries: list[ListedEndpoint] = []
         version = 0
         for name in names:
             try:
@@ -205,11 +205,11 @@
             except InvalidListError as error:
                 where = os.path.basename(name) + ": " if len(names) > 1 else ""
                 raise InvalidListError(where + str(error)) from None
-            entries.extend(part.entries)
+            entries.extend(part.endpoints)
             version += part.version
         if len(entries) > MOST_SERVERS:
             raise InvalidListError(f"more than {MOST_SERVERS} servers")
-        return Candidate(self.name, tuple(entries), version if len(names) == 1 else 0)
+        return EndpointList(self.name, tuple(entries), version if len(names) == 1 else 0)
 
     def _surely_same(self, path: str, old: Seen) -> bool:
         """Hazard: where times are coarse a second change leaves the signature as it is."""
@@ -217,7 +217,7 @@
         return signature(found) == old.signature and time.time() - found.st_mtime > COARSE_S
 
 
-def first_read(source: FileSource) -> Candidate | str:
+def first_read(source: FileSource) -> EndpointList | str:
     """What a source holds that is not watched yet, or what is wrong with it. Blocking."""
     try:
         _, found = source.read(time.monotonic())
--- a/plovertrail/sources/first_read.py
+++ b/plovertrail/sources/first_read.py
@@ -5,7 +5,7 @@
 import queue
 import time
 
-from plovertrail.decisions.endpoint_list import Candidate
+from plovertrail.decisions.endpoint_list import EndpointList
 from plovertrail.decisions.list_versions import SourceKey
 from plovertrail.sources.file_reading import SETTLE_S
 from plovertrail.sources.read_workers import Reading, ReadJob, ReadWorkers
@@ -15,7 +15,7 @@
 FIRST_WAIT_S = 0.02  # between two looks at the worker meanwhile
 FIRST_SIGHTINGS = 5  # a start goes on with other sources after 0.1 s
 FirstReading = tuple[ReadJob, Reading, int]  # with the number of the call that its look came after
-FirstRead = Candidate | str  # a list, or what is wrong with it
+FirstRead = EndpointList | str  # a list, or what is wrong with it
 
 
 class FirstReads:
--- a/plovertrail/sources/instances.py
+++ b/plovertrail/sources/instances.py
@@ -5,7 +5,7 @@
 import logging
 from collections.abc import Callable
 
-from plovertrail.decisions.endpoint_list import Candidate, Entry
+from plovertrail.decisions.endpoint_list import EndpointList, ListedEndpoint
 from plovertrail.decisions.list_versions import SourceKey
 from plovertrail.sources.list_reader import ListReader
 from plovertrail.sources.subscriptions import Subscription
@@ -18,7 +18,10 @@
     it is, an empty one would make each instance the only one, with all that is to be shared out."""
 
     def __init__(
-        self, of_what: str, listed: Callable[[tuple[Entry, ...]], None], lists: ListReader | None = None
+        self,
+        of_what: str,
+        listed: Callable[[tuple[ListedEndpoint, ...]], None],
+        lists: ListReader | None = None,
     ) -> None:
         self.of_what = of_what
         self.listed = listed
@@ -52,12 +55,12 @@
             self.own.stop()
             self.own = None
 
-    async def _taken(self, candidate: Candidate) -> str:
-        if not candidate.entries:
+    async def _taken(self, candidate: EndpointList) -> str:
+        if not candidate.endpoints:
             await self._refused(candidate.source, "it lists no instance")
             return self.problem
         self.read, self.problem = True, ""
-        self.listed(candidate.entries)
+        self.listed(candidate.endpoints)
         return ""
 
     async def _refused(self, source: str, why: str) -> None:
--- a/plovertrail/sources/list_reader.py
+++ b/plovertrail/sources/list_reader.py
@@ -245,7 +245,7 @@
         followed.settled = reading.candidate is not None or bool(reading.refusal)
         if reading.candidate is not None:
             followed.candidate = reading.candidate
-            servers = len(reading.candidate.entries)
+            servers = len(reading.candidate.endpoints)
             told = version.took(reading.candidate.version, reading.digest, servers, reading.new, now_us)
         elif reading.refusal:
             told = version.refused(reading.refusal, now_us)
@@ -357,7 +357,7 @@
                 log.exception("%s: %s can't be told", subscription.subscriber, subscription.key.name)
             await asyncio.sleep(0)
 
-    async def off_loop(self, work: Callable[[], Result]) -> Result:
+    async def run_off_loop(self, work: Callable[[], Result]) -> Result:
         """Run long work for a subscriber on the reader's own executor, one after the other."""
         if self.executor is None:
             self.executor = ThreadPoolExecutor(max_workers=1, thread_name_prefix="list-step")
--- a/plovertrail/sources/lists.py
+++ b/plovertrail/sources/lists.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from plovertrail.decisions.endpoint_list import Address, Candidate, Entry
+from plovertrail.decisions.endpoint_list import Address, EndpointList, ListedEndpoint
 
 LARGEST = 8 << 20  # bytes of one file
 MOST_SERVERS = 50_000
@@ -72,7 +72,7 @@
     return found[1], port
 
 
-def parse(name: str, data: bytes, source: str, checksum: bool) -> Candidate:
+def parse(name: str, data: bytes, source: str, checksum: bool) -> EndpointList:
     """The list in a file's bytes; raises InvalidListError. `checksum`: a file without one, or with a wrong
     one, is not whole; without it, a file is taken for whole when it ends with a line's end."""
     if len(data) > LARGEST:
@@ -92,7 +92,7 @@
         ) from None
     except msgspec.MsgspecError as error:
         raise InvalidListError(str(error)) from None
-    return Candidate(source, _entries(table), table.version)
+    return EndpointList(source, _entries(table), table.version)
 
 
 def _unsealed(data: bytes, checksum: bool) -> bytes:
@@ -143,12 +143,12 @@
     return {"servers": rows}
 
 
-def _entries(table: ListFile) -> tuple[Entry, ...]:
+def _entries(table: ListFile) -> tuple[ListedEndpoint, ...]:
     if len(table.servers) > MOST_SERVERS:
         raise InvalidListError(f"more than {MOST_SERVERS} servers")
     return tuple(
         [
-            Entry(row.id, endpoint(row.address), row.zone, row.cell, row.weight, row.drain)
+            ListedEndpoint(row.id, endpoint(row.address), row.zone, row.cell, row.weight, row.drain)
             for row in table.servers
         ]
     )
--- a/plovertrail/sources/read_workers.py
+++ b/plovertrail/sources/read_workers.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from plovertrail.decisions.endpoint_list import Candidate
+from plovertrail.decisions.endpoint_list import EndpointList
 from plovertrail.sources.file_reading import FileSource, complaint
 from plovertrail.sources.lists import InvalidListError
 
@@ -27,7 +27,7 @@
 class Reading:
     """What one look at a source found. Neither a list nor a refusal: it has not settled yet."""
 
-    candidate: Candidate | None
+    candidate: EndpointList | None
     refusal: str
     new: bool  # other content than at the look before
     young: bool  # it may change again under the same times
--- a/plovertrail/sources/subscriptions.py
+++ b/plovertrail/sources/subscriptions.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from plovertrail.decisions.endpoint_list import Candidate
+from plovertrail.decisions.endpoint_list import EndpointList
 from plovertrail.decisions.list_versions import InForce, SourceKey, SourceVersion
 from plovertrail.sources.read_workers import ReadJob
 
-Taken = Callable[[Candidate], Awaitable[str]]  # returns why the list is not in force; empty: it is
+Taken = Callable[[EndpointList], Awaitable[str]]  # returns why the list is not in force; empty: it is
 Refused = Callable[[str, str], Awaitable[None]]  # called with the source's name and what is wrong
 
 
@@ -36,7 +36,7 @@
 
     job: ReadJob
     version: SourceVersion
-    candidate: Candidate | None = None  # the last good content
+    candidate: EndpointList | None = None  # the last good content
     settled: bool = False  # the last look found it whole, or wrong for good
     young: bool = False  # it may change again under the same times; set by the worker
     quick: bool = False  # it has quick looks
@@ -75,7 +75,7 @@
         """Of the last good content."""
         return self.followed.version.digest
 
-    def judge_again(self) -> None:
+    def deliver_again(self) -> None:
         """The guards have changed. Hazard: a list that they refused is not new, and would stay refused."""
         self.again = True
         self.reader.queue_delivery(self)
--- a/plovertrail/store/endpoint_list_records.py
+++ b/plovertrail/store/endpoint_list_records.py
@@ -8,35 +8,37 @@
 
 from plovertrail.decisions.endpoint_list import (
     LONGEST_HOLD_US,
-    Candidate,
-    Entry,
+    EndpointList,
+    EndpointListState,
+    EndpointMember,
     Guards,
-    Member,
-    State,
-    reduce,
+    ListedEndpoint,
+    apply_list,
 )
 from plovertrail.store.errors import InvalidRecordsError
 from plovertrail.store.records import ENDPOINT, JOIN_HELD, POOL, REMOVED, STARTED, Key, Record
 
 
-def _endpoint_value(entry: Entry) -> list[Any]:
+def _endpoint_value(entry: ListedEndpoint) -> list[Any]:
     return [*entry.address, entry.zone, entry.cell, entry.weight, entry.drain]
 
 
-def _endpoint(name: str, value: Any) -> Entry:
+def _endpoint(name: str, value: Any) -> ListedEndpoint:
     host, port, zone, cell, weight, drain = value
-    return Entry(str(name), (str(host), int(port)), str(zone), str(cell), float(weight), bool(drain))
+    return ListedEndpoint(str(name), (str(host), int(port)), str(zone), str(cell), float(weight), bool(drain))
 
 
-def _pool_value(state: State) -> list[Any]:
+def _pool_value(state: EndpointListState) -> list[Any]:
     return [
         state.generation,
-        sorted(state.by_hand),
+        sorted(state.drained_by_operator),
         [[layer.source, layer.version, layer.by_operator] for layer in state.layers],
     ]
 
 
-def changed_records(pool: str, before: State, after: State, clock_offset_us: int) -> list[Record]:
+def changed_records(
+    pool: str, before: EndpointListState, after: EndpointListState, clock_offset_us: int
+) -> list[Record]:
     """List the records that lead from one state of a pool to another.
 
     What both states have in common is found by identity, so that one change among 10,000 endpoints costs one
@@ -54,67 +56,73 @@
     return records
 
 
-def _source_changes(pool: str, before: State, after: State) -> Iterator[Record]:
+def _source_changes(pool: str, before: EndpointListState, after: EndpointListState) -> Iterator[Record]:
     """Yield what changed in the lists of each source."""
     old_layers = {layer.source: layer for layer in before.layers}
     for layer in after.layers:
         old_layer = old_layers.pop(layer.source, None)
         if old_layer is layer:
             continue
-        unseen = {entry.id: entry for entry in old_layer.entries} if old_layer is not None else {}
-        for entry in layer.entries:
+        unseen = {entry.id: entry for entry in old_layer.endpoints} if old_layer is not None else {}
+        for entry in layer.endpoints:
             old_entry = unseen.pop(entry.id, None)
             if old_entry is not entry and old_entry != entry:
                 yield (ENDPOINT, pool, layer.source, entry.id), _endpoint_value(entry)
         for name in unseen:
             yield (ENDPOINT, pool, layer.source, name), None
     for layer in old_layers.values():
-        for entry in layer.entries:
+        for entry in layer.endpoints:
             yield (ENDPOINT, pool, layer.source, entry.id), None
 
 
-def _start_changes(pool: str, before: State, after: State, clock_offset_us: int) -> Iterator[Record]:
+def _start_changes(
+    pool: str, before: EndpointListState, after: EndpointListState, clock_offset_us: int
+) -> Iterator[Record]:
     """Yield the start times that changed; 0 stands for an endpoint that was always there."""
     for name, member in after.members.items():
         old_member = before.members.get(name)
         if old_member is member:
             continue
-        old_started_us = old_member.came_us if old_member is not None else 0
-        if member.came_us != old_started_us:
-            yield (STARTED, pool, name), member.came_us + clock_offset_us if member.came_us else None
+        old_started_us = old_member.started_us if old_member is not None else 0
+        if member.started_us != old_started_us:
+            yield (STARTED, pool, name), member.started_us + clock_offset_us if member.started_us else None
     for name, member in before.members.items():
-        if member.came_us and name not in after.members:
+        if member.started_us and name not in after.members:
             yield (STARTED, pool, name), None
 
 
-def _removal_changes(pool: str, before: State, after: State, clock_offset_us: int) -> Iterator[Record]:
+def _removal_changes(
+    pool: str, before: EndpointListState, after: EndpointListState, clock_offset_us: int
+) -> Iterator[Record]:
     """Yield the removed endpoints that changed, by their id: a name that was removed twice is there twice."""
-    for endpoint_id, (member, since_us) in after.leaving.items():
-        if endpoint_id not in before.leaving:
-            value = [member.entry.id, _endpoint_value(member.entry), since_us + clock_offset_us]
+    for endpoint_id, (member, since_us) in after.removed.items():
+        if endpoint_id not in before.removed:
+            value = [member.listed.id, _endpoint_value(member.listed), since_us + clock_offset_us]
             yield (REMOVED, pool, str(endpoint_id)), value
-    for endpoint_id in before.leaving:
-        if endpoint_id not in after.leaving:
+    for endpoint_id in before.removed:
+        if endpoint_id not in after.removed:
             yield (REMOVED, pool, str(endpoint_id)), None
 
 
-def _hold_changes(pool: str, before: State, after: State, clock_offset_us: int) -> Iterator[Record]:
+def _hold_changes(
+    pool: str, before: EndpointListState, after: EndpointListState, clock_offset_us: int
+) -> Iterator[Record]:
     """Yield the joins held back that changed."""
-    for name, until_us in after.held.items():
-        if before.held.get(name) != until_us:
+    for name, until_us in after.held_joins.items():
+        if before.held_joins.get(name) != until_us:
             yield (JOIN_HELD, pool, name), until_us + clock_offset_us
-    for name in before.held:
-        if name not in after.held:
+    for name in before.held_joins:
+        if name not in after.held_joins:
             yield (JOIN_HELD, pool, name), None
 
 
-def removal_records(pool: str, before: State, clock_offset_us: int) -> list[Record]:
+def removal_records(pool: str, before: EndpointListState, clock_offset_us: int) -> list[Record]:
     """List the records that forget a pool.
 
     Without them a pool of the same name that is configured later would begin with outdated lists.
     """
     removed: list[Record] = [
-        (key, None) for key, _ in changed_records(pool, State(), before, clock_offset_us)
+        (key, None) for key, _ in changed_records(pool, EndpointListState(), before, clock_offset_us)
     ]
     return [*removed, ((POOL, pool), None)]
 
@@ -123,10 +131,12 @@
 class _PoolRecords:
     """One pool's records, by kind."""
 
-    endpoints: dict[str, list[Entry]]  # by source
+    endpoints: dict[str, list[ListedEndpoint]]  # by source
     started_us: dict[str, int] = field(default_factory=dict)
     held_until_us: dict[str, int] = field(default_factory=dict)
-    removed: list[tuple[int, Entry, int]] = field(default_factory=list)  # former id, endpoint, since_us
+    removed: list[tuple[int, ListedEndpoint, int]] = field(
+        default_factory=list
+    )  # former id, endpoint, since_us
 
     def add(self, key: Key, value: Any, clock_offset_us: int, now_us: int) -> None:
         """Take one record over; raises KeyError, ValueError, TypeError or IndexError.
@@ -145,13 +155,15 @@
             since_us = min(now_us, int(since_us) - clock_offset_us)
             self.removed.append((int(key[2]), _endpoint(name, endpoint), since_us))
 
-    def removed_in_order(self) -> list[tuple[Entry, int]]:
+    def removed_in_order(self) -> list[tuple[ListedEndpoint, int]]:
         """List the removed endpoints in the order of their former ids."""
         in_order = sorted(self.removed, key=lambda each: each[0])
         return [(entry, since_us) for _, entry, since_us in in_order]
 
 
-def state_from_records(records: Mapping[Key, Any], pool: str, clock_offset_us: int, now_us: int) -> State:
+def state_from_records(
+    records: Mapping[Key, Any], pool: str, clock_offset_us: int, now_us: int
+) -> EndpointListState:
     """Build a pool's state from its records; raises InvalidRecordsError.
 
     Endpoint ids begin anew, since they belong to one process.
@@ -162,46 +174,48 @@
         for key, value in records.items():
             found.add(key, value, clock_offset_us, now_us)
         layers = tuple(
-            Candidate(str(source), tuple(found.endpoints[source]), int(version), bool(by_operator))
+            EndpointList(str(source), tuple(found.endpoints[source]), int(version), bool(by_operator))
             for source, version, by_operator in sources
         )
-        state = State(generation=int(generation), by_hand=frozenset(map(str, by_hand)), layers=layers)
+        state = EndpointListState(
+            generation=int(generation), drained_by_operator=frozenset(map(str, by_hand)), layers=layers
+        )
         return restore_state(state, found.started_us, found.removed_in_order(), found.held_until_us)
     except (KeyError, ValueError, TypeError, IndexError) as error:
         raise InvalidRecordsError(f"what is kept of the pool {pool!r} makes no list: {error!r}") from None
 
 
 def restore_state(
-    stored: State,
+    stored: EndpointListState,
     started_us: Mapping[str, int],
-    removed: Iterable[tuple[Entry, int]],
+    removed: Iterable[tuple[ListedEndpoint, int]],
     held_until_us: Mapping[str, int],
-) -> State:
+) -> EndpointListState:
     """Complete a state that has only its layers with members, removed endpoints and joins held back.
 
     An endpoint that is held back is no member yet. As a member of a restored state it would count as one
     that was always there, and so as warmed up.
     """
-    state = State(layers=stored.layers, by_hand=stored.by_hand)
-    state, _, _ = reduce(state, None, 0, Guards(allow_empty=True, damping=False))
+    state = EndpointListState(layers=stored.layers, drained_by_operator=stored.drained_by_operator)
+    state, _, _ = apply_list(state, None, 0, Guards(allow_empty=True, damping=False))
     members = {
-        name: Member(member.number, member.entry, started_us.get(name, 0))
+        name: EndpointMember(member.endpoint_id, member.listed, started_us.get(name, 0))
         for name, member in state.members.items()
         if name not in held_until_us
     }
     held = {name: until_us for name, until_us in held_until_us.items() if name in state.members}
-    leaving: dict[int, tuple[Member, int]] = {}
-    last_id = state.last_number
+    leaving: dict[int, tuple[EndpointMember, int]] = {}
+    last_id = state.last_endpoint_id
     for entry, since_us in removed:
         last_id += 1
-        leaving[last_id] = Member(last_id, entry, 0), since_us
-    return State(
+        leaving[last_id] = EndpointMember(last_id, entry, 0), since_us
+    return EndpointListState(
         stored.generation,
         True,
         state.layers,
-        state.by_hand,
+        state.drained_by_operator,
         members,
         leaving,
-        held=held,
-        last_number=last_id,
+        held_joins=held,
+        last_endpoint_id=last_id,
     )
--- a/plovertrail/store/format_1.py
+++ b/plovertrail/store/format_1.py
@@ -11,7 +11,7 @@
 import re
 from typing import Any
 
-from plovertrail.decisions.endpoint_list import Candidate, Entry, State
+from plovertrail.decisions.endpoint_list import EndpointList, EndpointListState, ListedEndpoint
 from plovertrail.store.clock_reading import ClockReading
 from plovertrail.store.endpoint_list_records import restore_state
 from plovertrail.store.errors import StateFileError
@@ -19,7 +19,7 @@
 FIRST_LINE = re.compile(rb"plovertrail-state 1 (\d{1,9}) ([0-9a-f]{64})\n")
 
 
-def decode(data: bytes, clocks: ClockReading) -> dict[str, State]:
+def decode(data: bytes, clocks: ClockReading) -> dict[str, EndpointListState]:
     """Decode the states of all pools by name; raises StateFileError."""
     first_line = FIRST_LINE.match(data)
     if first_line is None:
@@ -39,18 +39,20 @@
         raise StateFileError(f"it holds no states: {error!r}") from None
 
 
-def _endpoint(raw: Any) -> Entry:
+def _endpoint(raw: Any) -> ListedEndpoint:
     name, host, port, zone, cell, weight, drain = raw
-    return Entry(name, (host, port), zone, cell, weight, drain)
+    return ListedEndpoint(name, (host, port), zone, cell, weight, drain)
 
 
-def _state(raw: Any, clock_offset_us: int, now_us: int) -> State:
+def _state(raw: Any, clock_offset_us: int, now_us: int) -> EndpointListState:
     entries = iter([_endpoint(row) for row in raw["entries"]])
     layers = tuple(
-        Candidate(source, tuple(itertools.islice(entries, count)), version, by_operator)
+        EndpointList(source, tuple(itertools.islice(entries, count)), version, by_operator)
         for source, version, by_operator, count in raw["layers"]
     )
     started_us = {name: min(now_us, came_us - clock_offset_us) for name, came_us in raw["came"]}
     removed = [(_endpoint(row), min(now_us, since_us - clock_offset_us)) for row, since_us in raw["leaving"]]
-    state = State(generation=raw["generation"], by_hand=frozenset(raw["by_hand"]), layers=layers)
+    state = EndpointListState(
+        generation=raw["generation"], drained_by_operator=frozenset(raw["by_hand"]), layers=layers
+    )
     return restore_state(state, started_us, removed, {})
--- a/plovertrail/store/records.py
+++ b/plovertrail/store/records.py
@@ -26,7 +26,7 @@
 from typing import Any
 
 from plovertrail.decisions.counts import Former
-from plovertrail.decisions.endpoint_list import State
+from plovertrail.decisions.endpoint_list import EndpointListState
 from plovertrail.decisions.rate_limits import RateLimiterState
 from plovertrail.decisions.warm_state import PoolHistory
 
@@ -52,7 +52,7 @@
 class StoredState:
     """Everything that is stored, as immutable values that another thread may read."""
 
-    endpoint_lists: Mapping[str, State] = field(default_factory=dict)  # by pool
+    endpoint_lists: Mapping[str, EndpointListState] = field(default_factory=dict)  # by pool
     pool_histories: Mapping[str, PoolHistory] = field(default_factory=dict)  # by pool
     limiters: Mapping[str, RateLimiterState] = field(default_factory=dict)  # by limiter
     counters: Former | None = None
--- a/plovertrail/store/service.py
+++ b/plovertrail/store/service.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, Any
 
 from plovertrail.clock import clock_us
-from plovertrail.decisions.endpoint_list import State
+from plovertrail.decisions.endpoint_list import EndpointListState
 from plovertrail.store.clock_reading import ClockReading
 from plovertrail.store.endpoint_list_records import changed_records, removal_records
 from plovertrail.store.records import Key, Record, StoredState
@@ -26,7 +26,7 @@
 COALESCE_S = 0.05  # changes within this are written together; a crash may lose as much of endpoint lists
 RETRY_S = 2.0  # after a failed write: a drain by hand should not wait long for a disk that is back
 CLOSE_TIMEOUT_S = 1.0
-ListStates = Callable[[], Mapping[str, State]]
+ListStates = Callable[[], Mapping[str, EndpointListState]]
 
 
 def boot_id() -> str:
@@ -144,7 +144,11 @@
         )
 
     def _write(
-        self, files: StateFiles, lists: Mapping[str, State], warm_state: StoredState | None, sync: bool
+        self,
+        files: StateFiles,
+        lists: Mapping[str, EndpointListState],
+        warm_state: StoredState | None,
+        sync: bool,
     ) -> None:
         """Write one snapshot or one step; runs on a thread, one call at a time."""
         warm_state = warm_state or self.written.warm_state
@@ -155,7 +159,7 @@
         self.written = _Written(StoredState(lists), warm_state, image)
 
     def _write_snapshot(
-        self, files: StateFiles, lists: Mapping[str, State], warm_state: StoredState
+        self, files: StateFiles, lists: Mapping[str, EndpointListState], warm_state: StoredState
     ) -> dict[Key, Any]:
         """Write everything; returns the warm state as records."""
         from plovertrail.store.snapshot_format import WARM_STATE_PART
@@ -163,19 +167,22 @@
         clocks = self.clocks()
         offset_us = clocks.offset_us
         image = warm_state_records(warm_state, offset_us)
-        parts = {pool: changed_records(pool, State(), state, offset_us) for pool, state in lists.items()}
+        parts = {
+            pool: changed_records(pool, EndpointListState(), state, offset_us)
+            for pool, state in lists.items()
+        }
         files.write_snapshot({**parts, WARM_STATE_PART: list(image.items())}, offset_us, clocks)
         return image
 
     def _append_changes(
-        self, files: StateFiles, lists: Mapping[str, State], warm_state: StoredState, sync: bool
+        self, files: StateFiles, lists: Mapping[str, EndpointListState], warm_state: StoredState, sync: bool
     ) -> dict[Key, Any]:
         """Write what changed since the last write; returns the warm state as records."""
         old_lists = self.written.state.endpoint_lists
         offset_us = files.clock_offset_us
         records: list[Record] = []
         for pool, state in lists.items():
-            records += changed_records(pool, old_lists.get(pool, State()), state, offset_us)
+            records += changed_records(pool, old_lists.get(pool, EndpointListState()), state, offset_us)
         for pool in old_lists.keys() - lists.keys():
             records += removal_records(pool, old_lists[pool], offset_us)
         image = self.written.warm_state_image
--- a/plovertrail/store/snapshot_format.py
+++ b/plovertrail/store/snapshot_format.py
@@ -23,7 +23,7 @@
 import msgspec
 import zstandard
 
-from plovertrail.decisions.endpoint_list import State
+from plovertrail.decisions.endpoint_list import EndpointListState
 from plovertrail.store import format_1
 from plovertrail.store.clock_reading import ClockReading
 from plovertrail.store.endpoint_list_records import state_from_records
@@ -199,7 +199,7 @@
         # Without a reboot the monotonic clock went on, and setting the system's clock moves nothing.
         same_boot = bool(clocks.boot_id) and self.header.boot_id == clocks.boot_id
         clock_offset_us = self.header.clock_offset_us if same_boot else clocks.offset_us
-        lists: dict[str, State] = {}
+        lists: dict[str, EndpointListState] = {}
         for name, image in self.images.items():
             if name != WARM_STATE_PART and image:
                 try:
--- a/plovertrail/store/warm_state.py
+++ b/plovertrail/store/warm_state.py
@@ -11,7 +11,7 @@
 from plovertrail.clock import clock_us
 from plovertrail.decisions.background import BackgroundTask, Priority
 from plovertrail.decisions.counts import Counts, Former
-from plovertrail.decisions.endpoint_list import Address, State
+from plovertrail.decisions.endpoint_list import Address, EndpointListState
 from plovertrail.decisions.load_balancing.endpoint_state import EndpointState
 from plovertrail.decisions.rate_limits import RateLimiter, RateLimiterState
 from plovertrail.decisions.warm_state import (
@@ -33,7 +33,7 @@
 COLLECTION = BackgroundTask(
     "state", Priority.STATE, interval_us=1_000_000, max_delay_us=10_000_000, loop_fraction=0.005
 )
-Pools = Callable[[], Mapping[str, tuple[ServerPool, State]]]
+Pools = Callable[[], Mapping[str, tuple[ServerPool, EndpointListState]]]
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,11 +41,11 @@
     """What was collected of a pool, and what it was collected from."""
 
     pool: ServerPool
-    state: State
+    state: EndpointListState
     last_event_us: int  # of the pool's load balancer
     history: PoolHistory
 
-    def is_current(self, pool: ServerPool, state: State) -> bool:
+    def is_current(self, pool: ServerPool, state: EndpointListState) -> bool:
         """Whether nothing has happened to the pool since: what no event changes fades by its age alone.
 
         An endpoint has no history until it has warmed up, which is no event. So the pool is collected anew
@@ -95,11 +95,11 @@
 
     # Restoring
 
-    def take_lists(self, pool: str) -> State | None:
+    def take_lists(self, pool: str) -> EndpointListState | None:
         """Return a pool's endpoint lists as they were stored; once."""
         return self.stored_lists.pop(pool, None)
 
-    def restore_pool(self, name: str, pool: ServerPool, state: State) -> None:
+    def restore_pool(self, name: str, pool: ServerPool, state: EndpointListState) -> None:
         """Let a load balancer begin with the histories of its endpoints; called before its first list."""
         stored = self.stored_histories.pop(name, None)
         if stored is None:
@@ -168,13 +168,13 @@
             if unchanged_pools % MAX_UNCHANGED_POOLS == 0:
                 yield
 
-    def _collect_pool(self, name: str, pool: ServerPool, state: State) -> Iterator[None]:
+    def _collect_pool(self, name: str, pool: ServerPool, state: EndpointListState) -> Iterator[None]:
         """Collect one pool; yields after each slice of its endpoints."""
         recorded_at_us = clock_us()
         last_event_us = pool.balancer.now_us
         histories: dict[EndpointKey, EndpointHistory] = {}
         endpoints = (
-            (member.number, (endpoint_name, address_text(member.entry.address)))
+            (member.endpoint_id, (endpoint_name, address_text(member.listed.address)))
             for endpoint_name, member in state.members.items()
         )  # the state is immutable, so it may be iterated over several turns of the loop
         while batch := list(islice(endpoints, SLICE_LENGTH)):
@@ -207,14 +207,14 @@
         return {**self.store.load_report, "taken_back": dict(self.restored)} if self.store.path else {}
 
 
-def _histories_by_id(stored: PoolHistory, state: State) -> dict[int, EndpointHistory]:
+def _histories_by_id(stored: PoolHistory, state: EndpointListState) -> dict[int, EndpointHistory]:
     """Find the stored history of each endpoint that is listed now.
 
     One that started after they were recorded is another endpoint under the same name.
     """
     histories: dict[int, EndpointHistory] = {}
     for name, member in state.members.items():
-        history = stored.endpoints.get((name, address_text(member.entry.address)))
-        if history is not None and member.came_us <= stored.recorded_at_us:
-            histories[member.number] = history
+        history = stored.endpoints.get((name, address_text(member.listed.address)))
+        if history is not None and member.started_us <= stored.recorded_at_us:
+            histories[member.endpoint_id] = history
     return histories
--- a/tests/benchmarks/test_capacity_processes.py
+++ b/tests/benchmarks/test_capacity_processes.py
@@ -29,7 +29,7 @@
 def entries_of(path: Path) -> list[tuple[str, float, bool]]:
     """Ids, weights and drains of a list in a file."""
     candidate = parse(path.name, path.read_bytes(), "", checksum=True)
-    return [(each.id, each.weight, each.drain) for each in candidate.entries]
+    return [(each.id, each.weight, each.drain) for each in candidate.endpoints]
 
 
 def test_a_site_of_the_planned_size_loads(tmp_path: Path) -> None:
--- a/tests/daemon/test_many_lists.py
+++ b/tests/daemon/test_many_lists.py
@@ -88,7 +88,7 @@
 def ports(daemon: Daemon) -> dict[str, list[int]]:
     """Those of the servers in force."""
     return {
-        name: [member.entry.address[1] for member in pool.registry.state.members.values()]
+        name: [member.listed.address[1] for member in pool.registry.state.members.values()]
         for name, pool in daemon.pools.items()
     }
 
@@ -179,7 +179,7 @@
             put(site.list_of("added"), 2)
             scan(daemon)
             await until(lambda: ports(daemon) == {"stays": [2], "added": [2]})
-            assert [member.entry.address[1] for member in old.state.members.values()] == [1]
+            assert [member.listed.address[1] for member in old.state.members.values()] == [1]
 
     run(test)
 
@@ -341,7 +341,7 @@
             put(site.list_of("a"), 2)
             scan(daemon)
             await until(lambda: ports(daemon)["a"] == [2])
-            came_us = daemon.pools["a"].registry.state.members["s"].came_us
+            came_us = daemon.pools["a"].registry.state.members["s"].started_us
             known: Mapping[tuple[str, tuple[str, int]], int] = EndpointsOfOtherPools(
                 "b", daemon.services.pools.table
             )
--- a/tests/daemon/test_reload.py
+++ b/tests/daemon/test_reload.py
@@ -150,7 +150,7 @@
             row = f'{{ id = "main0", address = "{known.address}" }}'
             assert await it.change(text.replace(row, f'{row}, {{ id = "new", address = "{new.address}" }}'))
             members = it.daemon.pools["other"].registry.state.members
-            assert members["main0"].came_us == 0 < members["new"].came_us
+            assert members["main0"].started_us == 0 < members["new"].started_us
         new.stop()
 
     run(test)
--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -12,42 +12,45 @@
 
 from plovertrail.decisions.endpoint_list import (
     LONGEST_HOLD_US,
-    MOST_FLAPS,
-    Candidate,
-    Entry,
+    MAX_FLAPS,
+    ChangeKind,
+    EndpointList,
+    EndpointListState,
     Guards,
-    Kind,
-    State,
-    Step,
-    drained_by_hand,
-    merged,
-    next_due_us,
-    reduce,
+    ListContext,
+    ListedEndpoint,
+    ListStep,
+    apply_list,
+    merge_lists,
+    next_join_us,
+    set_drained_by_operator,
 )
 
 GUARDS = Guards(zones=frozenset(("", "a", "b")))
 S = 1_000_000
 
 
-def entry(number: int, **more: object) -> Entry:
-    return Entry(f"s{number}", ("10.0.0.1", 1000 + number), **more)  # type: ignore[arg-type]
+def entry(number: int, **more: object) -> ListedEndpoint:
+    return ListedEndpoint(f"s{number}", ("10.0.0.1", 1000 + number), **more)  # type: ignore[arg-type]
 
 
-def listed(*numbers: int, source: str = "file", version: int = 0) -> Candidate:
-    return Candidate(source, tuple(entry(number) for number in numbers), version)
+def listed(*numbers: int, source: str = "file", version: int = 0) -> EndpointList:
+    return EndpointList(source, tuple(entry(number) for number in numbers), version)
 
 
-def take(state: State, candidate: Candidate | None, now_us: int = 10 * S, **more: object) -> Step:
-    return reduce(state, candidate, now_us, GUARDS, **more)  # type: ignore[arg-type]
+def take(
+    state: EndpointListState, candidate: EndpointList | None, now_us: int = 10 * S, **more: object
+) -> ListStep:
+    return apply_list(state, candidate, now_us, GUARDS, ListContext(**more))  # type: ignore[arg-type]
 
 
-def begun(*numbers: int) -> State:
+def begun(*numbers: int) -> EndpointListState:
     """These servers from the start on."""
-    return replace(take(State(), listed(*numbers))[0], started=True)
+    return replace(take(EndpointListState(), listed(*numbers))[0], started=True)
 
 
-def kinds(step: Step) -> list[tuple[str, str]]:
-    return [(change.member.entry.id, change.kind.value) for change in step[1]]
+def kinds(step: ListStep) -> list[tuple[str, str]]:
+    return [(change.member.listed.id, change.kind.value) for change in step[1]]
 
 
 def test_a_list_is_one_step_of_joins_leaves_moves_and_changes() -> None:
@@ -55,7 +58,9 @@
     moved = replace(entry(3), address=("10.0.0.9", 1))
     step = take(
         state,
-        Candidate("file", (entry(1), replace(entry(2), weight=2.0), moved, entry(4, drain=True), entry(6))),
+        EndpointList(
+            "file", (entry(1), replace(entry(2), weight=2.0), moved, entry(4, drain=True), entry(6))
+        ),
     )
     assert kinds(step) == [
         ("s3", "leaves"),
@@ -67,80 +72,83 @@
     ]
     after = step[0]
     assert after.generation == state.generation + 1
-    assert after.members["s1"] is state.members["s1"] and after.members["s1"].came_us == 0
-    assert after.members["s3"].came_us == after.members["s6"].came_us == 10 * S  # cold from then on
-    numbers = [member.number for member in after.members.values()]
-    assert len(set(numbers)) == 5 and after.members["s3"].number not in {
-        m.number for m in state.members.values()
+    assert after.members["s1"] is state.members["s1"] and after.members["s1"].started_us == 0
+    assert after.members["s3"].started_us == after.members["s6"].started_us == 10 * S  # cold from then on
+    numbers = [member.endpoint_id for member in after.members.values()]
+    assert len(set(numbers)) == 5 and after.members["s3"].endpoint_id not in {
+        m.endpoint_id for m in state.members.values()
     }
-    assert {member.entry.id for member, _ in after.leaving.values()} == {"s3", "s5"}
-    assert take(after, Candidate("file", after.layers[0].entries))[1] == ()
+    assert {member.listed.id for member, _ in after.removed.values()} == {"s3", "s5"}
+    assert take(after, EndpointList("file", after.layers[0].endpoints))[1] == ()
 
 
 @pytest.mark.parametrize(
     ("candidate", "told"),
     [
-        (Candidate("file", ()), "the list is empty"),
+        (EndpointList("file", ()), "the list is empty"),
         (listed(1), "it drops or moves 3 of 4 servers at once"),
         (listed(1, 2, 3, 3), 'two servers are called "s3"'),
         (
-            Candidate("file", (*listed(1, 2, 3).entries, replace(entry(4), address=entry(1).address))),
+            EndpointList("file", (*listed(1, 2, 3).endpoints, replace(entry(4), address=entry(1).address))),
             "has the address of",
         ),
-        (Candidate("file", (*listed(1, 2, 3).entries, entry(4, weight=0.0))), "has a weight of 0.0"),
-        (Candidate("file", (*listed(1, 2, 3).entries, entry(4, weight=math.nan))), "has a weight of nan"),
-        (Candidate("file", (*listed(1, 2, 3).entries, entry(4, weight=1e9))), "at most 1000"),
-        (Candidate("file", (*listed(1, 2, 3).entries, entry(4, zone="z"))), 'in the unknown zone "z"'),
+        (EndpointList("file", (*listed(1, 2, 3).endpoints, entry(4, weight=0.0))), "has a weight of 0.0"),
+        (
+            EndpointList("file", (*listed(1, 2, 3).endpoints, entry(4, weight=math.nan))),
+            "has a weight of nan",
+        ),
+        (EndpointList("file", (*listed(1, 2, 3).endpoints, entry(4, weight=1e9))), "at most 1000"),
+        (EndpointList("file", (*listed(1, 2, 3).endpoints, entry(4, zone="z"))), 'in the unknown zone "z"'),
         (listed(1, 2, 3, 4, version=6), "its version 6 goes backwards, from 7"),
     ],
 )
 def test_a_list_that_breaks_a_guard_changes_nothing_and_is_told_while_it_lasts(
-    candidate: Candidate, told: str
+    candidate: EndpointList, told: str
 ) -> None:
     state = take(begun(1, 2, 3, 4), listed(1, 2, 3, 4, version=7))[0]
     after, changes, report = take(state, candidate)
     assert changes == () and after.members == state.members and after.layers == state.layers
-    assert any(told in text for text in report.loud)
+    assert any(told in text for text in report.problems)
     after, _, report = take(after, listed(5, 6, source="other"))  # another source still works
-    assert any(told in text for text in report.loud) and len(after.members) == 6
-    assert take(after, listed(1, 2, 3, 4, version=7))[2].loud == ()  # and a good list ends it
+    assert any(told in text for text in report.problems) and len(after.members) == 6
+    assert take(after, listed(1, 2, 3, 4, version=7))[2].problems == ()  # and a good list ends it
 
 
 def test_guards_can_be_lifted() -> None:
     state = take(begun(1, 2, 3, 4), listed(1, 2, 3, 4, version=7))[0]
     for guards, candidate in (
         (Guards(allow_empty=True), listed(version=8)),
-        (Guards(most_dropped=1.0), listed(9, version=8)),
-        (Guards(judged_from=5), listed(9, version=8)),
-        (Guards(allow_older=True), listed(1, 2, 3, 4, version=6)),
-        (Guards(largest_weight=1e6), Candidate("file", (*listed(1, 2, 3).entries, entry(4, weight=1e5)), 8)),
+        (Guards(max_dropped_fraction=1.0), listed(9, version=8)),
+        (Guards(min_checked_size=5), listed(9, version=8)),
+        (Guards(allow_older_version=True), listed(1, 2, 3, 4, version=6)),
+        (Guards(max_weight=1e6), EndpointList("file", (*listed(1, 2, 3).endpoints, entry(4, weight=1e5)), 8)),
     ):
-        assert reduce(state, candidate, 0, guards)[0].refused == {}
-        assert reduce(state, candidate, 0, GUARDS)[0].refused
+        assert apply_list(state, candidate, 0, guards)[0].rejected_lists == {}
+        assert apply_list(state, candidate, 0, GUARDS)[0].rejected_lists
 
 
 def test_an_operators_own_list_may_drop_what_it_will() -> None:
     state = begun(1, 2, 3, 4)
-    inline = Candidate("file", (), by_operator=True)
+    inline = EndpointList("file", (), by_operator=True)
     assert [kind for _, kind in kinds(take(state, inline))] == ["leaves"] * 4
 
 
 def test_a_drain_from_any_source_wins_over_a_join_from_any_other() -> None:
-    base, over = listed(1, 2, source="base"), Candidate("over", (entry(1, weight=5.0), entry(3)))
+    base, over = listed(1, 2, source="base"), EndpointList("over", (entry(1, weight=5.0), entry(3)))
     order = ("over", "base")
-    state = take(State(), base, order=order)[0]
+    state = take(EndpointListState(), base, order=order)[0]
     state = take(state, over, order=order)[0]
-    assert state.members["s1"].entry.weight == 5.0  # the first source that lists it
-    state, changes, _ = take(state, Candidate("base", (entry(1, drain=True), entry(2))), order=order)
-    assert state.members["s1"].entry.drain and [change.kind for change in changes] == [Kind.DRAIN]
-    state, changes, _ = take(state, Candidate("base", base.entries), order=order)
-    assert [change.kind for change in changes] == [Kind.UNDRAIN]
-    state, changes, _ = drained_by_hand(state, "s2", True, 0, GUARDS)
-    assert [change.kind for change in changes] == [Kind.DRAIN]
+    assert state.members["s1"].listed.weight == 5.0  # the first source that lists it
+    state, changes, _ = take(state, EndpointList("base", (entry(1, drain=True), entry(2))), order=order)
+    assert state.members["s1"].listed.drain and [change.kind for change in changes] == [ChangeKind.DRAIN]
+    state, changes, _ = take(state, EndpointList("base", base.endpoints), order=order)
+    assert [change.kind for change in changes] == [ChangeKind.UNDRAIN]
+    state, changes, _ = set_drained_by_operator(state, "s2", True, 0, GUARDS)
+    assert [change.kind for change in changes] == [ChangeKind.DRAIN]
     for candidate in (base, over):
         state = take(state, candidate, order=order)[0]
-        assert state.members["s2"].entry.drain
-    assert not drained_by_hand(state, "s2", False, 0, GUARDS)[0].members["s2"].entry.drain
+        assert state.members["s2"].listed.drain
+    assert not set_drained_by_operator(state, "s2", False, 0, GUARDS)[0].members["s2"].listed.drain
 
 
 def test_lists_of_sources_that_are_named_no_more_are_dropped() -> None:
@@ -150,7 +158,7 @@
 
 
 def test_an_address_under_two_ids_is_one_server() -> None:
-    found = merged([listed(1), Candidate("b", (replace(entry(1), id="twin"),))], frozenset())
+    found = merge_lists([listed(1), EndpointList("b", (replace(entry(1), id="twin"),))], frozenset())
     assert set(found) == {"s1"}
 
 
@@ -160,20 +168,20 @@
     state = take(state, listed(2))[0]
     state, changes, _ = take(state, listed(1, 2), 11 * S)
     back = state.members["s1"]
-    assert back.number != old.number and back.came_us == 11 * S
+    assert back.endpoint_id != old.endpoint_id and back.started_us == 11 * S
     state = take(state, listed(2), 12 * S)[0]
-    twin = Candidate("file", (replace(entry(1), id="new"), entry(2)))
+    twin = EndpointList("file", (replace(entry(1), id="new"), entry(2)))
     state = take(state, twin, 13 * S)[0]
     assert (
-        state.members["new"].number not in (old.number, back.number)
-        and state.members["new"].came_us == 13 * S
+        state.members["new"].endpoint_id not in (old.endpoint_id, back.endpoint_id)
+        and state.members["new"].started_us == 13 * S
     )
 
 
 def test_a_server_that_another_pool_knows_is_no_newcomer() -> None:
     elsewhere = {("s3", entry(3).address): 7}
     state = take(begun(1, 2), listed(1, 2, 3, 4), elsewhere=elsewhere)[0]
-    assert (state.members["s3"].came_us, state.members["s4"].came_us) == (7, 10 * S)
+    assert (state.members["s3"].started_us, state.members["s4"].started_us) == (7, 10 * S)
 
 
 def test_flapping_delays_joins_and_never_a_leave() -> None:
@@ -183,13 +191,13 @@
         assert "s1" not in state.members  # at once
         state, changes, report = take(state, listed(1, 2), now_us + S)
         joins.append("s1" in state.members)
-        due_us = next_due_us(state)
+        due_us = next_join_us(state)
         if due_us is not None:
-            assert any("come and go" in text for text in report.loud)
+            assert any("come and go" in text for text in report.problems)
             assert now_us + S < due_us <= now_us + S + LONGEST_HOLD_US
             assert take(state, None, due_us - 1)[1] == ()
             state, changes, _ = take(state, None, due_us)
-            assert [change.kind for change in changes] == [Kind.JOIN]
+            assert [change.kind for change in changes] == [ChangeKind.JOIN]
             now_us = due_us
         now_us += 2 * S
     assert joins[:2] == [True, True] and not any(joins[3:])
@@ -201,24 +209,24 @@
     for _ in range(4):
         state = take(state, listed(2), now_us)[0]
         state = take(state, listed(1, 2), now_us)[0]
-    assert state.held
+    assert state.held_joins
     state = take(state, listed(2), now_us)[0]
-    assert not state.held and next_due_us(state) is None
+    assert not state.held_joins and next_join_us(state) is None
 
 
 def test_what_is_remembered_of_servers_that_have_gone_is_bounded() -> None:
-    state = replace(State(), started=True)
-    guards = Guards(allow_empty=True, most_dropped=1.0)
+    state = replace(EndpointListState(), started=True)
+    guards = Guards(allow_empty=True, max_dropped_fraction=1.0)
     for lot in range(4):
         numbers = range(lot * 4000, lot * 4000 + 4000)
-        entries = tuple(Entry(f"s{n}", (f"10.0.{n >> 8}.{n & 255}", 80)) for n in numbers)
-        state = reduce(state, Candidate("file", entries), lot * 300 * S, guards)[0]
-        state = reduce(state, Candidate("file", ()), lot * 300 * S, guards)[0]
-    assert len(state.flaps) <= MOST_FLAPS and len(state.leaving) <= 4000
+        entries = tuple(ListedEndpoint(f"s{n}", (f"10.0.{n >> 8}.{n & 255}", 80)) for n in numbers)
+        state = apply_list(state, EndpointList("file", entries), lot * 300 * S, guards)[0]
+        state = apply_list(state, EndpointList("file", ()), lot * 300 * S, guards)[0]
+    assert len(state.flaps) <= MAX_FLAPS and len(state.removed) <= 4000
 
 
 entries = st.builds(
-    lambda n, port, zone, weight, drain: Entry(f"s{n}", ("10.0.0.1", port), zone, "", weight, drain),
+    lambda n, port, zone, weight, drain: ListedEndpoint(f"s{n}", ("10.0.0.1", port), zone, "", weight, drain),
     st.integers(0, 7),
     st.integers(1, 9),
     st.sampled_from(["", "a", "z"]),
@@ -232,33 +240,33 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.state = replace(State(), started=True)
+        self.state = replace(EndpointListState(), started=True)
         self.now_us = S
-        self.good: dict[str, Candidate] = {}
+        self.good: dict[str, EndpointList] = {}
         self.hand: set[str] = set()
         self.used: set[int] = set()
-        self.ready: dict[int, Entry] = {}  # as whoever follows the changes sees it
+        self.ready: dict[int, ListedEndpoint] = {}  # as whoever follows the changes sees it
 
-    def follow(self, step: Step) -> None:
+    def follow(self, step: ListStep) -> None:
         before = self.state
         self.state, changes, _ = step
         for change in changes:
-            number = change.member.number
-            if change.kind is Kind.JOIN:
+            number = change.member.endpoint_id
+            if change.kind is ChangeKind.JOIN:
                 assert number not in self.used
-                assert change.member.came_us == self.now_us
+                assert change.member.started_us == self.now_us
                 self.used.add(number)
-            if change.kind is Kind.LEAVE:
+            if change.kind is ChangeKind.LEAVE:
                 del self.ready[number]
             else:
-                self.ready[number] = change.member.entry
+                self.ready[number] = change.member.listed
         assert bool(changes) == (self.state.generation > before.generation)
 
     @rule(source=st.sampled_from(["a", "b"]), rows=st.lists(entries, max_size=6), version=st.integers(0, 3))
-    def a_list(self, source: str, rows: list[Entry], version: int) -> None:
-        candidate = Candidate(source, tuple(rows), version)
-        step = reduce(self.state, candidate, self.now_us, GUARDS, ("a", "b"))
-        if source in step[0].refused:
+    def a_list(self, source: str, rows: list[ListedEndpoint], version: int) -> None:
+        candidate = EndpointList(source, tuple(rows), version)
+        step = apply_list(self.state, candidate, self.now_us, GUARDS, ListContext(("a", "b")))
+        if source in step[0].rejected_lists:
             assert step[1] == () and step[0].members == self.state.members
         else:
             self.good[source] = candidate
@@ -267,29 +275,33 @@
     @rule(ident=st.integers(0, 7), drain=st.booleans())
     def by_hand(self, ident: int, drain: bool) -> None:
         (self.hand.add if drain else self.hand.discard)(f"s{ident}")
-        self.follow(drained_by_hand(self.state, f"s{ident}", drain, self.now_us, GUARDS))
+        self.follow(set_drained_by_operator(self.state, f"s{ident}", drain, self.now_us, GUARDS))
 
     @rule(by_us=st.integers(1, 90 * S))
     def time_passes(self, by_us: int) -> None:
         self.now_us += by_us
-        self.follow(reduce(self.state, None, self.now_us, GUARDS, ("a", "b")))
+        self.follow(apply_list(self.state, None, self.now_us, GUARDS, ListContext(("a", "b"))))
 
     @invariant()
     def the_members_are_what_whole_good_lists_say(self) -> None:
-        wanted = merged([self.good[name] for name in ("a", "b") if name in self.good], frozenset(self.hand))
-        assert set(self.state.members) | set(self.state.held) == set(wanted)
-        assert not set(self.state.members) & set(self.state.held)
+        wanted = merge_lists(
+            [self.good[name] for name in ("a", "b") if name in self.good], frozenset(self.hand)
+        )
+        assert set(self.state.members) | set(self.state.held_joins) == set(wanted)
+        assert not set(self.state.members) & set(self.state.held_joins)
         for ident, member in self.state.members.items():
-            assert member.entry == wanted[ident]
-            assert 0 < member.entry.weight < math.inf and member.entry.zone in GUARDS.zones
-        assert {member.number: member.entry for member in self.state.members.values()} == self.ready
-        addresses = [member.entry.address for member in self.state.members.values()]
+            assert member.listed == wanted[ident]
+            assert 0 < member.listed.weight < math.inf and member.listed.zone in GUARDS.zones
+        assert {member.endpoint_id: member.listed for member in self.state.members.values()} == self.ready
+        addresses = [member.listed.address for member in self.state.members.values()]
         assert len(addresses) == len(set(addresses))
 
     @invariant()
     def whoever_drains_drains(self) -> None:
-        draining = self.hand | {row.id for layer in self.good.values() for row in layer.entries if row.drain}
-        assert all(self.state.members[ident].entry.drain for ident in draining & set(self.state.members))
+        draining = self.hand | {
+            row.id for layer in self.good.values() for row in layer.endpoints if row.drain
+        }
+        assert all(self.state.members[ident].listed.drain for ident in draining & set(self.state.members))
 
 
 TestLists = Lists.TestCase
@@ -297,8 +309,8 @@
 
 
 @given(st.lists(entries, max_size=12))
-def test_a_state_is_never_changed_in_place(rows: list[Entry]) -> None:
+def test_a_state_is_never_changed_in_place(rows: list[ListedEndpoint]) -> None:
     state = begun(1, 2, 3)
-    before = dict(state.members), state.layers, dict(state.flaps), dict(state.leaving)
-    take(state, Candidate("file", tuple(rows)))
-    assert before == (dict(state.members), state.layers, dict(state.flaps), dict(state.leaving))
+    before = dict(state.members), state.layers, dict(state.flaps), dict(state.removed)
+    take(state, EndpointList("file", tuple(rows)))
+    assert before == (dict(state.members), state.layers, dict(state.flaps), dict(state.removed))
--- a/tests/sources/test_list_reader.py
+++ b/tests/sources/test_list_reader.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from plovertrail.decisions.endpoint_list import Candidate
+from plovertrail.decisions.endpoint_list import EndpointList
 from plovertrail.decisions.list_versions import SCAN_PERIOD_US, ReadState, SourceKey
 from plovertrail.sources.file_notifications import FolderNotifications
 from plovertrail.sources.file_reading import FileSource, LocalFileSystem, Signature
@@ -90,10 +90,10 @@
         self.turn: Callable[[], int] = lambda: 0
         self.gate: asyncio.Event | None = None
 
-    async def taken(self, candidate: Candidate) -> str:
+    async def taken(self, candidate: EndpointList) -> str:
         if self.gate is not None:
             await self.gate.wait()
-        self.ports.append(candidate.entries[0].address[1])
+        self.ports.append(candidate.endpoints[0].address[1])
         self.turns.append(self.turn())
         return ""
 
@@ -379,7 +379,7 @@
             monkeypatch.setattr(time, "sleep", count)
             found = await reader.first_read(SourceKey(str(path), False) for path in paths)
             monkeypatch.undo()
-            lists = [each for each in found.values() if isinstance(each, Candidate)]
+            lists = [each for each in found.values() if isinstance(each, EndpointList)]
             assert len(lists) == 199 and len(slept) == 1
             wrong = found[SourceKey(str(paths[100]), False)]
             assert isinstance(wrong, str) and "end of a line" in wrong
@@ -573,7 +573,7 @@
         key = SourceKey(str(path))
         async with reading() as reader:
             found = (await reader.first_read([key]))[key]
-            assert isinstance(found, Candidate) and found.entries[0].address[1] == 1
+            assert isinstance(found, EndpointList) and found.endpoints[0].address[1] == 1
             put(path, 2)
             await reader.look(reader.followed[key])
             follower.follow(reader, path)
--- a/tests/sources/test_lists.py
+++ b/tests/sources/test_lists.py
@@ -15,7 +15,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from plovertrail.decisions.endpoint_list import Candidate, Entry
+from plovertrail.decisions.endpoint_list import EndpointList, ListedEndpoint
 from plovertrail.sources.file_reading import COARSE_S, FileSource
 from plovertrail.sources.lists import LARGEST, InvalidListError, parse, sealed
 
@@ -48,8 +48,8 @@
 @pytest.mark.parametrize("name", FORMATS)
 def test_a_whole_list_is_read(name: str) -> None:
     found = parse(name, FORMATS[name](3), "src", checksum=True)
-    assert found.source == "src" and found.entries == tuple(
-        Entry(f"s{n}", ("127.0.0.1", 9000 + n), "a") for n in range(3)
+    assert found.source == "src" and found.endpoints == tuple(
+        ListedEndpoint(f"s{n}", ("127.0.0.1", 9000 + n), "a") for n in range(3)
     )
 
 
@@ -147,7 +147,7 @@
 # Files
 
 
-def read(source: FileSource, at: float = 0.0) -> Candidate | None:
+def read(source: FileSource, at: float = 0.0) -> EndpointList | None:
     return source.read(at)[1]
 
 
@@ -175,7 +175,7 @@
     assert "longer than 8 MiB" in refused(source)
     path.write_bytes(json_list(4))
     found = read(source)
-    assert found is not None and len(found.entries) == 4
+    assert found is not None and len(found.endpoints) == 4
 
 
 def test_a_second_change_under_the_same_times_is_seen(tmp_path: Path) -> None:
@@ -189,7 +189,7 @@
         os.utime(path, ns=(times, times))
         found = read(source)
         assert found is not None
-        seen.append(found.entries[0].address[1])
+        seen.append(found.endpoints[0].address[1])
     assert seen == [9000, 9500]
 
 
@@ -204,7 +204,7 @@
             (tmp_path / "..tmp").symlink_to(folder)
             os.replace(tmp_path / "..tmp", tmp_path / "..data")
             found = read(source)
-            assert found is not None and len(found.entries) == count
+            assert found is not None and len(found.endpoints) == count
 
 
 def test_a_folder_of_fragments_is_one_list_in_full_or_not_at_all(tmp_path: Path) -> None:
@@ -216,10 +216,10 @@
     (tmp_path / ".hidden").write_bytes(b"x")
     (tmp_path / "c.tmp").write_bytes(b"x")
     found = read(source)
-    assert found is not None and [row.id for row in found.entries] == ["s0", "s1", "t0"]
+    assert found is not None and [row.id for row in found.endpoints] == ["s0", "s1", "t0"]
     (tmp_path / "a.json").unlink()
     found = read(source)
-    assert found is not None and [row.id for row in found.entries] == ["t0"]
+    assert found is not None and [row.id for row in found.endpoints] == ["t0"]
 
 
 def test_a_file_without_a_checksum_is_taken_once_it_has_settled(tmp_path: Path) -> None:
@@ -228,7 +228,7 @@
     source = FileSource(str(path), checksum=False)
     assert source.read(0.0)[1] is None and source.read(0.1)[1] is None
     found = source.read(0.3)[1]
-    assert found is not None and found.entries[0].id == "127.0.0.1:9000"
+    assert found is not None and found.endpoints[0].id == "127.0.0.1:9000"
     path.write_bytes(b"127.0.0.1:9000\n127.0.0.1:90")
     assert source.read(0.4)[1] is None
     with pytest.raises(InvalidListError):
--- a/tests/store/test_restart.py
+++ b/tests/store/test_restart.py
@@ -15,7 +15,13 @@
 from plovertrail.config.operator import load
 from plovertrail.daemon.process import Daemon
 from plovertrail.daemon.wiring import Environment
-from plovertrail.decisions.endpoint_list import Candidate, Entry, Guards, State, reduce
+from plovertrail.decisions.endpoint_list import (
+    EndpointList,
+    EndpointListState,
+    Guards,
+    ListedEndpoint,
+    apply_list,
+)
 from plovertrail.store import service
 from tests.daemons import LIMITED, Running, message, run, site
 from tests.net import until
@@ -95,8 +101,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(service, "RETRY_S", 0.01)
-    lists = [Candidate("file:x", (Entry(f"s{n}", ("127.0.0.1", n)),)) for n in (1, 2)]
-    states = [reduce(State(started=True), listed, 1, Guards())[0] for listed in lists]
+    lists = [EndpointList("file:x", (ListedEndpoint(f"s{n}", ("127.0.0.1", n)),)) for n in (1, 2)]
+    states = [apply_list(EndpointListState(started=True), listed, 1, Guards())[0] for listed in lists]
 
     async def test() -> None:
         it = service.StoreService(str(tmp_path / "state"))
--- a/tests/store/test_state_files.py
+++ b/tests/store/test_state_files.py
@@ -17,7 +17,14 @@
 import pytest
 
 from plovertrail.decisions.counts import Former
-from plovertrail.decisions.endpoint_list import Candidate, Entry, Guards, State, drained_by_hand, reduce
+from plovertrail.decisions.endpoint_list import (
+    EndpointList,
+    EndpointListState,
+    Guards,
+    ListedEndpoint,
+    apply_list,
+    set_drained_by_operator,
+)
 from plovertrail.decisions.rate_limits import RateLimiterState
 from plovertrail.decisions.warm_state import EndpointHistory, PoolHistory
 from plovertrail.store.clock_reading import ClockReading
@@ -34,10 +41,12 @@
 NOW = ClockReading(6 * S, 50 * DAY, "a")
 
 
-def state_of(count: int, came_us: int = 5 * S) -> State:
-    entries = tuple(Entry(f"s{n}", ("127.0.0.1", 9000 + n), "a", "c", 1.5) for n in range(count))
-    state = reduce(State(started=True), Candidate("file:x", entries, count), came_us, Guards())[0]
-    return drained_by_hand(state, "s0", True, came_us, Guards())[0]
+def state_of(count: int, came_us: int = 5 * S) -> EndpointListState:
+    entries = tuple(ListedEndpoint(f"s{n}", ("127.0.0.1", 9000 + n), "a", "c", 1.5) for n in range(count))
+    state = apply_list(
+        EndpointListState(started=True), EndpointList("file:x", entries, count), came_us, Guards()
+    )[0]
+    return set_drained_by_operator(state, "s0", True, came_us, Guards())[0]
 
 
 BAD = EndpointHistory(0.25, 2.0, 0.5, 0.4, (0.3, 0.0), (2, 0))
@@ -51,18 +60,21 @@
 
 
 def write_snapshot(
-    files: StateFiles, states: dict[str, State], others: StoredState = OTHER, clocks: ClockReading = NOW
+    files: StateFiles,
+    states: dict[str, EndpointListState],
+    others: StoredState = OTHER,
+    clocks: ClockReading = NOW,
 ) -> None:
     offset_us = clocks.offset_us
     parts: dict[str, list[Record]] = {
-        name: changed_records(name, State(), state, offset_us) for name, state in states.items()
+        name: changed_records(name, EndpointListState(), state, offset_us) for name, state in states.items()
     }
     files.write_snapshot(
         {**parts, WARM_STATE_PART: list(warm_state_records(others, offset_us).items())}, offset_us, clocks
     )
 
 
-def step(files: StateFiles, before: State, after: State) -> None:
+def step(files: StateFiles, before: EndpointListState, after: EndpointListState) -> None:
     files.append(changed_records("main", before, after, files.clock_offset_us), sync=True)
 
 
@@ -72,7 +84,7 @@
 
 def test_everything_is_restored_by_another_clock_after_a_reboot(tmp_path: Path) -> None:
     state = state_of(4)
-    state = reduce(state, Candidate("file:x", state.layers[0].entries[:3], 5), 6 * S, Guards())[0]
+    state = apply_list(state, EndpointList("file:x", state.layers[0].endpoints[:3], 5), 6 * S, Guards())[0]
     write_snapshot(StateFiles(str(tmp_path / "state"), "n1"), {"main": state})
     # 10 s later, and the monotonic clock began anew
     found = found_in(tmp_path, ClockReading(1 * S, 50 * DAY + 10 * S, "b"))
@@ -80,16 +92,18 @@
     assert found.problems == []
     assert found.snapshot_age_us == 10 * S
     assert back.started
-    assert back.by_hand == {"s0"}
+    assert back.drained_by_operator == {"s0"}
     assert back.layers == state.layers
-    assert back.members["s0"].entry.drain
+    assert back.members["s0"].listed.drain
     assert set(back.members) == set(state.members)
-    assert {member.came_us for member in back.members.values()} == {1 * S - 11 * S}
-    assert [(member.entry.id, since) for member, since in back.leaving.values()] == [("s3", 1 * S - 10 * S)]
-    grown = Candidate("file:x", (*back.layers[0].entries, Entry("new", ("1.1.1.1", 1))), 6)
-    joined = reduce(back, grown, 2 * S, Guards())[0]
-    assert joined.members["new"].came_us == 2 * S  # cold, though the daemon has just started
-    assert joined.members["new"].number not in {member.number for member, _ in back.leaving.values()}
+    assert {member.started_us for member in back.members.values()} == {1 * S - 11 * S}
+    assert [(member.listed.id, since) for member, since in back.removed.values()] == [("s3", 1 * S - 10 * S)]
+    grown = EndpointList("file:x", (*back.layers[0].endpoints, ListedEndpoint("new", ("1.1.1.1", 1))), 6)
+    joined = apply_list(back, grown, 2 * S, Guards())[0]
+    assert joined.members["new"].started_us == 2 * S  # cold, though the daemon has just started
+    assert joined.members["new"].endpoint_id not in {
+        member.endpoint_id for member, _ in back.removed.values()
+    }
     moved = 6 * S - (1 * S - 10 * S)
     assert found.stored.pool_histories["main"] == replace(
         OTHER.pool_histories["main"], recorded_at_us=6 * S - moved
@@ -102,7 +116,7 @@
 def test_setting_the_clock_moves_no_stored_time(tmp_path: Path, stepped: int) -> None:
     write_snapshot(StateFiles(str(tmp_path / "state"), "n1"), {"main": state_of(2)})
     found = found_in(tmp_path, ClockReading(8 * S, 50 * DAY + 2 * S + stepped, "a"))
-    assert {member.came_us for member in found.stored.endpoint_lists["main"].members.values()} == {5 * S}
+    assert {member.started_us for member in found.stored.endpoint_lists["main"].members.values()} == {5 * S}
     assert found.stored.limiters["each"].theoretical_arrivals_us == {7: 9.0 * S}
     assert found.stored.pool_histories["main"].recorded_at_us == 6 * S
 
@@ -111,7 +125,7 @@
 def test_after_a_reboot_no_start_time_is_later_than_now(tmp_path: Path, stepped: int, came_us: int) -> None:
     write_snapshot(StateFiles(str(tmp_path / "state")), {"main": state_of(2)})
     found = found_in(tmp_path, ClockReading(9 * S, 50 * DAY + 2 * S + stepped, "b"), "")
-    assert {member.came_us for member in found.stored.endpoint_lists["main"].members.values()} == {came_us}
+    assert {member.started_us for member in found.stored.endpoint_lists["main"].members.values()} == {came_us}
 
 
 def test_the_warm_state_of_another_instance_is_not_restored(tmp_path: Path) -> None:
@@ -124,35 +138,42 @@
     assert found.stored.counters is None
 
 
-def history(files: StateFiles, steps: int = 12) -> list[State]:
+def history(files: StateFiles, steps: int = 12) -> list[EndpointListState]:
     """A snapshot and steps behind it, each as it then was."""
     rng, states = random.Random(4), [state_of(5)]
     write_snapshot(files, {"main": states[0]})
     for number in range(steps):
         before = states[-1]
         ids = rng.sample(range(12), rng.randrange(3, 9))
-        entries = tuple(Entry(f"s{n}", ("127.0.0.1", 9000 + n), weight=1.0 + rng.randrange(2)) for n in ids)
-        after = reduce(
-            before, Candidate("file:x", entries, 100 + number), (7 + number) * S, Guards(most_dropped=1.0)
+        entries = tuple(
+            ListedEndpoint(f"s{n}", ("127.0.0.1", 9000 + n), weight=1.0 + rng.randrange(2)) for n in ids
+        )
+        after = apply_list(
+            before,
+            EndpointList("file:x", entries, 100 + number),
+            (7 + number) * S,
+            Guards(max_dropped_fraction=1.0),
         )[0]
         if number % 3 == 0:
-            after = drained_by_hand(after, f"s{rng.randrange(12)}", number % 2 == 0, 8 * S, Guards())[0]
+            after = set_drained_by_operator(after, f"s{rng.randrange(12)}", number % 2 == 0, 8 * S, Guards())[
+                0
+            ]
         step(files, before, after)
         states.append(after)
     return states
 
 
-def shape(state: State) -> object:
+def shape(state: EndpointListState) -> object:
     """What of a state outlasts the process."""
     return (
-        state.by_hand,
+        state.drained_by_operator,
         {
-            layer.source: (layer.version, {entry.id: entry for entry in layer.entries})
+            layer.source: (layer.version, {entry.id: entry for entry in layer.endpoints})
             for layer in state.layers
         },
-        {ident: (member.entry, member.came_us) for ident, member in state.members.items()},
-        state.held,
-        sorted((member.entry.id, since) for member, since in state.leaving.values()),
+        {ident: (member.listed, member.started_us) for ident, member in state.members.items()},
+        state.held_joins,
+        sorted((member.listed.id, since) for member, since in state.removed.values()),
     )
 
 
@@ -164,7 +185,7 @@
     assert last.problems == []
     assert last.replayed_steps == 12
     assert shape(last.stored.endpoint_lists["main"]) == shape(states[-1])
-    assert any(state.held for state in states)
+    assert any(state.held_joins for state in states)
     journal, data = tmp_path / "state.journal", (tmp_path / "state.journal").read_bytes()
     reached = set()
     for length in range(0, len(data), 13):
@@ -179,7 +200,7 @@
     files = StateFiles(str(tmp_path / "state"), "n1")
     write_snapshot(files, {"main": state_of(3), "other": state_of(2)})
     before = state_of(3)
-    step(files, before, drained_by_hand(before, "s2", True, 6 * S, Guards())[0])
+    step(files, before, set_drained_by_operator(before, "s2", True, 6 * S, Guards())[0])
     rng = random.Random(3)
     whole = {name: (tmp_path / name).read_bytes() for name in ("state", "state.journal")}
     kept_some = set_aside = 0
@@ -194,7 +215,11 @@
             for pool, count in (("main", 3), ("other", 2)):
                 state = found.stored.endpoint_lists.get(pool)
                 assert state is None or len(state.members) == count
-                assert state is None or state.by_hand <= {"s0", "s2"} and "s0" in state.by_hand
+                assert (
+                    state is None
+                    or state.drained_by_operator <= {"s0", "s2"}
+                    and "s0" in state.drained_by_operator
+                )
             kept_some += bool(found.stored.endpoint_lists)
             set_aside += not found.stored.endpoint_lists
             assert (tmp_path / f"{name}.bad").read_bytes() == turned
@@ -248,7 +273,7 @@
         folder.mkdir()
         files = StateFiles(str(folder / "state"), "n1", breaking(at, KilledError(), part))
         one, two = state_of(2), state_of(3)
-        last: list[State] = []  # all that it may be
+        last: list[EndpointListState] = []  # all that it may be
         try:
             for state, before in ((one, None), (two, one), (one, two), (two, None)):
                 last = [*last[-1:], state]
@@ -260,7 +285,9 @@
             ends.add(len(last))
         found = found_in(folder)
         back = found.stored.endpoint_lists.get("main")
-        assert (back is None and len(last) == 1) or shape(back or State()) in [shape(each) for each in last]
+        assert (back is None and len(last) == 1) or shape(back or EndpointListState()) in [
+            shape(each) for each in last
+        ]
     assert ends == {1, 2}
 
 
@@ -321,11 +348,11 @@
     found = found_in(tmp_path)
     state = found.stored.endpoint_lists["main"]
     assert found.problems == []
-    assert state.by_hand == {"s1"}
+    assert state.drained_by_operator == {"s1"}
     assert state.generation == 3
-    assert state.members["s0"].came_us == 5 * S
-    assert state.members["s1"].entry.drain
-    assert [(member.entry.id, since) for member, since in state.leaving.values()] == [("s9", 4 * S)]
+    assert state.members["s0"].started_us == 5 * S
+    assert state.members["s1"].listed.drain
+    assert [(member.listed.id, since) for member, since in state.removed.values()] == [("s9", 4 * S)]
 
 
 @pytest.mark.parametrize(
--- a/tests/store/test_stored_data.py
+++ b/tests/store/test_stored_data.py
@@ -15,7 +15,7 @@
 import pytest
 
 from plovertrail.decisions.counts import Counts, Window, key_of
-from plovertrail.decisions.endpoint_list import State
+from plovertrail.decisions.endpoint_list import EndpointListState
 from plovertrail.decisions.events import Endpoint, EndpointsUpdated, ListKind
 from plovertrail.decisions.load_balancing.balancer import LoadBalancer
 from plovertrail.decisions.rate_limits import (
@@ -74,30 +74,30 @@
     return json.loads(json.dumps(value))
 
 
-def lists_in(state: State) -> dict[str, Any]:
+def lists_in(state: EndpointListState) -> dict[str, Any]:
     return {
         "generation": state.generation,
         "started": state.started,
-        "drained_by_hand": sorted(state.by_hand),
+        "drained_by_hand": sorted(state.drained_by_operator),
         "layers": [
             {
                 "source": layer.source,
                 "version": layer.version,
                 "by_operator": layer.by_operator,
-                "entries": [astuple(entry) for entry in layer.entries],
+                "entries": [astuple(entry) for entry in layer.endpoints],
             }
             for layer in state.layers
         ],
         "members": [
-            {"number": member.number, "joined_us": member.came_us, "entry": astuple(member.entry)}
+            {"number": member.endpoint_id, "joined_us": member.started_us, "entry": astuple(member.listed)}
             for member in state.members.values()
         ],
         "leaving": [
-            {"number": number, "since_us": since_us, "entry": astuple(member.entry)}
-            for number, (member, since_us) in state.leaving.items()
+            {"number": number, "since_us": since_us, "entry": astuple(member.listed)}
+            for number, (member, since_us) in state.removed.items()
         ],
-        "joins_held_until_us": dict(state.held),
-        "last_number": state.last_number,
+        "joins_held_until_us": dict(state.held_joins),
+        "last_number": state.last_endpoint_id,
     }
 
 
@@ -185,7 +185,7 @@
     stored = read(tmp_path, recorded).stored
     clock_offset_us = recorded["unix_us"] - recorded["now_us"]
     records = {
-        name: changed_records(name, State(), state, clock_offset_us)
+        name: changed_records(name, EndpointListState(), state, clock_offset_us)
         for name, state in stored.endpoint_lists.items()
     }
     records[""] = list(warm_state_records(stored, clock_offset_us).items())
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -23,7 +23,7 @@
 }
 # in classes and functions of the modules besides load balancing, which has none
 OTHER_FIGURES: dict[str, set[float]] = {
-    "endpoint_list.py": {1000, 5},
+    "endpoint_list.py": {1000},
     "fleet_limits.py": {64},
     "settings.py": {1000},
 }
--- a/tests/test_endpoint_registry.py
+++ b/tests/test_endpoint_registry.py
@@ -74,7 +74,7 @@
 
 def members(it: Running, pool: str = "main") -> dict[str, bool]:
     """The servers in force, and whether they drain."""
-    return {ident: m.entry.drain for ident, m in it.daemon.pools[pool].registry.state.members.items()}
+    return {ident: m.listed.drain for ident, m in it.daemon.pools[pool].registry.state.members.items()}
 
 
 def test_a_change_of_the_file_comes_into_force_by_the_safety_scan_alone(tmp_path: Path) -> None:
@@ -87,14 +87,14 @@
         it = await site.start()
         assert members(it) == {"a": False, "b": False}
         state = it.daemon.pools["main"].registry.state
-        assert {member.came_us for member in state.members.values()} == {0}
+        assert {member.started_us for member in state.members.values()} == {0}
         write_list(tmp_path / "servers.json", {"b": servers["b"], "c": servers["c"]})
         await until(lambda: set(members(it)) == {"b", "c"})
         before = servers["a"].count
         for _ in range(20):
             assert (await it.ask(message("GET /"))).status == 200
         assert servers["a"].count == before
-        assert it.daemon.pools["main"].registry.state.members["c"].came_us > 0  # cold
+        assert it.daemon.pools["main"].registry.state.members["c"].started_us > 0  # cold
         await site.stop()
         for server in servers.values():
             server.stop()
@@ -115,11 +115,11 @@
         it = await site.start()
         with caplog.at_level(logging.ERROR):
             path.unlink() if broken is None else path.write_bytes(broken)
-            await until(lambda: bool(it.daemon.pools["main"].registry.loud()))
+            await until(lambda: bool(it.daemon.pools["main"].registry.problems()))
         assert str(path) in caplog.text and "last good one stays" in caplog.text
         assert members(it) == {"a": False} and (await it.ask(message("GET /"))).status == 200
         write_list(path, {"a": server})
-        await until(lambda: not it.daemon.pools["main"].registry.loud())
+        await until(lambda: not it.daemon.pools["main"].registry.problems())
         await site.stop()
         server.stop()
 
@@ -140,12 +140,12 @@
         path.write_bytes(path.read_bytes()[:50])
         it = await site.start()
         assert members(it) == {"a": False, "b": True, "c": False}
-        assert it.daemon.pools["main"].registry.loud()
+        assert it.daemon.pools["main"].registry.problems()
         for _ in range(20):
             assert (await it.ask(message("GET /"))).status == 200
         assert servers["b"].count == 0
         write_list(path, {**servers, "new": servers["a"]})  # an address twice: refused
-        await until(lambda: any("address of" in text for text in it.daemon.pools["main"].registry.loud()))
+        await until(lambda: any("address of" in text for text in it.daemon.pools["main"].registry.problems()))
         assert set(members(it)) == {"a", "b", "c"}
         await site.stop()
         (tmp_path / "state").write_bytes(b"plovertrail-state 9 0 " + b"0" * 64 + b"\n")
@@ -302,7 +302,7 @@
         for _ in range(40):
             await it.ask(message("GET /"))
         running = it.daemon.pools["main"]
-        old = running.registry.state.members["a"].number
+        old = running.registry.state.members["a"].endpoint_id
         learnt = running.pool.balancer.endpoints[old]
         assert server.connections > 0 and learnt.relative_latency != 1.0
         write_list(path, {"b": other})
@@ -311,8 +311,8 @@
         write_list(path, {ident: server, "b": other})
         await until(lambda: set(members(it)) == {ident, "b"})
         back = running.registry.state.members[ident]
-        assert back.number != old and 0 < back.came_us <= clock_us()
-        fresh = running.pool.balancer.endpoints[back.number]
+        assert back.endpoint_id != old and 0 < back.started_us <= clock_us()
+        fresh = running.pool.balancer.endpoints[back.endpoint_id]
         assert (
             fresh is not learnt
             and fresh.relative_latency == 1.0
@@ -353,7 +353,7 @@
         code, text = await call("status")
         assert code == 0 and "draining, 0 open" in text
         path.write_bytes(b"torn")
-        await until(lambda: bool(it.daemon.pools["main"].registry.loud()))
+        await until(lambda: bool(it.daemon.pools["main"].registry.problems()))
         code, text = await call("status", "--json")
         found = json.loads(text)
         assert code == 3 and found["pools"]["main"]["drained_by_hand"] == ["a"]
@@ -467,13 +467,15 @@
         it = await site.start()
         write_list(path, {"a": servers["a"]})
         await until(
-            lambda: any("drops or moves 3 of 4" in text for text in it.daemon.pools["main"].registry.loud())
+            lambda: any(
+                "drops or moves 3 of 4" in text for text in it.daemon.pools["main"].registry.problems()
+            )
         )
         assert set(members(it)) == set("abcd")
         lifted = "[pools.main.guards]\nmost_dropped = 1.0\n[[routes]]"
         assert await it.change(it.path.read_text().replace("[[routes]]", lifted, 1))
         await until(lambda: set(members(it)) == {"a"})
-        assert not it.daemon.pools["main"].registry.loud()
+        assert not it.daemon.pools["main"].registry.problems()
         await site.stop()
 
     run(test)
