--- a/plovertrail/daemon/configuration_apply.py
+++ b/plovertrail/daemon/configuration_apply.py
@@ -75,7 +75,7 @@
         services.listeners.apply(setup, prepared.listener_sockets)
         services.pools.retire(superseded)
         self._apply_websocket_limits(setup)
-        services.pools.fleet.apply(setup.fleet, prepared.first_lists)
+        services.pools.fleet_tracker.apply(setup.fleet, prepared.first_lists)
         services.pools.update_all_limits()
         services.config_watcher.apply(setup)
         services.recovery.configuration_applied()
--- a/plovertrail/daemon/pool_manager.py
+++ b/plovertrail/daemon/pool_manager.py
@@ -60,12 +60,12 @@
     source_observer: SourceObserver
     new_seed: Callable[[], int]
     connect: ConnectionFactory
-    fleet: FleetTracker = field(init=False)
+    fleet_tracker: FleetTracker = field(init=False)
     with_subset: list[RunningPool] = field(init=False, default_factory=list)
     with_problems: set[str] = field(init=False, default_factory=set)  # names; their problems are repeated
 
     def __post_init__(self) -> None:
-        self.fleet = FleetTracker(self.update_all_limits, self.lists)
+        self.fleet_tracker = FleetTracker(self.update_all_limits, self.lists)
 
     @property
     def running(self) -> Mapping[str, RunningPool]:
@@ -169,7 +169,7 @@
         """Start all pools slowly, as the process was paused."""
         slow_start = self.current.generation.setup.fleet.slow_start
         for pool in self.running.values():
-            pool.resume_after_pause(self.fleet.fleet, self.fleet.rank, slow_start)
+            pool.resume_after_pause(self.fleet_tracker.fleet, self.fleet_tracker.rank, slow_start)
 
     def drain(self, pool_name: str, endpoint: str, drain: bool) -> str:
         """Drain an endpoint by hand, or end that; returns an error text, empty on success."""
@@ -194,7 +194,7 @@
         generation = self.current.generation
         # A reload is no start: the instance has its traffic already, and would reject some of it.
         slow_start = generation.number == 1 and generation.setup.fleet.slow_start
-        pool.update_limits(self.fleet.fleet, self.fleet.rank, slow_start)
+        pool.update_limits(self.fleet_tracker.fleet, self.fleet_tracker.rank, slow_start)
         if pool.oversubscribed and not previous:
             log.error("pool oversubscribed pool=%s: %s", pool.config.name, pool.oversubscribed)
 
@@ -205,7 +205,7 @@
         """Stop following endpoints and instances; the pools go on serving."""
         for pool in self.running.values():
             pool.registry.stop()
-        self.fleet.stop()
+        self.fleet_tracker.stop()
 
 
 def _pool_spec(setup: Setup, config: PoolSetup) -> PoolSpec:
--- a/plovertrail/daemon/status.py
+++ b/plovertrail/daemon/status.py
@@ -19,7 +19,7 @@
     limiters = services.limiters.active
     return {
         "recovery": services.recovery.status(),
-        "fleet": services.pools.fleet.status(),
+        "fleet": services.pools.fleet_tracker.status(),
         "lists": services.lists.status(),
         "generation": generation.number,
         "file": generation.setup.path,
--- a/tests/daemon/test_fleet_limits.py
+++ b/tests/daemon/test_fleet_limits.py
@@ -183,23 +183,25 @@
             pool_extra="share = { connections = 100 }",
             head=head,
         ) as it:
-            assert it.daemon.services.pools.fleet.fleet.size == 50, "before anything is sent"
-            assert it.daemon.services.pools.fleet.rank == InstanceRank(None, 50), "it has no name in the list"
+            assert it.daemon.services.pools.fleet_tracker.fleet.size == 50, "before anything is sent"
+            assert it.daemon.services.pools.fleet_tracker.rank == InstanceRank(None, 50), (
+                "it has no name in the list"
+            )
             more = it.daemon.pools["main"].limits.connections
             path.write_text("".join(f"127.0.0.1:{9000 + n} id=app-{n}\n" for n in range(500)))
-            await until(lambda: it.daemon.services.pools.fleet.fleet.size == 500)
+            await until(lambda: it.daemon.services.pools.fleet_tracker.fleet.size == 500)
             assert it.daemon.pools["main"].limits.connections < more
             path.write_text("".join(f"127.0.0.1:{9000 + n} id=app-{n}\n" for n in range(50)))
-            await until(lambda: it.daemon.services.pools.fleet.fleet.size == 50)
+            await until(lambda: it.daemon.services.pools.fleet_tracker.fleet.size == 50)
             for bad in ("", "nonsense\n"):
                 path.write_text(bad)
                 await until(lambda: it.daemon.status()["fleet"]["problem"] != "")
-                assert it.daemon.services.pools.fleet.fleet.size == 50
+                assert it.daemon.services.pools.fleet_tracker.fleet.size == 50
                 path.write_text("127.0.0.1:9000 id=a\n127.0.0.1:9001 id=b\n" * 1)
-                await until(lambda: it.daemon.services.pools.fleet.fleet.size == 2)
+                await until(lambda: it.daemon.services.pools.fleet_tracker.fleet.size == 2)
                 assert it.daemon.status()["fleet"]["problem"] == ""
                 path.write_text("".join(f"127.0.0.1:{9000 + n} id=app-{n}\n" for n in range(50)))
-                await until(lambda: it.daemon.services.pools.fleet.fleet.size == 50)
+                await until(lambda: it.daemon.services.pools.fleet_tracker.fleet.size == 50)
 
     run(test)
 
--- a/tests/daemon/test_slow_start.py
+++ b/tests/daemon/test_slow_start.py
@@ -156,10 +156,10 @@
         path.write_text("".join(f"127.0.0.1:{9000 + n} id=app-{n}\n" for n in range(4)))
         head = f'[fleet]\nname = "app-2"\ninstances_from = "{path}"\n'
         async with running(tmp_path, {"main": [WebServer()]}, routes=ROUTE, head=head) as it:
-            assert it.daemon.services.pools.fleet.rank == InstanceRank(2, 4)
-            assert it.daemon.services.pools.fleet.fleet.size == 4
+            assert it.daemon.services.pools.fleet_tracker.rank == InstanceRank(2, 4)
+            assert it.daemon.services.pools.fleet_tracker.fleet.size == 4
             path.write_text("".join(f"127.0.0.1:{9000 + n} id=app-{n}\n" for n in range(1, 3)))
-            await until(lambda: it.daemon.services.pools.fleet.rank == InstanceRank(1, 2))
+            await until(lambda: it.daemon.services.pools.fleet_tracker.rank == InstanceRank(1, 2))
 
     run(test)
 
