--- a/benchmarks/planted_fault_list.py
+++ b/benchmarks/planted_fault_list.py
@@ -164,8 +164,8 @@
     Fault(
         "what may have run goes to the next pool",
         FAILOVER,
-        "if failover.may_have_run or failover.out",
-        "if failover.out",
+        "if failover.may_have_run or failover.in_flight",
+        "if failover.in_flight",
     ),
     Fault(
         "the next pool is not asked",
--- a/plovertrail/dispatch/dispatcher.py
+++ b/plovertrail/dispatch/dispatcher.py
@@ -57,12 +57,12 @@
 
 log = logging.getLogger(__name__)
 
-ANSWER_MARGIN_US = 10_000  # an answer sets out so long before the client's time is out, to be there in time
+ANSWER_MARGIN_US = 10_000  # a response is sent so long before the client's deadline, to arrive in time
 BACKSTOP_US = 5_000  # the dispatcher's own deadline comes so long after the load balancer's
 
 
 class Dispatcher:
-    """The server pools, and the requests and attempts that are live.
+    """The live requests and attempts, and the pools that they go through.
 
     `turn_is_stale` tells whether the present turn of the loop began too long ago to act on, as the process
     was paused in it.
@@ -89,7 +89,7 @@
         self.sequence.wake(pool)
 
     def retire(self, pool: ServerPool) -> None:
-        """Take a pool out of service: nothing new goes to its endpoints, what is in flight finishes."""
+        """Take a pool out of service: its endpoints get nothing new, attempts in flight finish."""
         self.pools.remove(pool)
         for request in list(self.requests.values()):
             # One that waits in the load balancer's buffer would wait for a slot that never opens.
@@ -113,7 +113,7 @@
     # A process that was paused
 
     def suspend(self, paused_us: int = 0) -> None:
-        """Act on nothing until `resume`; what is not written is cancelled, as its endpoint may drain."""
+        """Send nothing until `resume`; unwritten attempts are cancelled, as their endpoints may drain."""
         self.suspension.begin(paused_us)
         for request in list(self.requests.values()):
             self.attempts.abandon_unwritten(request, Outcome.CONNECT_FAILED)
@@ -198,10 +198,10 @@
         request.reply(response)
 
     def _finish(self, request: LiveRequest) -> None:
-        """Owe nothing more to a client; what has not been written yet is not sent."""
+        """End a request for its client; attempts that are not written yet are cancelled."""
         request.finished = True
         if request.arrival is not None:
-            self.sequence.leave_queue(request)
+            self.sequence.release_queue_place(request)
         if request.timer is not None:
             request.timer.cancel()
         self.attempts.abandon_unwritten(request, Outcome.NOT_SENT)
@@ -210,7 +210,7 @@
     def _drop_if_done(self, request: LiveRequest) -> None:
         done = request.finished and all(attempt.ended for attempt in request.attempts)
         if done and self.requests.pop(request.request_id, None) is not None:
-            self.sequence.leave_queue(request)
+            self.sequence.release_queue_place(request)
             for permit in request.permits:
                 permit.limiter.ended(permit, clock_us())
 
@@ -244,10 +244,10 @@
             self._send_unless_suspended(pool, action)
         elif isinstance(action, Reject):
             response = ProxyResponse(ResponseKind.REJECTED, pool.retry_after_us(action))
-            self.sequence.leave_pool(pool, action.request, response)
+            self.sequence.pool_declined(pool, action.request, response)
             pool.feed.widen_subset(clock_us())
         elif isinstance(action, Fail):
-            self.sequence.leave_pool(pool, action.request, ProxyResponse(ResponseKind.FAILED))
+            self.sequence.pool_declined(pool, action.request, ProxyResponse(ResponseKind.FAILED))
         elif isinstance(action, SetTimer):
             call_at(self.loop, action.at_us, self.events.put, pool, TimerFired(action.token))
         elif isinstance(action, Cancel):
--- a/plovertrail/dispatch/endpoint_feed.py
+++ b/plovertrail/dispatch/endpoint_feed.py
@@ -1,4 +1,4 @@
-"""What is listed for a pool, and how its load balancer hears of it: in slices, and for a subset only."""
+"""Delivers a pool's endpoint list to its load balancer: in slices, and only the subset in use."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     def update(self, event: EndpointsUpdated, addresses: dict[int, Address]) -> None:
         """Deliver what a source says, or the first slice of it."""
         self.deliver(self._within_subset(self._first_slice(event, addresses)))
-        self._schedule_rest(event.kind)
+        self._schedule_next_slice(event.kind)
 
     def widen_subset(self, now_us: int) -> None:
         """Add endpoints to the subset, as requests have found no free slot."""
@@ -65,7 +65,7 @@
         if endpoints:
             self.deliver(EndpointsUpdated(ListKind.DELTA, endpoints))
 
-    def _schedule_rest(self, kind: ListKind) -> None:
+    def _schedule_next_slice(self, kind: ListKind) -> None:
         if self.has_pending and self.scheduled is None:
             self.scheduled = self.loop.call_soon(self._deliver_slice, kind)
 
@@ -74,7 +74,7 @@
         endpoints = self._next_slice()
         if endpoints:
             self.deliver(self._within_subset(EndpointsUpdated(kind, endpoints, partial=True)))
-            self._schedule_rest(kind)
+            self._schedule_next_slice(kind)
 
     def _first_slice(self, event: EndpointsUpdated, addresses: dict[int, Address]) -> EndpointsUpdated:
         """All of a short list, and the first slice of a long one."""
--- a/plovertrail/dispatch/pool_sequence.py
+++ b/plovertrail/dispatch/pool_sequence.py
@@ -14,7 +14,7 @@
 from plovertrail.dispatch.live_request import LiveRequest
 from plovertrail.dispatch.server_pool import ServerPool
 from plovertrail.dispatch.timers import call_at
-from plovertrail.dispatch.types import EitherContainer, ProxyResponse, ResponseKind
+from plovertrail.dispatch.types import ProxyResponse, ResponseKind, UnionContainer
 
 if TYPE_CHECKING:  # imported where a queue is configured: the platform's start has none
     from plovertrail.decisions.fair_queue import FairQueueSettings
@@ -86,7 +86,7 @@
             response.result = request.last_result
             self.owner.answer(request.request_id, response)
             return
-        self.leave_queue(request)
+        self.release_queue_place(request)
         pool = request.pools[number]
         failover.pools_tried = number + 1
         if pool.queue is None and pool.admission is not None and not pool.admits():
@@ -107,7 +107,7 @@
         proxied = request.proxied
         excluded = pool.transport.unreachable(proxied.handshake is not None)
         if proxied.handshake is not None:
-            excluded = EitherContainer(excluded, proxied.handshake.excluded_endpoints(pool.name))
+            excluded = UnionContainer(excluded, proxied.handshake.excluded_endpoints(pool.name))
         return RequestArrived(
             request.request_id,
             request.due_us,
@@ -123,8 +123,8 @@
             tenant_share=self.owner.tenant_share(proxied.tenant),
         )
 
-    def leave_pool(self, pool: ServerPool, request_id: int, response: ProxyResponse) -> None:
-        """A pool has no use for a request that it has."""
+    def pool_declined(self, pool: ServerPool, request_id: int, response: ProxyResponse) -> None:
+        """A pool rejects or fails a request: try the next pool."""
         request = self.owner.requests.get(request_id)
         if request is not None and request.pool is pool and not request.finished:
             self.try_next_pool(request, response)
@@ -145,13 +145,13 @@
     def reject(self, pool: ServerPool, request_id: int, retry_after_us: int) -> None:
         """Take a request from a pool's queue, as it has waited for too long or in vain."""
         after_us = retry_after_us if pool.settings.retry_after else 0
-        self.leave_pool(pool, request_id, ProxyResponse(ResponseKind.REJECTED, after_us))
+        self.pool_declined(pool, request_id, ProxyResponse(ResponseKind.REJECTED, after_us))
 
-    def leave_queue(self, request: LiveRequest) -> None:
-        """Release a request's place in a queue: it waits no more, or what was admitted is over."""
+    def release_queue_place(self, request: LiveRequest) -> None:
+        """Release a request's place in the queue of its pool, whether it waits or was admitted."""
         request.arrival = None
         if request.pool is not None and request.pool.queue is not None:
-            request.pool.queue.leave(request.request_id, request.slot_time_us)
+            request.pool.queue.release(request.request_id, request.slot_time_us)
         request.slot_time_us = 0
 
     def _wake_when_connectable(self, pool: ServerPool, request: LiveRequest) -> None:
--- a/plovertrail/dispatch/queueing.py
+++ b/plovertrail/dispatch/queueing.py
@@ -52,7 +52,7 @@
         self.timer_due_us = 0
 
     def configure(self, settings: FairQueueSettings) -> None:
-        """Apply other settings; what is queued stays."""
+        """Apply other settings; requests that wait stay queued."""
         self.fair_queue.configure(settings)
 
     def enqueue(self, request_id: int, request: ProxyRequest, due_us: int) -> None:
@@ -63,7 +63,7 @@
         """
         pool = self.pool
         now_us = clock_us()
-        has_room = not self.owner.has_events and pool.balancer.has_capacity(now_us) and pool.admits()
+        has_capacity = not self.owner.has_events and pool.balancer.has_capacity(now_us) and pool.admits()
         actions = self.fair_queue.arrived(
             FairQueueRequest(
                 request_id,
@@ -73,7 +73,7 @@
                 due_us,
             ),
             now_us,
-            has_room,
+            has_capacity,
         )
         self._carry_out(actions)
         if request_id in self.fair_queue.waiting:
@@ -90,8 +90,8 @@
                 return True
         return False
 
-    def leave(self, request_id: int, slot_time_us: int) -> None:
-        """A request waits no more, or what was admitted is over and has held slots for so long."""
+    def release(self, request_id: int, slot_time_us: int) -> None:
+        """Remove a request that waits, or end one that was admitted and has held slots for so long."""
         self.fair_queue.cancelled(request_id, clock_us())
         self.fair_queue.ended(request_id, slot_time_us, clock_us())
 
--- a/plovertrail/dispatch/server_pool.py
+++ b/plovertrail/dispatch/server_pool.py
@@ -30,7 +30,7 @@
         """The order of those that wait, and what tenants have had."""
 
     def configure(self, settings: FairQueueSettings) -> None:
-        """Apply other settings; what is queued stays."""
+        """Apply other settings; requests that wait stay queued."""
 
     def enqueue(self, request_id: int, request: ProxyRequest, due_us: int) -> None:
         """Queue a request, or admit it at once where a slot is free."""
@@ -38,8 +38,8 @@
     def admit_next(self) -> bool:
         """Admit the request that is next, if there is a slot for it; returns whether one was admitted."""
 
-    def leave(self, request_id: int, slot_time_us: int) -> None:
-        """A request waits no more, or what was admitted is over and has held slots for so long."""
+    def release(self, request_id: int, slot_time_us: int) -> None:
+        """Remove a request that waits, or end one that was admitted and has held slots for so long."""
 
     def close(self) -> list[int]:
         """The pool has no queue any more; returns the requests that wait."""
@@ -79,11 +79,11 @@
         return self.feed.subset
 
     def use_subset(self, subset: EndpointSubset) -> None:
-        """Use a part of the endpoints from now on. Before the first list."""
+        """Use a part of the endpoints; call this before the first list."""
         self.feed.subset = subset
 
     def use_affinity(self, affinity: Affinity) -> None:
-        """Let requests prefer endpoints by what they have in common. Before the first list."""
+        """Prefer an endpoint for requests with the same affinity key; call this before the first list."""
         from plovertrail.decisions.affinity import Ring
 
         self.affinity = affinity
@@ -131,9 +131,9 @@
         return admission.admits(len(self.balancer.requests), clock_us())
 
     def retry_after_us(self, action: Reject) -> int:
-        """When a rejected client should come back: in vain before a connection that it needs may be made."""
+        """The Retry-After of a rejection: not before a connection that the request needs may be made."""
         if not action.retry_after_us:
             return 0
         longest_us = self.settings.max_retry_after_us
-        promised_us = self.transport.promised_connect_us(longest_us)
-        return max(action.retry_after_us, min(longest_us, promised_us - clock_us()))
+        connect_us = self.transport.reserve_retry_us(longest_us)
+        return max(action.retry_after_us, min(longest_us, connect_us - clock_us()))
--- a/plovertrail/dispatch/suspension.py
+++ b/plovertrail/dispatch/suspension.py
@@ -10,14 +10,14 @@
 from plovertrail.decisions.events import EndpointsUpdated
 from plovertrail.dispatch.server_pool import ServerPool
 
-RESUMED_RECENTLY_US = 1_000_000  # for so long after a pause what is read may have come before its end
+RESUMED_RECENTLY_US = 1_000_000  # for so long after a pause, data may be read that arrived during it
 LAST_DATA_RECEIVED = struct.Struct("=52xI")  # tcpi_last_data_recv of Linux's struct tcp_info, in ms
 
 
 class Suspension:
-    """The time in which nothing is acted on, and what has to wait for its end.
+    """Sends and endpoint updates held back while suspended.
 
-    Bounded by what is open: each request has a few events at most.
+    Their number is bounded by the open requests, each of which has a few events at most.
     """
 
     def __init__(self) -> None:
--- a/plovertrail/dispatch/types.py
+++ b/plovertrail/dispatch/types.py
@@ -17,8 +17,8 @@
 Headers = list[tuple[bytes, bytes]]
 
 
-class EitherContainer:
-    """What is in one of two containers; a live view."""
+class UnionContainer:
+    """The union of two containers; a live view."""
 
     def __init__(self, one: Container[int], other: Container[int]) -> None:
         self.one = one
@@ -113,7 +113,7 @@
     """An upgraded connection to an endpoint, not read until it is taken over."""
 
     transport: asyncio.Transport
-    received: bytes  # what has come behind the head
+    received: bytes  # bytes received after the head
     subprotocol: bytes  # the one that the endpoint chose; empty: none
 
     def close(self) -> None:
@@ -136,7 +136,7 @@
 class AttemptTimes:
     """Within what an attempt is of use, in microseconds from now."""
 
-    timeout_us: int  # the endpoint is told that its response is awaited for so long
+    timeout_us: int  # sent to the endpoint in X-Deadline-Ms
     start_within_us: int = 0  # nothing is written after this; 0: at any time
 
 
@@ -173,10 +173,10 @@
     def next_connect_us(self) -> int:
         """When a further connection may be made; 0: at once."""
 
-    def promised_connect_us(self, longest_us: int) -> int:
-        """When a client that was rejected for want of a connection should come back; 0: no such want.
+    def reserve_retry_us(self, longest_us: int) -> int:
+        """Reserve a connect for a rejected client's retry, and return its time; 0: none is needed.
 
-        Each is told a time of its own, within so long if that is possible.
+        Each client gets a time of its own, within `longest_us` if that is possible.
         """
 
     def close_idle(self, endpoint_id: int) -> None:
--- a/plovertrail/scenario_tests/servers.py
+++ b/plovertrail/scenario_tests/servers.py
@@ -111,7 +111,7 @@
         """0 us: a connection may be opened at once."""
         return 0
 
-    def promised_connect_us(self, longest_us: int) -> int:
+    def reserve_retry_us(self, longest_us: int) -> int:
         """0 us: a connection may be opened at once."""
         return 0
 
--- a/plovertrail/upstreams/attempt.py
+++ b/plovertrail/upstreams/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt over HTTP/1.1: what is written, and whom its end is reported to."""
+"""One attempt over HTTP/1.1: the request bytes, and the callback for its result."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from plovertrail.upstreams.connection import Connection
 
-BODYLESS_METHODS = (b"GET", b"HEAD", b"OPTIONS", b"DELETE")  # no length is told where there is no body
+BODYLESS_METHODS = (b"GET", b"HEAD", b"OPTIONS", b"DELETE")  # no Content-Length is sent without a body
 
 
 def request_head(
--- a/plovertrail/upstreams/connect_limits.py
+++ b/plovertrail/upstreams/connect_limits.py
@@ -61,8 +61,8 @@
         """When a further connection may be made; 0 without a limit on the rate."""
         return self.rate.next_us if self.rate is not None else 0
 
-    def promised_connect_us(self, longest_us: int) -> int:
-        """When a client that was rejected for want of a connect should come back; 0: no such want."""
+    def reserve_retry_us(self, longest_us: int) -> int:
+        """Reserve a connect for a rejected client's retry, and return its time; 0: none is needed."""
         now_us = clock_us()
         if self.rate is None or self.rate.allows(now_us):
             return 0
--- a/plovertrail/upstreams/connection.py
+++ b/plovertrail/upstreams/connection.py
@@ -31,7 +31,7 @@
         """Keep a connection for later requests, or close it."""
 
     def record_reuse(self, idle_us: int, broke: bool) -> None:
-        """Learn how a connection fared that had been idle for so long."""
+        """Record whether a connection that had been idle for so long broke on reuse."""
 
     def add(self, connection: Connection) -> None:
         """Count a connection from now on."""
@@ -54,7 +54,7 @@
         self.idle_since_us = 0
         self.idle_us = 0  # for how long it was idle before the request that it carries
         self.closed = False
-        self.unsent = False  # part of what was written is still in our buffer
+        self.unsent = False  # part of the request is still in the write buffer
         pool.add(self)
 
     # What asyncio calls
@@ -82,18 +82,18 @@
             attempt.end(TransportResult(Outcome.NOT_SENT))
 
     def pause_writing(self) -> None:
-        """Part of what was written is still in our buffer: the endpoint can't have the whole request."""
+        """Part of the request is still in the write buffer: the endpoint can't have all of it."""
         self.unsent = True
 
     def resume_writing(self) -> None:
-        """All that was written has gone to the system: the endpoint may have the whole request."""
+        """The write buffer is empty: the endpoint may have the whole request."""
         self.unsent = False
 
     def data_received(self, data: bytes) -> None:
-        """Read a part of the response; what is no response ends the attempt as MALFORMED."""
+        """Read a part of the response; bytes that are not HTTP end the attempt as MALFORMED."""
         reader = self.reader
         if self.attempt is None or reader is None:
-            self.close()  # bytes that nobody asked for
+            self.close()  # no request is in flight
             return
         malformed = False
         try:
@@ -205,8 +205,8 @@
         attempt, self.attempt = self.attempt, None
         reader, self.reader = self.reader, None
         if self.idle_us > 0:
-            silent = reader is None or reader.received == 0
-            self.pool.record_reuse(self.idle_us, broke=outcome is Outcome.RESET and silent)
+            no_response = reader is None or reader.received == 0
+            self.pool.record_reuse(self.idle_us, broke=outcome is Outcome.RESET and no_response)
         result = TransportResult(outcome)
         if reader is not None:
             reader.release()
--- a/plovertrail/upstreams/connection_pool.py
+++ b/plovertrail/upstreams/connection_pool.py
@@ -149,11 +149,11 @@
     # Limits
 
     def configure(self, max_connections: int) -> None:
-        """Apply another bound; what is open beyond it closes as it becomes idle."""
+        """Apply another bound; connections beyond it are closed as they become idle."""
         self.limits.configure(max_connections)
 
     def apply_limits(self, limits: InstanceLimits, first: float) -> None:
-        """Keep to this instance's part; what is open beyond it closes as it becomes idle.
+        """Apply this instance's limits; connections beyond them are closed as they become idle.
 
         The first connect comes after `first`, from 0 to 1, of the interval between two.
         """
@@ -178,9 +178,9 @@
         """When a further connection may be made; 0 without a limit on the rate."""
         return self.limits.next_connect_us()
 
-    def promised_connect_us(self, longest_us: int) -> int:
-        """When a client that was rejected for want of a connect should come back; 0: no such want."""
-        return self.limits.promised_connect_us(longest_us)
+    def reserve_retry_us(self, longest_us: int) -> int:
+        """Reserve a connect for a rejected client's retry, and return its time; 0: none is needed."""
+        return self.limits.reserve_retry_us(longest_us)
 
     # Connections
 
@@ -207,7 +207,7 @@
             self.idle.add(connection)
 
     def record_reuse(self, idle_us: int, broke: bool) -> None:
-        """Learn how a connection fared that had been idle for so long."""
+        """Record whether a connection that had been idle for so long broke on reuse."""
         self.idle.record_reuse(idle_us, broke)
 
     def close_idle(self, endpoint_id: int) -> None:
@@ -215,7 +215,7 @@
         self.idle.close_all(endpoint_id)
 
     def forget(self, endpoint_id: int) -> None:
-        """An endpoint was removed or has moved: what is in use closes once its attempt has ended."""
+        """Close an endpoint's connections, those in use once their attempts have ended."""
         self.close_idle(endpoint_id)
         for connection in self.connections.get(endpoint_id, set()):
             connection.endpoint_removed = True
--- a/plovertrail/upstreams/idle_connections.py
+++ b/plovertrail/upstreams/idle_connections.py
@@ -1,4 +1,4 @@
-"""Connections that wait for a request, and what is learnt of how long they last."""
+"""Idle connections, and the statistics on how long they can be reused."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
         return True
 
     def record_reuse(self, idle_us: int, broke: bool) -> None:
-        """Learn how a connection fared that had been idle for so long."""
+        """Record whether a connection that had been idle for so long broke on reuse."""
         age = idle_us.bit_length()
         self.broken_share[age] += (float(broke) - self.broken_share[age]) / REUSE_MEMORY
 
--- a/plovertrail/upstreams/response_reader.py
+++ b/plovertrail/upstreams/response_reader.py
@@ -1,4 +1,4 @@
-"""Reads one response of an endpoint (HTTP/1.1) within bounds, and says what it means."""
+"""Reads one HTTP/1.1 response within bounds, and classifies it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from plovertrail.dispatch.types import Headers
 
 MAX_HEAD_BYTES = 32 * 1024
-FRAMING_FACTOR = 4  # a response with its head, interim responses and framing holds so many bodies at most
+FRAMING_FACTOR = 4  # a response, its head and framing included, is at most so many times the longest body
 
 
 class ResponseTooLongError(ValueError):
@@ -75,7 +75,7 @@
 
     @property
     def too_long(self) -> bool:
-        """Whether more bytes have come than a response may hold, as far as it is known."""
+        """Whether more bytes have been received than a response may have."""
         most = FRAMING_FACTOR * self.rules.max_body_bytes if self.head_done else MAX_HEAD_BYTES
         return self.received > most
 
