--- a/plovertrail/__main__.py
+++ b/plovertrail/__main__.py
@@ -13,7 +13,7 @@
 from plovertrail.config import platform as config
 from plovertrail.config.settings import SettingsError
 from plovertrail.dispatch.dispatcher import Dispatcher
-from plovertrail.listeners.application import Server
+from plovertrail.listeners.platform_listener import PlatformListener
 from plovertrail.logs import log_to_stderr
 from plovertrail.sources.discovery import Directory, Discovery
 from plovertrail.upstreams.connection_pool import ConnectionPool
@@ -59,7 +59,7 @@
     if not settings.settings.endpoints_on_request:
         discovery.hold_open()
     # the rest is for discovery, the listener, the log and what is on its way to be closed
-    server = Server(dispatcher, servers, settings.settings, most_clients=settings.sockets // 2)
+    server = PlatformListener(dispatcher, servers, settings.settings, max_clients=settings.sockets // 2)
     following = loop.create_task(follow(settings.path, reload, discovery))
     server.listen(settings.listen)
     await stop.wait()
@@ -67,7 +67,7 @@
     await end(server, longest_s=max(kind.deadline_us for kind in settings.settings.classes) / 1e6)
 
 
-async def end(server: Server, longest_s: float) -> None:
+async def end(server: PlatformListener, longest_s: float) -> None:
     """Answer what still comes and all that is open; no request has longer than `longest_s` seconds. Hazard:
     deadlines may be longer than SIGKILL waits; what is open then has its answer before that, and not none."""
     loop = asyncio.get_running_loop()
@@ -78,12 +78,12 @@
     await asyncio.sleep(STILL_COMING_S)
     server.drain_backlog()
     server.stop_idle()
-    while server.owing() and loop.time() < ends:
+    while server.owes_responses() and loop.time() < ends:
         await asyncio.sleep(0.01)
         server.stop_idle()
-    server.answer_rest()
+    server.answer_all()
     ends = loop.time() + FLUSH_S
-    while server.owing() and loop.time() < ends:
+    while server.owes_responses() and loop.time() < ends:
         await asyncio.sleep(0.01)
 
 
--- /dev/null
+++ b/plovertrail/listeners/listener.py
@@ -0,0 +1,235 @@
+"""A listener: accepts connections of clients and bounds their number and time, whatever the protocol."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import socket
+import time
+from abc import abstractmethod
+
+from plovertrail.dispatch.dispatcher import Dispatcher
+from plovertrail.listeners.client_connection import ClientConnection
+from plovertrail.listeners.connection_state import (
+    EVICTION_ORDER,
+    FIRST_REQUEST_GRACE_S,
+    ConnectionState,
+    ConnectionTimeouts,
+    EvictionRule,
+)
+
+log = logging.getLogger(__name__)
+
+SWEEP_INTERVAL_S = 0.1
+MAX_ACCEPTS_PER_TURN = 16  # hundreds of connections at once would block the open ones
+ACCEPT_PAUSE_S = 0.05
+BACKLOG = 1024
+
+
+class Listener:
+    """All connections of one listener."""
+
+    def __init__(
+        self, dispatcher: Dispatcher, max_clients: int, timeouts: ConnectionTimeouts | None = None
+    ) -> None:
+        self.loop = asyncio.get_running_loop()
+        self.dispatcher = dispatcher
+        self.max_clients = max_clients
+        self.timeouts = timeouts or ConnectionTimeouts()
+        # each in the order in which its state began, so that the oldest is found at once
+        self.clients: dict[ConnectionState, dict[ClientConnection, None]] = {
+            state: {} for state in ConnectionState
+        }
+        self.accepting: set[asyncio.Task[object]] = set()
+        self.stopping = False
+        self.sock: socket.socket | None = None
+
+    @abstractmethod
+    def make_connection(self, sock: socket.socket) -> ClientConnection:
+        """Return the protocol of a new connection."""
+
+    @property
+    def is_ready(self) -> bool:
+        """Whether requests are served: endpoints are known, and the listener is not being stopped."""
+        return self.dispatcher.pools.has_endpoints and not self.stopping
+
+    def count(self) -> int:
+        """Return the number of connections in all states."""
+        return sum(len(group) for group in self.clients.values())
+
+    def is_crowded(self) -> bool:
+        """Whether so many connections are open that new ones should not stay."""
+        return self.count() > self.max_clients // 2
+
+    # Accepting
+
+    def listen(self, address: tuple[str, int]) -> None:
+        """Listen on an IPv4 address and port; raises OSError if that is not possible."""
+        self.listen_on(socket.create_server(address, backlog=BACKLOG))
+
+    def listen_on(self, sock: socket.socket) -> None:
+        """Accept connections on a socket that listens already."""
+        self.sock = sock
+        self.sock.setblocking(False)
+        self.loop.add_reader(self.sock, self.accept)
+        self._sweep()
+
+    def accept(self) -> None:
+        """Accept the connections that wait, in small batches.
+
+        asyncio's own server accepts all that wait at once, and stops for a second without a free descriptor.
+        """
+        self._accept_batch()
+
+    def _accept_batch(self) -> bool:
+        """Accept a batch; return whether more may wait."""
+        assert self.sock is not None
+        # a connection that was evicted keeps its descriptor until the next turn of the loop
+        for _ in range(max(1, min(MAX_ACCEPTS_PER_TURN, self.max_clients // 16))):
+            if self.count() >= self.max_clients and not self._evict_one():
+                self._pause_accepting()
+                return False
+            try:
+                sock, _address = self.sock.accept()
+            except BlockingIOError:
+                return False
+            except OSError as error:
+                log.warning("connection not accepted error=%r", error)
+                self._evict_one()
+                self._pause_accepting()
+                return False
+            self._start_connection(sock)
+        return True
+
+    def _start_connection(self, sock: socket.socket) -> None:
+        sock.setblocking(False)
+        client = self.make_connection(sock)
+        self.clients[ConnectionState.NEW][client] = None
+        task = self.loop.create_task(self._connect(client, sock))
+        self.accepting.add(task)
+        task.add_done_callback(self.accepting.discard)
+
+    async def _connect(self, client: ClientConnection, sock: socket.socket) -> None:
+        """Bring up an accepted connection; one that has ended already is forgotten."""
+        try:
+            await self.loop.connect_accepted_socket(lambda: client, sock)
+        except OSError:
+            self.remove(client)
+            sock.close()
+
+    def _pause_accepting(self) -> None:
+        """Accept nothing for a moment; otherwise the loop would turn without waiting."""
+        if self.sock is not None:
+            self.loop.remove_reader(self.sock)
+            self.loop.call_later(ACCEPT_PAUSE_S, self._resume_accepting)
+
+    def _resume_accepting(self) -> None:
+        if self.sock is not None:
+            self.loop.add_reader(self.sock, self.accept)
+
+    # Room for new connections
+
+    def _evict_one(self) -> bool:
+        """Close a connection without an open request; return False if there is none.
+
+        Without a bound no descriptor would be left for endpoints and discovery. Connections that still read a
+        response go last.
+        """
+        client = self._least_useful(is_writing=False) or self._least_useful(is_writing=True)
+        if client is None:
+            return False
+        client.abort()
+        self.remove(client)
+        return True
+
+    def _least_useful(self, is_writing: bool) -> ClientConnection | None:
+        """Return the connection to evict, of those that read a response or of the others."""
+        now = time.monotonic()
+        for rule in EVICTION_ORDER:
+            for client in self.clients[rule.state]:
+                if client.state_since > now - rule.min_age_s:
+                    break
+                if self._may_evict(client, rule, is_writing):
+                    return client
+        return None
+
+    @staticmethod
+    def _may_evict(client: ClientConnection, rule: EvictionRule, is_writing: bool) -> bool:
+        return (
+            client.transport is not None
+            and (rule.partial_requests or client.received_bytes == 0)
+            and client.is_writing() is is_writing
+            and (rule.state is ConnectionState.ENDING or client.has_nothing_unread())
+        )
+
+    # States and their times
+
+    def set_state(self, client: ClientConnection, state: ConnectionState) -> None:
+        """Change the state of a connection, unless it was removed."""
+        if client in self.clients[client.state]:
+            del self.clients[client.state][client]
+            client.state = state
+            client.state_since = time.monotonic()
+            self.clients[state][client] = None
+
+    def remove(self, client: ClientConnection) -> None:
+        """Forget a connection."""
+        self.clients[client.state].pop(client, None)
+
+    def _sweep(self) -> None:
+        """End the connections whose state has lasted too long, and schedule the next sweep.
+
+        A client that sends nothing, or half a request, would hold its connection for ever.
+        """
+        if self.sock is None and not self.count():
+            return
+        self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+        now = time.monotonic()
+        for state, timeout_s in self.timeouts.states.items():
+            timed_out = []
+            for client in self.clients[state]:
+                if client.state_since > now - timeout_s:
+                    break
+                timed_out.append(client)
+            for client in timed_out:
+                client.state_timed_out()
+
+    # The stop
+
+    def stop_idle(self) -> None:
+        """End idle connections; from now on each response is the last one of its connection.
+
+        A new connection whose first request is on its way keeps the time for that.
+        """
+        self.stopping = True
+        newest = time.monotonic() - FIRST_REQUEST_GRACE_S
+        for state in (ConnectionState.IDLE, ConnectionState.NEW):
+            for client in list(self.clients[state]):
+                may_send = state is ConnectionState.NEW and client.state_since > newest
+                is_quiet = client.received_bytes == 0 and not may_send
+                if is_quiet and client.transport is not None and client.has_nothing_unread():
+                    client.linger()
+
+    def owes_responses(self) -> bool:
+        """Whether any connection may still bring a request or has part of a response to come."""
+        return any(
+            state is not ConnectionState.ENDING or client.is_writing()
+            for state, group in self.clients.items()
+            for client in group
+        )
+
+    def drain_backlog(self) -> None:
+        """Accept what the kernel has accepted already, then stop listening.
+
+        Closed with the socket, such a connection would be reset, with the request that may have come on it.
+        """
+        while self.sock is not None and self._accept_batch():
+            pass
+        self.stop_listening()
+
+    def stop_listening(self) -> None:
+        """Close the listening socket; open connections go on."""
+        if self.sock is not None:
+            self.loop.remove_reader(self.sock)
+            self.sock.close()
+            self.sock = None
--- a/plovertrail/listeners/ordinary.py
+++ b/plovertrail/listeners/ordinary.py
@@ -32,7 +32,9 @@
 from plovertrail.hooks.chain import AnswerWithheldError, RequestRefusedError, Seen, Trail
 from plovertrail.http1.heads import Headers, answer_head, end_to_end
 from plovertrail.http1.requests import RequestMessage, RequestReader
-from plovertrail.listeners.connections import ClientConnection, Listener, Patience, State
+from plovertrail.listeners.client_connection import ClientConnection
+from plovertrail.listeners.connection_state import ConnectionState, ConnectionTimeouts
+from plovertrail.listeners.listener import Listener
 from plovertrail.listeners.websocket_service import (
     HandshakeContext,
     HandshakeRejectedError,
@@ -107,16 +109,16 @@
 
     def data_received(self, data: bytes) -> None:
         """Read on; what comes behind an open request waits, MOST_PENDING bytes of it."""
-        if self.state is State.ENDING:
+        if self.state is ConnectionState.ENDING:
             self.discard(data)
             return
-        self.heard = time.monotonic()
-        if self.state is State.OPEN or self.write_paused:
+        self.last_received = time.monotonic()
+        if self.state is ConnectionState.OPEN or self.write_paused:
             self.pending += data
             if len(self.pending) > MOST_PENDING and self.transport is not None:
                 self.transport.pause_reading()
             return
-        self.size += len(data)
+        self.received_bytes += len(data)
         self.reader.feed(data)
         self.proceed()
 
@@ -127,7 +129,7 @@
     def resume_writing(self) -> None:
         """The client has read: go on with the requests that wait."""
         self.write_paused = False
-        if self.state is not State.ENDING:
+        if self.state is not ConnectionState.ENDING:
             self.proceed()
 
     def proceed(self) -> None:
@@ -136,14 +138,17 @@
             return
         self.taking = True
         try:
-            while self.state not in (State.OPEN, State.ENDING, State.SOCKET) and not self.write_paused:
+            while (
+                self.state not in (ConnectionState.OPEN, ConnectionState.ENDING, ConnectionState.UPGRADED)
+                and not self.write_paused
+            ):
                 if self.reader.messages:
                     self.take(self.reader.messages.popleft())
                 elif self.reader.error is not None:
                     self.reject(self.reader.error.status, self.reader.error.why, last=True)
                 elif self.pending:
                     data, self.pending = bytes(self.pending), bytearray()
-                    self.size += len(data)
+                    self.received_bytes += len(data)
                     self.reader.feed(data)
                     if self.transport is not None and not self.transport.is_closing():
                         self.transport.resume_reading()
@@ -151,11 +156,11 @@
                     break
         finally:
             self.taking = False
-        if self.state in (State.OPEN, State.ENDING, State.SOCKET):
+        if self.state in (ConnectionState.OPEN, ConnectionState.ENDING, ConnectionState.UPGRADED):
             return
-        if (self.reader.partial or self.size) and self.state is State.IDLE:
-            self.front.move(self, State.READING)
-            self.size = max(self.size, 1)
+        if (self.reader.partial or self.received_bytes) and self.state is ConnectionState.IDLE:
+            self.front.set_state(self, ConnectionState.READING)
+            self.received_bytes = max(self.received_bytes, 1)
         if self.reader.continue_wanted and self.transport is not None:
             self.reader.continue_wanted = False
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -163,7 +168,7 @@
     def take(self, message: RequestMessage) -> None:
         """A request has come whole: find its route, and hand it over."""
         self.message = message
-        self.front.move(self, State.OPEN)
+        self.front.set_state(self, ConnectionState.OPEN)
         try:
             found = self.call(message)
         except RequestRejectedError as away:
@@ -187,7 +192,7 @@
                 return
             call, plan = found
             self.plan = plan
-            self.ident = self.front.dispatcher.submit(call, self.answer, plan.pools, plan.limiters)
+            self.request_id = self.front.dispatcher.submit(call, self.answer, plan.pools, plan.limiters)
 
     def call(self, message: RequestMessage) -> tuple[ProxyRequest, RoutePlan] | LocalReply:
         """Find a request's route: the call to make with the plan of its route, or the route's own answer.
@@ -195,7 +200,7 @@
         Raises RequestRejectedError, HandshakeError, HandshakeRejectedError or RequestRefusedError.
         """
         front, generation = self.front, self.front.current.generation
-        arrived_us = self.arrived_us()
+        arrived_us = self.last_byte_us()
         headers: dict[bytes, bytes] = {}
         hosts: list[bytes] = []
         for name, value in message.headers:
@@ -276,7 +281,7 @@
             handshake=self.socket,
             tenant_name=tenant_name.decode("latin-1"),
             client=client,
-            client_disconnected=self.left,
+            client_disconnected=self.is_disconnected,
         ), plan
 
     def told(self, routed: Routed, path: str, sent: bytes, ident: bytes, client: str) -> dict[str, str]:
@@ -316,7 +321,7 @@
 
     def answer(self, answer: ProxyResponse) -> None:
         """The host's final answer to the open request."""
-        if self.state is not State.OPEN or self.plan is None:
+        if self.state is not ConnectionState.OPEN or self.plan is None:
             if answer.result is not None and answer.result.tunnel is not None:
                 answer.result.tunnel.close()
             return
@@ -397,7 +402,7 @@
         """Answer 503 with the time after which to try again, in us; 0 tells none."""
         self.reject(503, why, extra=retry_after(retry_after_us))
 
-    def refuse(self, status: int) -> None:
+    def reject_incomplete(self, status: int) -> None:
         """Answer a request that has not come whole in time, and close the connection."""
         self.reject(status, "the request did not come in time", last=True)
 
@@ -431,7 +436,7 @@
             and message.keep_alive
             and not message.upgrade
             and not last
-            and not self.last_answer()
+            and not self.is_last_response()
         )
         connection = b""
         if not keep:
@@ -441,12 +446,12 @@
         data = answer_head(status, headers, length, connection)
         if message is None or message.method != b"HEAD":
             data += body
-        self.answered += 1
+        self.responses += 1
         self.transport.write(data)
         self.end_trail(outcome, status)
-        self.size = 0
+        self.received_bytes = 0
         if keep:
-            self.front.move(self, State.IDLE)
+            self.front.set_state(self, ConnectionState.IDLE)
         else:
             self.linger()
 
@@ -465,7 +470,7 @@
         self.reader.rest, self.pending = bytearray(), bytearray()
         self.message = self.plan = None
         self.end_trail(SERVED, 101)
-        self.front.move(self, State.SOCKET)
+        self.front.set_state(self, ConnectionState.UPGRADED)
         self.front.keeper.open(socket, transport, tunnel, rest, self.socket_ended)
 
     def socket_ended(self) -> None:
@@ -486,7 +491,9 @@
         keeper: WebSocketService,
     ) -> None:
         super().__init__(
-            dispatcher, listener.max_connections, Patience.of(listener.read_us / 1e6, listener.idle_us / 1e6)
+            dispatcher,
+            listener.max_connections,
+            ConnectionTimeouts.of(listener.read_us / 1e6, listener.idle_us / 1e6),
         )
         self.current = current
         self.keeper = keeper
@@ -495,12 +502,12 @@
     def configure(self, listener: ListenerSetup) -> None:
         """Follow a new setup; the address stays."""
         self.listener = listener
-        self.most_clients = listener.max_connections
-        self.patience = Patience.of(listener.read_us / 1e6, listener.idle_us / 1e6)
+        self.max_clients = listener.max_connections
+        self.timeouts = ConnectionTimeouts.of(listener.read_us / 1e6, listener.idle_us / 1e6)
         self.dropped = headers_replaced_by(listener)
         # the header in which the proxy in front tells addresses; empty: none is trusted
         self.trusted = listener.forwarded.encode() if listener.trust_forwarded else b""
 
-    def connection(self, sock: socket.socket) -> OrdinaryClient:
+    def make_connection(self, sock: socket.socket) -> OrdinaryClient:
         """The protocol of a new client connection."""
         return OrdinaryClient(self, sock)
--- /dev/null
+++ b/plovertrail/listeners/platform_listener.py
@@ -0,0 +1,254 @@
+"""The listener of the platform's application: reads its requests over HTTP/1.1 and writes their responses."""
+
+from __future__ import annotations
+
+import logging
+import socket
+import time
+
+import httptools
+
+from plovertrail.decisions.settings import Settings
+from plovertrail.dispatch.dispatcher import Dispatcher
+from plovertrail.dispatch.server_pool import ServerPool
+from plovertrail.dispatch.types import ProxyRequest, ProxyResponse, ResponseKind
+from plovertrail.listeners.client_connection import ClientConnection
+from plovertrail.listeners.connection_state import ConnectionState
+from plovertrail.listeners.listener import Listener
+from plovertrail.listeners.platform_requests import (
+    InvalidRequestError,
+    RecentRequestIds,
+    RequestCatalog,
+)
+
+log = logging.getLogger(__name__)
+
+MAX_BODY_BYTES = 64 * 1024
+MAX_HEAD_BYTES = 16 * 1024
+MAX_PIPELINED_BYTES = 2 * (MAX_BODY_BYTES + MAX_HEAD_BYTES)  # no next request that came early is longer
+READINESS_TARGET = b"/up"
+SUPPORTED_VERSIONS = ("1.0", "1.1")
+REASONS = {
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    408: b"Request Timeout",
+    409: b"Conflict",
+    413: b"Content Too Large",
+    500: b"Internal Server Error",
+    503: b"Service Unavailable",
+}
+PIPELINED_RESPONSE = b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+
+
+class PlatformConnection(ClientConnection):
+    """One connection of the application."""
+
+    def __init__(self, server: PlatformListener, sock: socket.socket) -> None:
+        super().__init__(server, sock)
+        self.server = server
+        self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
+        self.pipelined = False  # bytes came while a request was open
+        self.close_after_response = False
+        self._reset()
+
+    def _reset(self) -> None:
+        """Get ready to read the next request."""
+        self.complete = False
+        self.head_complete = False
+        self.target = b""
+        self.headers: list[tuple[bytes, bytes]] = []
+        self.received_bytes = 0
+        self.last_received = 0.0
+        self.body = bytearray()
+
+    def release(self) -> None:
+        """Release the parser once the connection has ended."""
+        self.parser = None  # the two refer to each other and would wait for a rare full collection
+
+    # Callbacks of the parser
+
+    def on_message_begin(self) -> None:
+        """Parser callback: a request begins; behind a complete one it is pipelined."""
+        if self.complete:
+            self.pipelined = True
+
+    def on_url(self, url: bytes) -> None:
+        """Parser callback: a further piece of the request target."""
+        if not self.complete:
+            self.target += url
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Parser callback: one header. Raises InvalidRequestError on a body that is not accepted."""
+        if self.complete:
+            return
+        lower_name = name.lower()
+        if lower_name == b"transfer-encoding":
+            # readers that go by it and readers that go by the length see the next request at different places
+            raise InvalidRequestError(400, "no chunked requests")
+        if lower_name == b"content-length" and int(value) > MAX_BODY_BYTES:
+            raise InvalidRequestError(413, "the body is too long")  # before the body is read for nothing
+        self.headers.append((name, value))
+
+    def on_headers_complete(self) -> None:
+        """Parser callback: the head is complete."""
+        self.head_complete = True
+
+    def on_body(self, data: bytes) -> None:
+        """Parser callback: a further piece of the body."""
+        if not self.complete:
+            self.body += data
+
+    def on_message_complete(self) -> None:
+        """Parser callback: the request is complete."""
+        assert self.parser is not None
+        if not self.complete and not self.parser.should_keep_alive():
+            self.close_after_response = True  # once the parser has gone on, it says that all stay open
+        self.complete = True
+
+    # Reading
+
+    def data_received(self, data: bytes) -> None:
+        """Read on; input that is not accepted is answered with its status, and the connection is closed."""
+        if self.state is ConnectionState.ENDING:
+            self.discard(data)
+            return
+        if self.state is ConnectionState.OPEN:
+            self._receive_pipelined(data)
+            return
+        if self.state is ConnectionState.IDLE:
+            self.server.set_state(self, ConnectionState.READING)
+        self.received_bytes += len(data)
+        self.last_received = time.monotonic()
+        try:
+            self._parse(data)
+            if self.complete:
+                self._submit()
+        except InvalidRequestError as error:
+            self._write(error.status, str(error).encode() + b"\n", last=True)
+        except Exception:
+            # a fault in one request must end neither the process nor other requests
+            log.exception("request not read")
+            self._write(500, b"", last=True)
+
+    def _receive_pipelined(self, data: bytes) -> None:
+        """The open request is answered, then the connection ends."""
+        self.pipelined = True
+        self.discarded_bytes += len(data)
+        if self.discarded_bytes > MAX_PIPELINED_BYTES:
+            # the client's end would lie behind a flood, unseen, while attempts are sent for nobody
+            self.close_after_response = True
+            self.server.dispatcher.expire(self.request_id)
+
+    def _parse(self, data: bytes) -> None:
+        """Feed bytes to the parser; raises InvalidRequestError."""
+        assert self.parser is not None
+        try:
+            self.parser.feed_data(data)
+        except httptools.HttpParserCallbackError as error:
+            cause = error.__context__
+            raise cause if isinstance(cause, InvalidRequestError) else error from None
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade):
+            # bytes behind a complete request that are no request show that its length was wrong
+            raise InvalidRequestError(400, "malformed request") from None
+        if not self.head_complete and self.received_bytes > MAX_HEAD_BYTES:
+            raise InvalidRequestError(413, "the head is too long")
+
+    def _submit(self) -> None:
+        """Pass a complete request to the dispatcher; raises InvalidRequestError."""
+        assert self.transport is not None
+        assert self.parser is not None
+        method = self.parser.get_method()
+        if self.parser.get_http_version() not in SUPPORTED_VERSIONS:
+            raise InvalidRequestError(400, "not HTTP/1.1")
+        if self.target == READINESS_TARGET and method == b"GET":
+            self._write(200 if self.server.is_ready else 503, b"")
+            return
+        request = self.server.catalog.make_request(method, self.target, self.headers, bytes(self.body))
+        request.client_disconnected = self.is_disconnected
+        if not self.server.recent_ids.add(request.external_id):
+            # an endpoint that has it already rejects it, and its response might go to the wrong client
+            raise InvalidRequestError(409, "this X-Request-Id has been used")
+        if self.transport.get_write_buffer_size() > 0:
+            # unread responses would fill the memory
+            raise InvalidRequestError(400, "the last answer was not read")
+        self.server.set_state(self, ConnectionState.OPEN)
+        request.deadline_us = self.server.limited_deadline_us(request)
+        self.request_id = self.server.dispatcher.submit(request, self.answer, self.server.pools)
+
+    # Writing
+
+    def answer(self, response: ProxyResponse) -> None:
+        """Write the final response to the open request, if its client still waits for it."""
+        if self.state is not ConnectionState.OPEN:
+            return
+        if response.kind is ResponseKind.SERVED:
+            assert response.result is not None
+            types = [value for name, value in response.result.headers if name.lower() == b"content-type"]
+            head = b"Content-Type: %s\r\n" % types[-1] if types else b""
+            self._write(200, response.result.body, head)
+        elif response.kind is ResponseKind.REJECTED:
+            retry_after_s = response.retry_after_us / 1e6
+            self._write(503, b"", b"Retry-After: %.3f\r\n" % retry_after_s if retry_after_s else b"")
+        else:
+            self._write(500, b"")
+
+    def reject_incomplete(self, status: int) -> None:
+        """Answer with a bare status and close the connection."""
+        self._write(status, b"", last=True)
+
+    def _write(self, status: int, body: bytes, head: bytes = b"", last: bool = False) -> None:
+        """Write a response with further header lines in `head`; behind the `last` one the connection ends."""
+        assert self.transport is not None
+        if self.transport.is_closing():
+            return
+        last = last or self.close_after_response or self.is_last_response()
+        self.responses += 1
+        if last:
+            head += b"Connection: close\r\n"
+        data = b"HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n" % (status, REASONS[status], head, len(body))
+        data += body
+        if self.pipelined and not last:
+            data += PIPELINED_RESPONSE
+        self.transport.write(data)
+        if last or self.pipelined:
+            self.linger()
+        else:
+            self._reset()
+            self.server.set_state(self, ConnectionState.IDLE)
+
+
+class PlatformListener(Listener):
+    """All connections of the application."""
+
+    def __init__(
+        self, dispatcher: Dispatcher, pool: ServerPool, settings: Settings, max_clients: int
+    ) -> None:
+        super().__init__(dispatcher, max_clients)
+        self.pools = (pool,)
+        self.catalog = RequestCatalog(settings)
+        self.recent_ids = RecentRequestIds(max(kind.deadline_us for kind in settings.classes) / 1e6)
+        self.process_ends_us: int | None = None  # once the process is being stopped
+
+    def make_connection(self, sock: socket.socket) -> PlatformConnection:
+        """Return the protocol of a new connection."""
+        return PlatformConnection(self, sock)
+
+    def finish_by(self, ends_us: int) -> None:
+        """The process ends at this time of the monotonic clock: no request from now on may take longer."""
+        self.process_ends_us = ends_us
+
+    def limited_deadline_us(self, request: ProxyRequest) -> int:
+        """Return a request's time; one whose bytes came slowly must not outlast a stop that is under way."""
+        if self.process_ends_us is None:
+            return request.deadline_us
+        return min(request.deadline_us, self.process_ends_us - request.arrived_us)
+
+    def answer_all(self) -> None:
+        """The process ends now: answer open requests, and reject those that have come in part."""
+        for client in list(self.clients[ConnectionState.OPEN]):
+            self.dispatcher.expire(client.request_id)
+        for state in (ConnectionState.READING, ConnectionState.NEW):
+            for client in list(self.clients[state]):
+                if client.received_bytes and client.transport is not None:
+                    client.reject_incomplete(503)
--- a/tests/listeners/test_connections.py
+++ b/tests/listeners/test_connections.py
@@ -14,8 +14,9 @@
 from fakes import web
 from plovertrail import __main__ as program
 from plovertrail.decisions.settings import RequestClass
-from plovertrail.listeners import application, connections
-from plovertrail.listeners.connections import ClientConnection, State
+from plovertrail.listeners import connection_state, platform_listener
+from plovertrail.listeners.client_connection import ClientConnection
+from plovertrail.listeners.connection_state import ConnectionState
 from plovertrail.upstreams.connection_pool import ConnectionPool
 from tests.daemons import Held, message, run, running
 from tests.net import (
@@ -95,7 +96,7 @@
 ) -> None:
     """Who ends its sending alone counts as gone, too."""
     pools: list[ConnectionPool] = captured(monkeypatch, "ConnectionPool")
-    servers: list[application.Server] = captured(monkeypatch, "Server")
+    servers: list[platform_listener.PlatformListener] = captured(monkeypatch, "PlatformListener")
 
     async def test() -> None:
         release = asyncio.Event()
@@ -126,7 +127,7 @@
 
 def test_a_client_that_left_behind_a_flood_gets_no_further_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
     """What comes behind an open request is not kept, and its end would lie behind it, unseen."""
-    servers: list[application.Server] = captured(monkeypatch, "Server")
+    servers: list[platform_listener.PlatformListener] = captured(monkeypatch, "PlatformListener")
 
     async def test() -> None:
         release = asyncio.Event()
@@ -154,7 +155,7 @@
             reader, writer = await it.connect()
             writer.write(request("pay"))
             await until(lambda: len(upstream.requests) == 1)
-            writer.write(request("pay", body=b"y" * application.LONGEST_BODY))
+            writer.write(request("pay", body=b"y" * platform_listener.MAX_BODY_BYTES))
             await writer.drain()
             release.set()
             head, body = await read_message(reader)
@@ -182,7 +183,7 @@
             await until(
                 lambda: any(
                     not one.transport.is_reading()
-                    for one in front.clients[State.OPEN]
+                    for one in front.clients[ConnectionState.OPEN]
                     if one.transport is not None
                 )
             )
@@ -213,7 +214,7 @@
     monkeypatch: pytest.MonkeyPatch, state: str
 ) -> None:
     """It comes between the look for unread bytes and the close; its client sends it again elsewhere."""
-    quiet = ClientConnection.quiet
+    quiet = ClientConnection.has_nothing_unread
 
     async def test() -> None:
         upstream = Upstream(answering(OK))
@@ -225,15 +226,15 @@
 
             def crossed(client: ClientConnection) -> bool:
                 found = quiet(client)
-                if found and client.answered and client.state is State.IDLE:
+                if found and client.responses and client.state is ConnectionState.IDLE:
                     sock.send(request("read", "crosses"))
                 return found
 
-            monkeypatch.setattr(ClientConnection, "quiet", crossed)
+            monkeypatch.setattr(ClientConnection, "has_nothing_unread", crossed)
             if state == "stop":
                 it.stop.set()
             else:
-                monkeypatch.setitem(connections.LONGEST_S, State.IDLE, 0.0)
+                monkeypatch.setitem(connection_state.STATE_TIMEOUTS_S, ConnectionState.IDLE, 0.0)
             assert await everything(sock) == b""
             assert not upstream.requests
             sock.close()
@@ -245,13 +246,15 @@
 
 def narrow(monkeypatch: pytest.MonkeyPatch) -> None:
     """The sidecar's side takes few bytes as well: an answer of 60 KB stays with it until its client reads."""
-    make = application.Server.connection
+    make = platform_listener.PlatformListener.make_connection
 
-    def connection(server: application.Server, sock: socket.socket) -> application.Client:
+    def connection(
+        server: platform_listener.PlatformListener, sock: socket.socket
+    ) -> platform_listener.PlatformConnection:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
         return make(server, sock)
 
-    monkeypatch.setattr(application.Server, "connection", connection)
+    monkeypatch.setattr(platform_listener.PlatformListener, "make_connection", connection)
 
 
 LONG = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"z" * 60_000
@@ -263,26 +266,28 @@
 ) -> None:
     """Neither a stop nor the want of room cuts it."""
     narrow(monkeypatch)
-    servers: list[application.Server] = captured(monkeypatch, "Server")
+    servers: list[platform_listener.PlatformListener] = captured(monkeypatch, "PlatformListener")
 
     async def test() -> None:
         async with sidecar(Upstream(answering(LONG))) as it:  # 200 descriptors
             sock = await raw(it, 2048)
             last = "Connection: close\r\n" if how == "room" else ""
             sock.send(request(extra=last))
-            await until(lambda: any(one.writing() for group in servers[0].clients.values() for one in group))
+            await until(
+                lambda: any(one.is_writing() for group in servers[0].clients.values() for one in group)
+            )
             others = []
             if how == "stop":
                 it.stop.set()
                 await until(lambda: servers[0].stopping)
             else:
-                for _ in range(servers[0].most_clients + 10):
+                for _ in range(servers[0].max_clients + 10):
                     others.append(await it.connect())
                 # the last of them took the places of others
-                await until(lambda: servers[0].count() >= servers[0].most_clients - 1)
-            assert [one.state for group in servers[0].clients.values() for one in group if one.writing()] == [
-                State.ENDING
-            ]
+                await until(lambda: servers[0].count() >= servers[0].max_clients - 1)
+            assert [
+                one.state for group in servers[0].clients.values() for one in group if one.is_writing()
+            ] == [ConnectionState.ENDING]
             whole = await everything(sock)
             assert whole.endswith(b"z" * 60_000)
             sock.close()
@@ -295,7 +300,7 @@
 def test_clients_that_read_nothing_keep_nobody_out(monkeypatch: pytest.MonkeyPatch) -> None:
     """As many of them as there may be clients: the one that has read for longest goes."""
     narrow(monkeypatch)
-    servers: list[application.Server] = captured(monkeypatch, "Server")
+    servers: list[platform_listener.PlatformListener] = captured(monkeypatch, "PlatformListener")
 
     async def test() -> None:
         upstream = Upstream(answering(LONG))
@@ -305,12 +310,12 @@
 
         async with sidecar(upstream) as it:  # 200 descriptors
             slow = []
-            for number in range(servers[0].most_clients + 10):
+            for number in range(servers[0].max_clients + 10):
                 sock = await raw(it, 2048)
                 sock.send(request())
                 slow.append(sock)
                 await until(partial(asked, number))  # for less long than an answer may be read
-            assert servers[0].count() <= servers[0].most_clients
+            assert servers[0].count() <= servers[0].max_clients
             for sock in slow:
                 sock.close()
 
@@ -358,7 +363,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Their end is awaited for as long as connections linger, and not by the process."""
-    monkeypatch.setattr(connections, "LONGEST_LINGER_S", 600.0)
+    monkeypatch.setattr(connection_state, "LINGER_TIMEOUT_S", 600.0)
 
     async def test() -> None:
         async with running(tmp_path, {"main": [web.WebServer()]}) as it:
--- a/tests/listeners/test_descriptors.py
+++ b/tests/listeners/test_descriptors.py
@@ -11,8 +11,9 @@
 import pytest
 
 from plovertrail.dispatch.dispatcher import Dispatcher
-from plovertrail.listeners import connections
-from plovertrail.listeners.connections import ClientConnection, Listener
+from plovertrail.listeners import listener as listener_module
+from plovertrail.listeners.client_connection import ClientConnection
+from plovertrail.listeners.listener import Listener
 from tests.daemons import run
 from tests.net import (
     OK,
@@ -86,18 +87,18 @@
         assert isinstance(transport, asyncio.Transport)
         transport.write(b"hello")
 
-    def refuse(self, status: int) -> None:
+    def reject_incomplete(self, status: int) -> None:
         raise AssertionError("nobody asks")
 
 
 class Greeter(Listener):
-    def connection(self, sock: socket.socket) -> Greeting:
+    def make_connection(self, sock: socket.socket) -> Greeting:
         return Greeting(self, sock)
 
 
 def test_accepts_without_a_descriptor_neither_spin_nor_stall(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each failed one is followed by a pause, and the connection is taken once there is room."""
-    monkeypatch.setattr(connections, "NO_ROOM_S", 0.02)
+    monkeypatch.setattr(listener_module, "ACCEPT_PAUSE_S", 0.02)
 
     async def test() -> None:
         listener = Greeter(Dispatcher(), 100)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -21,7 +21,7 @@
 
 from plovertrail.__main__ import end
 from plovertrail.config.platform import Config, flatten, load
-from plovertrail.listeners.application import Server
+from plovertrail.listeners.platform_listener import PlatformListener
 from plovertrail.scenario_tests.loop import VirtualLoop
 from tests.deployed import DEPLOY, ROOT, build
 from tests.net import OK, PATIENCE_S, SETTINGS, Upstream, configuration, entry, listing, read_message, request
@@ -216,10 +216,10 @@
         self.loop = loop
         self.rest_at = 0.0
 
-    def answer_rest(self) -> None:
+    def answer_all(self) -> None:
         self.rest_at = self.loop.time()
 
-    def owing(self) -> bool:
+    def owes_responses(self) -> bool:
         return True
 
     def __getattr__(self, name: str) -> Callable[..., None]:
@@ -232,7 +232,7 @@
     """Also where the signal was heard a tenth of a second late: SIGKILL counts from when it was sent."""
     loop = VirtualLoop(1)
     server, began = Owing(loop), loop.time()
-    loop.run_until_complete(end(cast(Server, server), longest_s))
+    loop.run_until_complete(end(cast(PlatformListener, server), longest_s))
     killed_s = min(longest_s, 3.0) + 0.7
     assert loop.time() - began <= killed_s - 0.14
     # whoever came last, 0.4 s after the signal, has had all its time, or what SIGKILL leaves of it
@@ -365,7 +365,7 @@
     found = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True, timeout=60
     ).stdout.split()
-    assert "plovertrail.listeners.application" in found
+    assert "plovertrail.listeners.platform_listener" in found
     tops = {name.split(".")[0] for name in found}
     assert not tops & {
         "re2",
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -21,8 +21,9 @@
 from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.dispatch.dispatcher import Dispatcher
 from plovertrail.dispatch.types import AttemptTimes, ProxyRequest, TransportResult
-from plovertrail.listeners import application as server
-from plovertrail.listeners import connections
+from plovertrail.listeners import connection_state
+from plovertrail.listeners import platform_listener as server
+from plovertrail.listeners.platform_requests import RecentRequestIds
 from plovertrail.sources import discovery as discovery_module
 from plovertrail.upstreams.attempt import Attempt
 from plovertrail.upstreams.connection import Connection
@@ -550,11 +551,11 @@
 def test_ids_are_forgotten_again(monkeypatch: pytest.MonkeyPatch) -> None:
     now = 0.0
     monkeypatch.setattr(time, "monotonic", lambda: now)
-    seen = server.SeenIds(period_s=4.0)
+    seen = RecentRequestIds(period_s=4.0)
     for number in range(1000):
         now = number / 10
         assert seen.add(b"%d" % number) and not seen.add(b"%d" % max(0, number - 30))
-    assert len(seen.young) + len(seen.old) < 100
+    assert len(seen.current) + len(seen.previous) < 100
     assert seen.add(b"1")
 
 
@@ -562,7 +563,7 @@
 def test_a_client_that_says_nothing_or_half_of_it_is_ended_in_time(
     part: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setitem(connections.LONGEST_S, connections.State.FRESH, 0.2)
+    monkeypatch.setitem(connection_state.STATE_TIMEOUTS_S, connection_state.ConnectionState.NEW, 0.2)
 
     async def test() -> None:
         async with sidecar(Upstream(answering(OK))) as it:
@@ -1091,15 +1092,15 @@
     async def test() -> None:
         dispatcher = Dispatcher()
         settings = Settings(classes=classes())
-        front = server.Server(
+        front = server.PlatformListener(
             dispatcher, dispatcher.pools.add("", settings, 1, ConnectionPool(1, 1, 1)), settings, 10
         )
         call = ProxyRequest(
             b"POST", b"/pay", [], b"", arrived_us=1_000_000, deadline_us=20_000_000, class_index=1
         )
-        assert front.within(call) == 20_000_000
+        assert front.limited_deadline_us(call) == 20_000_000
         front.finish_by(1_000_000 + 1000 * ends_in_ms)
-        assert front.within(call) == 1000 * ends_in_ms
+        assert front.limited_deadline_us(call) == 1000 * ends_in_ms
 
     run(test)
 
