--- /dev/null
+++ b/plovertrail/sources/hang_watchdog.py
@@ -0,0 +1,62 @@
+"""Finds reads that hang, so that other sources are read by another thread."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from plovertrail.sources.read_workers import ReadJob, ReadWorker, ReadWorkers
+
+CHECK_INTERVAL_S = 0.2
+SIGHTINGS_OF_A_HANG = 3  # of a worker at the same read: 0.4 to 0.6 s
+
+
+class HangWatchdog:
+    """Checks the read workers while they have something to read.
+
+    `on_hang` is called with each job that hangs, and whether it was tried at all.
+    """
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        workers: ReadWorkers,
+        on_hang: Callable[[ReadJob, bool], None],
+    ) -> None:
+        self.loop = loop
+        self.workers = workers
+        self.on_hang = on_hang
+        self.timer: asyncio.TimerHandle | None = None
+        self.sighted: tuple[ReadWorker, int] | None = None  # a worker, and the number of its read
+        self.sightings = 0
+        self.closed = False
+
+    def arm(self) -> None:
+        """Check soon, if that is not scheduled yet."""
+        if self.timer is None and not self.closed:
+            self.timer = self.loop.call_later(CHECK_INTERVAL_S, self.check)
+
+    def check(self) -> None:
+        """Look whether a worker is still at the same read.
+
+        Sightings are counted instead of time, so that a process that was paused, and its threads with it,
+        finds no read to hang for that.
+        """
+        self.timer = None
+        busy = self.workers.busy()
+        self.sightings = self.sightings + 1 if busy is not None and busy == self.sighted else 1
+        self.sighted = busy
+        if busy is not None and self.sightings >= SIGHTINGS_OF_A_HANG:
+            self.workers.hand_over(*busy)
+        for job in self.workers.hanging():
+            self.on_hang(job, True)
+        for job in self.workers.untried():
+            self.on_hang(job, False)
+        if busy is not None:
+            self.arm()
+
+    def close(self) -> None:
+        """Check no more."""
+        self.closed = True
+        if self.timer is not None:
+            self.timer.cancel()
--- /dev/null
+++ b/plovertrail/sources/safety_scan.py
@@ -0,0 +1,88 @@
+"""The regular scan of all sources, which sees the changes that no notification tells of."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable, Collection
+
+from plovertrail.decisions.list_versions import ScanSchedule
+from plovertrail.sources.read_workers import Reading, ReadJob
+from plovertrail.sources.subscriptions import Followed
+
+log = logging.getLogger(__name__)
+
+
+class SafetyScan:
+    """Reads all sources again and again, and measures what that costs.
+
+    `sources` returns all sources that are followed; `submit` has them read.
+    """
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        sources: Callable[[], Collection[Followed]],
+        submit: Callable[[Collection[Followed]], None],
+    ) -> None:
+        self.loop = loop
+        self.sources = sources
+        self.submit = submit
+        self.schedule = ScanSchedule()
+        self.timer: asyncio.TimerHandle | None = None
+        self.began_us = 0  # 0: no scan has begun
+        self.ended_us = 0  # when the last source of the present scan was read, so far
+        self.cost_s = 0.0  # of reads that found nothing, since the scan began; set by the worker
+        self.pending: set[ReadJob] = set()  # what the present scan has not read yet; changed by the worker
+        self.closed = False
+
+    def ensure_scheduled(self) -> None:
+        """Schedule the next scan, if none is."""
+        if self.timer is None:
+            self.timer = self.loop.call_later(self.schedule.period_us / 1e6, self.begin)
+
+    def begin(self) -> None:
+        """Read all sources, whatever notifications have told."""
+        self.timer = None
+        if not self.sources() or self.closed:
+            return
+        now_us = self._now_us()
+        was_too_slow = self.schedule.too_slow
+        if self.began_us:
+            ended_us = now_us if self.pending else self.ended_us
+            self.schedule.scanned(int(self.cost_s * 1e6), ended_us - self.began_us)
+        if self.schedule.too_slow and not was_too_slow:
+            log.error("safety scan too slow: %s", self.problem())
+        self.began_us = now_us
+        self.ended_us = now_us
+        self.cost_s = 0.0
+        # A source that hangs would make all scans look slow.
+        self.pending = {each.job for each in self.sources() if not each.version.hung}
+        self.submit(self.sources())
+        self.ensure_scheduled()
+
+    def source_read(self, job: ReadJob, reading: Reading, now_us: int) -> None:
+        """Account for a read; called on the worker's thread."""
+        if not reading.opened:
+            self.cost_s += reading.cost_s
+        if job in self.pending:
+            self.pending.discard(job)
+            self.ended_us = now_us
+
+    def problem(self) -> str:
+        """Return what is wrong with the scan, or an empty text."""
+        if not self.schedule.too_slow:
+            return ""
+        return (
+            f"the scan of {len(self.sources())} files takes so long that a change which no notification "
+            f"tells of is seen within {self.schedule.detection_us / 1e6:.1f} s only"
+        )
+
+    def close(self) -> None:
+        """Scan no more."""
+        self.closed = True
+        if self.timer is not None:
+            self.timer.cancel()
+
+    def _now_us(self) -> int:
+        return int(self.loop.time() * 1e6)
--- a/tests/daemon/test_many_lists.py
+++ b/tests/daemon/test_many_lists.py
@@ -94,9 +94,9 @@
 
 
 def scan(daemon: Daemon) -> None:
-    if daemon.lists.scan_timer is not None:
-        daemon.lists.scan_timer.cancel()
-    daemon.lists._scan()
+    if daemon.lists.scan.timer is not None:
+        daemon.lists.scan.timer.cancel()
+    daemon.lists.scan.begin()
 
 
 @pytest.mark.parametrize("blocking", [False, True])
@@ -172,7 +172,7 @@
             files.let_go(site.list_of("added"))
             assert await reload
             assert ports(daemon) == {"stays": [2], "added": [1]}
-            assert set(daemon.lists.followed) == {
+            assert set(daemon.lists.sources.by_key) == {
                 SourceKey(str(site.list_of(name))) for name in ("stays", "added")
             }
             files.let_go(site.list_of("dropped"))
@@ -197,7 +197,7 @@
             site.write(["a", "b"])
             assert not await daemon.reload()
             assert "can't listen" in daemon.status()["reload"]["problem"]
-            assert list(daemon.lists.followed) == [SourceKey(str(site.list_of("a")))]
+            assert list(daemon.lists.sources.by_key) == [SourceKey(str(site.list_of("a")))]
             server.close()
             site.port = before
             site.write(["a", "b"])
@@ -218,7 +218,7 @@
             site.path.write_text(text.replace(f"{tmp_path}/b.list", f"{tmp_path}/a.list"))
             assert await daemon.reload()
             assert ports(daemon) == {"a": [1], "b": [1]}  # in the same turn of the loop
-            assert len(daemon.lists.followed) == 1
+            assert len(daemon.lists.sources.by_key) == 1
 
     run(test)
 
--- a/tests/sources/test_list_reader.py
+++ b/tests/sources/test_list_reader.py
@@ -127,9 +127,9 @@
 
 def scan(reader: ListReader) -> None:
     """The safety scan, now."""
-    if reader.scan_timer is not None:
-        reader.scan_timer.cancel()
-    reader._scan()
+    if reader.scan.timer is not None:
+        reader.scan.timer.cancel()
+    reader.scan.begin()
 
 
 async def told(followers: Iterable[Follower], port: int) -> None:
@@ -247,13 +247,13 @@
             follower.follow(reader, path)
             await told([follower], 1)
             put(path, 2)
-            assert reader.scan_timer is not None
-            assert reader.scan_timer.when() - reader.loop.time() <= SCAN_PERIOD_US / 1e6
+            assert reader.scan.timer is not None
+            assert reader.scan.timer.when() - reader.loop.time() <= SCAN_PERIOD_US / 1e6
             await told([follower], 2)  # by the timer itself
-            assert reader.schedule.scans or reader.scan_began_us
+            assert reader.scan.schedule.scans or reader.scan.began_us
             assert (
-                reader.scan_timer is not None
-                and reader.scan_timer.when() - reader.loop.time() <= SCAN_PERIOD_US / 1e6
+                reader.scan.timer is not None
+                and reader.scan.timer.when() - reader.loop.time() <= SCAN_PERIOD_US / 1e6
             )
 
     run(test)
@@ -288,10 +288,10 @@
             # what the system tells of a swap is the link in between
             (swapped / "..tmp").symlink_to("..v2")
             os.replace(swapped / "..tmp", swapped / "..data")
-            asked = {each.version.key.path: each.job.asked for each in reader.followed.values()}
+            asked = {each.version.key.path: each.job.asked for each in reader.sources.by_key.values()}
             reader._notified(frozenset({str(swapped / "..data")}))
             await told([linked], 2)
-            after = {each.version.key.path: each.job.asked for each in reader.followed.values()}
+            after = {each.version.key.path: each.job.asked for each in reader.sources.by_key.values()}
             assert {path for path in after if after[path] > asked[path]} == {str(swapped / "x.list")}
 
     run(test)
@@ -308,9 +308,9 @@
                 each.follow(reader, path)
             await told(followers, 1)
             put(paths[7], 2)
-            asked = sum(each.job.asked for each in reader.followed.values())
+            asked = sum(each.job.asked for each in reader.sources.by_key.values())
             reader._notified(frozenset({str(paths[7]), str(tmp_path / ".7.list.new")}))
-            assert sum(each.job.asked for each in reader.followed.values()) == asked + 1
+            assert sum(each.job.asked for each in reader.sources.by_key.values()) == asked + 1
             await told([followers[7]], 2)
 
     run(test)
@@ -404,15 +404,15 @@
             await until(lambda: bool(stuck.wrong))
             assert stuck.wrong == ["a read of it hangs"] and stuck.ports == [1]
             # it makes this scan no longer
-            assert reader.followed[SourceKey(str(hangs))].job not in reader.scan_left
+            assert reader.sources.by_key[SourceKey(str(hangs))].job not in reader.scan.pending
             assert reader.status()["hung"] == [str(hangs)]
             put(fine, 2)
             scan(reader)
             await told([free], 2)
             assert files.reads[str(hangs)] == 2  # it is not read beside the read that hangs
-            await until(lambda: not reader.scan_left)  # nor any after it
+            await until(lambda: not reader.scan.pending)  # nor any after it
             scan(reader)
-            assert not reader.schedule.too_slow
+            assert not reader.scan.schedule.too_slow
             files.let_go(hangs)
             await told([stuck], 2)
             assert reader.status()["hung"] == [] and files.most_at_once == 1
@@ -436,9 +436,9 @@
                 put(path, 2)
             scan(reader)
             while any(not each.wrong for each in followers):
-                reader._watchdog()  # as time goes by
+                reader.watchdog.check()  # as time goes by
                 await asyncio.sleep(0.01)
-            states = [each.version.state for each in reader.followed.values()]
+            states = [each.version.state for each in reader.sources.by_key.values()]
             assert states.count(ReadState.HUNG) == MOST_STUCK and states.count(ReadState.UNTRIED) == 4
             assert len(reader.workers.stuck) == MOST_STUCK and reader.workers.started == MOST_STUCK
             assert any("reads hang" in problem for problem in reader.status()["problems"])
@@ -456,14 +456,14 @@
     async def test() -> None:
         path = tmp_path / "x.list"
         async with blocked_read(path) as (reader, files, follower, _):
-            assert reader.watchdog_timer is not None
-            reader.watchdog_timer.cancel()
-            reader._watchdog()  # the first sight of it; then 5 s in which nothing ran
-            assert reader.watchdog_timer is not None
-            reader.watchdog_timer.cancel()
+            assert reader.watchdog.timer is not None
+            reader.watchdog.timer.cancel()
+            reader.watchdog.check()  # the first sight of it; then 5 s in which nothing ran
+            assert reader.watchdog.timer is not None
+            reader.watchdog.timer.cancel()
             reader.loop.time = lambda: time.monotonic() + 5.0  # type: ignore[method-assign]
-            reader._watchdog()
-            assert reader.followed[SourceKey(str(path))].version.state is ReadState.GOOD
+            reader.watchdog.check()
+            assert reader.sources.by_key[SourceKey(str(path))].version.state is ReadState.GOOD
             files.let_go(path)
             await told([follower], 2)
             assert not follower.wrong
@@ -519,8 +519,8 @@
             put(path, 3)
             look = asyncio.ensure_future(subscription.look())
             await asyncio.sleep(0)
-            assert reader.scan_timer is not None
-            reader.scan_timer.cancel()  # the look alone brings the second read about
+            assert reader.scan.timer is not None
+            reader.scan.timer.cancel()  # the look alone brings the second read about
             files.let_one_go(path)
             await told([follower], 2)
             await asyncio.to_thread(files.arrived[str(path)].wait, PATIENCE_S)
@@ -555,13 +555,13 @@
             await until(lambda: not subscription.followed.job.in_flight)
             # a reading that was on its way to the loop
             late = Reading(None, "torn", True, True, True, False, False, "", 0.0)
-            reader._ended(subscription.followed, late, 1)
+            reader._take_reading(subscription.followed, late, 1)
             assert not reader.quick  # though its times are young
             put(stays, 2)
             scan(reader)
             await told([second], 2)
-            assert first.ports == [1] and list(reader.followed) == [SourceKey(str(stays))]
-            assert len(reader.by_path) == 1 and len(reader.in_force.accepted) == 1
+            assert first.ports == [1] and list(reader.sources.by_key) == [SourceKey(str(stays))]
+            assert len(reader.sources.by_path) == 1 and len(reader.in_force.accepted) == 1
 
     run(test)
 
@@ -575,7 +575,7 @@
             found = (await reader.first_read([key]))[key]
             assert isinstance(found, EndpointList) and found.endpoints[0].address[1] == 1
             put(path, 2)
-            await reader.look(reader.followed[key])
+            await reader.look(reader.sources.by_key[key])
             follower.follow(reader, path)
             await told([follower], 2)
 
