--- a/benchmarks/planted_fault_list.py
+++ b/benchmarks/planted_fault_list.py
@@ -271,8 +271,8 @@
     Fault(
         "an answer is written twice",
         HTTP_LISTENER,
-        "        self.answered += 1\n        self.transport.write(data)\n",
-        "        self.answered += 1\n" + 2 * "        self.transport.write(data)\n",
+        "        self.responses += 1\n        self.transport.write(data)\n",
+        "        self.responses += 1\n" + 2 * "        self.transport.write(data)\n",
     ),
     Fault(
         "a client that leaves is not noticed",
