--- a/benchmarks/capacity/counts_crowd.py
+++ b/benchmarks/capacity/counts_crowd.py
@@ -16,16 +16,20 @@
 from benchmarks.capacity.event_queue import SECOND_US, EventQueue
 from benchmarks.capacity.target import TARGET
 from plovertrail.config.peers import MOST_PEERS
-from plovertrail.decisions.counts import Counts, Message, Window, key_of
-from plovertrail.decisions.counts_bound import Talk
+from plovertrail.decisions.counter_error_bound import GossipParameters
+from plovertrail.decisions.counter_rows import CounterMessage, CountingWindow, key_of
 from plovertrail.decisions.membership import Address
+from plovertrail.decisions.peer_counters import CounterLimits
+from plovertrail.decisions.shared_counters import SharedCounters
 from plovertrail.peers.address import format_address
 from plovertrail.peers.envelope import digest
 from plovertrail.peers.gossip import Gossip
 from plovertrail.peers.wire import Codec, row_bytes
 
 KEY = b"a key that all instances share"
-TALK = Talk(size=MOST_PEERS, period_s=0.1, fan_out=8, window_s=10.0, bucket_s=0.5, loss=0.0, delay_s=0.2)
+TALK = GossipParameters(
+    size=MOST_PEERS, period_s=0.1, fan_out=8, window_s=10.0, bucket_s=0.5, loss=0.0, delay_s=0.2
+)
 PERIOD_US = int(TALK.period_s * SECOND_US)
 LONGEST_DELAY_US = 20_000
 STEP_US = 20_000  # requests that come within this are counted at one moment
@@ -56,7 +60,7 @@
         self.request_meters = [CpuMeter() for _ in range(plan.whole)]
         self.octets: Counter[int] = Counter()
         self.datagrams: Counter[int] = Counter()
-        self.window = Window(
+        self.window = CountingWindow(
             int(self.talk.window_s * SECOND_US), round(self.talk.window_s / self.talk.bucket_s)
         )
         self.codec = Codec("capacity", [KEY], self.window)
@@ -80,12 +84,12 @@
         return START_US + self.queue.now_us
 
     def _started(self, number: int) -> Gossip:
-        counts = Counts(
+        counts = SharedCounters(
             f"i{number}",
             self.incarnations[number],
             self.window,
             self.local_us,
-            silent_us=int((8 * self.talk.round_s + self.talk.delay_s) * SECOND_US),
+            CounterLimits(silence_timeout_us=int((8 * self.talk.round_s + self.talk.delay_s) * SECOND_US)),
         )
         rng = random.Random(self.rng.random())
         gossip = Gossip(counts, self.codec, self.addresses[number], rng)
@@ -129,9 +133,9 @@
             self.request_meters[number].call(self._limited, counts, key, now_us)
 
     @staticmethod
-    def _limited(counts: Counts, key: int, now_us: int) -> None:
+    def _limited(counts: SharedCounters, key: int, now_us: int) -> None:
         """What a limit for all instances asks for with each request."""
-        counts.parts_of(counts.add(key, now_us), BURST, now_us)
+        counts.shares_of(counts.add(key, now_us), BURST, now_us)
 
     def _tick(self, number: int) -> None:
         self.queue.after(PERIOD_US, partial(self._tick, number))
@@ -176,7 +180,7 @@
                 return number
         return None
 
-    def _written(self, hollow: int, whole: int, message: Message) -> bytes:
+    def _written(self, hollow: int, whole: int, message: CounterMessage) -> bytes:
         self.sequences[hollow, whole] += 1
         return self.codec.write(
             digest(format_address(self.addresses[whole])),
--- a/benchmarks/capacity/counts_role.py
+++ b/benchmarks/capacity/counts_role.py
@@ -13,7 +13,9 @@
 from benchmarks.capacity.slopes import Axis, Sample, Situation, Slope, Unit
 from benchmarks.capacity.target import TARGET
 from plovertrail.config.peers import MOST_PEERS
-from plovertrail.decisions.counts import MOST_PARTS, Counts, Message, Window
+from plovertrail.decisions.counter_rows import CounterMessage, CountingWindow
+from plovertrail.decisions.peer_counters import MAX_REPLICAS
+from plovertrail.decisions.shared_counters import SharedCounters
 
 SIZES, SHORT_SIZES = (25, 50, 100, MOST_PEERS), (12, 16, 20, 24)
 LIMITS, SHORT_LIMITS = (1, 10, 50, 200), (1, 4, 8, 16)
@@ -97,14 +99,14 @@
 
 def counters_bytes(size: int, limits: int) -> float:
     """What one instance's counters take (tracemalloc) with every limit's row of every peer."""
-    window = Window(10 * SECOND_US, 20)
+    window = CountingWindow(10 * SECOND_US, 20)
     tracemalloc.start()
-    counts = Counts("me", 1, window, 0)
+    counts = SharedCounters("me", 1, window, 0)
     for key in range(limits):
         counts.add(key + 2**40, 1_000)
     for peer in range(1, size):
         rows = tuple((key + 2**40, 19, (1,)) for key in range(limits))  # a row takes as much, however full
-        counts.take(Message(f"i{peer}", 1, 1, window.span_us, rows), window.span_us)
+        counts.merge(CounterMessage(f"i{peer}", 1, 1, window.span_us, rows), window.span_us)
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return float(used)
@@ -174,7 +176,7 @@
 
 def _full_tables(cost: TargetCost) -> TargetCost:
     """A line through small sizes goes on for ever, the tables don't: this is what all 1,800 leave in them."""
-    figure = counters_bytes(min(TARGET.sidecars, MOST_PARTS + 1), TARGET.services)
+    figure = counters_bytes(min(TARGET.sidecars, MAX_REPLICAS + 1), TARGET.services)
     return replace(cost, figure=figure, extrapolated=False, note="measured with the tables full")
 
 
--- a/benchmarks/shared_counts.py
+++ b/benchmarks/shared_counts.py
@@ -27,8 +27,8 @@
 from fakes.peers_model import KEY, SECOND_US, PeersModel
 from plovertrail.clock import clock_us
 from plovertrail.config.peers import PeersSetup
-from plovertrail.decisions.counts import Window, key_of
-from plovertrail.decisions.counts_bound import Talk, bound
+from plovertrail.decisions.counter_error_bound import GossipParameters, error_bound
+from plovertrail.decisions.counter_rows import CountingWindow, key_of
 from plovertrail.decisions.rate_limits import (
     Allowance,
     KeyedBy,
@@ -39,7 +39,7 @@
 )
 from plovertrail.peers.talk import PeerTalk, bind
 
-TALK = Talk(size=20, period_s=0.1, fan_out=8, window_s=10.0, bucket_s=0.5, loss=0.3, delay_s=0.2)
+TALK = GossipParameters(size=20, period_s=0.1, fan_out=8, window_s=10.0, bucket_s=0.5, loss=0.3, delay_s=0.2)
 TENANTS = [key_of("tenant", name) for name in ("steady", "bursty", "small")]
 STEP_S = 0.02
 LIMIT_PER_S = 1_000.0
@@ -54,7 +54,7 @@
     """Sends late, or not at all; stands where a socket does."""
 
     def __init__(
-        self, sock: socket.socket, talk: Talk, rng: random.Random, through: Callable[[Any], bool]
+        self, sock: socket.socket, talk: GossipParameters, rng: random.Random, through: Callable[[Any], bool]
     ) -> None:
         self.sock = sock
         self.talk = talk
@@ -77,7 +77,7 @@
 class RealFleet:
     """Instances with sockets on loopback, in this process."""
 
-    def __init__(self, talk: Talk, seed: int) -> None:
+    def __init__(self, talk: GossipParameters, seed: int) -> None:
         self.talk = talk
         self.rng = random.Random(seed)
         self.socks = [bind(("127.0.0.1", 0)) for _ in range(talk.size)]
@@ -96,7 +96,7 @@
     def start(self, number: int, sock: socket.socket) -> PeerTalk:
         """Start an instance on its socket."""
         talk = self.talk
-        window = Window(int(talk.window_s * SECOND_US), round(talk.window_s / talk.bucket_s))
+        window = CountingWindow(int(talk.window_s * SECOND_US), round(talk.window_s / talk.bucket_s))
         setup = PeersSetup(
             f"i{number}",
             self.addresses[number],
@@ -151,7 +151,7 @@
 class VirtualFleet(PeersModel):
     """The same on the virtual clock."""
 
-    def __init__(self, talk: Talk, seed: int) -> None:
+    def __init__(self, talk: GossipParameters, seed: int) -> None:
         super().__init__(talk, seed=seed)
         self.truth = {key: [] for key in TENANTS}
         self.halves: tuple[dict[int, list[int]], ...] = tuple({key: [] for key in TENANTS} for _ in range(2))
@@ -170,7 +170,7 @@
 def peak(times: list[int], now_us: int, span_s: float) -> float:
     """The highest rate a second over any such span of the window and the staleness before now."""
     span_us, step_us = int(span_s * SECOND_US), SECOND_US // 10
-    first_us = now_us - int((TALK.window_s + bound(TALK).staleness_s) * SECOND_US)
+    first_us = now_us - int((TALK.window_s + error_bound(TALK).staleness_s) * SECOND_US)
     return max(
         (bisect_right(times, at) - bisect_left(times, at - span_us)) / span_s
         for at in range(first_us, now_us + step_us, step_us)
@@ -181,7 +181,7 @@
     """Holds estimates against the truth and the bound."""
 
     def __init__(self) -> None:
-        self.stated = bound(TALK)
+        self.stated = error_bound(TALK)
         self.looks = self.outside = self.seconds_outside = 0
         self.worst = self.worst_split = 0.0
         self.lowest = self.highest = 0.0
@@ -357,7 +357,7 @@
     parser.add_argument("--virtual", action="store_true")
     arguments = parser.parse_args()
     seconds, seed = arguments.seconds, arguments.seed
-    stated = bound(TALK)
+    stated = error_bound(TALK)
     print(
         f"seed {seed}; stated before: at most {stated.under:.1%} too low and {stated.over:.1%} too high of "
         f"rate times window, but with {stated.probability:g}; none older than {stated.staleness_s:.2f} s"
--- a/fakes/peers_model.py
+++ b/fakes/peers_model.py
@@ -9,9 +9,11 @@
 from collections import Counter
 from collections.abc import Callable
 
-from plovertrail.decisions.counts import Counts, Window
-from plovertrail.decisions.counts_bound import Talk
+from plovertrail.decisions.counter_error_bound import GossipParameters
+from plovertrail.decisions.counter_rows import CountingWindow
 from plovertrail.decisions.membership import Address
+from plovertrail.decisions.peer_counters import CounterLimits
+from plovertrail.decisions.shared_counters import SharedCounters
 from plovertrail.peers.gossip import Gossip
 from plovertrail.peers.wire import Codec
 
@@ -23,10 +25,12 @@
 class PeersModel:
     """`size` instances, numbered from 0; their clocks began at times of their own."""
 
-    def __init__(self, talk: Talk, *, seed: int = 1, repeats: float = 0.0, alone_share: bool = True) -> None:
+    def __init__(
+        self, talk: GossipParameters, *, seed: int = 1, repeats: float = 0.0, alone_share: bool = True
+    ) -> None:
         self.talk = talk
         self.rng = random.Random(seed)
-        self.window = Window(round(talk.window_s * 1e6), round(talk.window_s / talk.bucket_s))
+        self.window = CountingWindow(round(talk.window_s * 1e6), round(talk.window_s / talk.bucket_s))
         self.repeats = repeats
         self.alone_share = alone_share
         self.now_us = 0
@@ -53,13 +57,12 @@
         """An instance that knows nothing yet, under its old name."""
         self.incarnations += 1
         silent_us = int(8 * self.talk.round_s * 1e6 + self.talk.delay_s * 1e6)
-        counts = Counts(
+        counts = SharedCounters(
             name or f"i{number}",
             self.incarnations,
             self.window,
             self.local_us(number),
-            silent_us=silent_us,
-            alone_share=self.alone_share,
+            CounterLimits(silence_timeout_us=silent_us, share_when_alone=self.alone_share),
         )
         gossip = Gossip(
             counts,
--- a/plovertrail/cli/counts.py
+++ b/plovertrail/cli/counts.py
@@ -7,7 +7,7 @@
 import click
 
 from plovertrail.cli.files import load_or_exit
-from plovertrail.decisions.counts_bound import bound, partition_under
+from plovertrail.decisions.counter_error_bound import error_bound, partition_undercount
 
 
 @click.group()
@@ -37,8 +37,8 @@
         click.echo(f"{file}: it has no [peers]: each instance counts alone", err=True)
         sys.exit(1)
     talk = peers.talk(size or peers.size)
-    found = bound(talk, probability)
-    half = partition_under(talk.window_s, 0.5, talk)
+    found = error_bound(talk, probability)
+    half = partition_undercount(talk.window_s, 0.5, talk)
     click.echo(
         f"{talk.size} instances; each hears of a key every {talk.round_s:g} s at most, "
         f"{talk.loss:.0%} lost, within {talk.delay_s:g} s; window {talk.window_s:g} s"
--- a/plovertrail/config/peers.py
+++ b/plovertrail/config/peers.py
@@ -13,8 +13,10 @@
 
 from plovertrail.config.problems import Problem
 from plovertrail.config.tables import duration_us, read_table
-from plovertrail.decisions.counts import Counts, Window
-from plovertrail.decisions.counts_bound import Talk, bound
+from plovertrail.decisions.counter_error_bound import GossipParameters, error_bound
+from plovertrail.decisions.counter_rows import CountingWindow
+from plovertrail.decisions.peer_counters import CounterLimits
+from plovertrail.decisions.shared_counters import SharedCounters
 
 Address = tuple[str, int]
 MOST_PEERS = 200
@@ -63,7 +65,7 @@
     keys: tuple[bytes, ...]  # the first one signs
     period_us: int
     fan_out: int
-    window: Window
+    window: CountingWindow
     most_keys: int
     alone_share: bool
     loss: float
@@ -71,9 +73,9 @@
     most_part: float
     keys_in_use: int
 
-    def talk(self, size: int) -> Talk:
+    def talk(self, size: int) -> GossipParameters:
         """What the bound is worked out from, for a fleet of so many."""
-        return Talk(
+        return GossipParameters(
             size,
             self.period_us / 1e6,
             self.fan_out,
@@ -90,13 +92,13 @@
         """One that was not heard for so long is silent."""
         return int(SILENT_ROUNDS * self.talk(size).round_s * 1e6) + self.delay_us
 
-    def apply_to(self, counts: Counts, size: int) -> None:
-        """Have counts go on under this, in a fleet of so many."""
-        counts.most_keys, counts.alone_share = self.most_keys, self.alone_share
-        counts.size, counts.silent_us = size, self.silent_us(size)
+    def apply_to(self, counts: SharedCounters, size: int) -> None:
+        """Have counters go on under this, in a fleet of this size."""
+        limits = CounterLimits(self.most_keys, self.silent_us(size), self.alone_share)
+        counts.reconfigure(limits, size)
 
 
-def rows_of(window: Window) -> int:
+def rows_of(window: CountingWindow) -> int:
     """Keys that a datagram surely holds, with counts under 16,384 a bucket: 1,000 of its 1,200 bytes are
     rows."""
     return max(1, 1_000 // (8 + 5 + 1 + 2 * window.slots))
@@ -141,7 +143,7 @@
     if len(problems) == known and period_us < LEAST_PERIOD_US:
         wrong("period", f"{table.period!r} is too short", 'write at least "10ms"')
     window_us = duration_us(table.window, "peers.window", problems)
-    window = Window(window_us, table.buckets)
+    window = CountingWindow(window_us, table.buckets)
     if window.bucket_us < period_us:
         wrong(
             "buckets",
@@ -188,7 +190,7 @@
             "write a longer window, a shorter period, or a larger fan_out",
         )
         return
-    found = bound(talk, PROBABILITY)
+    found = error_bound(talk, PROBABILITY)
     if table.max_error is not None and max(found.under, found.over) > table.max_error:
         wrong(
             "max_error",
--- a/plovertrail/daemon/configuration_apply.py
+++ b/plovertrail/daemon/configuration_apply.py
@@ -21,7 +21,7 @@
 from plovertrail.sources.first_read import FirstRead
 
 if TYPE_CHECKING:
-    from plovertrail.decisions.counts import Counts
+    from plovertrail.decisions.shared_counters import SharedCounters
     from plovertrail.hooks.engine import Compiled
 
 FirstLists = Mapping[SourceKey, FirstRead]
@@ -81,7 +81,7 @@
         services.recovery.configuration_applied()
         self._schedule_background_work()
 
-    def _apply_peers(self, prepared: PreparedConfiguration) -> Counts | None:
+    def _apply_peers(self, prepared: PreparedConfiguration) -> SharedCounters | None:
         """Exchange counts with other instances as configured; returns the counts of all instances."""
         services, setup = self.services, prepared.setup
         counts = services.peers.follow(setup.peers, prepared.peer_socket, setup.membership)
@@ -89,10 +89,10 @@
             services.warm_state.restore_counters(counts)
         services.dispatcher.tenant_use = None
         if counts is not None and setup.fleet_tenants:
-            from plovertrail.decisions.counts import TenantUse
+            from plovertrail.decisions.shared_counters import TenantUsage
 
             tenants = [tenant.name for tenant in setup.tenants]
-            services.dispatcher.tenant_use = TenantUse(counts, tenants, setup.fleet_tenants)
+            services.dispatcher.tenant_use = TenantUsage(counts, tenants, setup.fleet_tenants)
         return counts
 
     def _replace_generation(self, prepared: PreparedConfiguration) -> None:
--- a/plovertrail/daemon/limiters.py
+++ b/plovertrail/daemon/limiters.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Mapping
 
 from plovertrail.config.setup import Setup
-from plovertrail.decisions.counts import Counts
 from plovertrail.decisions.rate_limits import RateLimiter
+from plovertrail.decisions.shared_counters import SharedCounters
 from plovertrail.store.warm_state import WarmStateManager
 
 
@@ -22,7 +22,7 @@
         """The rate limiters by name, as of now."""
         return self.active
 
-    def apply(self, setup: Setup, counts: Counts | None, warm_state: WarmStateManager) -> None:
+    def apply(self, setup: Setup, counts: SharedCounters | None, warm_state: WarmStateManager) -> None:
         """Follow a configuration; `counts` are those of all instances, for limiters that are fleet-wide.
 
         A limiter of the same name keeps its counts: started anew, each reload would grant every key its burst
--- a/plovertrail/daemon/wiring.py
+++ b/plovertrail/daemon/wiring.py
@@ -18,7 +18,7 @@
 from plovertrail.daemon.pool_manager import PoolManager
 from plovertrail.daemon.pool_table import PoolTable
 from plovertrail.daemon.running_pool import ConnectionFactory, open_connection_pool
-from plovertrail.decisions.counts import Counts
+from plovertrail.decisions.shared_counters import SharedCounters
 from plovertrail.dispatch.dispatcher import Dispatcher
 from plovertrail.event_log import EventLog, EventSink
 from plovertrail.generation import CurrentGeneration, Generation
@@ -143,7 +143,7 @@
     """Make the state file's services; what the file has is read here, which blocks."""
     store = StoreService(setup.state_file, instance_name(setup))
 
-    def shared_counts() -> Counts | None:
+    def shared_counts() -> SharedCounters | None:
         return peers.counts
 
     return WarmStateManager(store, table.pools_with_endpoints, limiters.in_force, shared_counts)
--- a/plovertrail/decisions/counts_bound.py
+++ b/plovertrail/decisions/counter_error_bound.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Talk:
+class GossipParameters:
     """How instances talk, and what the network does to it. Times in seconds."""
 
     size: int  # instances
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bound:
+class ErrorBound:
     """In parts of rate times window; each holds at any one moment but with `probability`."""
 
     under: float
@@ -84,17 +84,17 @@
     return high
 
 
-def bound(talk: Talk, probability: float = 1e-3) -> Bound:
+def error_bound(talk: GossipParameters, probability: float = 1e-3) -> ErrorBound:
     """What a count may be off by at any one moment, but with this probability."""
     lost = losses_in_a_row(talk.loss, probability ** max(talk.most_part, 1.0 / talk.size))
     staleness_s = (lost + 1.0) * talk.round_s + talk.delay_s if talk.size > 1 else 0.0
     # a datagram can't be missing for longer than the window
     under = min(staleness_s, talk.window_s) + talk.bucket_s
     over = (talk.delay_s if talk.size > 1 else 0.0) + talk.bucket_s
-    return Bound(under / talk.window_s, over / talk.window_s, staleness_s, probability)
+    return ErrorBound(under / talk.window_s, over / talk.window_s, staleness_s, probability)
 
 
-def partition_under(split_s: float, far_part: float, talk: Talk) -> float:
+def partition_undercount(split_s: float, far_part: float, talk: GossipParameters) -> float:
     """What a partition adds to the undercount, in parts of rate times window, `split_s` after it began; the
     far side has `far_part` of the rate. Once healed, a round and its losses end it."""
     return far_part * min(split_s, talk.window_s) / talk.window_s
--- a/plovertrail/decisions/rate_limits.py
+++ b/plovertrail/decisions/rate_limits.py
@@ -18,7 +18,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from plovertrail.decisions.counts import Counts
+    from plovertrail.decisions.shared_counters import SharedCounters
 
 SHARED_KEYS = 64  # entries for the keys that find no place in the table
 EVICTION_CANDIDATES = 4  # entries that are checked for an idle one when a new key meets a full table
@@ -146,7 +146,7 @@
         self.rejected_by_rate = 0
         self.rejected_by_concurrency = 0
         self.counted_as_shared = 0  # requests of keys that found no place in the table
-        self.counts: Counts | None = None  # of all instances, where the limit is for them together
+        self.counts: SharedCounters | None = None  # of all instances, where the limit is for them together
         self.configure(settings)
 
     def configure(self, settings: RateLimiterSettings) -> None:
@@ -187,7 +187,7 @@
 
     def fleet_key(self, tenant: str, client: str) -> int:
         """Return a request's key as all instances have it."""
-        from plovertrail.decisions.counts import key_of
+        from plovertrail.decisions.counter_rows import key_of
 
         return key_of("limiter", self.settings.name, *self._key_names(tenant, client))
 
@@ -271,13 +271,13 @@
         self.now_us = max(now_us, self.now_us)
 
     def _instance_allowance(
-        self, counts: Counts, allowance: Allowance, key: KeyState, fleet_key: int
+        self, counts: SharedCounters, allowance: Allowance, key: KeyState, fleet_key: int
     ) -> Allowance:
         """Return this instance's part of an allowance for all instances together."""
         if not allowance.rate_per_s:
             return allowance
         counted_key = counts.add(fleet_key, self.now_us)
-        rate_part, burst_part = counts.parts_of(counted_key, allowance.burst, self.now_us)
+        rate_part, burst_part = counts.shares_of(counted_key, allowance.burst, self.now_us)
         # what the key owes was counted in intervals as they were; in longer ones its burst would come back
         interval_us = 1e6 / (allowance.rate_per_s * rate_part)
         if key.interval_us and key.theoretical_arrival_us > self.now_us:
--- a/plovertrail/dispatch/dispatcher.py
+++ b/plovertrail/dispatch/dispatcher.py
@@ -52,8 +52,8 @@
 )
 
 if TYPE_CHECKING:  # imported where they are configured: the platform's start has none of them
-    from plovertrail.decisions.counts import TenantUse
     from plovertrail.decisions.rate_limits import RateLimiter
+    from plovertrail.decisions.shared_counters import TenantUsage
 
 log = logging.getLogger(__name__)
 
@@ -79,7 +79,7 @@
         self.pools = Pools(self.events, self.retry_budget)
         self.attempts = AttemptRunner(self.loop, self)
         self.sequence = PoolSequence(self.loop, self.events, self.retry_budget, self)
-        self.tenant_use: TenantUse | None = None  # where instances count together
+        self.tenant_use: TenantUsage | None = None  # where instances count together
         self.discovery: DiscoverySubscriber = NoDiscovery()
 
     # Pools
@@ -145,7 +145,7 @@
         # Whatever becomes of the load balancer's own timers, no client is left without an answer.
         request.timer = call_at(self.loop, due_us + BACKSTOP_US, self._deadline_exceeded, request)
         if self.tenant_use is not None:
-            self.tenant_use.came(proxied.tenant, clock_us())
+            self.tenant_use.record_request(proxied.tenant, clock_us())
         if limiters:
             from plovertrail.decisions.rate_limits import LimitExceeded, admit
 
--- a/plovertrail/health_reporter.py
+++ b/plovertrail/health_reporter.py
@@ -14,7 +14,7 @@
 from plovertrail.background import BackgroundRunner
 from plovertrail.clock import clock_us
 from plovertrail.decisions.background import BackgroundTask, Priority
-from plovertrail.decisions.counts import key_of
+from plovertrail.decisions.counter_rows import key_of
 from plovertrail.decisions.endpoint_list import EndpointListState
 from plovertrail.decisions.events import Outcome
 from plovertrail.decisions.health_evidence import AttemptResult, AttemptWindow, EvidenceKey
--- a/plovertrail/peers/gossip.py
+++ b/plovertrail/peers/gossip.py
@@ -6,9 +6,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
 
-from plovertrail.decisions.counts import Counts
-from plovertrail.decisions.counts_bound import Bound, Talk, bound
+from plovertrail.decisions.counter_error_bound import ErrorBound, GossipParameters, error_bound
 from plovertrail.decisions.membership import Address
+from plovertrail.decisions.shared_counters import SharedCounters
 from plovertrail.peers.address import format_address
 from plovertrail.peers.envelope import BadDatagramError, DropReason, TrafficStats, digest
 from plovertrail.peers.wire import Codec, row_bytes
@@ -36,7 +36,7 @@
     """Each period it sends its own part to the next `fan_out` peers, in a fixed order drawn once, so that
     each of them hears of it once a round. Weighed in docs/shared-counts.md."""
 
-    def __init__(self, counts: Counts, codec: Codec, me: Address, rng: random.Random) -> None:
+    def __init__(self, counts: SharedCounters, codec: Codec, me: Address, rng: random.Random) -> None:
         self.counts = counts
         self.codec = codec
         self.me = digest(format_address(me))
@@ -62,7 +62,7 @@
         self.rng.shuffle(self.order)
         self.place = 0
         self.fan_out = fan_out
-        self.counts.size = len(others) + 1
+        self.counts.cluster_size = len(others) + 1
 
     def tick(self, now_us: int) -> list[tuple[Address, bytes]]:
         """A period has passed: what goes out now."""
@@ -71,12 +71,12 @@
         if not self.order:
             return []
         if self.place == 0:
-            self.keys = self.counts.urgent(MOST_ROWS_OUT, self.room or MOST_ROWS_OUT)
+            self.keys = self.counts.keys_to_send(MOST_ROWS_OUT, self.room or MOST_ROWS_OUT)
             self.rows_fit = len(self.keys)
         rows: list[bytes] = []  # an empty one where a key has nothing to tell any more
         left = self.codec.room(self.counts.name)
         for key in self.keys[: self.rows_fit]:
-            found = self.counts.row_out(key, now_us)
+            found = self.counts.encoded_row(key, now_us)
             packed = row_bytes(found) if found is not None else b""
             if len(packed) > left:
                 break
@@ -101,7 +101,7 @@
         self.place += self.fan_out
         if self.place >= len(self.order):
             self.place = 0
-            self.counts.went(self.keys[: self.rows_fit])
+            self.counts.sent(self.keys[: self.rows_fit])
             self.room = self.rows_fit if self.rows_fit < len(self.keys) else 0
         return out
 
@@ -128,24 +128,23 @@
             message = self.codec.read(data, self.me)
         except BadDatagramError as error:
             return error.reason
-        if not self.counts.take(message, now_us):
+        if not self.counts.merge(message, now_us):
             return DropReason.DUPLICATE
         peer.name, peer.incarnation, peer.heard_us = message.name, message.incarnation, now_us
         return None
 
     def loss_from(self, peer: Peer) -> float:
         """The share of a peer's datagrams that never came."""
-        heard = self.counts.heard.get(peer.name, {}).get(peer.incarnation)
-        return heard.lost if heard is not None else 0.0
+        return self.counts.peers.loss_of(peer.name, peer.incarnation)
 
-    def bound(self, talk: Talk) -> Bound:
+    def bound(self, talk: GossipParameters) -> ErrorBound:
         """The bound as it is now: with the losses seen, if they are worse than those stated."""
         seen = max((self.loss_from(peer) for peer in self.peers.values() if peer.heard_us), default=0.0)
         keys = max(1, len(self.counts.own))
-        return bound(
+        return error_bound(
             replace(
                 talk,
-                size=self.counts.size,
+                size=self.counts.cluster_size,
                 loss=min(MOST_LOSS, max(talk.loss, seen)),
                 keys=keys,
                 keys_a_datagram=self.room or keys,
--- a/plovertrail/peers/wire.py
+++ b/plovertrail/peers/wire.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterable, Sequence
 
 from plovertrail.config.peers import LONGEST_NAME
-from plovertrail.decisions.counts import Message, Window
+from plovertrail.decisions.counter_rows import CounterMessage, CountingWindow
 from plovertrail.peers.envelope import MAX_BODY_BYTES, BadDatagramError, DropReason, Envelope
 
 VERSION = 1
@@ -56,7 +56,7 @@
 class Codec:
     """Writes and reads the counts of one fleet."""
 
-    def __init__(self, fleet: str, keys: Sequence[bytes], window: Window) -> None:
+    def __init__(self, fleet: str, keys: Sequence[bytes], window: CountingWindow) -> None:
         self.envelope = Envelope(fleet, keys)
         self.window = window
 
@@ -75,7 +75,7 @@
         )
         return self.envelope.seal(VERSION, to, b"".join([head, plain, COUNT.pack(len(packed)), *packed]))
 
-    def read(self, datagram: bytes, me: bytes) -> Message:
+    def read(self, datagram: bytes, me: bytes) -> CounterMessage:
         """The message of a datagram to `me`; raises BadDatagramError."""
         data = self.envelope.open(VERSION, datagram, (me,))
         if len(data) < HEAD.size + COUNT.size:
@@ -96,7 +96,7 @@
         rows, at = self._rows(data, at + COUNT.size, count)
         if at != end:
             raise BadDatagramError(DropReason.MALFORMED)
-        return Message(name, incarnation, sequence, sent_us, rows)
+        return CounterMessage(name, incarnation, sequence, sent_us, rows)
 
     def _rows(
         self, data: bytes, at: int, count: int
--- a/plovertrail/scenario_tests/peers.py
+++ b/plovertrail/scenario_tests/peers.py
@@ -6,7 +6,9 @@
 
 from plovertrail.clock import clock_us
 from plovertrail.config.peers import PeersSetup
-from plovertrail.decisions.counts import Counts, Message, key_of
+from plovertrail.decisions.counter_rows import CounterMessage, key_of
+from plovertrail.decisions.peer_counters import CounterLimits
+from plovertrail.decisions.shared_counters import SharedCounters
 from plovertrail.scenario_tests.daemon import PlayedDaemon
 from plovertrail.scenario_tests.schema import Others
 
@@ -22,7 +24,7 @@
         self.setup = setup
         self.daemon = daemon
         self.zero_us = zero_us
-        self.counts = Counts(name, 1, setup.window, clock_us(), most_keys=64)
+        self.counts = SharedCounters(name, 1, setup.window, clock_us(), limits=CounterLimits(max_keys=64))
         self.sequence = 0
         self.asked = 0  # so far
         self.loop = asyncio.get_running_loop()
@@ -45,9 +47,9 @@
         if key is not None and due > self.asked:
             self.counts.add(key, now_us, due - self.asked)
         self.asked = due
-        row = self.counts.row_out(key, now_us) if key is not None else None
+        row = self.counts.encoded_row(key, now_us) if key is not None else None
         self.sequence += 1
-        message = Message(
+        message = CounterMessage(
             self.counts.name,
             1,
             self.sequence,
@@ -58,11 +60,11 @@
         if not others.until_us or now_us + self.round_us <= self.zero_us + others.until_us:
             self.loop.call_later(self.round_us / 1e6, self.speak)
 
-    def heard(self, message: Message) -> None:
+    def heard(self, message: CounterMessage) -> None:
         """As after a reload: one with another window is not understood, and one with none has no ear."""
         counts = self.daemon.peers.played_counts
         if counts is not None and counts.window == self.setup.window:
-            counts.take(message, clock_us())
+            counts.merge(message, clock_us())
 
 
 def begin(rows: tuple[Others, ...], setup: PeersSetup, daemon: PlayedDaemon, zero_us: int) -> None:
--- a/plovertrail/store/records.py
+++ b/plovertrail/store/records.py
@@ -25,7 +25,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from plovertrail.decisions.counts import Former
+from plovertrail.decisions.counter_rows import PreviousIncarnation
 from plovertrail.decisions.endpoint_list import EndpointListState
 from plovertrail.decisions.rate_limits import RateLimiterState
 from plovertrail.decisions.warm_state import PoolHistory
@@ -55,4 +55,4 @@
     endpoint_lists: Mapping[str, EndpointListState] = field(default_factory=dict)  # by pool
     pool_histories: Mapping[str, PoolHistory] = field(default_factory=dict)  # by pool
     limiters: Mapping[str, RateLimiterState] = field(default_factory=dict)  # by limiter
-    counters: Former | None = None
+    counters: PreviousIncarnation | None = None
--- a/plovertrail/store/warm_state.py
+++ b/plovertrail/store/warm_state.py
@@ -10,10 +10,11 @@
 from plovertrail.background import BackgroundRunner
 from plovertrail.clock import clock_us
 from plovertrail.decisions.background import BackgroundTask, Priority
-from plovertrail.decisions.counts import Counts, Former
+from plovertrail.decisions.counter_rows import PreviousIncarnation
 from plovertrail.decisions.endpoint_list import Address, EndpointListState
 from plovertrail.decisions.load_balancing.endpoint_state import EndpointState
 from plovertrail.decisions.rate_limits import RateLimiter, RateLimiterState
+from plovertrail.decisions.shared_counters import SharedCounters
 from plovertrail.decisions.warm_state import (
     EndpointHistory,
     EndpointKey,
@@ -74,7 +75,7 @@
         store: StoreService,
         pools: Pools,
         limiters: Callable[[], Mapping[str, RateLimiter]],
-        counters: Callable[[], Counts | None],
+        counters: Callable[[], SharedCounters | None],
     ) -> None:
         self.store = store
         self.pools = pools
@@ -122,12 +123,12 @@
             limiter.restore(stored, clock_us())
             self.restored["limits"] += len(limiter.keys)
 
-    def restore_counters(self, counters: Counts) -> None:
+    def restore_counters(self, counters: SharedCounters) -> None:
         """Give new counters those that were stored, if they are of the same window; once."""
         stored = self.stored_counters
         self.stored_counters = None
-        if stored is not None and counters.recall(stored, clock_us()):
-            self.restored["counts"] += len(counters.former)
+        if stored is not None and counters.restore(stored, clock_us()):
+            self.restored["counts"] += len(counters.previous)
 
     # Collecting
 
@@ -143,13 +144,13 @@
         limiters: dict[str, RateLimiterState] = {}
         yield from self._collect_limiters(limiters)
         counters = self.counters()
-        stored_counters: Former | None = None
+        stored_counters: PreviousIncarnation | None = None
         if counters is not None:
             rows: dict[int, tuple[int, tuple[int, ...]]] = {}
             yield from self._collect_counters(counters, rows)
             window = counters.window
-            stored_counters = Former(
-                counters.name, counters.remembered_from_us, window.span_us, window.buckets, rows
+            stored_counters = PreviousIncarnation(
+                counters.name, counters.saved_from_us, window.span_us, window.buckets, rows
             )
         histories = {name: each.history for name, each in self.collected.items()}
         self.store.store_warm_state(StoredState({}, histories, limiters, stored_counters))
@@ -194,12 +195,12 @@
             collected[name] = RateLimiterState(limiter.salt, arrivals_us)
 
     def _collect_counters(
-        self, counters: Counts, rows: dict[int, tuple[int, tuple[int, ...]]]
+        self, counters: SharedCounters, rows: dict[int, tuple[int, tuple[int, ...]]]
     ) -> Iterator[None]:
         """Collect the rows of the shared counters; yields after each slice."""
-        keys = iter(list(counters.own.keys() | counters.former.keys()))
+        keys = iter(list(counters.own.keys() | counters.previous.keys()))
         while batch := list(islice(keys, SLICE_LENGTH)):
-            rows |= counters.remembered(batch)
+            rows |= counters.saved_rows(batch)
             yield
 
     def status(self) -> dict[str, Any]:
--- a/plovertrail/store/warm_state_records.py
+++ b/plovertrail/store/warm_state_records.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from plovertrail.decisions.counts import Former
+from plovertrail.decisions.counter_rows import PreviousIncarnation
 from plovertrail.decisions.rate_limits import RateLimiterState
 from plovertrail.decisions.warm_state import EndpointHistory, EndpointKey, PoolHistory
 from plovertrail.store.records import (
@@ -119,7 +119,7 @@
     if (COUNTERS,) in records:
         with suppress(ValueError, TypeError):
             name, start_us, span_us, buckets = records[COUNTERS,]
-            counters = Former(
+            counters = PreviousIncarnation(
                 str(name), int(start_us) - clock_offset_us, int(span_us), int(buckets), found.counter_rows
             )
     return StoredState({}, found.pool_histories(), found.limiters(), counters)
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -295,7 +295,7 @@
     crowd.cut = True
     crowd.queue.run(3)
     for number, gossip in enumerate(crowd.gossips):
-        heard = {int(name[1:]) for name, _ in gossip.counts.parts}
+        heard = {int(name[1:]) for name, _ in gossip.counts.peers.replicas}
         assert heard and all(other % 2 == number % 2 for other in heard)
 
 
--- a/tests/decisions/test_counts_bound.py
+++ b/tests/decisions/test_counter_error_bound.py
@@ -7,30 +7,36 @@
 import pytest
 
 from fakes.peers_model import SECOND_US, PeersModel
-from plovertrail.decisions.counts_bound import Bound, Talk, bound, losses_in_a_row, partition_under
+from plovertrail.decisions.counter_error_bound import (
+    ErrorBound,
+    GossipParameters,
+    error_bound,
+    losses_in_a_row,
+    partition_undercount,
+)
 
-TALK = Talk(size=20, period_s=0.1, fan_out=8, window_s=10.0, bucket_s=0.5, loss=0.3, delay_s=0.2)
+TALK = GossipParameters(size=20, period_s=0.1, fan_out=8, window_s=10.0, bucket_s=0.5, loss=0.3, delay_s=0.2)
 
 
 def test_the_staleness_grows_with_the_fleet_the_losses_and_the_keys() -> None:
-    base = bound(TALK).under
+    base = error_bound(TALK).under
     worse = [
-        Talk(80, 0.1, 8, 10.0, 0.5, 0.3, 0.2),
-        Talk(20, 0.2, 8, 10.0, 0.5, 0.3, 0.2),
-        Talk(20, 0.1, 4, 10.0, 0.5, 0.3, 0.2),
-        Talk(20, 0.1, 8, 10.0, 0.5, 0.5, 0.2),
-        Talk(20, 0.1, 8, 10.0, 0.5, 0.3, 0.4),
-        Talk(20, 0.1, 8, 10.0, 0.5, 0.3, 0.2, keys=100),
-        Talk(20, 0.1, 8, 5.0, 0.5, 0.3, 0.2),
+        GossipParameters(80, 0.1, 8, 10.0, 0.5, 0.3, 0.2),
+        GossipParameters(20, 0.2, 8, 10.0, 0.5, 0.3, 0.2),
+        GossipParameters(20, 0.1, 4, 10.0, 0.5, 0.3, 0.2),
+        GossipParameters(20, 0.1, 8, 10.0, 0.5, 0.5, 0.2),
+        GossipParameters(20, 0.1, 8, 10.0, 0.5, 0.3, 0.4),
+        GossipParameters(20, 0.1, 8, 10.0, 0.5, 0.3, 0.2, keys=100),
+        GossipParameters(20, 0.1, 8, 5.0, 0.5, 0.3, 0.2),
     ]
-    assert all(bound(each).under > base for each in worse)
-    assert bound(TALK, 1e-6).under > base
-    even = Talk(20, 0.1, 8, 10.0, 0.5, 0.3, 0.2, most_part=0.25)
-    assert bound(even).under < base
+    assert all(error_bound(each).under > base for each in worse)
+    assert error_bound(TALK, 1e-6).under > base
+    even = GossipParameters(20, 0.1, 8, 10.0, 0.5, 0.3, 0.2, most_part=0.25)
+    assert error_bound(even).under < base
 
 
 def test_alone_only_the_bucket_at_the_windows_beginning_is_in_doubt() -> None:
-    assert bound(Talk(1, 0.1, 8, 10.0, 0.5, 0.3, 0.2)) == Bound(0.05, 0.05, 0.0, 1e-3)
+    assert error_bound(GossipParameters(1, 0.1, 8, 10.0, 0.5, 0.3, 0.2)) == ErrorBound(0.05, 0.05, 0.0, 1e-3)
 
 
 @pytest.mark.parametrize("split", [[1.0], [0.5, 0.5], [0.1] * 10, [0.7, 0.1, 0.1, 0.1]])
@@ -54,7 +60,7 @@
 
 
 def beyond(
-    model: PeersModel, stated: Bound, rates: dict[int, float], seconds: int, more_under: float = 0.0
+    model: PeersModel, stated: ErrorBound, rates: dict[int, float], seconds: int, more_under: float = 0.0
 ) -> tuple[int, int, float]:
     """Looks outside the bound, all looks, and the worst of both as a part of what is stated."""
     outside = looks = 0
@@ -78,7 +84,7 @@
 def test_twenty_instances_stay_within_the_bound_under_loss_delay_and_repeats() -> None:
     model = PeersModel(TALK, seed=5, repeats=0.1)
     rates = {1: 60.0, 2: 20.0, 3: 5.0}
-    outside, looks, worst = beyond(model, bound(TALK), rates, 20)
+    outside, looks, worst = beyond(model, error_bound(TALK), rates, 20)
     assert outside <= 1e-3 * looks and looks == 20 * 20 * 3
     assert worst > 0.2, "a bound that is never near tells nothing"
 
@@ -86,22 +92,26 @@
 def test_a_partition_costs_what_is_stated_and_its_healing_makes_no_jump() -> None:
     model = PeersModel(TALK, seed=6)
     rates = {1: 80.0}
-    beyond(model, bound(TALK), rates, 12)
+    beyond(model, error_bound(TALK), rates, 12)
     model.delivers = lambda sender, receiver: sender % 2 == receiver % 2
     lows = []
     for second in range(1, 8):
-        outside, looks, _ = beyond(model, bound(TALK), rates, 1, partition_under(second, 0.5, TALK))
+        outside, looks, _ = beyond(
+            model, error_bound(TALK), rates, 1, partition_undercount(second, 0.5, TALK)
+        )
         assert outside <= 1
         lows.append(model.estimate(0, 1) / model.true_count(1))
     assert lows[-1] < 0.75, "the other half was missing"
     model.delivers = lambda sender, receiver: True
     model.load(2.0, rates)
-    outside, looks, _ = beyond(model, bound(TALK), rates, 10)
+    outside, looks, _ = beyond(model, error_bound(TALK), rates, 10)
     assert outside <= 1  # nothing is counted twice, and all of it again
 
 
 def test_loss_in_one_direction_blinds_one_side_alone() -> None:
-    talk = Talk(size=2, period_s=0.1, fan_out=1, window_s=4.0, bucket_s=0.5, loss=0.0, delay_s=0.05)
+    talk = GossipParameters(
+        size=2, period_s=0.1, fan_out=1, window_s=4.0, bucket_s=0.5, loss=0.0, delay_s=0.05
+    )
     model = PeersModel(talk, seed=1)
     model.delivers = lambda sender, receiver: sender == 0
     model.load(6.0, {1: 100.0})
@@ -109,7 +119,7 @@
     assert model.estimate(0, 1) == own
     assert model.estimate(1, 1) == pytest.approx(model.true_count(1), rel=0.1)
     # the blind one keeps to its part by number, so that both together stay within the limit
-    parts = [each.counts.parts_of(1, 1, model.local_us(n))[0] for n, each in enumerate(model.gossips)]
+    parts = [each.counts.shares_of(1, 1, model.local_us(n))[0] for n, each in enumerate(model.gossips)]
     assert parts[0] == pytest.approx(0.5) and sum(parts) < 1.15
 
 
@@ -119,12 +129,12 @@
     for number in range(0, 20, 2):
         model.restart(number)
     # what the old incarnations had not told yet is lost with them: as much as a peer's silence costs
-    model.load(2 * bound(TALK).staleness_s, {1: 80.0})
-    outside, looks, _ = beyond(model, bound(TALK), {1: 80.0}, 5)
+    model.load(2 * error_bound(TALK).staleness_s, {1: 80.0})
+    outside, looks, _ = beyond(model, error_bound(TALK), {1: 80.0}, 5)
     assert outside <= 1e-2 * looks
     model.run(model.now_us + 40 * SECOND_US)
     assert all(each.counts.estimate(1, model.local_us(n)) == 0 for n, each in enumerate(model.gossips))
-    assert all(len(each.counts.parts) == 19 for each in model.gossips)
+    assert all(len(each.counts.peers.replicas) == 19 for each in model.gossips)
 
 
 def test_a_burst_in_the_last_moment_of_a_window_is_counted_whole() -> None:
@@ -132,7 +142,7 @@
     model.load(2.0, {1: 10.0})
     for number in range(500):
         model.count(number % 20, 1)
-    burst_us, told_us = model.now_us, int(bound(TALK).staleness_s * SECOND_US)
+    burst_us, told_us = model.now_us, int(error_bound(TALK).staleness_s * SECOND_US)
     model.run(burst_us + told_us)
     assert model.estimate(3, 1) >= 500
     model.run(burst_us + int((TALK.window_s - TALK.bucket_s) * SECOND_US))
--- a/tests/decisions/test_rate_limits.py
+++ b/tests/decisions/test_rate_limits.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from plovertrail.decisions.counts import Counts, Message, Window
+from plovertrail.decisions.counter_rows import CounterMessage, CountingWindow
 from plovertrail.decisions.rate_limits import (
     SHARED_KEYS,
     Allowance,
@@ -23,6 +23,7 @@
     limit_header,
     policy_header,
 )
+from plovertrail.decisions.shared_counters import SharedCounters
 
 SECOND = 1_000_000
 
@@ -292,25 +293,25 @@
     assert len(limiter.keys) <= max_keys
 
 
-def limiters_of_a_fleet(size: int, rate: float, burst: int) -> list[tuple[RateLimiter, Counts]]:
+def limiters_of_a_fleet(size: int, rate: float, burst: int) -> list[tuple[RateLimiter, SharedCounters]]:
     """The limiters of a fleet that counts together, each with its counts."""
     result = []
     for number in range(size):
         limiter = make_limiter(rate=rate, burst=burst, by=KeyedBy.ALL, fleet_wide=True)
-        limiter.counts = Counts(f"i{number}", 1, Window(10 * SECOND, 20), 0)
-        limiter.counts.size = size
+        limiter.counts = SharedCounters(f"i{number}", 1, CountingWindow(10 * SECOND, 20), 0)
+        limiter.counts.cluster_size = size
         result.append((limiter, limiter.counts))
     return result
 
 
-def exchange(fleet: list[tuple[RateLimiter, Counts]], sequence: int, now_us: int) -> None:
+def exchange(fleet: list[tuple[RateLimiter, SharedCounters]], sequence: int, now_us: int) -> None:
     key = fleet[0][0].fleet_key("", "c")
     for _, counts in fleet:
-        row = counts.row_out(key, now_us)
-        message = Message(counts.name, 1, sequence, now_us, (row,) if row is not None else ())
+        row = counts.encoded_row(key, now_us)
+        message = CounterMessage(counts.name, 1, sequence, now_us, (row,) if row is not None else ())
         for _, other in fleet:
             if other is not counts:
-                other.take(message, now_us)
+                other.merge(message, now_us)
 
 
 def test_an_instance_part_that_shrinks_brings_no_burst_back() -> None:
--- a/tests/decisions/test_counts.py
+++ b/tests/decisions/test_shared_counters.py
@@ -9,42 +9,39 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from plovertrail.decisions.counts import (
-    MOST_INCARNATIONS,
-    MOST_PARTS,
-    OVERFLOW_KEYS,
-    SEEN,
-    Counts,
-    Former,
-    Heard,
-    Message,
-    Row,
-    TenantUse,
-    Window,
+from plovertrail.decisions.counter_rows import (
+    HISTORY_BITS,
+    CounterMessage,
+    CounterRow,
+    CountingWindow,
+    DatagramHistory,
+    PreviousIncarnation,
     key_of,
 )
+from plovertrail.decisions.peer_counters import MAX_INCARNATIONS, MAX_REPLICAS, CounterLimits
+from plovertrail.decisions.shared_counters import OVERFLOW_KEYS, SharedCounters, TenantUsage
 
 SECOND = 1_000_000
-WINDOW = Window(4 * SECOND, 8)
+WINDOW = CountingWindow(4 * SECOND, 8)
 
 buckets = st.dictionaries(st.integers(0, 30), st.integers(0, 1_000), max_size=12)
 
 
-def row_of(counts: dict[int, int]) -> Row:
-    row = Row(WINDOW.slots)
+def row_of(counts: dict[int, int]) -> CounterRow:
+    row = CounterRow(WINDOW.slots)
     for bucket, count in counts.items():
         row.raise_to(bucket, count)
     return row
 
 
-def joined(*rows: Row) -> Row:
-    made = Row(WINDOW.slots)
+def joined(*rows: CounterRow) -> CounterRow:
+    made = CounterRow(WINDOW.slots)
     for row in rows:
-        made.join(row)
+        made.merge(row)
     return made
 
 
-def plain(row: Row) -> tuple[int, list[tuple[int, int]]]:
+def plain(row: CounterRow) -> tuple[int, list[tuple[int, int]]]:
     return row.newest, list(row.items())
 
 
@@ -56,7 +53,7 @@
     a, b, c = row_of(one), row_of(other), row_of(third)
     assert plain(joined(a, b)) == plain(joined(b, a))
     assert plain(joined(joined(a, b), c)) == plain(joined(a, joined(b, c)))
-    assert plain(joined(a, a)) == plain(a) == plain(joined(a, Row(WINDOW.slots)))
+    assert plain(joined(a, a)) == plain(a) == plain(joined(a, CounterRow(WINDOW.slots)))
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
@@ -72,20 +69,20 @@
     requests: list[tuple[str, int, int, int]], rng: random.Random
 ) -> None:
     """Two instances of two incarnations each count, and tell all they know after each request."""
-    senders = {(name, age): Counts(name, age, WINDOW, 0) for name in "ab" for age in (1, 2)}
+    senders = {(name, age): SharedCounters(name, age, WINDOW, 0) for name in "ab" for age in (1, 2)}
     messages = []
     for number, (name, age, tenth, key) in enumerate(sorted(requests, key=lambda each: each[2]), start=1):
         sender, now_us = senders[name, age], tenth * 100_000
         sender.add(key, now_us)
         messages.append(message(sender, number, now_us, 1, 2, 3))
 
-    def known(order: list[Message]) -> dict[tuple[str, int, int], tuple[int, list[tuple[int, int]]]]:
-        receiver = Counts("c", 1, WINDOW, 0)
+    def known(order: list[CounterMessage]) -> dict[tuple[str, int, int], tuple[int, list[tuple[int, int]]]]:
+        receiver = SharedCounters("c", 1, WINDOW, 0)
         for each in order:
-            receiver.take(each, 30 * SECOND)
+            receiver.merge(each, 30 * SECOND)
         return {
             (*ident, key): plain(row)
-            for ident, part in receiver.parts.items()
+            for ident, part in receiver.peers.replicas.items()
             for key, row in part.rows.items()
         }
 
@@ -99,7 +96,7 @@
 def test_the_window_is_off_by_no_more_than_the_bucket_that_its_beginning_cuts(
     times: list[int], later_us: int
 ) -> None:
-    counts = Counts("a", 1, WINDOW, 0)
+    counts = SharedCounters("a", 1, WINDOW, 0)
     for at_us in sorted(times):
         counts.add(7, at_us)
     now_us = max(times) + later_us
@@ -110,20 +107,20 @@
     assert abs(counts.estimate(7, now_us) - true) <= in_cut
 
 
-def message(counts: Counts, sequence: int, now_us: int, *keys: int) -> Message:
-    rows = tuple(row for key in keys if (row := counts.row_out(key, now_us)) is not None)
-    return Message(counts.name, counts.incarnation, sequence, now_us - counts.start_us, rows)
+def message(counts: SharedCounters, sequence: int, now_us: int, *keys: int) -> CounterMessage:
+    rows = tuple(row for key in keys if (row := counts.encoded_row(key, now_us)) is not None)
+    return CounterMessage(counts.name, counts.incarnation, sequence, now_us - counts.start_us, rows)
 
 
-def pair() -> tuple[Counts, Counts]:
-    return Counts("a", 1, WINDOW, 5 * SECOND), Counts("b", 1, WINDOW, 900 * SECOND)
+def pair() -> tuple[SharedCounters, SharedCounters]:
+    return SharedCounters("a", 1, WINDOW, 5 * SECOND), SharedCounters("b", 1, WINDOW, 900 * SECOND)
 
 
 def test_what_one_has_counted_is_known_to_the_other_whatever_their_clocks_say() -> None:
     a, b = pair()
     for _ in range(30):
         a.add(7, 6 * SECOND)
-    assert b.take(message(a, 1, 6 * SECOND, 7), 1_000 * SECOND)
+    assert b.merge(message(a, 1, 6 * SECOND, 7), 1_000 * SECOND)
     assert b.estimate(7, 1_000 * SECOND) == 30
     assert b.estimate(7, 1_003 * SECOND) == 30
     assert b.estimate(7, 1_005 * SECOND) == 0  # the window has passed there as well
@@ -137,8 +134,8 @@
         sent.append(message(a, number, 5 * SECOND + number * 100_000, 7))
     order = sent * 3
     random.Random(5).shuffle(order)
-    taken = sum(b.take(each, 1_000 * SECOND) for each in order)
-    assert taken == 20 and b.repeats == 40
+    taken = sum(b.merge(each, 1_000 * SECOND) for each in order)
+    assert taken == 20 and b.peers.duplicates == 40
     assert b.estimate(7, 1_000 * SECOND) == 20
 
 
@@ -148,73 +145,77 @@
         a.add(7, 6 * SECOND)
     old = message(a, 1, 6 * SECOND, 7)
     late = message(a, 2, 6 * SECOND, 7)
-    assert b.take(old, 1_000 * SECOND)
-    again = Counts("a", 2, WINDOW, 7 * SECOND)
+    assert b.merge(old, 1_000 * SECOND)
+    again = SharedCounters("a", 2, WINDOW, 7 * SECOND)
     again.add(7, 8 * SECOND, 5)
-    assert b.take(message(again, 1, 8 * SECOND, 7), 1_001 * SECOND)
-    assert b.take(late, 1_001 * SECOND)  # was still on its way: it counts for the old one, once
+    assert b.merge(message(again, 1, 8 * SECOND, 7), 1_001 * SECOND)
+    assert b.merge(late, 1_001 * SECOND)  # was still on its way: it counts for the old one, once
     assert b.estimate(7, 1_001 * SECOND) == 15
-    assert not b.twins
-    assert not b.take(old, 1_002 * SECOND)
+    assert not b.peers.name_conflicts
+    assert not b.merge(old, 1_002 * SECOND)
     b.sweep(1_020 * SECOND)
-    assert not b.parts and b.peer_keys == 0
-    assert not b.take(late, 1_020 * SECOND)  # one that is caught and sent again brings nothing back
+    assert not b.peers.replicas and b.peers.key_count == 0
+    assert not b.merge(late, 1_020 * SECOND)  # one that is caught and sent again brings nothing back
     assert b.estimate(7, 1_020 * SECOND) == 0
 
 
 def test_a_restart_is_not_taken_for_two_instances_under_one_name() -> None:
-    b = Counts("b", 1, WINDOW, 0)
+    b = SharedCounters("b", 1, WINDOW, 0)
     for incarnation, begins_us in ((5, 0), (6, 3 * SECOND), (4, 6 * SECOND)):  # its clock steps back
         for number in range(1, 31):
             sent_us = number * 100_000
-            b.take(Message("a", incarnation, number, sent_us, ()), begins_us + sent_us)
-            assert not b.twins
+            b.merge(CounterMessage("a", incarnation, number, sent_us, ()), begins_us + sent_us)
+            assert not b.peers.name_conflicts
 
 
 def test_two_instances_under_one_name_both_count_and_are_told() -> None:
-    one, other, third = Counts("a", 1, WINDOW, 0), Counts("a", 2, WINDOW, 0), Counts("c", 1, WINDOW, 0)
+    one, other, third = (
+        SharedCounters("a", 1, WINDOW, 0),
+        SharedCounters("a", 2, WINDOW, 0),
+        SharedCounters("c", 1, WINDOW, 0),
+    )
     for number in range(1, 60):
         now_us = number * 100_000
         one.add(7, now_us)
         other.add(7, now_us)
         for each in (one, other):
-            each.take(message(other if each is one else one, number, now_us, 7), now_us)
-            third.take(message(each, number, now_us, 7), now_us)
+            each.merge(message(other if each is one else one, number, now_us, 7), now_us)
+            third.merge(message(each, number, now_us, 7), now_us)
     now_us = 59 * 100_000
     assert third.estimate(7, now_us) == pytest.approx(2 * one.own_count(7, now_us))
     assert one.estimate(7, now_us) == pytest.approx(third.estimate(7, now_us))
-    assert set(third.twins) == set(one.twins) == {"a"}
+    assert set(third.peers.name_conflicts) == set(one.peers.name_conflicts) == {"a"}
 
 
 def test_a_replay_of_what_is_no_longer_remembered_is_not_taken() -> None:
-    counts = Counts("b", 1, WINDOW, 0)
-    for incarnation in range(100, 100 + MOST_INCARNATIONS):
-        assert counts.take(Message("a", incarnation, 1, 0, ()), 1_000)
-    assert not counts.take(Message("a", 99, 1, 0, ((7, 0, (50,)),)), 2_000)
-    assert counts.too_many == 1 and counts.estimate(7, 2_000) == 0
-    assert counts.take(Message("a", 200, 1, 0, ()), 3_000)
+    counts = SharedCounters("b", 1, WINDOW, 0)
+    for incarnation in range(100, 100 + MAX_INCARNATIONS):
+        assert counts.merge(CounterMessage("a", incarnation, 1, 0, ()), 1_000)
+    assert not counts.merge(CounterMessage("a", 99, 1, 0, ((7, 0, (50,)),)), 2_000)
+    assert counts.peers.rejected_datagrams == 1 and counts.estimate(7, 2_000) == 0
+    assert counts.merge(CounterMessage("a", 200, 1, 0, ()), 3_000)
 
 
 def test_names_keys_and_parts_are_bounded_whatever_comes() -> None:
-    counts = Counts("me", 1, WINDOW, 0, most_keys=100)
+    counts = SharedCounters("me", 1, WINDOW, 0, limits=CounterLimits(max_keys=100))
     for number in range(1_000):  # names made up on every request
         counts.add(key_of(f"made up {number}"), 1_000)
-    assert len(counts.own) <= 100 + OVERFLOW_KEYS and counts.without_place > 800
+    assert len(counts.own) <= 100 + OVERFLOW_KEYS and counts.overflowed > 800
     assert sum(counts.own_count(key, 1_000) for key in counts.own) == 1_000  # none is lost
     rows = tuple((key, 0, (1,)) for key in range(2_000))
     for number in range(12):  # peers that claim keys without end
-        counts.take(Message(f"p{number}", 1, 1, 0, rows), 1_000)
-    assert counts.peer_keys <= 16 * 100 + 1 and counts.refused_keys > 20_000
-    assert max(len(part.rows) for part in counts.parts.values()) <= 200
-    for number in range(2 * MOST_PARTS):
-        counts.take(Message(f"q{number}", 1, 1, 0, ()), 1_000)
-    assert len(counts.parts) <= MOST_PARTS and len(counts.heard) <= MOST_PARTS + 1
+        counts.merge(CounterMessage(f"p{number}", 1, 1, 0, rows), 1_000)
+    assert counts.peers.key_count <= 16 * 100 + 1 and counts.peers.rejected_keys > 20_000
+    assert max(len(part.rows) for part in counts.peers.replicas.values()) <= 200
+    for number in range(2 * MAX_REPLICAS):
+        counts.merge(CounterMessage(f"q{number}", 1, 1, 0, ()), 1_000)
+    assert len(counts.peers.replicas) <= MAX_REPLICAS and len(counts.peers.histories) <= MAX_REPLICAS + 1
 
 
 def test_a_bucket_from_far_ahead_pushes_no_true_one_out() -> None:
-    counts = Counts("b", 1, WINDOW, 0)
-    counts.take(Message("a", 1, 1, SECOND, ((7, 2, (5, 5)),)), SECOND)
-    counts.take(Message("a", 1, 2, SECOND, ((7, 10**9, (5,)),)), SECOND)
+    counts = SharedCounters("b", 1, WINDOW, 0)
+    counts.merge(CounterMessage("a", 1, 1, SECOND, ((7, 2, (5, 5)),)), SECOND)
+    counts.merge(CounterMessage("a", 1, 2, SECOND, ((7, 10**9, (5,)),)), SECOND)
     assert counts.estimate(7, SECOND) == 10
 
 
@@ -222,19 +223,19 @@
     a, b = pair()
     for number, delay_us in enumerate((180_000, 20_000, 150_000), start=1):
         at_us = 6 * SECOND + number * 100_000
-        b.take(message(a, number, at_us), 995 * SECOND + at_us + delay_us)
-    (part,) = b.parts.values()
-    assert 1_000 * SECOND + 20_000 <= part.offset_us <= 1_000 * SECOND + 20_300
+        b.merge(message(a, number, at_us), 995 * SECOND + at_us + delay_us)
+    (part,) = b.peers.replicas.values()
+    assert 1_000 * SECOND + 20_000 <= part.clock_offset_us <= 1_000 * SECOND + 20_300
     for number in range(4, 400):  # its clock runs slower by 500 in a million
         at_us = 6 * SECOND + number * 100_000
-        b.take(message(a, number, at_us), 995 * SECOND + at_us + 20_000 + int(at_us * 5e-4))
-    assert abs(part.offset_us - (1_000 * SECOND + 20_000 + int(at_us * 5e-4))) < 1_000
+        b.merge(message(a, number, at_us), 995 * SECOND + at_us + 20_000 + int(at_us * 5e-4))
+    assert abs(part.clock_offset_us - (1_000 * SECOND + 20_000 + int(at_us * 5e-4))) < 1_000
 
 
 def test_the_part_of_a_limit_follows_the_usage_and_adds_up_to_one() -> None:
-    fleet = [Counts(name, 1, WINDOW, 0) for name in "abc"]
+    fleet = [SharedCounters(name, 1, WINDOW, 0) for name in "abc"]
     for each in fleet:
-        each.size = 3
+        each.cluster_size = 3
     for number in range(1, 81):
         now_us = number * 50_000
         for each, load in zip(fleet, (6, 3, 1), strict=True):
@@ -242,8 +243,8 @@
         for each in fleet:
             for other in fleet:
                 if other is not each:
-                    each.take(message(other, number, now_us, 7), now_us)
-    parts, bursts = zip(*(each.parts_of(7, 30, now_us) for each in fleet), strict=True)
+                    each.merge(message(other, number, now_us, 7), now_us)
+    parts, bursts = zip(*(each.shares_of(7, 30, now_us) for each in fleet), strict=True)
     assert sum(bursts) == pytest.approx(1.0, abs=0.02) and bursts[0] > bursts[1] > bursts[2]
     for part, expected in zip(parts, (0.6, 0.3, 0.1), strict=True):
         assert part == pytest.approx(expected, abs=0.01)
@@ -251,19 +252,21 @@
 
 @pytest.mark.parametrize(("alone_share", "expected"), [(True, 0.25), (False, 1.0)])
 def test_where_all_others_are_silent_the_choice_holds(alone_share: bool, expected: float) -> None:
-    counts = Counts("a", 1, WINDOW, 0, alone_share=alone_share, silent_us=SECOND)
-    counts.size = 4
+    counts = SharedCounters(
+        "a", 1, WINDOW, 0, limits=CounterLimits(silence_timeout_us=SECOND, share_when_alone=alone_share)
+    )
+    counts.cluster_size = 4
     counts.add(7, 0)
-    assert counts.parts_of(7, 4, 0)[0] == expected  # none was ever heard
+    assert counts.shares_of(7, 4, 0)[0] == expected  # none was ever heard
     for name in "bcd":
-        counts.take(Message(name, 1, 1, 100_000, ()), 100_000)
-    assert counts.parts_of(7, 4, 200_000)[0] == 1.0  # all are heard, and have no usage
-    counts.others.clear()
-    assert counts.parts_of(7, 4, 2 * SECOND)[0] == expected
+        counts.merge(CounterMessage(name, 1, 1, 100_000, ()), 100_000)
+    assert counts.shares_of(7, 4, 200_000)[0] == 1.0  # all are heard, and have no usage
+    counts.peers._usage.clear()
+    assert counts.shares_of(7, 4, 2 * SECOND)[0] == expected
 
 
 def test_keys_with_most_change_go_first_and_none_waits_for_ever() -> None:
-    counts = Counts("a", 1, WINDOW, 0)
+    counts = SharedCounters("a", 1, WINDOW, 0)
     for key in range(40):
         counts.add(key, 0)
     seen: set[int] = set()
@@ -271,107 +274,107 @@
     for _ in range(16):  # twice the rounds that 40 keys take by 5
         counts.add(39, 0, 100)
         counts.add(38, 0, 50)
-        chosen = counts.urgent(5, 5)
+        chosen = counts.keys_to_send(5, 5)
         busy += {38, 39} <= set(chosen)
-        counts.went(chosen)
+        counts.sent(chosen)
         seen |= set(chosen)
     assert busy >= 8  # where not all has to go that waits, those with most change do
     assert seen == set(range(40))
     counts.add(20, 0, 500)
-    assert 20 in counts.urgent(5, 5)
+    assert 20 in counts.keys_to_send(5, 5)
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.lists(st.integers(1, 900), min_size=1, max_size=120))
 def test_a_datagram_counts_as_fresh_once(sequence: list[int]) -> None:
-    heard = Heard(sequence[0], sequence[0])
+    heard = DatagramHistory(sequence[0], sequence[0])
     taken = {sequence[0]}
     for each in sequence[1:]:
-        fresh = heard.fresh(each)
+        fresh = heard.accept(each)
         assert not (fresh and each in taken)
-        if heard.highest - each < SEEN and each not in taken:
+        if heard.highest - each < HISTORY_BITS and each not in taken:
             assert fresh
         if fresh:
             taken.add(each)
 
 
 def test_tenants_have_shares_of_the_whole_fleet() -> None:
-    a, b = Counts("a", 1, WINDOW, 0), Counts("b", 1, WINDOW, 0)
-    use, far = (TenantUse(each, ["big", "small", "here"], frozenset((0, 1))) for each in (a, b))
+    a, b = SharedCounters("a", 1, WINDOW, 0), SharedCounters("b", 1, WINDOW, 0)
+    use, far = (TenantUsage(each, ["big", "small", "here"], frozenset((0, 1))) for each in (a, b))
     for _ in range(10):
-        use.came(1, 0)
-        far.came(0, 0)
-        far.came(0, 0)
-    use.came(3, 0)  # not listed
+        use.record_request(1, 0)
+        far.record_request(0, 0)
+        far.record_request(0, 0)
+    use.record_request(3, 0)  # not listed
     assert use.share(1, 0) == 1.0
-    a.take(message(b, 1, 0, *far.keys), 0)
+    a.merge(message(b, 1, 0, *far.keys), 0)
     assert use.share(1, SECOND) == pytest.approx(1 / 3) and use.share(0, SECOND) == pytest.approx(2 / 3)
     assert use.share(2, SECOND) == 0.0  # its allowance is for one instance
     assert use.share(3, SECOND) == 0.0
 
 
 def test_the_loss_that_is_told_is_of_late() -> None:
-    heard = Heard(1, 1)
+    heard = DatagramHistory(1, 1)
     for sequence in range(2, 2_001):
         if sequence > 1_000 or sequence % 2:  # half is lost for a while, then nothing
-            assert heard.fresh(sequence)
+            assert heard.accept(sequence)
         if sequence == 1_000:
-            assert heard.lost == pytest.approx(0.5, abs=0.01)
-    assert heard.lost == 0.0
+            assert heard.loss == pytest.approx(0.5, abs=0.01)
+    assert heard.loss == 0.0
 
 
 def test_made_up_names_push_no_listed_tenant_out() -> None:
-    counts = Counts("a", 1, WINDOW, 0, most_keys=64)
-    use = TenantUse(counts, ["big", "small"], frozenset((0, 1)))
+    counts = SharedCounters("a", 1, WINDOW, 0, limits=CounterLimits(max_keys=64))
+    use = TenantUsage(counts, ["big", "small"], frozenset((0, 1)))
     for number in range(1_000):
         counts.add(key_of(f"made up {number}"), 0)
-    use.came(0, 0)
-    use.came(0, 0)
-    use.came(1, 0)
+    use.record_request(0, 0)
+    use.record_request(0, 0)
+    use.record_request(1, 0)
     assert use.share(0, SECOND) == pytest.approx(2 / 3)
     assert len(counts.own) <= 64 + 2 + OVERFLOW_KEYS
 
 
 def test_what_no_window_holds_any_more_is_forgotten_though_it_was_sent_meanwhile() -> None:
-    counts = Counts("a", 1, WINDOW, 0)
+    counts = SharedCounters("a", 1, WINDOW, 0)
     counts.add(7, 0)
     for step in range(1, 20):
-        counts.row_out(7, step * SECOND // 2)
+        counts.encoded_row(7, step * SECOND // 2)
         counts.sweep(step * SECOND // 2)
         assert 7 in counts.own or step > WINDOW.buckets
-    assert not counts.own and not counts.changed and not counts.rested
+    assert not counts.own and not counts._changes and not counts._sent_round
 
 
 def test_keys_of_peers_are_looked_at_in_turns_and_all_of_them_in_time() -> None:
-    counts = Counts("me", 1, WINDOW, 0)
+    counts = SharedCounters("me", 1, WINDOW, 0)
     rows = tuple((key, 0, (1,)) for key in range(4_096))
     for number in range(8):
-        counts.take(Message(f"p{number}", 1, 1, 0, rows), 0)
-    assert counts.peer_keys == 8 * 4_096
+        counts.merge(CounterMessage(f"p{number}", 1, 1, 0, rows), 0)
+    assert counts.peers.key_count == 8 * 4_096
     for step in range(1, 5):  # each is heard on, with none of those keys
         now_us = 10 * SECOND + step * WINDOW.bucket_us
         for number in range(8):
-            counts.take(Message(f"p{number}", 1, 1 + step, now_us, ()), now_us)
+            counts.merge(CounterMessage(f"p{number}", 1, 1 + step, now_us, ()), now_us)
         counts.sweep(now_us)
-        assert counts.peer_keys == (8 - 2 * step) * 4_096
+        assert counts.peers.key_count == (8 - 2 * step) * 4_096
 
 
 def test_an_instance_counts_on_over_restarts_and_tells_peers_nothing_twice() -> None:
-    one, peer = Counts("a", 1, WINDOW, 0), Counts("b", 1, WINDOW, 0)
+    one, peer = SharedCounters("a", 1, WINDOW, 0), SharedCounters("b", 1, WINDOW, 0)
     for counts in (one, peer):
-        counts.size = 2
+        counts.cluster_size = 2
     one.add(7, 1 * SECOND, 10)
 
-    def send(counts: Counts, now_us: int) -> None:
-        row = counts.row_out(7, now_us)
+    def send(counts: SharedCounters, now_us: int) -> None:
+        row = counts.encoded_row(7, now_us)
         rows = (row,) if row else ()
-        peer.take(Message(counts.name, counts.incarnation, 1, now_us - counts.start_us, rows), now_us)
+        peer.merge(CounterMessage(counts.name, counts.incarnation, 1, now_us - counts.start_us, rows), now_us)
 
-    def restarted(counts: Counts, incarnation: int, now_us: int) -> Counts:
-        rows = counts.remembered([*counts.own, *counts.former])
-        old = Former(counts.name, counts.remembered_from_us, WINDOW.span_us, WINDOW.buckets, rows)
-        again = Counts("a", incarnation, WINDOW, now_us)
-        assert again.recall(old, now_us)
+    def restarted(counts: SharedCounters, incarnation: int, now_us: int) -> SharedCounters:
+        rows = counts.saved_rows([*counts.own, *counts.previous])
+        old = PreviousIncarnation(counts.name, counts.saved_from_us, WINDOW.span_us, WINDOW.buckets, rows)
+        again = SharedCounters("a", incarnation, WINDOW, now_us)
+        assert again.restore(old, now_us)
         return again
 
     send(one, 1 * SECOND)
@@ -383,22 +386,24 @@
         send(each, 3 * SECOND)
     assert three.own_count(7, 3 * SECOND) == 16 and three.estimate(7, 3 * SECOND) == 16
     assert peer.estimate(7, 3 * SECOND) == 16
-    three.size, three.alone_share = 2, False
-    assert three.parts_of(7, 1.0, 3 * SECOND)[1] == pytest.approx(16 / 17)  # all that was used before
+    three.reconfigure(CounterLimits(share_when_alone=False), 2)
+    assert three.shares_of(7, 1.0, 3 * SECOND)[1] == pytest.approx(16 / 17)  # all that was used before
     assert three.own_count(7, 5 * SECOND + 500_000) <= 6  # the first ten are out of the window
     assert three.own_count(7, 8 * SECOND) == 0
     three.sweep(8 * SECOND)
-    assert not three.former
+    assert not three.previous
 
 
 @pytest.mark.parametrize("changes", [{"name": "b"}, {"buckets": 4}, {"start_us": 9 * SECOND}])
 def test_counts_of_another_name_window_or_time_are_not_taken(changes: dict[str, object]) -> None:
-    old = replace(Former("a", 0, WINDOW.span_us, WINDOW.buckets, {1: (0, (4,))}), **changes)  # type: ignore[arg-type]
-    counts = Counts("a", 2, WINDOW, SECOND)
-    assert not counts.recall(old, SECOND) and counts.own_count(1, SECOND) == 0
+    old = replace(PreviousIncarnation("a", 0, WINDOW.span_us, WINDOW.buckets, {1: (0, (4,))}), **changes)  # type: ignore[arg-type]
+    counts = SharedCounters("a", 2, WINDOW, SECOND)
+    assert not counts.restore(old, SECOND) and counts.own_count(1, SECOND) == 0
 
 
 def test_counts_that_lie_ahead_of_the_present_are_left_out() -> None:
-    counts = Counts("a", 2, WINDOW, SECOND)
-    assert counts.recall(Former("a", 0, WINDOW.span_us, WINDOW.buckets, {1: (900, (4, 3))}), SECOND)
+    counts = SharedCounters("a", 2, WINDOW, SECOND)
+    assert counts.restore(
+        PreviousIncarnation("a", 0, WINDOW.span_us, WINDOW.buckets, {1: (900, (4, 3))}), SECOND
+    )
     assert counts.own_count(1, SECOND) == 0
--- a/tests/peers/test_gossip.py
+++ b/tests/peers/test_gossip.py
@@ -6,19 +6,21 @@
 from collections import Counter
 
 from fakes.peers_model import KEY, SECOND_US, PeersModel
-from plovertrail.decisions.counts import Counts, Window, key_of
-from plovertrail.decisions.counts_bound import Talk, bound
+from plovertrail.decisions.counter_error_bound import GossipParameters, error_bound
+from plovertrail.decisions.counter_rows import CountingWindow, key_of
+from plovertrail.decisions.peer_counters import CounterLimits
+from plovertrail.decisions.shared_counters import SharedCounters
 from plovertrail.peers.envelope import MAX_DATAGRAM_BYTES, DropReason
 from plovertrail.peers.gossip import MOST_A_PERIOD, Gossip
 from plovertrail.peers.wire import Codec, row_bytes
 
-WINDOW = Window(10 * SECOND_US, 20)
+WINDOW = CountingWindow(10 * SECOND_US, 20)
 ADDRESSES = [("10.0.0.1", 1), ("10.0.0.2", 1), ("10.0.0.3", 1)]
 
 
-def gossip(number: int = 0, fan_out: int = 8, window: Window = WINDOW) -> Gossip:
+def gossip(number: int = 0, fan_out: int = 8, window: CountingWindow = WINDOW) -> Gossip:
     made = Gossip(
-        Counts(f"i{number}", 1, window, 0),
+        SharedCounters(f"i{number}", 1, window, 0),
         Codec("f", [KEY], window),
         ADDRESSES[number],
         random.Random(number),
@@ -47,7 +49,7 @@
             if address == ADDRESSES[1]:
                 two.tick(period * 100_000)
                 assert two.received(data, ADDRESSES[0], period * 100_000) is None
-        told = {key for part in two.counts.parts.values() for key in part.rows}
+        told = {key for part in two.counts.peers.replicas.values() for key in part.rows}
     assert len(told) == 300  # also those that change no more
 
 
@@ -73,29 +75,35 @@
     one.counts.add(7, 0, 5)
     assert two.received(dict(one.tick(0))[ADDRESSES[1]], ADDRESSES[0], 0) is None
     two.listed(ADDRESSES[:2], 8)
-    assert two.counts.size == 2 and two.peers[ADDRESSES[0]].name == "i0"
+    assert two.counts.cluster_size == 2 and two.peers[ADDRESSES[0]].name == "i0"
     assert two.counts.estimate(7, 0) == 5
     two.listed([ADDRESSES[1]], 8)
-    assert two.counts.size == 1 and two.tick(0) == []
+    assert two.counts.cluster_size == 1 and two.tick(0) == []
     # what one that left has used counts till its window has passed
     assert two.counts.estimate(7, SECOND_US) == 5
 
 
 def test_the_loss_that_is_seen_makes_the_bound_worse_and_never_better() -> None:
-    talk = Talk(size=6, period_s=0.1, fan_out=5, window_s=10.0, bucket_s=0.5, loss=0.4, delay_s=0.1)
+    talk = GossipParameters(
+        size=6, period_s=0.1, fan_out=5, window_s=10.0, bucket_s=0.5, loss=0.4, delay_s=0.1
+    )
     model = PeersModel(talk, seed=3)
     model.load(20.0, {1: 20.0})
     seen = [model.gossips[0].loss_from(peer) for peer in model.gossips[0].order]
     assert all(0.25 < loss < 0.55 for loss in seen)
-    hoped = Talk(size=6, period_s=0.1, fan_out=5, window_s=10.0, bucket_s=0.5, loss=0.01, delay_s=0.1)
-    assert model.gossips[0].bound(hoped).under > 1.3 * bound(hoped).under
-    feared = Talk(size=6, period_s=0.1, fan_out=5, window_s=10.0, bucket_s=0.5, loss=0.6, delay_s=0.1)
-    assert model.gossips[0].bound(feared).under == bound(feared).under
+    hoped = GossipParameters(
+        size=6, period_s=0.1, fan_out=5, window_s=10.0, bucket_s=0.5, loss=0.01, delay_s=0.1
+    )
+    assert model.gossips[0].bound(hoped).under > 1.3 * error_bound(hoped).under
+    feared = GossipParameters(
+        size=6, period_s=0.1, fan_out=5, window_s=10.0, bucket_s=0.5, loss=0.6, delay_s=0.1
+    )
+    assert model.gossips[0].bound(feared).under == error_bound(feared).under
 
 
 def test_two_hundred_peers_that_claim_all_they_can_fit_into_the_bounds_of_memory() -> None:
     addresses = [(f"10.0.0.{number}", 1) for number in range(201)]
-    counts = Counts("me", 1, WINDOW, 0, most_keys=64)
+    counts = SharedCounters("me", 1, WINDOW, 0, limits=CounterLimits(max_keys=64))
     one = Gossip(counts, Codec("f", [KEY], WINDOW), addresses[0], random.Random(1))
     one.listed(addresses, 40)
     assert len(one.tick(0)) == 40
@@ -103,5 +111,5 @@
         rows = [row_bytes((number * 1_000 + key, 0, (1,))) for key in range(80)]
         data = one.codec.write(one.me, f"p{number}", 1, 1, 0, rows)
         assert one.received(data, address, 0) is None
-    assert counts.count_heard(0) == len(counts.parts) == 200
-    assert counts.peer_keys == 16 * 64 and counts.refused_keys == 200 * 80 - 16 * 64
+    assert counts.peers.heard_count(0) == len(counts.peers.replicas) == 200
+    assert counts.peers.key_count == 16 * 64 and counts.peers.rejected_keys == 200 * 80 - 16 * 64
--- a/tests/peers/test_talk.py
+++ b/tests/peers/test_talk.py
@@ -129,7 +129,7 @@
             )
             assert counts is not None and heard(it) == 0
             key = it.daemon.services.limiters.active["it"].fleet_key("acme", "")
-            part, _ = counts.parts_of(key, 6, counts.start_us)
+            part, _ = counts.shares_of(key, 6, counts.start_us)
             assert part == pytest.approx(1 / 3 if alone == "share" else 1.0)
 
     run(test)
--- a/tests/peers/test_wire.py
+++ b/tests/peers/test_wire.py
@@ -9,17 +9,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from plovertrail.decisions.counts import Window, key_of
+from plovertrail.decisions.counter_rows import CountingWindow, key_of
 from plovertrail.peers.envelope import MAX_DATAGRAM_BYTES, PREFIX, BadDatagramError, DropReason, digest
 from plovertrail.peers.wire import HEAD, Codec, row_bytes
 
-WINDOW = Window(10_000_000, 20)
+WINDOW = CountingWindow(10_000_000, 20)
 KEY, OTHER = b"k" * 32, b"o" * 32
 ME = digest("127.0.0.1:7400")
 Rows = list[tuple[int, int, list[int]]]
 
 
-def codec(*keys: bytes, fleet: str = "shop", window: Window = WINDOW) -> Codec:
+def codec(*keys: bytes, fleet: str = "shop", window: CountingWindow = WINDOW) -> Codec:
     return Codec(fleet, keys or (KEY,), window)
 
 
@@ -55,7 +55,7 @@
     assert why(written(codec(OTHER))) is DropReason.UNKNOWN_KEY
     assert why(good[:-1] + bytes([good[-1] ^ 1])) is DropReason.FORGED
     assert why(written(codec(), to=digest("127.0.0.1:7401"))) is DropReason.OTHER_RECEIVER
-    assert why(written(codec(window=Window(5_000_000, 20)))) is DropReason.OTHER_WINDOW
+    assert why(written(codec(window=CountingWindow(5_000_000, 20)))) is DropReason.OTHER_WINDOW
 
 
 def test_a_datagram_that_is_changed_or_cut_anywhere_is_not_taken() -> None:
--- a/tests/store/test_state_files.py
+++ b/tests/store/test_state_files.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from plovertrail.decisions.counts import Former
+from plovertrail.decisions.counter_rows import PreviousIncarnation
 from plovertrail.decisions.endpoint_list import (
     EndpointList,
     EndpointListState,
@@ -50,7 +50,7 @@
 
 
 BAD = EndpointHistory(0.25, 2.0, 0.5, 0.4, (0.3, 0.0), (2, 0))
-COUNTED = Former("n1", 1 * S, 10 * S, 10, {5: (3, (2, 0, 1))})
+COUNTED = PreviousIncarnation("n1", 1 * S, 10 * S, 10, {5: (3, (2, 0, 1))})
 OTHER = StoredState(
     {},
     {"main": PoolHistory(6 * S, {("s1", "127.0.0.1:9001"): BAD}, {"read": 9000.0})},
--- a/tests/store/test_stored_data.py
+++ b/tests/store/test_stored_data.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from plovertrail.decisions.counts import Counts, Window, key_of
+from plovertrail.decisions.counter_rows import CountingWindow, key_of
 from plovertrail.decisions.endpoint_list import EndpointListState
 from plovertrail.decisions.events import Endpoint, EndpointsUpdated, ListKind
 from plovertrail.decisions.load_balancing.balancer import LoadBalancer
@@ -27,6 +27,7 @@
     admit,
 )
 from plovertrail.decisions.settings import RequestClass, Settings
+from plovertrail.decisions.shared_counters import SharedCounters
 from plovertrail.decisions.warm_state import (
     PoolHistory,
     collect_histories,
@@ -45,7 +46,7 @@
 WITH_HISTORIES = [name for name, recorded in ANSWERS.items() if "in_use" in recorded]
 S = 1_000_000
 TENANTS = ("ann", "bob", "carol", "dora")
-WINDOW = Window(60 * S, 6)
+WINDOW = CountingWindow(60 * S, 6)
 LIMITERS = (
     RateLimiterSettings(
         "by-client", KeyedBy.CLIENT, Allowance(rate_per_s=0.1, burst=3), max_retry_after_us=60 * S
@@ -226,8 +227,8 @@
     recorded = ANSWERS[case]
     now_us, stored = recorded["now_us"], read(tmp_path, recorded).stored.counters
     assert stored is not None
-    counters = Counts("n1", 3, WINDOW, now_us)
-    assert counters.recall(stored, now_us) == recorded["in_use"]["counters_taken"]
+    counters = SharedCounters("n1", 3, WINDOW, now_us)
+    assert counters.restore(stored, now_us) == recorded["in_use"]["counters_taken"]
     counted = {
         tenant: [counters.own_count(key_of("tenant", tenant), now_us + n * 10 * S) for n in range(7)]
         for tenant in TENANTS
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -18,7 +18,6 @@
 MAX_LINES = 450
 # by path, the modules that are longer, with their present lengths: a list that only shrinks
 NOT_SPLIT_YET = {
-    "counts.py": 529,
     "leases.py": 477,
 }
 # in classes and functions of the modules besides load balancing, which has none
@@ -139,7 +138,9 @@
     loaded = {Path(file).relative_to(ROOT).as_posix() for file in files}
     off = (
         "plovertrail/peers/",
-        "plovertrail/decisions/counts",
+        "plovertrail/decisions/counter_",
+        "plovertrail/decisions/peer_counters",
+        "plovertrail/decisions/shared_counters",
         "plovertrail/hooks/",
         "plovertrail/nginx/",
         "plovertrail/cli/",
