--- a/benchmarks/shared_counts.py
+++ b/benchmarks/shared_counts.py
@@ -37,7 +37,7 @@
     RateLimiterSettings,
     admit,
 )
-from plovertrail.peers.talk import PeerTalk, bind
+from plovertrail.peers.transport import PeerTransport, bind
 
 TALK = GossipParameters(size=20, period_s=0.1, fan_out=8, window_s=10.0, bucket_s=0.5, loss=0.3, delay_s=0.2)
 TENANTS = [key_of("tenant", name) for name in ("steady", "bursty", "small")]
@@ -93,7 +93,7 @@
         """The monotonic clock, in microseconds."""
         return clock_us()
 
-    def start(self, number: int, sock: socket.socket) -> PeerTalk:
+    def start(self, number: int, sock: socket.socket) -> PeerTransport:
         """Start an instance on its socket."""
         talk = self.talk
         window = CountingWindow(int(talk.window_s * SECOND_US), round(talk.window_s / talk.bucket_s))
@@ -122,7 +122,7 @@
 
         if talk.loss:
             sock = cast(socket.socket, LossySocket(sock, talk, self.rng, through))
-        return PeerTalk(setup, sock, self.rng.randrange(2**32))
+        return PeerTransport(setup, sock, self.rng.randrange(2**32))
 
     def restart(self, number: int) -> None:
         """Stop an instance and start a new one in its place, which remembers nothing."""
@@ -134,13 +134,13 @@
     def count(self, number: int, key: int) -> None:
         """Count once under a key at one instance, and in the truth."""
         now_us = clock_us()
-        self.talks[number].counts.add(key, now_us)
+        self.talks[number].counters.add(key, now_us)
         self.truth[key].append(now_us)
         self.halves[number % 2][key].append(now_us)
 
     def estimate(self, number: int, key: int) -> float:
         """What an instance takes the count of all for."""
-        return self.talks[number].counts.estimate(key, clock_us())
+        return self.talks[number].counters.estimate(key, clock_us())
 
     def stop(self) -> None:
         """Stop all instances."""
--- a/plovertrail/daemon/wiring.py
+++ b/plovertrail/daemon/wiring.py
@@ -25,7 +25,7 @@
 from plovertrail.health_reporter import HealthReporter
 from plovertrail.hooks.loader import HookLoader
 from plovertrail.listeners.websocket_service import WebSocketService
-from plovertrail.peers.keeper import PeerKeeper
+from plovertrail.peers.service import PeerService
 from plovertrail.recovery_manager import RecoveryManager
 from plovertrail.sources.list_reader import ListReader
 from plovertrail.stall_detector import turn_staleness
@@ -46,7 +46,7 @@
     connect: ConnectionFactory = open_connection_pool
     listener_sockets: ListenerSockets = field(default_factory=SystemListenerSockets)
     open_event_log: Callable[[str], EventSink] = EventLog
-    peer_service: Callable[[Callable[[], int], ListReader], PeerKeeper] = PeerKeeper
+    peer_service: Callable[[Callable[[], int], ListReader], PeerService] = PeerService
 
 
 class DaemonEvents(Protocol):
@@ -70,7 +70,7 @@
     dispatcher: Dispatcher
     event_log: EventSink
     websockets: WebSocketService
-    peers: PeerKeeper
+    peers: PeerService
     warm_state: WarmStateManager
     pools: PoolManager
     limiters: LimiterTable
@@ -138,7 +138,7 @@
 
 
 def _make_warm_state(
-    setup: Setup, table: PoolTable, limiters: LimiterTable, peers: PeerKeeper
+    setup: Setup, table: PoolTable, limiters: LimiterTable, peers: PeerService
 ) -> WarmStateManager:
     """Make the state file's services; what the file has is read here, which blocks."""
     store = StoreService(setup.state_file, instance_name(setup))
--- a/tests/peers/test_membership_transport.py
+++ b/tests/peers/test_membership_transport.py
@@ -18,7 +18,7 @@
 from plovertrail.health_reporter import class_key, endpoint_key
 from tests.daemons import Running, message, run, running, site
 from tests.net import until
-from tests.peers.test_talk import datagram_ports, peers_text
+from tests.peers.test_transport import datagram_ports, peers_text
 
 FAST = '[fellows]\nperiod = "200ms"\ngossip = "50ms"\n'
 
@@ -103,8 +103,8 @@
             text = one.path.read_text()
             assert await one.change(text.replace('period = "200ms"', 'period = "300ms"'))
             assert living(one) == 3
-            assert one.daemon.services.peers.talk is not None
-            talk = one.daemon.services.peers.talk.membership
+            assert one.daemon.services.peers.transport is not None
+            talk = one.daemon.services.peers.transport.membership
             assert talk is not None
             assert talk.protocol.cluster.settings.period_us == 300_000
             third.daemon.services.peers.stop()
@@ -126,7 +126,7 @@
     async def test() -> None:
         async with fleet(tmp_path, 2, [WebServer()]) as (one, two):
             await until(lambda: living(one) == 2)
-            talk = one.daemon.services.peers.talk
+            talk = one.daemon.services.peers.transport
             assert talk is not None
             assert talk.membership is not None
             good = talk.membership.protocol.tick(talk.membership.protocol.next_wakeup_us() + 10**9)
--- a/tests/peers/test_talk.py
+++ b/tests/peers/test_transport.py
@@ -125,7 +125,9 @@
             statuses = [(await it.ask(buy())).status for _ in range(6)]
             assert statuses == [200] * let_in + [429] * (6 - let_in)
             counts = (
-                it.daemon.services.peers.talk.counts if it.daemon.services.peers.talk is not None else None
+                it.daemon.services.peers.transport.counters
+                if it.daemon.services.peers.transport is not None
+                else None
             )
             assert counts is not None and heard(it) == 0
             key = it.daemon.services.limiters.active["it"].fleet_key("acme", "")
@@ -194,9 +196,9 @@
                 pass
             before = used(one)
             ports = [
-                it.daemon.services.peers.talk.setup.address[1]
+                it.daemon.services.peers.transport.setup.address[1]
                 for it in daemons
-                if it.daemon.services.peers.talk
+                if it.daemon.services.peers.transport
             ]
             assert await one.change(text.replace(f', "127.0.0.1:{ports[2]}"', ""))
             status = one.daemon.status()["peers"]
@@ -215,13 +217,13 @@
         rng = random.Random(1)
         async with fleet(tmp_path, 2) as (one, two):
             await until(lambda: heard(one) == heard(two) == 1)
-            talk = one.daemon.services.peers.talk
+            talk = one.daemon.services.peers.transport
             assert talk is not None
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
                 for _ in range(40):  # as many as the socket's buffer holds
                     stranger.sendto(rng.randbytes(rng.randrange(1_300)), talk.setup.address)
             # from a listed address as well, as whoever holds it may be broken
-            other = two.daemon.services.peers.talk
+            other = two.daemon.services.peers.transport
             assert other is not None
             await until(lambda: one.daemon.status()["peers"]["dropped"].get("not listed") == 40)
             for _ in range(40):
@@ -352,7 +354,7 @@
 def test_a_daemon_without_peers_loads_none_of_it() -> None:
     code = (
         "import sys, plovertrail.daemon.process, plovertrail.cli; "
-        "print([m for m in sys.modules if m in ('plovertrail.peers.talk', 'plovertrail.peers.gossip')])"
+        "print([m for m in sys.modules if m in ('plovertrail.peers.transport', 'plovertrail.peers.gossip')])"
     )
 
     async def test() -> None:
