--- a/plovertrail/daemon/config_watcher.py
+++ b/plovertrail/daemon/config_watcher.py
@@ -31,7 +31,7 @@
         """Watch the file of the configuration in force, where it sets `reload = "watch"`."""
         self.digest_in_force = setup.digest
         self.problem = ""
-        self.lists.in_force.use_setup(setup.digest)
+        self.lists.in_force.use_configuration(setup.digest)
         key = SourceKey(setup.path, False, SourceKind.PLAIN) if setup.watched else None
         if self.subscription is not None and self.subscription.key != key:
             self.subscription.stop()
--- a/plovertrail/recovery_manager.py
+++ b/plovertrail/recovery_manager.py
@@ -133,7 +133,7 @@
         while not settled:
             await asyncio.sleep(UNSETTLED_FILE_INTERVAL_S)
             settled = await subscription.look()
-        self.state.source_read(name, subscription.complaint, clock_us())
+        self.state.source_read(name, subscription.last_problem, clock_us())
 
     def _log_phase_change(self, old_phase: Phase) -> None:
         """Log one line for each change of phase."""
--- a/plovertrail/sources/file_reading.py
+++ b/plovertrail/sources/file_reading.py
@@ -1,4 +1,4 @@
-"""Bounded reads of files and folders of server lists, and how a file is told from half of one."""
+"""Bounded reads of files and folders of endpoint lists; a file counts once it is complete."""
 
 from __future__ import annotations
 
@@ -11,39 +11,39 @@
 
 from plovertrail.decisions.endpoint_list import EndpointList, ListedEndpoint
 from plovertrail.decisions.list_versions import SourceKey, SourceKind
-from plovertrail.sources.lists import LARGEST, MOST_SERVERS, InvalidListError, parse
+from plovertrail.sources.lists import MAX_ENDPOINTS, MAX_FILE_BYTES, InvalidListError, parse
 
-COARSE_S = 3.0  # a file whose times are so young may change again under the same times (NFS, FAT: 2 s)
-SETTLE_S = 0.2  # a file with no checksum must stay as it is for so long
-MOST_FRAGMENTS = 256
+COARSE_S = 3.0  # a file changed within this may change again under the same times (NFS, FAT: 2 s)
+SETTLE_S = 0.2  # for so long a file without a checksum must stay the same
+MAX_FRAGMENTS = 256
 Signature = tuple[int, int, int, int]
 
 
 class FileSystem(Protocol):
-    """The calls on the file system that may hang, so that tests can block them."""
+    """The calls on the file system that may hang; tests replace them."""
 
     def status(self, path: str) -> os.stat_result:
-        """As os.stat: of what a link leads to."""
+        """Return `os.stat` of what a path leads to; raises OSError."""
 
     def names(self, path: str) -> list[str]:
-        """What a folder holds."""
+        """List the names in a folder; raises OSError."""
 
     def is_link(self, path: str) -> bool:
         """Whether the path itself is a link."""
 
     def read(self, path: str) -> tuple[bytes, Signature]:
-        """A plain file's bytes and its signature; raises InvalidListError or OSError."""
+        """Read a plain file; returns its bytes and signature; raises InvalidListError or OSError."""
 
 
 class LocalFileSystem:
-    """The system's own calls."""
+    """The operating system's own calls."""
 
     def status(self, path: str) -> os.stat_result:
-        """`stat` of what the path leads to; raises OSError."""
+        """Return `os.stat` of what a path leads to; raises OSError."""
         return os.stat(path)
 
     def names(self, path: str) -> list[str]:
-        """The names in a folder, hidden ones too; raises OSError."""
+        """List the names in a folder, hidden ones too; raises OSError."""
         return os.listdir(path)
 
     def is_link(self, path: str) -> bool:
@@ -51,7 +51,7 @@
         return os.path.islink(path)
 
     def read(self, path: str) -> tuple[bytes, Signature]:
-        """As `read_bounded`."""
+        """Read a plain file as `read_bounded` does."""
         return read_bounded(path)
 
 
@@ -59,17 +59,17 @@
 
 
 def read_bounded(path: str) -> tuple[bytes, Signature]:
-    """A plain file's bytes and its signature; raises InvalidListError or OSError."""
-    # hazard: opening a FIFO waits for a writer, and reading a device may never end
+    """Read a plain file; returns its bytes and signature; raises InvalidListError or OSError."""
+    # Without O_NONBLOCK opening a FIFO waits for a writer; reading a device may never end.
     fd = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
     try:
         found = os.fstat(fd)
         if not stat.S_ISREG(found.st_mode):
             raise InvalidListError("not a plain file")
-        if found.st_size > LARGEST:
-            raise InvalidListError(f"longer than {LARGEST >> 20} MiB")
+        if found.st_size > MAX_FILE_BYTES:
+            raise InvalidListError(f"longer than {MAX_FILE_BYTES >> 20} MiB")
         parts: list[bytes] = []
-        left = LARGEST + 1
+        left = MAX_FILE_BYTES + 1
         while left > 0 and (part := os.read(fd, min(left, 1 << 20))):
             parts.append(part)
             left -= len(part)
@@ -82,13 +82,13 @@
 
 
 def signature(found: os.stat_result) -> Signature:
-    """Device, inode, size and time of change (ns): a change of the file changes one, where times are fine."""
+    """Return device, inode, size and time of change (ns); where times are fine, any change shows in it."""
     return found.st_dev, found.st_ino, found.st_size, found.st_mtime_ns
 
 
 @dataclass
 class Seen:
-    """A file as it was last read."""
+    """A file's content as it was last read."""
 
     signature: Signature
     data: bytes
@@ -97,7 +97,7 @@
 
 @dataclass
 class FileSource:
-    """One file, or a folder whose files make one list together; `path` may be a link that is swapped."""
+    """One file, or a folder whose files make one list; `path` may be a link that is swapped."""
 
     path: str
     checksum: bool = True
@@ -113,16 +113,16 @@
 
     @property
     def key(self) -> SourceKey:
-        """What the source is known by in this process."""
+        """The key of the source in this process."""
         return SourceKey(self.path, self.checksum, self.kind)
 
     @property
     def name(self) -> str:
-        """The source as lists, reports and the state file name it."""
+        """The source's name in lists, reports and the state file."""
         return self.key.name
 
     def names(self) -> list[str]:
-        """The files: sorted, without hidden ones (config maps keep theirs in ..data) and temporary ones."""
+        """List the files, sorted, without hidden ones (config maps have theirs in ..data) and temporaries."""
         self.folder = self._is_folder()
         if not self.folder:
             return [self.path]
@@ -133,8 +133,8 @@
         )
         if not found:
             raise InvalidListError("the folder holds no list")
-        if len(found) > MOST_FRAGMENTS:
-            raise InvalidListError(f"more than {MOST_FRAGMENTS} files")
+        if len(found) > MAX_FRAGMENTS:
+            raise InvalidListError(f"more than {MAX_FRAGMENTS} files")
         return [os.path.join(self.path, name) for name in found]
 
     def _is_folder(self) -> bool:
@@ -144,8 +144,11 @@
             return False
 
     def read(self, now: float, settle: bool = True) -> tuple[bool, EndpointList | None]:
-        """Whether the list is new since the last call, and the list; None: it has not settled yet. Blocking;
-        raises InvalidListError or OSError. What has not changed is not parsed again."""
+        """Read the source; returns whether the list is new since the last call, and the list.
+
+        The list is None while the file has not settled. Blocks; raises InvalidListError or OSError. What has
+        not changed is not parsed again.
+        """
         changed = False
         settled = True
         made, self.made = self.made, None
@@ -185,7 +188,7 @@
         return True, self.made
 
     def _digest(self, names: list[str]) -> str:
-        """Of the bytes; of several files, of their names as well."""
+        """Compute the digest of the bytes; of several files, of their names as well."""
         if len(names) == 1:
             return hashlib.sha256(self.seen[names[0]].data).hexdigest()
         whole = hashlib.sha256()
@@ -207,18 +210,18 @@
                 raise InvalidListError(where + str(error)) from None
             entries.extend(part.endpoints)
             version += part.version
-        if len(entries) > MOST_SERVERS:
-            raise InvalidListError(f"more than {MOST_SERVERS} servers")
+        if len(entries) > MAX_ENDPOINTS:
+            raise InvalidListError(f"more than {MAX_ENDPOINTS} servers")
         return EndpointList(self.name, tuple(entries), version if len(names) == 1 else 0)
 
     def _surely_same(self, path: str, old: Seen) -> bool:
-        """Hazard: where times are coarse a second change leaves the signature as it is."""
+        """Whether a file is unchanged for certain: with coarse times a second change leaves the signature."""
         found = self.files.status(path)
         return signature(found) == old.signature and time.time() - found.st_mtime > COARSE_S
 
 
 def first_read(source: FileSource) -> EndpointList | str:
-    """What a source holds that is not watched yet, or what is wrong with it. Blocking."""
+    """Read a source that is not watched yet; returns its list, or what is wrong with it. Blocks."""
     try:
         _, found = source.read(time.monotonic())
         if found is None:
@@ -230,5 +233,5 @@
 
 
 def complaint(error: InvalidListError | OSError) -> str:
-    """What the operator is told."""
+    """Describe an error for operators."""
     return error.strerror or repr(error) if isinstance(error, OSError) else str(error)
--- a/plovertrail/sources/first_read.py
+++ b/plovertrail/sources/first_read.py
@@ -1,4 +1,4 @@
-"""The first read of all lists of a setup: one pass, one settling time, bounded in time."""
+"""The first read of all lists of a configuration: one pass, one settling time, bounded in time."""
 
 from __future__ import annotations
 
@@ -11,32 +11,32 @@
 from plovertrail.sources.read_workers import Reading, ReadJob, ReadWorkers
 from plovertrail.sources.subscriptions import Followed
 
-FIRST_READ_S = 3.0  # a start waits no longer for its lists
-FIRST_WAIT_S = 0.02  # between two looks at the worker meanwhile
-FIRST_SIGHTINGS = 5  # a start goes on with other sources after 0.1 s
+FIRST_READ_S = 3.0  # a start waits for its lists at most
+FIRST_WAIT_S = 0.02  # between two checks of the worker meanwhile
+FIRST_SIGHTINGS = 5  # of a read that hangs: after 0.1 s a start goes on with other sources
 FirstReading = tuple[ReadJob, Reading, int]  # with the number of the call that its look came after
 FirstRead = EndpointList | str  # a list, or what is wrong with it
 
 
 class FirstReads:
-    """Blocks its caller, which may be the loop's thread at a start; one at a time."""
+    """Reads sources while its caller waits, which may be the loop's thread at a start; one call at a time."""
 
     def __init__(self, workers: ReadWorkers) -> None:
         self.workers = workers
         self.readings: queue.SimpleQueue[FirstReading] | None = None  # None: nobody waits
 
     def note(self, job: ReadJob, reading: Reading, begun: int) -> None:
-        """On the worker's thread: a look has ended."""
+        """Note the end of a read; called on the worker's thread."""
         readings = self.readings
         if readings is not None:
             readings.put((job, reading, begun))
 
     def read(self, followed: list[Followed]) -> dict[SourceKey, FirstRead]:
-        """Read all, and once more those that have not settled: one settling time for all of them."""
-        # hazard: a reload would wait in vain for what hangs already
-        waiting = {each.job: each.version.key for each in followed if not each.version.hung}
+        """Read all sources, and once more those that have not settled, after one settling time for all."""
+        # A reload would wait in vain for a source that hangs already.
+        waiting = {each.job: each.version.key for each in followed if not each.version.is_hung}
         found: dict[SourceKey, FirstRead] = {
-            each.version.key: each.version.complaint or "it was not read in time" for each in followed
+            each.version.key: each.version.problem or "it was not read in time" for each in followed
         }
         self.readings = queue.SimpleQueue()
         ends_s = time.monotonic() + FIRST_READ_S
@@ -46,8 +46,8 @@
             self._collect(self.readings, {job: waiting[job] for job in unsettled}, found, ends_s)
         self.readings = None
         for each in followed:
-            if isinstance(found[each.version.key], str) and each.candidate is not None:
-                found[each.version.key] = each.candidate  # the last good one; what is wrong is told later
+            if isinstance(found[each.version.key], str) and each.last_good is not None:
+                found[each.version.key] = each.last_good  # the last good one; what is wrong is told later
         return found
 
     def _collect(
@@ -57,7 +57,7 @@
         found: dict[SourceKey, FirstRead],
         ends_s: float,
     ) -> list[ReadJob]:
-        """One look at each; returns those that have not settled."""
+        """Read each source once; returns those that have not settled."""
         unsettled: list[ReadJob] = []
         sighted, sightings = None, 0
         left = {job: self.workers.submit(job, wanted=True) for job in waiting}
@@ -71,11 +71,11 @@
                     self.workers.hand_over(*busy)
                 continue
             if job not in left or begun < left[job]:
-                continue  # hazard: a quick look that came before would tell what had not settled then
+                continue  # a read that began before this call, when it may not have settled
             del left[job]
-            if reading.candidate is None and not reading.refusal:
+            if reading.listed is None and not reading.problem:
                 unsettled.append(job)
                 found[waiting[job]] = "it has not settled yet"
             else:
-                found[waiting[job]] = reading.candidate or reading.refusal
+                found[waiting[job]] = reading.listed or reading.problem
         return unsettled
--- a/plovertrail/sources/instances.py
+++ b/plovertrail/sources/instances.py
@@ -14,61 +14,63 @@
 
 
 class InstanceList:
-    """Tells of each new list. One that can't be used, or names nobody, leaves what is known. Hazard: taken as
-    it is, an empty one would make each instance the only one, with all that is to be shared out."""
+    """Reports each new list of instances.
+
+    One that can't be used, or is empty, is ignored: by an empty list each instance would be alone, with
+    the whole of every quota.
+    """
 
     def __init__(
         self,
-        of_what: str,
-        listed: Callable[[tuple[ListedEndpoint, ...]], None],
+        owner: str,
+        on_instances: Callable[[tuple[ListedEndpoint, ...]], None],
         lists: ListReader | None = None,
     ) -> None:
-        self.of_what = of_what
-        self.listed = listed
-        self.lists = lists  # None: it has a reader of its own while it has something to read
-        self.own: ListReader | None = None
-        self.read = False  # a list of this file has been told
+        self.owner = owner  # whose list it is, for reports
+        self.on_instances = on_instances
+        self.lists = lists  # None: it has a reader of its own while it has a file to read
+        self.own_reader: ListReader | None = None
+        self.read = False  # a list of the present file has been reported
         self.problem = ""
-        self.watch: Subscription | None = None
+        self.subscription: Subscription | None = None
 
     def follow(self, path: str) -> bool:
-        """Watch this file from now on, none if empty; whether it is another one than before."""
-        if path == (self.watch.key.path if self.watch is not None else ""):
+        """Follow this file from now on, none if empty; returns whether it is another one than before."""
+        if path == (self.subscription.key.path if self.subscription is not None else ""):
             return False
         self.stop()
-        self.read, self.problem = False, ""
+        self.read = False
+        self.problem = ""
         if path:
             reader = self.lists
             if reader is None:
-                reader = self.own = ListReader()
-            self.watch = reader.subscribe(
-                SourceKey(path, False), f"list of {self.of_what}", self._taken, self._refused
+                reader = self.own_reader = ListReader()
+            self.subscription = reader.subscribe(
+                SourceKey(path, False), f"list of {self.owner}", self._list_read, self._list_unusable
             )
         return True
 
     def stop(self) -> None:
-        """Stop watching the file, and stop the reader if it is this list's own; may be called again."""
-        if self.watch is not None:
-            self.watch.stop()
-            self.watch = None
-        if self.own is not None:
-            self.own.stop()
-            self.own = None
+        """Follow the file no more, and stop the reader if it is this list's own; may be called again."""
+        if self.subscription is not None:
+            self.subscription.stop()
+            self.subscription = None
+        if self.own_reader is not None:
+            self.own_reader.stop()
+            self.own_reader = None
 
-    async def _taken(self, candidate: EndpointList) -> str:
-        if not candidate.endpoints:
-            await self._refused(candidate.source, "it lists no instance")
+    async def _list_read(self, listed: EndpointList) -> str:
+        """Report a list; returns why it is rejected, or an empty text."""
+        if not listed.endpoints:
+            await self._list_unusable(listed.source, "it lists no instance")
             return self.problem
-        self.read, self.problem = True, ""
-        self.listed(candidate.endpoints)
+        self.read = True
+        self.problem = ""
+        self.on_instances(listed.endpoints)
         return ""
 
-    async def _refused(self, source: str, why: str) -> None:
-        if why != self.problem:
-            log.error(
-                "the list of %s, %s, can't be used: %s; what is known of them stays",
-                self.of_what,
-                source,
-                why,
-            )
-        self.problem = why
+    async def _list_unusable(self, source: str, problem: str) -> None:
+        """Log a problem once; what is known of the instances stays."""
+        if problem != self.problem:
+            log.error("instance list unusable owner=%s source=%s: %s", self.owner, source, problem)
+        self.problem = problem
--- a/plovertrail/sources/list_reader.py
+++ b/plovertrail/sources/list_reader.py
@@ -16,7 +16,6 @@
 from typing import Any, TypeVar
 
 from plovertrail.decisions.list_versions import (
-    QUICK_LOOK_US,
     InForce,
     ReadState,
     SourceKey,
@@ -28,10 +27,11 @@
 from plovertrail.sources.file_reading import LOCAL, FileSource, FileSystem
 from plovertrail.sources.first_read import FirstRead, FirstReads
 from plovertrail.sources.hang_watchdog import HangWatchdog
-from plovertrail.sources.read_workers import MOST_STUCK, Reading, ReadJob, ReadWorkers
+from plovertrail.sources.quick_looks import QuickLooks
+from plovertrail.sources.read_workers import MAX_STUCK_THREADS, Reading, ReadJob, ReadWorkers
 from plovertrail.sources.safety_scan import SafetyScan
 from plovertrail.sources.source_table import SourceTable
-from plovertrail.sources.subscriptions import Followed, Refused, Subscription, Taken
+from plovertrail.sources.subscriptions import Followed, OnList, OnProblem, Subscription
 
 log = logging.getLogger(__name__)
 
@@ -58,18 +58,19 @@
         self.first = FirstReads(self.workers)
         self.readings: deque[tuple[Followed, Reading, int]] = deque()  # not taken over by the loop yet
         self.next_readings: asyncio.Handle | None = None  # the turn that takes over more of them
-        self.quick: dict[SourceKey, Followed] = {}  # changed a moment ago, or not settled
-        self.quick_timer: asyncio.TimerHandle | None = None
+        self.quick_looks = QuickLooks(self.loop, self._submit)
         self.watch_update: asyncio.Handle | None = None
         self.executor: ThreadPoolExecutor | None = None
         self.closed = False
 
     # Subscribers
 
-    def subscribe(self, key: SourceKey, subscriber: str, taken: Taken, refused: Refused) -> Subscription:
+    def subscribe(
+        self, key: SourceKey, subscriber: str, on_list: OnList, on_problem: OnProblem
+    ) -> Subscription:
         """Tell a subscriber what a source holds, now and whenever that changes."""
         followed = self._follow(key)
-        subscription = Subscription(self, followed, subscriber, taken, refused)
+        subscription = Subscription(self, followed, subscriber, on_list, on_problem)
         followed.subscriptions.append(subscription)
         if followed.version.state is ReadState.UNREAD:
             self._submit([followed])
@@ -106,7 +107,7 @@
         return followed
 
     def _drop(self, followed: Followed) -> None:
-        self.quick.pop(followed.version.key, None)
+        self.quick_looks.remove(followed.version.key)
         self.workers.drop(followed.job)
         _wake_waiters(followed, followed.job.asked)
         self.sources.remove(followed)
@@ -136,20 +137,6 @@
         self.workers.submit_all([each.job for each in followed])
         self.watchdog.arm()
 
-    def _quick_looks(self) -> None:
-        """Read again what was changed a moment ago, or has not settled."""
-        self.quick_timer = None
-        for key, each in list(self.quick.items()):
-            if each.settled and not each.young:
-                del self.quick[key]
-                each.quick = False
-        self._submit(self.quick.values())
-        self._arm_quick()
-
-    def _arm_quick(self) -> None:
-        if self.quick and self.quick_timer is None and not self.closed:
-            self.quick_timer = self.loop.call_later(QUICK_LOOK_US / 1e6, self._quick_looks)
-
     def _read_on_thread(self, job: ReadJob, reading: Reading, begun: int, wanted: bool) -> None:
         """Handle a read on the worker's thread.
 
@@ -161,7 +148,7 @@
         followed = self.sources.by_key.get(job.source.key)
         if followed is None:
             return
-        followed.young = reading.young
+        followed.may_change = reading.may_change
         if wanted or not _nothing_new(followed, reading):
             self.readings.append((followed, reading, begun))
             self._on_loop(self._take_readings)
@@ -185,17 +172,15 @@
         version = followed.version
         if self.sources.by_key.get(version.key) is not followed:
             return
-        was_hung = version.hung
-        followed.linked = reading.linked
-        if followed.folder != reading.folder:
-            followed.folder = reading.folder
+        was_hung = version.is_hung
+        followed.is_linked = reading.is_linked
+        if followed.is_folder != reading.is_folder:
+            followed.is_folder = reading.is_folder
             self._update_watches()
-        followed.settled = reading.candidate is not None or bool(reading.refusal)
+        followed.settled = reading.listed is not None or bool(reading.problem)
         changed = self._update_version(followed, reading)
-        if reading.young or not followed.settled or was_hung:
-            self.quick[version.key] = followed
-            followed.quick = True
-            self._arm_quick()
+        if reading.may_change or not followed.settled or was_hung:
+            self.quick_looks.add(followed)
         if changed:
             self._queue_deliveries(followed)
         _wake_waiters(followed, begun)
@@ -204,13 +189,15 @@
         """Update a source's version; returns whether its subscribers have to be told."""
         version = followed.version
         now_us = self._now_us()
-        if reading.candidate is not None:
-            followed.candidate = reading.candidate
-            count = len(reading.candidate.endpoints)
-            return version.took(reading.candidate.version, reading.digest, count, reading.new, now_us)
-        if reading.refusal:
-            return version.refused(reading.refusal, now_us)
-        version.unsettled(now_us)
+        if reading.listed is not None:
+            followed.last_good = reading.listed
+            count = len(reading.listed.endpoints)
+            return version.list_accepted(
+                reading.listed.version, reading.digest, count, reading.changed, now_us
+            )
+        if reading.problem:
+            return version.list_rejected(reading.problem, now_us)
+        version.not_settled(now_us)
         return False
 
     def _source_hangs(self, job: ReadJob, tried: bool) -> None:
@@ -218,11 +205,11 @@
         followed = self.sources.by_key.get(job.source.key)
         if followed is None or followed.job is not job:
             return
-        if followed.version.hangs(tried, self._now_us()):
+        if followed.version.read_hangs(tried, self._now_us()):
             log.error(
                 "source hangs source=%s: %s; what was read last stays",
                 job.source.name,
-                followed.version.complaint,
+                followed.version.problem,
             )
             self._queue_deliveries(followed)
         followed.settled = True
@@ -265,16 +252,16 @@
         """Report all sources for operators, and what is in force of them."""
         now_us = self._now_us()
         problems = [self.scan.problem()] if self.scan.schedule.too_slow else []
-        if len(self.workers.stuck) >= MOST_STUCK:
-            problems.append(f"{MOST_STUCK} reads hang: no further file is read until one comes back")
+        if len(self.workers.stuck) >= MAX_STUCK_THREADS:
+            problems.append(f"{MAX_STUCK_THREADS} reads hang: no further file is read until one comes back")
         return {
             "generation": self.in_force.generation,
             "digest": self.in_force.digest(),
-            "setup_digest": self.in_force.setup,
+            "setup_digest": self.in_force.configuration_digest,
             "notifications": self._notifications_status(),
             "scan_period_s": round(self.scan.schedule.period_us / 1e6, 3),
             "detects_within_s": round(self.scan.schedule.detection_us / 1e6, 3),
-            "hung": [each.version.key.path for each in self.sources.all() if each.version.hung],
+            "hung": [each.version.key.path for each in self.sources.all() if each.version.is_hung],
             "problems": problems,
             "sources": [_source_status(each, now_us) for each in self.sources.all()],
         }
@@ -287,9 +274,9 @@
     def stop(self) -> None:
         """Read nothing more; reads that hang are abandoned."""
         self.closed = True
-        for timer in (self.quick_timer, self.watch_update):
-            if timer is not None:
-                timer.cancel()
+        if self.watch_update is not None:
+            self.watch_update.cancel()
+        self.quick_looks.close()
         self.scan.close()
         self.watchdog.close()
         self.deliveries.close()
@@ -313,12 +300,12 @@
 def _nothing_new(followed: Followed, reading: Reading) -> bool:
     """Whether a read found what the one before it had found."""
     state = followed.version.state
-    if reading.young and not followed.quick:
+    if reading.may_change and not followed.read_again_soon:
         return False
-    if reading.candidate is not None:
-        return state is ReadState.GOOD and followed.settled and not reading.new
-    if reading.refusal:
-        return state is ReadState.REFUSED and followed.version.refusal == reading.refusal
+    if reading.listed is not None:
+        return state is ReadState.GOOD and followed.settled and not reading.changed
+    if reading.problem:
+        return state is ReadState.REFUSED and followed.version.rejection == reading.problem
     return not followed.settled and state is not ReadState.UNREAD
 
 
--- a/plovertrail/sources/lists.py
+++ b/plovertrail/sources/lists.py
@@ -1,8 +1,10 @@
-"""Lists of servers in files: JSON, TOML, or an endpoint a line; whole and good, or refused.
+"""Endpoint lists in files: JSON, TOML, or an endpoint a line; complete and valid, or rejected.
 
-Hazard: a file that is being written is a good file at many of its lengths: a TOML file cut between two
-tables, lines cut anywhere, a JSON file rewritten in place from the front. Only a checksum tells them all; see
-docs/membership.md for what was weighed.
+A file that is being written is valid at many of its lengths: a TOML file truncated between two tables, lines
+truncated anywhere, a JSON file rewritten in place from the front. Only a checksum tells them all apart;
+docs/membership.md has the alternatives.
+
+The words of the files stand in `Row` and `ListFile`; `servers` are endpoints, `id` is an endpoint's name.
 """
 
 from __future__ import annotations
@@ -17,9 +19,9 @@
 
 from plovertrail.decisions.endpoint_list import Address, EndpointList, ListedEndpoint
 
-LARGEST = 8 << 20  # bytes of one file
-MOST_SERVERS = 50_000
-NOT_WHOLE = "half written, changed by hand, or never sealed (plovertrail seal FILE)"
+MAX_FILE_BYTES = 8 << 20
+MAX_ENDPOINTS = 50_000
+NOT_COMPLETE = "half written, changed by hand, or never sealed (plovertrail seal FILE)"
 SEAL = re.compile(rb"\n?# sha256: ([0-9a-f]{64})\n\Z")
 JSON_SEAL = re.compile(rb'("sha256"\s*:\s*")([0-9a-f]{64})(")')
 OCTET = r"(?:25[0-5]|2[0-4][0-9]|1[0-9][0-9]|[1-9]?[0-9])"
@@ -28,11 +30,11 @@
 
 
 class InvalidListError(Exception):
-    """A file that is not whole, or no list; the text says why."""
+    """A file that is not complete, or no list; the text says why."""
 
 
 class Row(msgspec.Struct, kw_only=True, forbid_unknown_fields=True, gc=False):
-    """A server as JSON and TOML write it."""
+    """An endpoint in a JSON or TOML file."""
 
     id: str
     address: str
@@ -43,8 +45,10 @@
 
 
 class ListFile(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """A whole list as JSON and TOML write it; `version` 0 means none, and `sha256` is the digest
-    of a JSON list in hex, empty if it has none."""
+    """A list in a JSON or TOML file.
+
+    A `version` of 0 means none. `sha256` is the digest of a JSON list in hex, empty if it has none.
+    """
 
     servers: list[Row]
     version: int = 0
@@ -52,8 +56,11 @@
 
 
 def json_digest(data: bytes) -> bytes | None:
-    """Of a JSON list: of all its bytes, with zeros in the digest's place. None: it has no place, or two.
-    Hazard: to write 10,000 servers anew, in one order, would hold up the loop though on another thread."""
+    """Compute the digest of a JSON list's bytes, with zeros in the digest's place.
+
+    None: it has no such place, or two. The bytes are digested as they are, since encoding 10,000 endpoints
+    again in a canonical order would hold Python's lock for too long, even on another thread.
+    """
     found = JSON_SEAL.findall(data)
     if len(found) != 1:
         return None
@@ -62,7 +69,7 @@
 
 
 def endpoint(text: str) -> Address:
-    """An IPv4 address and a port. Hazard: a name would be looked up."""
+    """Parse an IPv4 address and a port; raises InvalidListError, as for a name, which needs a lookup."""
     found = ENDPOINT.fullmatch(text)
     if found is None:
         raise InvalidListError(f"{text!r} is no address and port")
@@ -73,15 +80,18 @@
 
 
 def parse(name: str, data: bytes, source: str, checksum: bool) -> EndpointList:
-    """The list in a file's bytes; raises InvalidListError. `checksum`: a file without one, or with a wrong
-    one, is not whole; without it, a file is taken for whole when it ends with a line's end."""
-    if len(data) > LARGEST:
-        raise InvalidListError(f"longer than {LARGEST >> 20} MiB")
+    """Parse a file's bytes; raises InvalidListError.
+
+    With `checksum` a file that has none, or a wrong one, is not complete. Without it a file is complete if it
+    ends with the end of a line.
+    """
+    if len(data) > MAX_FILE_BYTES:
+        raise InvalidListError(f"longer than {MAX_FILE_BYTES >> 20} MiB")
     try:
         if name.endswith(".json"):
             table = _json(data, checksum)
         else:
-            text = _unsealed(data, checksum).decode("utf-8")
+            text = _without_checksum(data, checksum).decode("utf-8")
             found = tomllib.loads(text) if name.endswith(".toml") else _lines(text)
             table = msgspec.convert(found, ListFile, strict=True)
     except UnicodeDecodeError as error:
@@ -92,35 +102,35 @@
         ) from None
     except msgspec.MsgspecError as error:
         raise InvalidListError(str(error)) from None
-    return EndpointList(source, _entries(table), table.version)
+    return EndpointList(source, _endpoints(table), table.version)
 
 
-def _unsealed(data: bytes, checksum: bool) -> bytes:
+def _without_checksum(data: bytes, checksum: bool) -> bytes:
     seal = SEAL.search(data)
     if seal is not None:
         content = data[: seal.start()]
         if hashlib.sha256(content).hexdigest().encode() != seal[1]:
-            raise InvalidListError(f"its checksum is not that of its lines: {NOT_WHOLE}")
+            raise InvalidListError(f"its checksum is not that of its lines: {NOT_COMPLETE}")
         return content
     if checksum:
-        raise InvalidListError(f"it doesn't end with its checksum: {NOT_WHOLE}")
+        raise InvalidListError(f"it doesn't end with its checksum: {NOT_COMPLETE}")
     if data and not data.endswith(b"\n"):
         raise InvalidListError("it doesn't end with the end of a line")
     return data
 
 
 def _json(data: bytes, checksum: bool) -> ListFile:
-    """Straight from the bytes. Hazard: the standard library's reader holds all threads up for longer."""
+    """Parse JSON with msgspec: the standard library's parser holds Python's lock for longer."""
     found = msgspec.json.decode(data, type=ListFile)
     if checksum or found.sha256:
         digest = json_digest(data)
         if digest is None or found.sha256 != digest.decode():
-            raise InvalidListError(f"its sha256 is not that of its bytes: {NOT_WHOLE}")
+            raise InvalidListError(f"its sha256 is not that of its bytes: {NOT_COMPLETE}")
     return found
 
 
 def _lines(text: str) -> Any:
-    """`host:port [id=..] [zone=..] [cell=..] [weight=..] [drain=true]`; # begins a comment."""
+    """Parse lines `host:port [id=..] [zone=..] [cell=..] [weight=..] [drain=true]`; # begins a comment."""
     rows = []
     for number, line in enumerate(text.splitlines(), 1):
         words = line.partition("#")[0].split()
@@ -143,9 +153,9 @@
     return {"servers": rows}
 
 
-def _entries(table: ListFile) -> tuple[ListedEndpoint, ...]:
-    if len(table.servers) > MOST_SERVERS:
-        raise InvalidListError(f"more than {MOST_SERVERS} servers")
+def _endpoints(table: ListFile) -> tuple[ListedEndpoint, ...]:
+    if len(table.servers) > MAX_ENDPOINTS:
+        raise InvalidListError(f"more than {MAX_ENDPOINTS} servers")
     return tuple(
         [
             ListedEndpoint(row.id, endpoint(row.address), row.zone, row.cell, row.weight, row.drain)
@@ -155,7 +165,7 @@
 
 
 def sealed(name: str, data: bytes) -> bytes:
-    """The file's bytes with its checksum; raises InvalidListError if it is no list."""
+    """Add the checksum to a file's bytes; raises InvalidListError if it is no list."""
     if name.endswith(".json"):
         try:
             found = json.loads(data.decode("utf-8"))
--- /dev/null
+++ b/plovertrail/sources/quick_looks.py
@@ -0,0 +1,51 @@
+"""Reads sources again soon that were changed a moment ago, or have not settled."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Collection
+
+from plovertrail.decisions.list_versions import QUICK_LOOK_US, SourceKey
+from plovertrail.sources.subscriptions import Followed
+
+
+class QuickLooks:
+    """The sources that are read again soon; `submit` has them read."""
+
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, submit: Callable[[Collection[Followed]], None]
+    ) -> None:
+        self.loop = loop
+        self.submit = submit
+        self.sources: dict[SourceKey, Followed] = {}
+        self.timer: asyncio.TimerHandle | None = None
+        self.closed = False
+
+    def add(self, followed: Followed) -> None:
+        """Read a source again until it has settled and its times are old enough."""
+        self.sources[followed.version.key] = followed
+        followed.read_again_soon = True
+        self._arm()
+
+    def remove(self, key: SourceKey) -> None:
+        """Read a source no more; nothing happens if it isn't here."""
+        self.sources.pop(key, None)
+
+    def _look(self) -> None:
+        self.timer = None
+        for key, each in list(self.sources.items()):
+            if each.settled and not each.may_change:
+                del self.sources[key]
+                each.read_again_soon = False
+        self.submit(self.sources.values())
+        self._arm()
+
+    def _arm(self) -> None:
+        if self.sources and self.timer is None and not self.closed:
+            self.timer = self.loop.call_later(QUICK_LOOK_US / 1e6, self._look)
+
+    def close(self) -> None:
+        """Read nothing more."""
+        self.closed = True
+        if self.timer is not None:
+            self.timer.cancel()
--- a/plovertrail/sources/read_workers.py
+++ b/plovertrail/sources/read_workers.py
@@ -19,51 +19,51 @@
 
 log = logging.getLogger(__name__)
 
-MOST_STUCK = 8  # threads whose reads hang; with so many, no further source is tried
+MAX_STUCK_THREADS = 8  # threads whose reads hang; with so many, no further source is read
 Clock = Callable[[], float]  # seconds of a monotonic clock
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """What one look at a source found. Neither a list nor a refusal: it has not settled yet."""
-
-    candidate: EndpointList | None
-    refusal: str
-    new: bool  # other content than at the look before
-    young: bool  # it may change again under the same times
-    opened: bool  # its bytes were read, as its times had changed or were young
-    folder: bool
-    linked: bool
+    """What one read of a source found; with neither a list nor a problem it has not settled yet."""
+
+    listed: EndpointList | None
+    problem: str
+    changed: bool  # since the read before
+    may_change: bool  # it may change again under the same times
+    opened: bool  # its bytes were read, as its times had changed or were recent
+    is_folder: bool
+    is_linked: bool
     digest: str
     cost_s: float  # of the thread's own time
 
 
 class ReadJob:
-    """A source's place in the queue; all but `source` is guarded by the workers' lock."""
+    """A source in the queue; everything but `source` is guarded by the workers' lock."""
 
     def __init__(self, source: FileSource) -> None:
         self.source = source
-        self.asked = 0  # grows with each call for a look
-        self.begun = 0  # `asked` when the last look began
+        self.asked = 0  # number of reads that were asked for
+        self.begun = 0  # `asked` when the last read began
         self.queued = False
         self.in_flight = False
-        self.wanted = False  # somebody waits for the look, and is told of it though nothing is new
+        self.awaited = False  # somebody waits for the read, though it may find nothing new
         self.dropped = False  # nobody follows the source any more
 
 
 class ReadWorker:
-    """One thread, and what it is at."""
+    """One thread, and the source that it reads."""
 
     def __init__(self, run: Callable[[ReadWorker], None], number: int) -> None:
         self.job: ReadJob | None = None
-        self.looks = 0  # grows with each source, so that a long look is told from many short ones
+        self.looks = 0  # grows with each source, which tells a long read from many short ones
         self.abandoned = False
-        # hazard: a thread that hangs would keep the process from its end unless it is a daemon thread
+        # A thread that hangs would keep the process from exiting unless it is a daemon thread.
         self.thread = threading.Thread(target=run, args=(self,), name=f"list-reader-{number}", daemon=True)
 
 
 def look_at(source: FileSource, clock: Clock) -> Reading:
-    """Read a source once; whatever is wrong with it is told in the reading."""
+    """Read a source once; whatever is wrong with it is in the reading."""
     began_s = time.thread_time()
     candidate, refusal, new = None, "", False
     try:
@@ -71,8 +71,8 @@
     except (InvalidListError, OSError) as error:
         refusal = complaint(error)
     except Exception as error:
-        # hazard: a fault with one source would end the thread, and with it all drains told by files
-        log.exception("%s can't be read", source.name)
+        # A fault with one source must not end the thread, and with it all drains in files.
+        log.exception("source read failed source=%s", source.name)
         refusal = f"it can't be read: {error!r}"
     cost_s = time.thread_time() - began_s
     return Reading(
@@ -89,7 +89,7 @@
 
 
 class ReadWorkers:
-    """The queue of looks and the threads that work on it; may be called from any thread."""
+    """The queue of reads and the threads that work on it; may be called from any thread."""
 
     def __init__(self, read: Callable[[ReadJob, Reading, int, bool], None], clock: Clock) -> None:
         self.read = read  # called on the worker's thread with the job, what was found, `begun` and `wanted`
@@ -102,15 +102,18 @@
         self.closed = False
 
     def submit(self, job: ReadJob, wanted: bool = False) -> int:
-        """Look at a source soon. Returns the number of the call: a look whose `begun` is as high began after
-        it. One that is in flight is followed by another one."""
+        """Read a source soon; returns the number of the call.
+
+        A read whose `begun` is at least that number began after the call. One in flight is followed by
+        another one.
+        """
         with self.lock:
             asked = self._submit(job, wanted)
             self._wake()
             return asked
 
     def submit_all(self, jobs: Iterable[ReadJob]) -> None:
-        """Look at all of these soon, in this order."""
+        """Read all of these soon, in this order."""
         with self.lock:
             for job in jobs:
                 self._submit(job, False)
@@ -118,19 +121,19 @@
 
     def _submit(self, job: ReadJob, wanted: bool) -> int:
         job.asked += 1
-        job.wanted |= wanted
+        job.awaited |= wanted
         if not job.queued and not job.in_flight:
             job.queued = True
             self.pending.append(job)
         return job.asked
 
     def drop(self, job: ReadJob) -> None:
-        """Nobody follows the source any more."""
+        """Note that nobody follows the source any more."""
         with self.lock:
             job.dropped = True
 
     def busy(self) -> tuple[ReadWorker, int] | None:
-        """The worker that has something to read, and how many sources it has come to; None: there is none."""
+        """Return the worker that has something to read, and the number of its read; None: there is none."""
         with self.lock:
             worker = self.worker
             if worker is None or (worker.job is None and not self.pending):
@@ -138,7 +141,7 @@
             return worker, worker.looks
 
     def hand_over(self, worker: ReadWorker, looks: int) -> None:
-        """Another thread takes over if this one is still at the same source."""
+        """Let another thread take over if this one is still at the same read."""
         with self.lock:
             if worker is not self.worker or worker.looks != looks or worker.job is None:
                 return
@@ -148,30 +151,30 @@
             self._start_worker()
 
     def hanging(self) -> list[ReadJob]:
-        """The jobs whose looks have been left to themselves."""
+        """Return the jobs whose reads hang."""
         with self.lock:
             return [worker.job for worker in self.stuck if worker.job is not None]
 
     def untried(self) -> list[ReadJob]:
-        """What waits though no thread may be started for it any more."""
+        """Return what waits though no further thread may be started for it."""
         with self.lock:
-            return list(self.pending) if self.worker is None and len(self.stuck) >= MOST_STUCK else []
+            return list(self.pending) if self.worker is None and len(self.stuck) >= MAX_STUCK_THREADS else []
 
     def close(self) -> None:
-        """Take nothing more; what hangs is left to itself."""
+        """Read nothing more; reads that hang are abandoned."""
         with self.lock:
             self.closed = True
             self.pending.clear()
             self.lock.notify_all()
 
     def _wake(self) -> None:
-        """There may be something pending."""
+        """Start a worker, or wake the one there is, if something is pending."""
         if self.pending and self.worker is None:
             self._start_worker()
         self.lock.notify_all()
 
     def _start_worker(self) -> None:
-        if self.closed or len(self.stuck) >= MOST_STUCK:
+        if self.closed or len(self.stuck) >= MAX_STUCK_THREADS:
             return
         self.started += 1
         self.worker = ReadWorker(self._work, self.started)
@@ -180,10 +183,10 @@
     def _work(self, worker: ReadWorker) -> None:
         while (job := self._next(worker)) is not None:
             with self.lock:
-                begun, wanted = job.begun, job.wanted
-                job.wanted = False
+                begun, wanted = job.begun, job.awaited
+                job.awaited = False
             reading = look_at(job.source, self.clock)
-            # hazard: told after its place in the queue is free, it could be told after a later look
+            # Before the job may be queued again, or it could be handled after a later read.
             self.read(job, reading, begun, wanted)
             self._over(worker, job)
 
@@ -200,7 +203,7 @@
             return job
 
     def _over(self, worker: ReadWorker, job: ReadJob) -> None:
-        """A look has ended and was told."""
+        """Note that a read has ended and was handled."""
         with self.lock:
             worker.job = None
             job.in_flight = False
--- a/plovertrail/sources/safety_scan.py
+++ b/plovertrail/sources/safety_scan.py
@@ -50,14 +50,14 @@
         was_too_slow = self.schedule.too_slow
         if self.began_us:
             ended_us = now_us if self.pending else self.ended_us
-            self.schedule.scanned(int(self.cost_s * 1e6), ended_us - self.began_us)
+            self.schedule.scan_ended(int(self.cost_s * 1e6), ended_us - self.began_us)
         if self.schedule.too_slow and not was_too_slow:
             log.error("safety scan too slow: %s", self.problem())
         self.began_us = now_us
         self.ended_us = now_us
         self.cost_s = 0.0
         # A source that hangs would make all scans look slow.
-        self.pending = {each.job for each in self.sources() if not each.version.hung}
+        self.pending = {each.job for each in self.sources() if not each.version.is_hung}
         self.submit(self.sources())
         self.ensure_scheduled()
 
--- a/plovertrail/sources/source_table.py
+++ b/plovertrail/sources/source_table.py
@@ -41,7 +41,7 @@
 
     def folders_to_watch(self) -> frozenset[str]:
         """Return the folders of all sources, and the sources that are folders."""
-        folders = {path for path, found in self.by_path.items() if any(each.folder for each in found)}
+        folders = {path for path, found in self.by_path.items() if any(each.is_folder for each in found)}
         return frozenset(folders | self.by_folder.keys())
 
     def concerned_by(self, paths: Iterable[str]) -> list[Followed]:
@@ -58,6 +58,6 @@
                 concerned[each.version.key] = each
         for folder in folders:
             for each in self.by_folder.get(folder, ()):
-                if each.linked:
+                if each.is_linked:
                     concerned[each.version.key] = each
         return list(concerned.values())
--- a/tests/benchmarks/test_capacity_page.py
+++ b/tests/benchmarks/test_capacity_page.py
@@ -66,7 +66,7 @@
 
 def test_a_list_of_more_servers_than_the_bound_is_refused() -> None:
     lines = [f"10.0.{number >> 8 & 255}.{number & 255}:{80 + (number >> 16)}" for number in range(50_001)]
-    assert len(lines) == lists.MOST_SERVERS + 1
+    assert len(lines) == lists.MAX_ENDPOINTS + 1
     with pytest.raises(lists.InvalidListError, match="more than 50000 servers"):
         lists.parse("servers.txt", "\n".join(lines).encode() + b"\n", "servers.txt", checksum=False)
     assert lists.parse("servers.txt", "\n".join(lines[1:]).encode() + b"\n", "servers.txt", checksum=False)
--- a/tests/decisions/test_list_versions.py
+++ b/tests/decisions/test_list_versions.py
@@ -15,47 +15,54 @@
 
 def test_subscribers_are_told_of_what_is_new_and_of_nothing_else() -> None:
     version = SourceVersion(SourceKey("/a"))
-    assert version.took(1, "d1", 9, True, 10) and version.generation == 1
-    assert not version.took(1, "d1", 9, False, 20) and (version.generation, version.changed_us) == (1, 10)
+    assert version.list_accepted(1, "d1", 9, True, 10) and version.generation == 1
+    assert not version.list_accepted(1, "d1", 9, False, 20) and (version.generation, version.changed_us) == (
+        1,
+        10,
+    )
     assert version.read_us == 20
-    assert version.refused("torn", 30) and not version.refused("torn", 40) and version.refused("empty", 50)
+    assert (
+        version.list_rejected("torn", 30)
+        and not version.list_rejected("torn", 40)
+        and version.list_rejected("empty", 50)
+    )
     assert version.generation == 3 and version.digest == "d1"  # of the last good content
-    assert version.took(1, "d1", 9, False, 60)  # good again, though the same as before
-    assert (version.generation, version.complaint) == (4, "")
+    assert version.list_accepted(1, "d1", 9, False, 60)  # good again, though the same as before
+    assert (version.generation, version.problem) == (4, "")
 
 
 def test_a_hang_is_told_once_and_its_end_as_well() -> None:
     version = SourceVersion(SourceKey("/a"))
-    version.took(0, "d", 1, True, 10)
-    assert version.hangs(False, 20) and "not tried" in version.complaint
-    assert version.hangs(True, 30) and not version.hangs(True, 40)
-    assert version.hung and version.hung_since_us == 20 and version.complaint == "a read of it hangs"
-    version.unsettled(50)
-    assert not version.hung and version.hung_since_us is None and not version.complaint
-    assert version.took(0, "d", 1, False, 60) and version.generation == 4
+    version.list_accepted(0, "d", 1, True, 10)
+    assert version.read_hangs(False, 20) and "not tried" in version.problem
+    assert version.read_hangs(True, 30) and not version.read_hangs(True, 40)
+    assert version.is_hung and version.hung_since_us == 20 and version.problem == "a read of it hangs"
+    version.not_settled(50)
+    assert not version.is_hung and version.hung_since_us is None and not version.problem
+    assert version.list_accepted(0, "d", 1, False, 60) and version.generation == 4
 
 
 def test_what_does_not_settle_keeps_what_was_told_last() -> None:
     version = SourceVersion(SourceKey("/a"))
-    version.unsettled(5)
+    version.not_settled(5)
     assert (version.state, version.generation) == (ReadState.UNSETTLED, 0)
-    version.took(0, "d", 1, True, 10)
-    version.unsettled(20)
+    version.list_accepted(0, "d", 1, True, 10)
+    version.not_settled(20)
     assert (version.state, version.generation) == (ReadState.GOOD, 1)
 
 
 def test_scans_that_cost_more_than_their_share_of_a_core_come_less_often_and_that_is_loud() -> None:
     schedule = ScanSchedule()
-    schedule.scanned(2_000, 4_000)  # 200 files
+    schedule.scan_ended(2_000, 4_000)  # 200 files
     assert schedule.period_us == SCAN_PERIOD_US and not schedule.too_slow
-    schedule.scanned(15_000, 20_000)
+    schedule.scan_ended(15_000, 20_000)
     assert schedule.period_us == 1_500_000 and not schedule.too_slow
-    schedule.scanned(100_000, 120_000)  # 10,000 files
+    schedule.scan_ended(100_000, 120_000)  # 10,000 files
     assert schedule.period_us == 10_000_000 and schedule.too_slow
     assert schedule.detection_us == 10_120_000 > LATEST_DRAIN_US
-    schedule.scanned(2_000, 1_500_000)  # a disk that is slow costs no core, and is late all the same
+    schedule.scan_ended(2_000, 1_500_000)  # a disk that is slow costs no core, and is late all the same
     assert schedule.period_us == SCAN_PERIOD_US and schedule.too_slow
-    schedule.scanned(2_000, 4_000)
+    schedule.scan_ended(2_000, 4_000)
     assert not schedule.too_slow
 
 
@@ -66,16 +73,16 @@
         one.accept(*part)
     for part in reversed(parts):
         other.accept(*part)
-    one.use_setup("s")
-    other.use_setup("s")
+    one.use_configuration("s")
+    other.use_configuration("s")
     assert one.digest() == other.digest() and one.generation == 4
     one.accept(*parts[0])
-    one.use_setup("s")
+    one.use_configuration("s")
     assert one.generation == 4  # nothing has changed
     digests = {one.digest()}
     one.accept("q", SourceKey("/a"), "3")  # one pool has taken what the other refuses
     digests.add(one.digest())
-    one.use_setup("t")
+    one.use_configuration("t")
     digests.add(one.digest())
     one.drop("q", SourceKey("/a"))
     digests.add(one.digest())
--- a/tests/sources/test_list_reader.py
+++ b/tests/sources/test_list_reader.py
@@ -19,7 +19,7 @@
 from plovertrail.sources.file_reading import FileSource, LocalFileSystem, Signature
 from plovertrail.sources.list_reader import ListReader
 from plovertrail.sources.lists import sealed
-from plovertrail.sources.read_workers import MOST_STUCK, Reading, ReadJob, ReadWorkers
+from plovertrail.sources.read_workers import MAX_STUCK_THREADS, Reading, ReadJob, ReadWorkers
 from plovertrail.sources.subscriptions import Subscription
 from tests.net import PATIENCE_S, until
 
@@ -423,7 +423,7 @@
 def test_so_many_threads_hang_at_most_and_the_rest_is_told_as_untried(tmp_path: Path) -> None:
     async def test() -> None:
         files = BlockedFiles()
-        paths = [tmp_path / f"{number:02}.list" for number in range(MOST_STUCK + 4)]
+        paths = [tmp_path / f"{number:02}.list" for number in range(MAX_STUCK_THREADS + 4)]
         for path in paths:
             put(path, 1)
         async with reading(files) as reader:
@@ -439,8 +439,10 @@
                 reader.watchdog.check()  # as time goes by
                 await asyncio.sleep(0.01)
             states = [each.version.state for each in reader.sources.by_key.values()]
-            assert states.count(ReadState.HUNG) == MOST_STUCK and states.count(ReadState.UNTRIED) == 4
-            assert len(reader.workers.stuck) == MOST_STUCK and reader.workers.started == MOST_STUCK
+            assert states.count(ReadState.HUNG) == MAX_STUCK_THREADS and states.count(ReadState.UNTRIED) == 4
+            assert (
+                len(reader.workers.stuck) == MAX_STUCK_THREADS and reader.workers.started == MAX_STUCK_THREADS
+            )
             assert any("reads hang" in problem for problem in reader.status()["problems"])
             files.let_go(*paths)
             await told(followers, 2)
@@ -556,7 +558,7 @@
             # a reading that was on its way to the loop
             late = Reading(None, "torn", True, True, True, False, False, "", 0.0)
             reader._take_reading(subscription.followed, late, 1)
-            assert not reader.quick  # though its times are young
+            assert not reader.quick_looks.sources  # though its times are young
             put(stays, 2)
             scan(reader)
             await told([second], 2)
@@ -584,10 +586,10 @@
 
 def test_what_was_not_tried_is_read_once_a_thread_comes_back(tmp_path: Path) -> None:
     files, ended = BlockedFiles(), threading.Semaphore(0)
-    paths = [tmp_path / f"{number:02}.list" for number in range(MOST_STUCK + 1)]
+    paths = [tmp_path / f"{number:02}.list" for number in range(MAX_STUCK_THREADS + 1)]
     for path in paths:
         put(path, 1)
-    files.block(*paths[:MOST_STUCK])
+    files.block(*paths[:MAX_STUCK_THREADS])
     read: list[str] = []
 
     def note(job: ReadJob, found: Reading, begun: int, wanted: bool) -> None:
@@ -597,16 +599,16 @@
     workers = ReadWorkers(note, time.monotonic)
     jobs = [ReadJob(FileSource(str(path), files=files)) for path in paths]
     workers.submit_all(jobs)
-    for path in paths[:MOST_STUCK]:
+    for path in paths[:MAX_STUCK_THREADS]:
         assert files.arrived[str(path)].wait(PATIENCE_S)
         busy = workers.busy()
         assert busy is not None
         workers.hand_over(*busy)
-    assert workers.untried() == jobs[MOST_STUCK:] and not read
+    assert workers.untried() == jobs[MAX_STUCK_THREADS:] and not read
     files.let_go(paths[3])
     assert ended.acquire(timeout=PATIENCE_S) and ended.acquire(timeout=PATIENCE_S)
-    assert read == [str(paths[3]), str(paths[MOST_STUCK])]
-    files.let_go(*paths[:3], *paths[4:MOST_STUCK])
+    assert read == [str(paths[3]), str(paths[MAX_STUCK_THREADS])]
+    files.let_go(*paths[:3], *paths[4:MAX_STUCK_THREADS])
     workers.close()
 
 
--- a/tests/sources/test_lists.py
+++ b/tests/sources/test_lists.py
@@ -17,7 +17,7 @@
 
 from plovertrail.decisions.endpoint_list import EndpointList, ListedEndpoint
 from plovertrail.sources.file_reading import COARSE_S, FileSource
-from plovertrail.sources.lists import LARGEST, InvalidListError, parse, sealed
+from plovertrail.sources.lists import MAX_FILE_BYTES, InvalidListError, parse, sealed
 
 
 def rows(count: int, port: int = 9000) -> list[dict[str, object]]:
@@ -86,7 +86,7 @@
         ("only NULs", lambda data: bytes(len(data))),
         ("a byte of Latin-1", lambda data: data[:9] + b"\xe9" + data[9:]),
         ("itself twice", lambda data: data + data),
-        ("too much", lambda data: data + b" " * LARGEST),
+        ("too much", lambda data: data + b" " * MAX_FILE_BYTES),
         ("deep nesting", lambda data: b"[" * 100_000),
         ("another digit", lambda data: data.replace(b":9001", b":9009")),
     ],
