--- a/plovertrail/dispatch/event_queue.py
+++ b/plovertrail/dispatch/event_queue.py
@@ -30,12 +30,19 @@
 
     def put(self, pool: ServerPool, event: Event) -> None:
         """Add an event, and handle what there is unless this is done already."""
-        suspended = self.suspension.active
-        if suspended and isinstance(event, EndpointsUpdated):
+        if self.suspension.active:
+            self._put_suspended(pool, event)
+            return
+        self.events.append((pool, event))
+        if not self.running:
+            self.run()
+
+    def _put_suspended(self, pool: ServerPool, event: Event) -> None:
+        """Hold an event back: endpoint updates apart from others, each timer once."""
+        if isinstance(event, EndpointsUpdated):
             self.suspension.endpoint_updates.append((pool, event))
-        elif not (suspended and isinstance(event, TimerFired) and (pool, event) in self.events):
+        elif not (isinstance(event, TimerFired) and (pool, event) in self.events):
             self.events.append((pool, event))
-        self.run()
 
     def put_back(self, events: list[tuple[ServerPool, EndpointsUpdated]]) -> None:
         """Put events before all others, in their order."""
@@ -43,13 +50,14 @@
 
     def run(self) -> None:
         """Handle all events, unless suspended or further up the stack."""
-        if self.running or self.suspension.active:
+        suspension = self.suspension
+        if self.running or suspension.active:
             return
         self.running = True
         try:
-            while self.events and not self.suspension.active:
+            while self.events and not suspension.active:
                 self.handle(*self.events.popleft())
-                if not self.events and not self.suspension.active:
+                if not self.events and not suspension.active:
                     self.on_idle()
         finally:
             self.running = False
