--- a/plovertrail/listeners/http_forwarding.py
+++ b/plovertrail/listeners/http_forwarding.py
@@ -96,9 +96,7 @@
             plan = plan.by_class.get(hooks.changes.class_name, plan)
             wait_us = min(wait_us, plan.deadline_us)
         key = checked_key(request.headers.get(plan.key_header)) if plan.key_header else b""
-        request_id = request.headers.get(self.listener.request_id_header.lower(), b"")
-        if not IDENT.fullmatch(request_id):
-            request_id = os.urandom(REQUEST_ID_BYTES).hex().encode()
+        request_id = self._request_id(request)
         client_name = client_of(route, request.head, client.address, self.trusted_header)
         headers, host = self._forwarded_headers(request, plan, request_id, client_name)
         exchange.plan = plan
@@ -138,6 +136,13 @@
         routed = route_request(generation.setup.routes, head, path, authority, len(message.body))
         return _RoutedRequest(exchange, client, headers, head, path, authority, routed)
 
+    def _request_id(self, request: _RoutedRequest) -> bytes:
+        """Return the client's own id of a request, or a new one if it has none that is valid."""
+        request_id = request.headers.get(self.listener.request_id_header.lower(), b"")
+        if IDENT.fullmatch(request_id):
+            return request_id
+        return os.urandom(REQUEST_ID_BYTES).hex().encode()
+
     @staticmethod
     def _run_hooks(request: _RoutedRequest, plan: RoutePlan, wait_us: int, tenant_name: bytes) -> Trail:
         """Run the hooks of a route on a request; raises RequestRefusedError."""
