--- a/benchmarks/capacity/counts_crowd.py
+++ b/benchmarks/capacity/counts_crowd.py
@@ -22,9 +22,9 @@
 from plovertrail.decisions.peer_counters import CounterLimits
 from plovertrail.decisions.shared_counters import SharedCounters
 from plovertrail.peers.address import format_address
+from plovertrail.peers.counter_codec import CounterCodec, encode_row
+from plovertrail.peers.counter_gossip import CounterGossip
 from plovertrail.peers.envelope import digest
-from plovertrail.peers.gossip import Gossip
-from plovertrail.peers.wire import Codec, row_bytes
 
 KEY = b"a key that all instances share"
 TALK = GossipParameters(
@@ -63,7 +63,7 @@
         self.window = CountingWindow(
             int(self.talk.window_s * SECOND_US), round(self.talk.window_s / self.talk.bucket_s)
         )
-        self.codec = Codec("capacity", [KEY], self.window)
+        self.codec = CounterCodec("capacity", [KEY], self.window)
         self.addresses: list[Address] = [(f"10.1.{n >> 8}.{n & 255}", 7400) for n in range(plan.size)]
         self.numbers = {address: number for number, address in enumerate(self.addresses)}
         self.keys = [key_of("limit", str(number)) for number in range(plan.limits)]
@@ -83,7 +83,7 @@
         """The time by all instances' clocks."""
         return START_US + self.queue.now_us
 
-    def _started(self, number: int) -> Gossip:
+    def _started(self, number: int) -> CounterGossip:
         counts = SharedCounters(
             f"i{number}",
             self.incarnations[number],
@@ -92,8 +92,8 @@
             CounterLimits(silence_timeout_us=int((8 * self.talk.round_s + self.talk.delay_s) * SECOND_US)),
         )
         rng = random.Random(self.rng.random())
-        gossip = Gossip(counts, self.codec, self.addresses[number], rng)
-        gossip.listed(self.addresses, self.talk.fan_out)
+        gossip = CounterGossip(counts, self.codec, self.addresses[number], rng)
+        gossip.set_peers(self.addresses, self.talk.fan_out)
         return gossip
 
     def reset(self) -> None:
@@ -125,7 +125,7 @@
         self.queue.after(STEP_US, partial(self._requests, number))
         if number in self.down:
             return
-        counts, now_us = self.gossips[number].counts, self.local_us
+        counts, now_us = self.gossips[number].counters, self.local_us
         self.due_requests[number] += TARGET.calls_per_s_of_one * STEP_US / SECOND_US
         while self.due_requests[number] >= 1.0:
             self.due_requests[number] -= 1.0
@@ -162,11 +162,11 @@
 
     def _deliver(self, number: int, data: bytes, sender: Address) -> None:
         if number not in self.down:
-            self.protocol_meters[number].call(self.gossips[number].received, data, sender, self.local_us)
+            self.protocol_meters[number].call(self.gossips[number].receive, data, sender, self.local_us)
 
     def _mirror(self, sender: int, receiver: int, data: bytes) -> None:
         """A hollow instance of the sender's region tells a whole one of the receiver's the same counts."""
-        message = self.codec.read(data, digest(format_address(self.addresses[receiver])))
+        message = self.codec.decode(data, digest(format_address(self.addresses[receiver])))
         hollow = self._chosen(range(self.plan.whole, self.plan.size), sender)
         whole = self._chosen(range(self.plan.whole), receiver)
         if hollow is not None and whole is not None:
@@ -182,11 +182,9 @@
 
     def _written(self, hollow: int, whole: int, message: CounterMessage) -> bytes:
         self.sequences[hollow, whole] += 1
-        return self.codec.write(
-            digest(format_address(self.addresses[whole])),
-            f"i{hollow}",
-            self.incarnations[hollow],
-            self.sequences[hollow, whole],
-            max(0, self.local_us - self.began_us[hollow]),
-            [row_bytes(row) for row in message.rows],
+        sent_us = max(0, self.local_us - self.began_us[hollow])
+        head = CounterMessage(
+            f"i{hollow}", self.incarnations[hollow], self.sequences[hollow, whole], sent_us, ()
         )
+        receiver = digest(format_address(self.addresses[whole]))
+        return self.codec.encode(receiver, head, [encode_row(row) for row in message.rows])
--- a/benchmarks/shared_counts.py
+++ b/benchmarks/shared_counts.py
@@ -259,7 +259,7 @@
                 RateLimiterSettings("it", KeyedBy.ALL, allowance, fleet_wide=way == "counts"),
                 random.Random(number).random,
             )
-            made.counts = gossip.counts if way == "counts" else None
+            made.counts = gossip.counters if way == "counts" else None
             self.limits.append(made)
 
     def play(self, seconds: int, per_s: float, weights: list[float]) -> list[int]:
--- a/fakes/peers_model.py
+++ b/fakes/peers_model.py
@@ -14,8 +14,8 @@
 from plovertrail.decisions.membership import Address
 from plovertrail.decisions.peer_counters import CounterLimits
 from plovertrail.decisions.shared_counters import SharedCounters
-from plovertrail.peers.gossip import Gossip
-from plovertrail.peers.wire import Codec
+from plovertrail.peers.counter_codec import CounterCodec
+from plovertrail.peers.counter_gossip import CounterGossip
 
 SECOND_US = 1_000_000
 KEY = b"a key that all instances share"
@@ -40,7 +40,7 @@
         self.addresses: list[Address] = [(f"10.1.{n >> 8}.{n & 255}", 7400) for n in range(talk.size)]
         self.numbers = {address: number for number, address in enumerate(self.addresses)}
         self.skews_us = [self.rng.randrange(1, 10**12) for _ in range(talk.size)]
-        self.gossips: list[Gossip] = []
+        self.gossips: list[CounterGossip] = []
         self.alive = [True] * talk.size
         self.truth: dict[int, list[int]] = {}  # by key, when each request came
         self.incarnations = 0
@@ -53,7 +53,7 @@
         """An instance's own clock: monotonic, and far from all others."""
         return self.now_us + self.skews_us[number]
 
-    def start(self, number: int, name: str = "") -> Gossip:
+    def start(self, number: int, name: str = "") -> CounterGossip:
         """An instance that knows nothing yet, under its old name."""
         self.incarnations += 1
         silent_us = int(8 * self.talk.round_s * 1e6 + self.talk.delay_s * 1e6)
@@ -64,13 +64,13 @@
             self.local_us(number),
             CounterLimits(silence_timeout_us=silent_us, share_when_alone=self.alone_share),
         )
-        gossip = Gossip(
+        gossip = CounterGossip(
             counts,
-            Codec("model", [KEY], self.window),
+            CounterCodec("model", [KEY], self.window),
             self.addresses[number],
             random.Random(self.rng.random()),
         )
-        gossip.listed(self.addresses, self.talk.fan_out)
+        gossip.set_peers(self.addresses, self.talk.fan_out)
         return gossip
 
     def restart(self, number: int) -> None:
@@ -100,7 +100,7 @@
     def deliver(self, to: int, data: bytes, sender: Address) -> None:
         """Bring a datagram to an instance, if it lives."""
         if self.alive[to]:
-            self.gossips[to].received(data, sender, self.local_us(to))
+            self.gossips[to].receive(data, sender, self.local_us(to))
 
     def run(self, until_us: int) -> None:
         """Play until this time."""
@@ -111,7 +111,7 @@
 
     def count(self, number: int, key: int) -> None:
         """A request comes to an instance now."""
-        self.gossips[number].counts.add(key, self.local_us(number))
+        self.gossips[number].counters.add(key, self.local_us(number))
         self.truth.setdefault(key, []).append(self.now_us)
 
     def true_count(self, key: int) -> int:
@@ -121,7 +121,7 @@
 
     def estimate(self, number: int, key: int) -> float:
         """What an instance takes the count of all for."""
-        return self.gossips[number].counts.estimate(key, self.local_us(number))
+        return self.gossips[number].counters.estimate(key, self.local_us(number))
 
     def load(self, seconds: float, rates: dict[int, float], to: Callable[[], int] | None = None) -> None:
         """Requests of keys at these rates a second, over all instances at random or where `to` says."""
--- a/plovertrail/peers/transport.py
+++ b/plovertrail/peers/transport.py
@@ -21,9 +21,9 @@
 from plovertrail.decisions.membership import Address
 from plovertrail.decisions.shared_counters import SharedCounters
 from plovertrail.peers.address import format_address
+from plovertrail.peers.counter_codec import CounterCodec
+from plovertrail.peers.counter_gossip import CounterGossip
 from plovertrail.peers.envelope import MAX_DATAGRAM_BYTES, DropReason
-from plovertrail.peers.gossip import Gossip
-from plovertrail.peers.wire import Codec
 from plovertrail.sources.instances import InstanceList
 from plovertrail.sources.list_reader import ListReader
 
@@ -86,8 +86,8 @@
         self.setup = setup
         self.sock = sock
         self.counters = new_counters(setup)
-        codec = Codec(setup.fleet, setup.keys, setup.window)
-        self.gossip = Gossip(self.counters, codec, setup.listed_as, random.Random(seed))
+        codec = CounterCodec(setup.fleet, setup.keys, setup.window)
+        self.gossip = CounterGossip(self.counters, codec, setup.listed_as, random.Random(seed))
         self.membership: MembershipTransport | None = None
         self.unsent = 0  # datagrams that the socket refused
         self._seed = seed
@@ -118,7 +118,7 @@
         listed meanwhile.
         """
         self.setup = setup
-        self.gossip.codec = Codec(setup.fleet, setup.keys, setup.window)
+        self.gossip.codec = CounterCodec(setup.fleet, setup.keys, setup.window)
         if self._list.follow(setup.list_path):
             self._listed = ()
         self._update_peers()
@@ -158,7 +158,7 @@
         self._update_peers()
 
     def _update_peers(self) -> None:
-        self.gossip.listed(self._seeds(), self.setup.fan_out)
+        self.gossip.set_peers(self._seeds(), self.setup.fan_out)
         if self.membership is not None:
             self.membership.set_seeds(self._seeds())
         is_unread = self.setup.list_path and not self._list.read
@@ -210,7 +210,7 @@
         if self.membership is not None and data[VERSION_BYTE] == MEMBERSHIP_VERSION:
             reason = self.membership.receive(data, address)
         else:
-            reason = self.gossip.received(data, address, now_us)
+            reason = self.gossip.receive(data, address, now_us)
         if reason is not None and reason is not DropReason.DUPLICATE:
             sender = format_address(address)
             self._warnings.warn(reason, f"peer datagram dropped address={sender} reason={reason.value!r}")
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -286,7 +286,7 @@
     crowd = CountsCrowd(CountsPlan(20, 1, whole=2))
     crowd.queue.run(5)
     asked = 311.0 * 5.0 * 20
-    estimate = crowd.gossips[0].counts.estimate(crowd.keys[0], crowd.local_us)
+    estimate = crowd.gossips[0].counters.estimate(crowd.keys[0], crowd.local_us)
     assert 0.8 * asked < estimate <= 1.05 * asked
 
 
@@ -295,7 +295,7 @@
     crowd.cut = True
     crowd.queue.run(3)
     for number, gossip in enumerate(crowd.gossips):
-        heard = {int(name[1:]) for name, _ in gossip.counts.peers.replicas}
+        heard = {int(name[1:]) for name, _ in gossip.counters.peers.replicas}
         assert heard and all(other % 2 == number % 2 for other in heard)
 
 
--- a/tests/decisions/test_counter_error_bound.py
+++ b/tests/decisions/test_counter_error_bound.py
@@ -115,11 +115,11 @@
     model = PeersModel(talk, seed=1)
     model.delivers = lambda sender, receiver: sender == 0
     model.load(6.0, {1: 100.0})
-    own = model.gossips[0].counts.own_count(1, model.local_us(0))
+    own = model.gossips[0].counters.own_count(1, model.local_us(0))
     assert model.estimate(0, 1) == own
     assert model.estimate(1, 1) == pytest.approx(model.true_count(1), rel=0.1)
     # the blind one keeps to its part by number, so that both together stay within the limit
-    parts = [each.counts.shares_of(1, 1, model.local_us(n))[0] for n, each in enumerate(model.gossips)]
+    parts = [each.counters.shares_of(1, 1, model.local_us(n))[0] for n, each in enumerate(model.gossips)]
     assert parts[0] == pytest.approx(0.5) and sum(parts) < 1.15
 
 
@@ -133,8 +133,8 @@
     outside, looks, _ = beyond(model, error_bound(TALK), {1: 80.0}, 5)
     assert outside <= 1e-2 * looks
     model.run(model.now_us + 40 * SECOND_US)
-    assert all(each.counts.estimate(1, model.local_us(n)) == 0 for n, each in enumerate(model.gossips))
-    assert all(len(each.counts.peers.replicas) == 19 for each in model.gossips)
+    assert all(each.counters.estimate(1, model.local_us(n)) == 0 for n, each in enumerate(model.gossips))
+    assert all(len(each.counters.peers.replicas) == 19 for each in model.gossips)
 
 
 def test_a_burst_in_the_last_moment_of_a_window_is_counted_whole() -> None:
--- a/tests/peers/test_gossip.py
+++ b/tests/peers/test_counter_gossip.py
@@ -7,25 +7,26 @@
 
 from fakes.peers_model import KEY, SECOND_US, PeersModel
 from plovertrail.decisions.counter_error_bound import GossipParameters, error_bound
-from plovertrail.decisions.counter_rows import CountingWindow, key_of
+from plovertrail.decisions.counter_rows import CounterMessage, CountingWindow, key_of
 from plovertrail.decisions.peer_counters import CounterLimits
 from plovertrail.decisions.shared_counters import SharedCounters
-from plovertrail.peers.envelope import MAX_DATAGRAM_BYTES, DropReason
-from plovertrail.peers.gossip import MOST_A_PERIOD, Gossip
-from plovertrail.peers.wire import Codec, row_bytes
+from plovertrail.peers.address import format_address
+from plovertrail.peers.counter_codec import CounterCodec, encode_row
+from plovertrail.peers.counter_gossip import MAX_DATAGRAMS_PER_PERIOD, CounterGossip
+from plovertrail.peers.envelope import MAX_DATAGRAM_BYTES, DropReason, digest
 
 WINDOW = CountingWindow(10 * SECOND_US, 20)
 ADDRESSES = [("10.0.0.1", 1), ("10.0.0.2", 1), ("10.0.0.3", 1)]
 
 
-def gossip(number: int = 0, fan_out: int = 8, window: CountingWindow = WINDOW) -> Gossip:
-    made = Gossip(
+def gossip(number: int = 0, fan_out: int = 8, window: CountingWindow = WINDOW) -> CounterGossip:
+    made = CounterGossip(
         SharedCounters(f"i{number}", 1, window, 0),
-        Codec("f", [KEY], window),
+        CounterCodec("f", [KEY], window),
         ADDRESSES[number],
         random.Random(number),
     )
-    made.listed(ADDRESSES, fan_out)
+    made.set_peers(ADDRESSES, fan_out)
     return made
 
 
@@ -39,17 +40,17 @@
 def test_a_datagram_is_never_longer_than_stated_whatever_is_counted() -> None:
     one, two = gossip(0), gossip(1)
     for key in range(300):
-        one.counts.add(key_of(str(key)), 0, 40_000)
+        one.counters.add(key_of(str(key)), 0, 40_000)
     told: set[int] = set()
     for period in range(1, 80):
         for key in range(300):
-            one.counts.add(key_of(str(key)), period * 100_000, 1_000_000 if key < 5 else 0)
+            one.counters.add(key_of(str(key)), period * 100_000, 1_000_000 if key < 5 else 0)
         for address, data in one.tick(period * 100_000):
             assert len(data) <= MAX_DATAGRAM_BYTES
             if address == ADDRESSES[1]:
                 two.tick(period * 100_000)
-                assert two.received(data, ADDRESSES[0], period * 100_000) is None
-        told = {key for part in two.counts.peers.replicas.values() for key in part.rows}
+                assert two.receive(data, ADDRESSES[0], period * 100_000) is None
+        told = {key for part in two.counters.peers.replicas.values() for key in part.rows}
     assert len(told) == 300  # also those that change no more
 
 
@@ -57,30 +58,30 @@
     one, two, three = gossip(0), gossip(1), gossip(2)
     two.tick(0)
     data = dict(one.tick(0))[ADDRESSES[1]]
-    why = [two.received(b"junk" * 100, ADDRESSES[0], 0) for _ in range(1_000)]
+    why = [two.receive(b"junk" * 100, ADDRESSES[0], 0) for _ in range(1_000)]
     assert Counter(why) == {
-        DropReason.MALFORMED: MOST_A_PERIOD,
-        DropReason.RATE_LIMITED: 1_000 - MOST_A_PERIOD,
+        DropReason.MALFORMED: MAX_DATAGRAMS_PER_PERIOD,
+        DropReason.RATE_LIMITED: 1_000 - MAX_DATAGRAMS_PER_PERIOD,
     }
-    assert two.received(dict(three.tick(0))[ADDRESSES[1]], ADDRESSES[2], 0) is None
-    assert two.received(data, ADDRESSES[0], 0) is DropReason.RATE_LIMITED
+    assert two.receive(dict(three.tick(0))[ADDRESSES[1]], ADDRESSES[2], 0) is None
+    assert two.receive(data, ADDRESSES[0], 0) is DropReason.RATE_LIMITED
     two.tick(100_000)
-    assert two.received(data, ADDRESSES[0], 100_000) is None
-    assert two.received(data, ADDRESSES[0], 100_000) is DropReason.DUPLICATE
-    assert two.received(data, ("10.9.9.9", 1), 100_000) is DropReason.UNKNOWN_SENDER
+    assert two.receive(data, ADDRESSES[0], 100_000) is None
+    assert two.receive(data, ADDRESSES[0], 100_000) is DropReason.DUPLICATE
+    assert two.receive(data, ("10.9.9.9", 1), 100_000) is DropReason.UNKNOWN_SENDER
 
 
 def test_a_reload_that_changes_the_peers_keeps_what_is_known_of_those_that_stay() -> None:
     one, two = gossip(0), gossip(1)
-    one.counts.add(7, 0, 5)
-    assert two.received(dict(one.tick(0))[ADDRESSES[1]], ADDRESSES[0], 0) is None
-    two.listed(ADDRESSES[:2], 8)
-    assert two.counts.cluster_size == 2 and two.peers[ADDRESSES[0]].name == "i0"
-    assert two.counts.estimate(7, 0) == 5
-    two.listed([ADDRESSES[1]], 8)
-    assert two.counts.cluster_size == 1 and two.tick(0) == []
+    one.counters.add(7, 0, 5)
+    assert two.receive(dict(one.tick(0))[ADDRESSES[1]], ADDRESSES[0], 0) is None
+    two.set_peers(ADDRESSES[:2], 8)
+    assert two.counters.cluster_size == 2 and two.peers[ADDRESSES[0]].name == "i0"
+    assert two.counters.estimate(7, 0) == 5
+    two.set_peers([ADDRESSES[1]], 8)
+    assert two.counters.cluster_size == 1 and two.tick(0) == []
     # what one that left has used counts till its window has passed
-    assert two.counts.estimate(7, SECOND_US) == 5
+    assert two.counters.estimate(7, SECOND_US) == 5
 
 
 def test_the_loss_that_is_seen_makes_the_bound_worse_and_never_better() -> None:
@@ -104,12 +105,13 @@
 def test_two_hundred_peers_that_claim_all_they_can_fit_into_the_bounds_of_memory() -> None:
     addresses = [(f"10.0.0.{number}", 1) for number in range(201)]
     counts = SharedCounters("me", 1, WINDOW, 0, limits=CounterLimits(max_keys=64))
-    one = Gossip(counts, Codec("f", [KEY], WINDOW), addresses[0], random.Random(1))
-    one.listed(addresses, 40)
+    one = CounterGossip(counts, CounterCodec("f", [KEY], WINDOW), addresses[0], random.Random(1))
+    one.set_peers(addresses, 40)
     assert len(one.tick(0)) == 40
     for number, address in enumerate(addresses[1:]):
-        rows = [row_bytes((number * 1_000 + key, 0, (1,))) for key in range(80)]
-        data = one.codec.write(one.me, f"p{number}", 1, 1, 0, rows)
-        assert one.received(data, address, 0) is None
+        rows = [encode_row((number * 1_000 + key, 0, (1,))) for key in range(80)]
+        head = CounterMessage(f"p{number}", 1, 1, 0, ())
+        data = one.codec.encode(digest(format_address(addresses[0])), head, rows)
+        assert one.receive(data, address, 0) is None
     assert counts.peers.heard_count(0) == len(counts.peers.replicas) == 200
     assert counts.peers.key_count == 16 * 64 and counts.peers.rejected_keys == 200 * 80 - 16 * 64
--- a/tests/peers/test_transport.py
+++ b/tests/peers/test_transport.py
@@ -354,7 +354,8 @@
 def test_a_daemon_without_peers_loads_none_of_it() -> None:
     code = (
         "import sys, plovertrail.daemon.process, plovertrail.cli; "
-        "print([m for m in sys.modules if m in ('plovertrail.peers.transport', 'plovertrail.peers.gossip')])"
+        "unwanted = ('plovertrail.peers.transport', 'plovertrail.peers.counter_gossip')\n"
+        "print([m for m in sys.modules if m in unwanted])"
     )
 
     async def test() -> None:
