--- a/plovertrail/decisions/endpoint_list.py
+++ b/plovertrail/decisions/endpoint_list.py
@@ -14,13 +14,11 @@
 from dataclasses import dataclass, field, replace
 from typing import NamedTuple
 
+from plovertrail.decisions.flap_damping import Flap, hold_us
+
 Address = tuple[str, int]
 KnownElsewhere = Mapping[tuple[str, Address], int]  # start times of the endpoints of other pools
 
-FLAP_HALF_LIFE_US = 60_000_000
-FREE_REMOVALS = 2.0  # within about a minute, after which a join is held back
-FIRST_HOLD_US = 2_000_000  # doubles with each further removal
-LONGEST_HOLD_US = 60_000_000
 MAX_FLAPS = 10_000  # endpoints whose removals are remembered; the oldest go first
 REMOVED_KEPT_US = 120_000_000  # for so long a removed endpoint stays in the state
 MAX_REPORTED = 5  # names or problems in one line of a report
@@ -86,18 +84,6 @@
     started_us: int  # 0 = long ago
 
 
-@dataclass(frozen=True, slots=True)
-class Flap:
-    """How often an endpoint was removed of late; the count decays."""
-
-    removals: float
-    updated_us: int
-
-    def removals_at(self, now_us: int) -> float:
-        """Compute the count at `now_us`, halved for each FLAP_HALF_LIFE_US."""
-        return self.removals * math.exp2((self.updated_us - now_us) / FLAP_HALF_LIFE_US)
-
-
 @dataclass(frozen=True, slots=True)
 class EndpointListState:
     """All that is known of a pool's endpoints."""
@@ -318,8 +304,8 @@
         """Add a member, or hold its join back if it flaps."""
         state = self.state
         flap = self.flaps.get(name)
-        hold_us = _hold_us(flap, self.now_us) if self.guards.damping and state.started else 0
-        until_us = state.held_joins.get(name, self.now_us + hold_us)
+        held_us = hold_us(flap, self.now_us) if self.guards.damping and state.started else 0
+        until_us = state.held_joins.get(name, self.now_us + held_us)
         if until_us > self.now_us:
             self.held_joins[name] = until_us
             return
@@ -366,14 +352,6 @@
     return settlement.step()
 
 
-def _hold_us(flap: Flap | None, now_us: int) -> int:
-    """Compute for how long a join is held back after the removals of late."""
-    removals = flap.removals_at(now_us) if flap is not None else 0.0
-    if removals <= FREE_REMOVALS:
-        return 0
-    return min(LONGEST_HOLD_US, int(FIRST_HOLD_US * math.exp2(removals - FREE_REMOVALS)))
-
-
 def make_report(
     state: EndpointListState, now_us: int, changes: tuple[EndpointChange, ...] = ()
 ) -> ListReport:
--- a/plovertrail/store/endpoint_list_records.py
+++ b/plovertrail/store/endpoint_list_records.py
@@ -7,7 +7,6 @@
 from typing import Any
 
 from plovertrail.decisions.endpoint_list import (
-    LONGEST_HOLD_US,
     EndpointList,
     EndpointListState,
     EndpointMember,
@@ -15,6 +14,7 @@
     ListedEndpoint,
     apply_list,
 )
+from plovertrail.decisions.flap_damping import LONGEST_HOLD_US
 from plovertrail.store.errors import InvalidRecordsError
 from plovertrail.store.records import ENDPOINT, JOIN_HELD, POOL, REMOVED, STARTED, Key, Record
 
--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -11,7 +11,6 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from plovertrail.decisions.endpoint_list import (
-    LONGEST_HOLD_US,
     MAX_FLAPS,
     ChangeKind,
     EndpointList,
@@ -25,6 +24,7 @@
     next_join_us,
     set_drained_by_operator,
 )
+from plovertrail.decisions.flap_damping import LONGEST_HOLD_US
 
 GUARDS = Guards(zones=frozenset(("", "a", "b")))
 S = 1_000_000
@@ -72,12 +72,12 @@
     ]
     after = step[0]
     assert after.generation == state.generation + 1
-    assert after.members["s1"] is state.members["s1"] and after.members["s1"].started_us == 0
+    assert after.members["s1"] is state.members["s1"]
+    assert after.members["s1"].started_us == 0
     assert after.members["s3"].started_us == after.members["s6"].started_us == 10 * S  # cold from then on
     numbers = [member.endpoint_id for member in after.members.values()]
-    assert len(set(numbers)) == 5 and after.members["s3"].endpoint_id not in {
-        m.endpoint_id for m in state.members.values()
-    }
+    assert len(set(numbers)) == 5
+    assert after.members["s3"].endpoint_id not in {m.endpoint_id for m in state.members.values()}
     assert {member.listed.id for member, _ in after.removed.values()} == {"s3", "s5"}
     assert take(after, EndpointList("file", after.layers[0].endpoints))[1] == ()
 
@@ -107,10 +107,13 @@
 ) -> None:
     state = take(begun(1, 2, 3, 4), listed(1, 2, 3, 4, version=7))[0]
     after, changes, report = take(state, candidate)
-    assert changes == () and after.members == state.members and after.layers == state.layers
+    assert changes == ()
+    assert after.members == state.members
+    assert after.layers == state.layers
     assert any(told in text for text in report.problems)
     after, _, report = take(after, listed(5, 6, source="other"))  # another source still works
-    assert any(told in text for text in report.problems) and len(after.members) == 6
+    assert any(told in text for text in report.problems)
+    assert len(after.members) == 6
     assert take(after, listed(1, 2, 3, 4, version=7))[2].problems == ()  # and a good list ends it
 
 
@@ -140,7 +143,8 @@
     state = take(state, over, order=order)[0]
     assert state.members["s1"].listed.weight == 5.0  # the first source that lists it
     state, changes, _ = take(state, EndpointList("base", (entry(1, drain=True), entry(2))), order=order)
-    assert state.members["s1"].listed.drain and [change.kind for change in changes] == [ChangeKind.DRAIN]
+    assert state.members["s1"].listed.drain
+    assert [change.kind for change in changes] == [ChangeKind.DRAIN]
     state, changes, _ = take(state, EndpointList("base", base.endpoints), order=order)
     assert [change.kind for change in changes] == [ChangeKind.UNDRAIN]
     state, changes, _ = set_drained_by_operator(state, "s2", True, 0, GUARDS)
@@ -168,14 +172,13 @@
     state = take(state, listed(2))[0]
     state, changes, _ = take(state, listed(1, 2), 11 * S)
     back = state.members["s1"]
-    assert back.endpoint_id != old.endpoint_id and back.started_us == 11 * S
+    assert back.endpoint_id != old.endpoint_id
+    assert back.started_us == 11 * S
     state = take(state, listed(2), 12 * S)[0]
     twin = EndpointList("file", (replace(entry(1), id="new"), entry(2)))
     state = take(state, twin, 13 * S)[0]
-    assert (
-        state.members["new"].endpoint_id not in (old.endpoint_id, back.endpoint_id)
-        and state.members["new"].started_us == 13 * S
-    )
+    assert state.members["new"].endpoint_id not in (old.endpoint_id, back.endpoint_id)
+    assert state.members["new"].started_us == 13 * S
 
 
 def test_a_server_that_another_pool_knows_is_no_newcomer() -> None:
@@ -200,7 +203,8 @@
             assert [change.kind for change in changes] == [ChangeKind.JOIN]
             now_us = due_us
         now_us += 2 * S
-    assert joins[:2] == [True, True] and not any(joins[3:])
+    assert joins[:2] == [True, True]
+    assert not any(joins[3:])
     assert "s1" in take(take(state, listed(2), now_us)[0], listed(1, 2), now_us + 3600 * S)[0].members
 
 
@@ -211,7 +215,8 @@
         state = take(state, listed(1, 2), now_us)[0]
     assert state.held_joins
     state = take(state, listed(2), now_us)[0]
-    assert not state.held_joins and next_join_us(state) is None
+    assert not state.held_joins
+    assert next_join_us(state) is None
 
 
 def test_what_is_remembered_of_servers_that_have_gone_is_bounded() -> None:
@@ -222,7 +227,8 @@
         entries = tuple(ListedEndpoint(f"s{n}", (f"10.0.{n >> 8}.{n & 255}", 80)) for n in numbers)
         state = apply_list(state, EndpointList("file", entries), lot * 300 * S, guards)[0]
         state = apply_list(state, EndpointList("file", ()), lot * 300 * S, guards)[0]
-    assert len(state.flaps) <= MAX_FLAPS and len(state.removed) <= 4000
+    assert len(state.flaps) <= MAX_FLAPS
+    assert len(state.removed) <= 4000
 
 
 entries = st.builds(
@@ -267,7 +273,8 @@
         candidate = EndpointList(source, tuple(rows), version)
         step = apply_list(self.state, candidate, self.now_us, GUARDS, ListContext(("a", "b")))
         if source in step[0].rejected_lists:
-            assert step[1] == () and step[0].members == self.state.members
+            assert step[1] == ()
+            assert step[0].members == self.state.members
         else:
             self.good[source] = candidate
         self.follow(step)
@@ -291,7 +298,8 @@
         assert not set(self.state.members) & set(self.state.held_joins)
         for ident, member in self.state.members.items():
             assert member.listed == wanted[ident]
-            assert 0 < member.listed.weight < math.inf and member.listed.zone in GUARDS.zones
+            assert 0 < member.listed.weight < math.inf
+            assert member.listed.zone in GUARDS.zones
         assert {member.endpoint_id: member.listed for member in self.state.members.values()} == self.ready
         addresses = [member.listed.address for member in self.state.members.values()]
         assert len(addresses) == len(set(addresses))
--- a/tests/sources/test_discovery.py
+++ b/tests/sources/test_discovery.py
@@ -106,4 +106,5 @@
         ready = {name for name, member in directory.state.members.items() if not member.listed.drain}
         assert ready == set("def")
         event, _ = directory.read(listing(entry("a", 1), rev=4), known=9)  # a whole list holds
-        assert event.kind is ListKind.FULL and set(directory.state.members) == {"a"}
+        assert event.kind is ListKind.FULL
+        assert set(directory.state.members) == {"a"}
--- a/tests/sources/test_list_reader.py
+++ b/tests/sources/test_list_reader.py
@@ -170,7 +170,8 @@
             scan(reader)
             await told(both, 2)
             assert files.reads == {str(shared): 2, str(other): 1}
-            assert alone.ports == [1] and all(each.ports == [1, 2] for each in both)
+            assert alone.ports == [1]
+            assert all(each.ports == [1, 2] for each in both)
 
     run(test)
 
@@ -234,7 +235,8 @@
             put(calm[0], 2, seal=False)
             scan(reader)
             await told(followers[:1], 2)
-            assert not never.ports and not never.wrong
+            assert not never.ports
+            assert not never.wrong
 
     run(test)
 
@@ -251,10 +253,8 @@
             assert reader.scan.timer.when() - reader.loop.time() <= SCAN_PERIOD_US / 1e6
             await told([follower], 2)  # by the timer itself
             assert reader.scan.schedule.scans or reader.scan.began_us
-            assert (
-                reader.scan.timer is not None
-                and reader.scan.timer.when() - reader.loop.time() <= SCAN_PERIOD_US / 1e6
-            )
+            assert reader.scan.timer is not None
+            assert reader.scan.timer.when() - reader.loop.time() <= SCAN_PERIOD_US / 1e6
 
     run(test)
 
@@ -280,7 +280,8 @@
             shutil.rmtree(folder)
             scan(reader)
             await until(lambda: bool(made.wrong))
-            assert made.ports == [1] and "No such file" in made.wrong[0]
+            assert made.ports == [1]
+            assert "No such file" in made.wrong[0]
             folder.mkdir()
             put(folder / "x.list", 2)
             scan(reader)
@@ -350,14 +351,16 @@
     folder.rename(tmp_path / "old")
     folder.mkdir()
     looks.release()
-    assert opened.acquire(timeout=PATIENCE_S) and made[0].closed
+    assert opened.acquire(timeout=PATIENCE_S)
+    assert made[0].closed
     # what changed between the two watches was told by neither: all is to be looked at
     assert told_of[:1] == [frozenset()]
     watch.stop()
     looks.release(2)
     assert watch.thread is not None
     watch.thread.join(PATIENCE_S)
-    assert not watch.thread.is_alive() and len(told_of) == len(made) == 2
+    assert not watch.thread.is_alive()
+    assert len(told_of) == len(made) == 2
 
 
 def test_the_first_read_waits_out_one_settling_time_for_all(
@@ -380,9 +383,11 @@
             found = await reader.first_read(SourceKey(str(path), False) for path in paths)
             monkeypatch.undo()
             lists = [each for each in found.values() if isinstance(each, EndpointList)]
-            assert len(lists) == 199 and len(slept) == 1
+            assert len(lists) == 199
+            assert len(slept) == 1
             wrong = found[SourceKey(str(paths[100]), False)]
-            assert isinstance(wrong, str) and "end of a line" in wrong
+            assert isinstance(wrong, str)
+            assert "end of a line" in wrong
 
     run(test)
 
@@ -402,7 +407,8 @@
             put(hangs, 2)
             scan(reader)
             await until(lambda: bool(stuck.wrong))
-            assert stuck.wrong == ["a read of it hangs"] and stuck.ports == [1]
+            assert stuck.wrong == ["a read of it hangs"]
+            assert stuck.ports == [1]
             # it makes this scan no longer
             assert reader.sources.by_key[SourceKey(str(hangs))].job not in reader.scan.pending
             assert reader.status()["hung"] == [str(hangs)]
@@ -415,7 +421,8 @@
             assert not reader.scan.schedule.too_slow
             files.let_go(hangs)
             await told([stuck], 2)
-            assert reader.status()["hung"] == [] and files.most_at_once == 1
+            assert reader.status()["hung"] == []
+            assert files.most_at_once == 1
 
     run(test)
 
@@ -439,10 +446,10 @@
                 reader.watchdog.check()  # as time goes by
                 await asyncio.sleep(0.01)
             states = [each.version.state for each in reader.sources.by_key.values()]
-            assert states.count(ReadState.HUNG) == MAX_STUCK_THREADS and states.count(ReadState.UNTRIED) == 4
-            assert (
-                len(reader.workers.stuck) == MAX_STUCK_THREADS and reader.workers.started == MAX_STUCK_THREADS
-            )
+            assert states.count(ReadState.HUNG) == MAX_STUCK_THREADS
+            assert states.count(ReadState.UNTRIED) == 4
+            assert len(reader.workers.stuck) == MAX_STUCK_THREADS
+            assert reader.workers.started == MAX_STUCK_THREADS
             assert any("reads hang" in problem for problem in reader.status()["problems"])
             files.let_go(*paths)
             await told(followers, 2)
@@ -487,7 +494,8 @@
             files.let_go(path)
             await told([follower], 3)
             await again
-            assert follower.ports in ([1, 2, 3], [1, 3]) and files.most_at_once == 1
+            assert follower.ports in ([1, 2, 3], [1, 3])
+            assert files.most_at_once == 1
 
     run(test)
 
@@ -507,7 +515,8 @@
             follower.gate.set()
             await told([follower, other], 4)
             await asyncio.sleep(0)
-            assert follower.ports == sorted(set(follower.ports)) and other.ports[-1] == 4
+            assert follower.ports == sorted(set(follower.ports))
+            assert other.ports[-1] == 4
 
     run(test)
 
@@ -528,7 +537,8 @@
             await asyncio.to_thread(files.arrived[str(path)].wait, PATIENCE_S)
             assert not look.done()
             files.let_go(path)
-            assert await look and follower.ports[-1] == 3
+            assert await look
+            assert follower.ports[-1] == 3
 
     run(test)
 
@@ -562,8 +572,10 @@
             put(stays, 2)
             scan(reader)
             await told([second], 2)
-            assert first.ports == [1] and list(reader.sources.by_key) == [SourceKey(str(stays))]
-            assert len(reader.sources.by_path) == 1 and len(reader.in_force.accepted) == 1
+            assert first.ports == [1]
+            assert list(reader.sources.by_key) == [SourceKey(str(stays))]
+            assert len(reader.sources.by_path) == 1
+            assert len(reader.in_force.accepted) == 1
 
     run(test)
 
@@ -575,7 +587,8 @@
         key = SourceKey(str(path))
         async with reading() as reader:
             found = (await reader.first_read([key]))[key]
-            assert isinstance(found, EndpointList) and found.endpoints[0].address[1] == 1
+            assert isinstance(found, EndpointList)
+            assert found.endpoints[0].address[1] == 1
             put(path, 2)
             await reader.look(reader.sources.by_key[key])
             follower.follow(reader, path)
@@ -604,9 +617,11 @@
         busy = workers.busy()
         assert busy is not None
         workers.hand_over(*busy)
-    assert workers.untried() == jobs[MAX_STUCK_THREADS:] and not read
+    assert workers.untried() == jobs[MAX_STUCK_THREADS:]
+    assert not read
     files.let_go(paths[3])
-    assert ended.acquire(timeout=PATIENCE_S) and ended.acquire(timeout=PATIENCE_S)
+    assert ended.acquire(timeout=PATIENCE_S)
+    assert ended.acquire(timeout=PATIENCE_S)
     assert read == [str(paths[3]), str(paths[MAX_STUCK_THREADS])]
     files.let_go(*paths[:3], *paths[4:MAX_STUCK_THREADS])
     workers.close()
--- a/tests/sources/test_lists.py
+++ b/tests/sources/test_lists.py
@@ -48,9 +48,8 @@
 @pytest.mark.parametrize("name", FORMATS)
 def test_a_whole_list_is_read(name: str) -> None:
     found = parse(name, FORMATS[name](3), "src", checksum=True)
-    assert found.source == "src" and found.endpoints == tuple(
-        ListedEndpoint(f"s{n}", ("127.0.0.1", 9000 + n), "a") for n in range(3)
-    )
+    assert found.source == "src"
+    assert found.endpoints == tuple(ListedEndpoint(f"s{n}", ("127.0.0.1", 9000 + n), "a") for n in range(3))
 
 
 @pytest.mark.parametrize("name", FORMATS)
@@ -175,7 +174,8 @@
     assert "longer than 8 MiB" in refused(source)
     path.write_bytes(json_list(4))
     found = read(source)
-    assert found is not None and len(found.endpoints) == 4
+    assert found is not None
+    assert len(found.endpoints) == 4
 
 
 def test_a_second_change_under_the_same_times_is_seen(tmp_path: Path) -> None:
@@ -204,7 +204,8 @@
             (tmp_path / "..tmp").symlink_to(folder)
             os.replace(tmp_path / "..tmp", tmp_path / "..data")
             found = read(source)
-            assert found is not None and len(found.endpoints) == count
+            assert found is not None
+            assert len(found.endpoints) == count
 
 
 def test_a_folder_of_fragments_is_one_list_in_full_or_not_at_all(tmp_path: Path) -> None:
@@ -216,19 +217,23 @@
     (tmp_path / ".hidden").write_bytes(b"x")
     (tmp_path / "c.tmp").write_bytes(b"x")
     found = read(source)
-    assert found is not None and [row.id for row in found.endpoints] == ["s0", "s1", "t0"]
+    assert found is not None
+    assert [row.id for row in found.endpoints] == ["s0", "s1", "t0"]
     (tmp_path / "a.json").unlink()
     found = read(source)
-    assert found is not None and [row.id for row in found.endpoints] == ["t0"]
+    assert found is not None
+    assert [row.id for row in found.endpoints] == ["t0"]
 
 
 def test_a_file_without_a_checksum_is_taken_once_it_has_settled(tmp_path: Path) -> None:
     path = tmp_path / "x.list"
     path.write_bytes(b"127.0.0.1:9000\n")
     source = FileSource(str(path), checksum=False)
-    assert source.read(0.0)[1] is None and source.read(0.1)[1] is None
+    assert source.read(0.0)[1] is None
+    assert source.read(0.1)[1] is None
     found = source.read(0.3)[1]
-    assert found is not None and found.endpoints[0].id == "127.0.0.1:9000"
+    assert found is not None
+    assert found.endpoints[0].id == "127.0.0.1:9000"
     path.write_bytes(b"127.0.0.1:9000\n127.0.0.1:90")
     assert source.read(0.4)[1] is None
     with pytest.raises(InvalidListError):
@@ -277,4 +282,5 @@
                 taken += 1
         writer.join()
         path.write_bytes(wholes[-1])
-        assert source.read(time.monotonic())[1] in good and taken + refusals > 0
+        assert source.read(time.monotonic())[1] in good
+        assert taken + refusals > 0
--- a/tests/sources/test_long_lists.py
+++ b/tests/sources/test_long_lists.py
@@ -65,7 +65,8 @@
         told.come(listing(entry("new", 2), entry("bad", 3) | {"state": "well"}, full=False))
         await told.read()
         assert [event.kind for event in told.events] == [ListKind.FULL, ListKind.FAILED]
-        assert told.discovery.directory.state.members.keys() == {"x"} and told.discovery.watch is None
+        assert told.discovery.directory.state.members.keys() == {"x"}
+        assert told.discovery.watch is None
 
     run(test)
 
@@ -89,7 +90,8 @@
         told.come(listing(entry("x", 1), rev=900))
         told.discovery.move(("127.0.0.1", 2))
         await told.read()
-        assert told.discovery.version == 0 and len(told.events) == 1
+        assert told.discovery.version == 0
+        assert len(told.events) == 1
 
     run(test)
 
@@ -117,7 +119,8 @@
             told.come(listing(entry("x", 1), rev=rev))
         assert transport.said == ["pause"]
         await told.read()
-        assert transport.said[1] == "resume" and len(told.events) == discovery.MOST_UNREAD
+        assert transport.said[1] == "resume"
+        assert len(told.events) == discovery.MOST_UNREAD
 
     run(test)
 
--- a/tests/test_endpoint_registry.py
+++ b/tests/test_endpoint_registry.py
@@ -116,8 +116,10 @@
         with caplog.at_level(logging.ERROR):
             path.unlink() if broken is None else path.write_bytes(broken)
             await until(lambda: bool(it.daemon.pools["main"].registry.problems()))
-        assert str(path) in caplog.text and "last good one stays" in caplog.text
-        assert members(it) == {"a": False} and (await it.ask(message("GET /"))).status == 200
+        assert str(path) in caplog.text
+        assert "last good one stays" in caplog.text
+        assert members(it) == {"a": False}
+        assert (await it.ask(message("GET /"))).status == 200
         write_list(path, {"a": server})
         await until(lambda: not it.daemon.pools["main"].registry.problems())
         await site.stop()
@@ -150,9 +152,11 @@
         await site.stop()
         (tmp_path / "state").write_bytes(b"plovertrail-state 9 0 " + b"0" * 64 + b"\n")
         it = await site.start()  # goes on, with nothing that is good
-        assert members(it) == {} and (tmp_path / "state.bad").exists()
+        assert members(it) == {}
+        assert (tmp_path / "state.bad").exists()
         refused = await it.ask(message("POST /buy"))
-        assert refused.status == 503 and refused.all("Retry-After") == ["2"]
+        assert refused.status == 503
+        assert refused.all("Retry-After") == ["2"]
         await site.stop()
         for server in servers.values():
             server.stop()
@@ -276,7 +280,8 @@
                     break
             else:
                 raise AssertionError("a cold server alone in its pool gets no turn")
-        assert door.web.count == 50 and max(times) < written
+        assert door.web.count == 50
+        assert max(times) < written
         let_go.set()
         answers = await asyncio.gather(*(client.reply() for client in clients[:50]))
         assert [(reply.status, reply.body) for reply in answers] == [(200, b"old")] * 50
@@ -304,20 +309,21 @@
         running = it.daemon.pools["main"]
         old = running.registry.state.members["a"].endpoint_id
         learnt = running.pool.balancer.endpoints[old]
-        assert server.connections > 0 and learnt.relative_latency != 1.0
+        assert server.connections > 0
+        assert learnt.relative_latency != 1.0
         write_list(path, {"b": other})
         await until(lambda: set(members(it)) == {"b"})
-        assert old not in running.pool.balancer.endpoints and old not in running.connections.connections
+        assert old not in running.pool.balancer.endpoints
+        assert old not in running.connections.connections
         write_list(path, {ident: server, "b": other})
         await until(lambda: set(members(it)) == {ident, "b"})
         back = running.registry.state.members[ident]
-        assert back.endpoint_id != old and 0 < back.started_us <= clock_us()
+        assert back.endpoint_id != old
+        assert 0 < back.started_us <= clock_us()
         fresh = running.pool.balancer.endpoints[back.endpoint_id]
-        assert (
-            fresh is not learnt
-            and fresh.relative_latency == 1.0
-            and running.pool.balancer.table.warm_up_fraction(fresh, running.pool.balancer.now_us) < 1.0
-        )
+        assert fresh is not learnt
+        assert fresh.relative_latency == 1.0
+        assert running.pool.balancer.table.warm_up_fraction(fresh, running.pool.balancer.now_us) < 1.0
         before = server.connections
         for _ in range(200):
             await it.ask(message("GET /"))
@@ -351,14 +357,17 @@
             assert (await it.ask(message("GET /"))).status == 200
         assert servers["a"].count == 0
         code, text = await call("status")
-        assert code == 0 and "draining, 0 open" in text
+        assert code == 0
+        assert "draining, 0 open" in text
         path.write_bytes(b"torn")
         await until(lambda: bool(it.daemon.pools["main"].registry.problems()))
         code, text = await call("status", "--json")
         found = json.loads(text)
-        assert code == 3 and found["pools"]["main"]["drained_by_hand"] == ["a"]
+        assert code == 3
+        assert found["pools"]["main"]["drained_by_hand"] == ["a"]
         assert "JSON is malformed" in found["pools"]["main"]["problems"][0]
-        assert (await call("undrain", "main", "a"))[0] == 0 and members(it) == {"a": False, "b": False}
+        assert (await call("undrain", "main", "a"))[0] == 0
+        assert members(it) == {"a": False, "b": False}
         for wrong in (("drain", "none", "a"), ("drain", "main", "none")):
             assert (await call(*wrong))[0] == 1
         for noise in (b"\n", b"{}\n", b"[" * 4000 + b"\n", b"x" * 100_000, b'{"do": "fall"}\n'):
@@ -369,7 +378,8 @@
             writer.close()
         assert (await call("status"))[0] == 3
         await site.stop()
-        assert not os.path.exists(control) and (await call("status"))[0] == 1
+        assert not os.path.exists(control)
+        assert (await call("status"))[0] == 1
         for server in servers.values():
             server.stop()
 
@@ -402,11 +412,14 @@
     path.write_text("127.0.0.1:80\n")
     assert CliRunner().invoke(main, ["seal", str(path)]).exit_code == 0
     first = path.read_bytes()
-    assert b"# sha256: " in first and CliRunner().invoke(main, ["seal", str(path)]).exit_code == 0
+    assert b"# sha256: " in first
+    assert CliRunner().invoke(main, ["seal", str(path)]).exit_code == 0
     assert path.read_bytes() == first
     path.write_text("nonsense\n")
     done = CliRunner().invoke(main, ["seal", str(path)])
-    assert done.exit_code == 2 and "no address" in done.output and path.read_text() == "nonsense\n"
+    assert done.exit_code == 2
+    assert "no address" in done.output
+    assert path.read_text() == "nonsense\n"
 
 
 def test_a_reload_that_names_other_files_follows_them(tmp_path: Path) -> None:
