--- a/plovertrail/sources/file_notifications.py
+++ b/plovertrail/sources/file_notifications.py
@@ -16,7 +16,7 @@
 log = logging.getLogger(__name__)
 
 DEBOUNCE_MS = 50  # changes that come within it are told together
-STEP_MS = 20  # hazard: with less, the thread's own wake-ups are most of what an idle process costs
+STEP_MS = 20  # with less, the thread's wake-ups are most of the CPU time of an idle process
 RETRY_S = 10.0  # after a watch that could not be made, as when the machine has no inotify instance left
 LOOK_MS = 1000  # between two looks at the folders themselves: one may have been unlinked and made again
 Inodes = dict[str, tuple[int, int]]
@@ -107,7 +107,7 @@
         except FileNotFoundError:
             return  # a folder went meanwhile
         self.remade, self.problem = self.remade + 1, ""
-        # hazard: what changed between two watches is told by neither
+        # What changed between two watches is reported by neither.
         self.changed(frozenset())
         try:
             while not self.renew.is_set():
--- a/plovertrail/sources/list_reader.py
+++ b/plovertrail/sources/list_reader.py
@@ -40,10 +40,7 @@
 
 
 class ListReader:
-    """Reads sources on threads, and tells subscribers on one event loop.
-
-    `files` are the calls on the file system.
-    """
+    """Reads sources on threads, by `files`, and tells subscribers on one event loop."""
 
     def __init__(self, files: FileSystem = LOCAL, notifications: bool = True) -> None:
         self.loop = asyncio.get_running_loop()
@@ -258,7 +255,7 @@
             "generation": self.in_force.generation,
             "digest": self.in_force.digest(),
             "setup_digest": self.in_force.configuration_digest,
-            "notifications": self._notifications_status(),
+            "notifications": _notifications_status(self.notifications),
             "scan_period_s": round(self.scan.schedule.period_us / 1e6, 3),
             "detects_within_s": round(self.scan.schedule.detection_us / 1e6, 3),
             "hung": [each.version.key.path for each in self.sources.all() if each.version.is_hung],
@@ -266,11 +263,6 @@
             "sources": [_source_status(each, now_us) for each in self.sources.all()],
         }
 
-    def _notifications_status(self) -> str:
-        if self.notifications is None:
-            return "off"
-        return self.notifications.problem or "on"
-
     def stop(self) -> None:
         """Read nothing more; reads that hang are abandoned."""
         self.closed = True
@@ -297,6 +289,13 @@
             self.closed = True
 
 
+def _notifications_status(notifications: FolderNotifications | None) -> str:
+    """Report for operators whether notifications work."""
+    if notifications is None:
+        return "off"
+    return notifications.problem or "on"
+
+
 def _nothing_new(followed: Followed, reading: Reading) -> bool:
     """Whether a read found what the one before it had found."""
     state = followed.version.state
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -20,7 +20,7 @@
 from plovertrail.stall_detector import StallDetectingLoop
 from tests.daemons import Running, message, running
 from tests.daemons import run as run_test
-from tests.net import PATIENCE_S
+from tests.net import until
 
 PAUSE_S = 4.0
 
@@ -74,9 +74,7 @@
 
 
 async def until_phase(it: Running, wanted: str) -> None:
-    async with asyncio.timeout(PATIENCE_S):
-        while phase(it) != wanted:
-            await asyncio.sleep(0.01)
+    await until(lambda: phase(it) == wanted)
 
 
 def test_a_list_that_changed_in_a_pause_holds_before_the_first_send(tmp_path: Path) -> None:
