--- a/benchmarks/cluster_membership.py
+++ b/benchmarks/cluster_membership.py
@@ -171,7 +171,7 @@
     bars.append(
         Bar(f"datagrams a second at {largest}, of those at 24", loads[largest][0] / loads["24"][0], MOST_LOAD)
     )
-    return close("fellows", figures, bars)
+    return close("cluster_membership", figures, bars)
 
 
 if __name__ == "__main__":
--- a/tests/benchmarks/test_short_forms.py
+++ b/tests/benchmarks/test_short_forms.py
@@ -50,7 +50,7 @@
         ),
         ("capacity.kept_connections", ("--short",), "many services, kept"),
         ("capacity.retry_chain", ("--short", "--repeats", "1"), "safe, reset, told on as 5xx; 100 a second"),
-        ("fellows", ("--short", "--seeds", "1", "--seconds", "5"), "load"),
+        ("cluster_membership", ("--short", "--seeds", "1", "--seconds", "5"), "load"),
         (
             "capacity",
             ("--short", "--jobs", "2", "--role", "membership", "--role", "evidence", "--role", "counts")
