--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -42,7 +42,8 @@
 def test_a_known_line_is_found() -> None:
     fit = best_fit(samples({size: 3.0 + 0.25 * size for size in SIZES}))
     assert not fit.logarithmic
-    assert fit.base == pytest.approx(3.0) and fit.slope == pytest.approx(0.25)
+    assert fit.base == pytest.approx(3.0)
+    assert fit.slope == pytest.approx(0.25)
     assert fit.residual == pytest.approx(0.0, abs=1e-9)
     assert fit.at(1_000.0) == pytest.approx(253.0)
 
@@ -50,26 +51,31 @@
 def test_a_known_logarithm_is_found() -> None:
     fit = best_fit(samples({size: 2.0 + 5.0 * math.log2(size) for size in SIZES}))
     assert fit.logarithmic
-    assert fit.base == pytest.approx(2.0) and fit.slope == pytest.approx(5.0)
+    assert fit.base == pytest.approx(2.0)
+    assert fit.slope == pytest.approx(5.0)
     assert fit.at(1_024.0) == pytest.approx(52.0)
 
 
 def test_a_constant_cost_has_no_slope() -> None:
     fit = best_fit(samples(dict.fromkeys(SIZES, 7.0)))
-    assert fit.slope == pytest.approx(0.0) and fit.at(10_000.0) == pytest.approx(7.0)
+    assert fit.slope == pytest.approx(0.0)
+    assert fit.at(10_000.0) == pytest.approx(7.0)
 
 
 def test_the_residual_is_the_root_mean_square_error_as_a_share_of_the_mean() -> None:
     """Costs 9, 11, 11, 9 at 0, 1, 2, 3: the best line is flat at 10, and each point is off by 1. At 0 there
     is no logarithm."""
     fit = best_fit(samples({0.0: 9.0, 1.0: 11.0, 2.0: 11.0, 3.0: 9.0}))
-    assert fit.base == pytest.approx(10.0) and fit.slope == pytest.approx(0.0)
-    assert fit.residual == pytest.approx(0.1) and not fit.logarithmic
+    assert fit.base == pytest.approx(10.0)
+    assert fit.slope == pytest.approx(0.0)
+    assert fit.residual == pytest.approx(0.1)
+    assert not fit.logarithmic
 
 
 def test_a_slope_goes_through_the_medians_and_tells_the_spread() -> None:
     sample = Sample(10.0, (1.0, 100.0, 2.0))
-    assert sample.median == 2.0 and sample.spread == 99.0
+    assert sample.median == 2.0
+    assert sample.spread == 99.0
 
 
 def test_too_few_sizes_are_refused() -> None:
@@ -83,7 +89,8 @@
     slope = Slope(
         "x", Axis.SIDECARS, Unit.BYTES_PER_S, Situation.QUIET, tuple(samples({50.0: 1.0, 200.0: 2.0}))
     )
-    assert not slope.extrapolated(200.0) and slope.extrapolated(201.0)
+    assert not slope.extrapolated(200.0)
+    assert slope.extrapolated(201.0)
 
 
 # From runs to bars
@@ -97,9 +104,11 @@
     measurement = Measurement("x", Axis.SIDECARS, Situation.QUIET)
     (slope,) = slopes_of(measurement, runs(SIZES))
     cost = target_cost(slope)
-    assert cost.figure == 1_801.0 and not cost.extrapolated
+    assert cost.figure == 1_801.0
+    assert not cost.extrapolated
     (short,) = slopes_of(measurement, runs((50.0, 100.0, 200.0, 400.0)))
-    assert target_cost(short).extrapolated and target_cost(short).figure == pytest.approx(1_801.0)
+    assert target_cost(short).extrapolated
+    assert target_cost(short).figure == pytest.approx(1_801.0)
     assert slopes_of(measurement, runs((50.0, 100.0))) == ()
 
 
@@ -107,7 +116,8 @@
     half = TargetCost("x", Unit.CORE_SHARE, Situation.QUIET, 0.6 * BUDGET.core_share, False)
     results = {"a": RoleResult(costs=(half,)), "b": RoleResult(costs=(replace(half, role="b"),))}
     bars = {bar.name: bar for bar in bars_of(results)}
-    assert bars["a, quiet: core of the budget"].held and bars["b, quiet: core of the budget"].held
+    assert bars["a, quiet: core of the budget"].held
+    assert bars["b, quiet: core of the budget"].held
     assert not bars["all roles, quiet: core of the budget"].held
     assert bars["all roles, quiet: core of the budget"].figure == pytest.approx(1.2)
 
@@ -122,7 +132,8 @@
 def test_a_call_within_a_metered_call_is_counted_once() -> None:
     meter = CpuMeter()
     assert meter.call(lambda: meter.call(sum, [1, 2])) == 3
-    assert meter.calls == 1 and meter.total_ns > 0
+    assert meter.calls == 1
+    assert meter.total_ns > 0
 
 
 # Hollow members
@@ -241,7 +252,8 @@
         reporters = {
             reporter for reports in member.detector.peer_reports.by_key.values() for reporter in reports
         }
-        assert len(reporters) > 2 and member.detector.reporter_id not in reporters
+        assert len(reporters) > 2
+        assert member.detector.reporter_id not in reporters
 
 
 def test_without_failures_nothing_is_told_of_servers() -> None:
@@ -296,7 +308,8 @@
     crowd.queue.run(3)
     for number, gossip in enumerate(crowd.gossips):
         heard = {int(name[1:]) for name, _ in gossip.counters.peers.replicas}
-        assert heard and all(other % 2 == number % 2 for other in heard)
+        assert heard
+        assert all(other % 2 == number % 2 for other in heard)
 
 
 # The reducer
--- a/tests/benchmarks/test_capacity_processes.py
+++ b/tests/benchmarks/test_capacity_processes.py
@@ -96,7 +96,8 @@
     assert cost_at(line, 2).figure == 2.5
     assert not cost_at(line, 4).extrapolated
     assert cost_at(line, 8).extrapolated
-    assert has_slope([1, 2, 3, 4]) and not has_slope([1, 2, 3])
+    assert has_slope([1, 2, 3, 4])
+    assert not has_slope([1, 2, 3])
 
 
 def test_a_figure_tells_its_range() -> None:
--- a/tests/benchmarks/test_retry_chain.py
+++ b/tests/benchmarks/test_retry_chain.py
@@ -150,8 +150,10 @@
     plan = Plan(4, Effect.SAFE, Failure.ERROR_ANSWER, Propagation.ERROR, 0, 2.0, calm_s=10.0)
     model = Model(plan, 1)
     model.play()
-    assert model.served_in_calm == 1.0 and set(model.served_by_second()) == {1.0}
-    assert not model.failing and not any(model.reissues(depth) for depth in range(1, 5))
+    assert model.served_in_calm == 1.0
+    assert set(model.served_by_second()) == {1.0}
+    assert not model.failing
+    assert not any(model.reissues(depth) for depth in range(1, 5))
 
 
 def test_the_role_reports_slopes_over_depths() -> None:
--- a/tests/benchmarks/test_short_forms.py
+++ b/tests/benchmarks/test_short_forms.py
@@ -74,7 +74,9 @@
         timeout=120,
     )
     told = json.loads(done.stdout.splitlines()[-1])
-    assert told["benchmark"] == name and figure in told["figures"] and told["bars"]
+    assert told["benchmark"] == name
+    assert figure in told["figures"]
+    assert told["bars"]
     assert done.returncode == int(not all(bar["held"] for bar in told["bars"].values()))
 
 
--- a/tests/cluster/test_processes.py
+++ b/tests/cluster/test_processes.py
@@ -29,9 +29,11 @@
             verdict = await it.play()
             await it.instances[0].ready()
             status = (await it.instances[0].status())["recovery"]
-            assert status["gaps"] >= 1 and status["longest_gap_s"] > 2.0
+            assert status["gaps"] >= 1
+            assert status["longest_gap_s"] > 2.0
             assert verdict.rules == []
-            assert verdict.counts["served"] and it.shops[1].runs
+            assert verdict.counts["served"]
+            assert it.shops[1].runs
             assert "process paused" in it.instances[0].log()
 
     asyncio.run(test())
--- a/tests/cluster/test_rig.py
+++ b/tests/cluster/test_rig.py
@@ -54,7 +54,8 @@
     turned_away = sent("b", status=503)
     shops = [shop(Run(10.1, "a", True), Run(10.1, "b", False)), shop(name="s1")]
     verdict = judge([served, turned_away], shops, [Instance(0)])
-    assert not verdict.broken and verdict.figures() == "1 refused, 1 served"
+    assert not verdict.broken
+    assert verdict.figures() == "1 refused, 1 served"
 
 
 @pytest.mark.parametrize(
@@ -173,7 +174,8 @@
         assert 300 < len(lossy) < 400
         assert len(await through(1, Way(repeats=1.0), 50)) == 100
         mixed = await through(1, Way(reordered=0.5), 50)
-        assert mixed != sorted(mixed) and sorted(mixed) == list(range(50))
+        assert mixed != sorted(mixed)
+        assert sorted(mixed) == list(range(50))
         shut = Way()
         shut.cut()
         assert await through(1, shut, 50) == []
--- a/tests/cluster/test_talking.py
+++ b/tests/cluster/test_talking.py
@@ -55,7 +55,9 @@
             verdict = await it.play()
             assert verdict.rules == []
             bad = it.shops[2]
-            assert it.switch is not None and it.switch.passed > 100 and it.switch.lost > 20
+            assert it.switch is not None
+            assert it.switch.passed > 100
+            assert it.switch.lost > 20
             others = sum(len(shop.runs) for shop in it.shops if shop is not bad) / 3
             failed = [run for run in bad.runs if run.at > it.begins + 1.0]
             assert 0 < len(failed) < 0.5 * others
--- a/tests/config/test_docs.py
+++ b/tests/config/test_docs.py
@@ -98,7 +98,9 @@
     text = page.split("## Guards")[1].split("\n## ")[0]
     rows = dict(re.findall(r"^\| `([a-z_]+)` \| (\S+) \|", text, re.M))
     assert set(rows) == {field.name for field in msgspec.structs.fields(schema.GuardsTable)}
-    assert rows["most_dropped"] == "`0.5`" and rows["judged_from"] == "`4`" and rows["damping"] == "`true`"
+    assert rows["most_dropped"] == "`0.5`"
+    assert rows["judged_from"] == "`4`"
+    assert rows["damping"] == "`true`"
 
 
 def test_the_page_on_outages_has_the_state_as_the_program_tells_it() -> None:
--- a/tests/config/test_operator.py
+++ b/tests/config/test_operator.py
@@ -336,10 +336,12 @@
     names = {"buy", "topup", "bookmark", "front", "help", "covers", "pages"}
     assert {route.name for route in setup.routes.routes} == names
     store = setup.pools["store"]
-    assert [server.weight for server in store.servers] == [1.0, 2.0, 1.0] and store.settings.select_by_weight
+    assert [server.weight for server in store.servers] == [1.0, 2.0, 1.0]
+    assert store.settings.select_by_weight
     assert store.servers[0].cell == store.servers[1].cell != store.servers[2].cell
     kinds = {kind.name: kind for kind in store.settings.classes}
-    assert kinds["coin-topup"].dedup_scope == "cell" and kinds["coin-topup"].dedup_window_us == 8_000_000
+    assert kinds["coin-topup"].dedup_scope == "cell"
+    assert kinds["coin-topup"].dedup_window_us == 8_000_000
     buy = setup.routes.routes[0]
     assert (buy.tenant_from, buy.tenant_header) == (TenantSource.HEADER, b"x-publisher")
 
@@ -351,8 +353,10 @@
         "HEAD",
         "OPTIONS",
     }  # a safe class repeats no POST unasked
-    assert setup.routes.routes[0].methods == frozenset() and setup.routes.routes[0].kind is PathKind.PREFIX
-    assert setup.key_headers == (b"", b"", b"Idempotency-Key") and setup.pools["spare"].servers == ()
+    assert setup.routes.routes[0].methods == frozenset()
+    assert setup.routes.routes[0].kind is PathKind.PREFIX
+    assert setup.key_headers == (b"", b"", b"Idempotency-Key")
+    assert setup.pools["spare"].servers == ()
     with_get = parse(GOOD.replace('path = "/buy"', 'methods = ["GET"]'))
     assert with_get.routes.routes[0].methods == {"GET", "HEAD"}
     own = parse(GOOD.replace("[pools.spare]", '[pools.main.classes.read]\naim = "50ms"\n[pools.spare]'))
@@ -363,7 +367,8 @@
     route = parse(
         GOOD.replace('path = "/buy"', 'path = "/b%75y//x/../"\nhosts = ["SHOP.example.", "*.A.b"]')
     ).routes.routes[0]
-    assert route.path == "/buy" and route.hosts == ("shop.example", "*.a.b")
+    assert route.path == "/buy"
+    assert route.hosts == ("shop.example", "*.a.b")
 
 
 @pytest.mark.parametrize("what", BROKEN)
@@ -373,7 +378,8 @@
     with pytest.raises(ConfigError) as caught:
         parse(GOOD.replace(old, new, 1), "site.toml")
     text = str(caught.value)
-    assert told in text and text.startswith("site.toml: ")
+    assert told in text
+    assert text.startswith("site.toml: ")
 
 
 def test_all_problems_are_told_at_once() -> None:
--- a/tests/decisions/test_affinity.py
+++ b/tests/decisions/test_affinity.py
@@ -64,13 +64,15 @@
 
 
 def test_what_has_no_key_and_a_ring_with_no_servers_prefer_nothing() -> None:
-    assert ring(1, 1).preferred(b"") == () and Ring().preferred(b"x") == ()
+    assert ring(1, 1).preferred(b"") == ()
+    assert Ring().preferred(b"x") == ()
     assert ring(1).preferred(b"x") == (1,)
 
 
 def test_a_long_list_makes_no_long_ring() -> None:
     made = ring(*[1.0] * 3000, 1000.0)
-    assert made.preferred(b"x") and len(made.points) <= 20_000
+    assert made.preferred(b"x")
+    assert len(made.points) <= 20_000
 
 
 def test_what_a_request_is_known_by() -> None:
@@ -146,14 +148,16 @@
         return count
 
     # its part is a fifth of one of 4.2 servers, or 10 of 200; all would be 200
-    assert got((1,)) <= 1.3 * 200 * 0.2 / 4.2 and got(()) <= 1.3 * 200 * 0.2 / 4.2
+    assert got((1,)) <= 1.3 * 200 * 0.2 / 4.2
+    assert got(()) <= 1.3 * 200 * 0.2 / 4.2
 
 
 def test_a_request_that_is_tried_again_goes_elsewhere() -> None:
     made = balancer()
     assert sent(made, SECOND, RequestArrived(1, 5 * SECOND, preferred=(2,))) == [2]
     again = sent(made, SECOND, AttemptEnded(1, 0, 2, Outcome.REJECTED, 100))
-    assert len(again) == 1 and again != [2]
+    assert len(again) == 1
+    assert again != [2]
 
 
 @settings(max_examples=100, deadline=None)
--- a/tests/decisions/test_breaker.py
+++ b/tests/decisions/test_breaker.py
@@ -16,9 +16,12 @@
         calls += 1
     assert calls == 11  # faults are most of the last calls
     off = breaker.off_until_us
-    assert not breaker.may(off - 1) and breaker.left_us(off - 1) == 1
-    assert breaker.may(off) and breaker.worked()
-    assert breaker.may(off) and not breaker.worked()
+    assert not breaker.may(off - 1)
+    assert breaker.left_us(off - 1) == 1
+    assert breaker.may(off)
+    assert breaker.worked()
+    assert breaker.may(off)
+    assert not breaker.worked()
     assert breaker.faults == 0.0
 
 
--- a/tests/decisions/test_counter_error_bound.py
+++ b/tests/decisions/test_counter_error_bound.py
@@ -85,7 +85,8 @@
     model = PeersModel(TALK, seed=5, repeats=0.1)
     rates = {1: 60.0, 2: 20.0, 3: 5.0}
     outside, looks, worst = beyond(model, error_bound(TALK), rates, 20)
-    assert outside <= 1e-3 * looks and looks == 20 * 20 * 3
+    assert outside <= 1e-3 * looks
+    assert looks == 20 * 20 * 3
     assert worst > 0.2, "a bound that is never near tells nothing"
 
 
@@ -120,7 +121,8 @@
     assert model.estimate(1, 1) == pytest.approx(model.true_count(1), rel=0.1)
     # the blind one keeps to its part by number, so that both together stay within the limit
     parts = [each.counters.shares_of(1, 1, model.local_us(n))[0] for n, each in enumerate(model.gossips)]
-    assert parts[0] == pytest.approx(0.5) and sum(parts) < 1.15
+    assert parts[0] == pytest.approx(0.5)
+    assert sum(parts) < 1.15
 
 
 def test_restarts_and_a_start_of_all_at_once_stay_within_the_bound() -> None:
--- a/tests/decisions/test_lease_planner.py
+++ b/tests/decisions/test_lease_planner.py
@@ -168,9 +168,11 @@
     lent = 0
     for number in range(1, 9):
         for out in it.came(LoanRequest(number, 5), InstanceLife("i9", 1), now_us):
-            assert isinstance(out.message, LoanAnswer) and out.to == "i9"
+            assert isinstance(out.message, LoanAnswer)
+            assert out.to == "i9"
             lent += out.message.count
-    assert lent == 15 - keeps and it.had(now_us) == keeps
+    assert lent == 15 - keeps
+    assert it.had(now_us) == keeps
 
 
 def test_an_answer_that_is_lost_is_asked_for_under_the_same_number() -> None:
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -51,7 +51,8 @@
 @pytest.mark.parametrize("name", LIMITS)
 def test_no_history_of_three_instances_overspends(name: str) -> None:
     found = Checker(LIMITS[name]).explore(8, 6_000)
-    assert found.history == () and found.states >= 6_000
+    assert found.history == ()
+    assert found.states >= 6_000
 
 
 class CountsTwice(LeaseHolder):
@@ -170,15 +171,19 @@
     it = holder()
     take(it, 0, 0)
     end_us = RULES.held_us - RULES.hold_us
-    assert it.spare(end_us) == 3 and it.spend(end_us) is not None
-    assert it.spare(end_us + 1) == 0 and it.spend(end_us + 1) is None
+    assert it.spare(end_us) == 3
+    assert it.spend(end_us) is not None
+    assert it.spare(end_us + 1) == 0
+    assert it.spend(end_us + 1) is None
     assert it.in_use(end_us + 1) == 1
 
 
 def test_a_process_that_stood_still_past_its_lease_has_nothing_to_spend() -> None:
     it = holder()
     take(it, 0, 0)
-    assert it.spend(20 * S) is None and it.held(20 * S) == [] and it.void == 1
+    assert it.spend(20 * S) is None
+    assert it.held(20 * S) == []
+    assert it.void == 1
 
 
 def test_a_permit_is_free_again_when_its_use_is_over_or_known_to_be() -> None:
@@ -186,7 +191,9 @@
     take(it, 3, 0)
     assert RULES.permits(3) == 2
     first, second = it.spend(0), it.spend(0)
-    assert first is not None and second is not None and it.spend(0) is None
+    assert first is not None
+    assert second is not None
+    assert it.spend(0) is None
     it.done(first)
     it.done(first)  # once is enough
     assert it.spare(0) == 1
@@ -214,7 +221,9 @@
     assert acceptor.claimed(claim(0, 2), ME, S).granted
     acceptor.released(LeaseRelease(0, 1), ME)
     told = acceptor.claimed(claim(0, 1), OTHER, S)
-    assert not told.granted and told.holder == "a" and told.wait_us == RULES.longest_us
+    assert not told.granted
+    assert told.holder == "a"
+    assert told.wait_us == RULES.longest_us
     acceptor.released(LeaseRelease(0, 2), InstanceLife("a", 2))
     assert not acceptor.claimed(claim(0, 1), OTHER, S).granted, "another life of it has no say"
     acceptor.released(LeaseRelease(0, 2), ME)
@@ -226,10 +235,8 @@
     assert acceptor.claimed(claim(0, 7), ME, 0).granted
     assert not acceptor.claimed(claim(0, 1), OTHER, RULES.longest_us - 1).granted
     assert acceptor.claimed(claim(0, 1), OTHER, RULES.longest_us).granted
-    assert (
-        not acceptor.claimed(claim(4, 1), OTHER, 0).granted
-        and not acceptor.claimed(claim(-1, 1), ME, 0).granted
-    )
+    assert not acceptor.claimed(claim(4, 1), OTHER, 0).granted
+    assert not acceptor.claimed(claim(-1, 1), ME, 0).granted
     assert len(acceptor.grants) == 1
 
 
@@ -243,9 +250,11 @@
     it = holder()
     take(it, 0, 0)
     ticket = it.spend(0)
-    assert ticket is not None and it.release(0, 0) is None
+    assert ticket is not None
+    assert it.release(0, 0) is None
     it.done(ticket)
-    assert it.asked(LoanRequest(1, 1), OTHER, 1, 0) is not None and it.release(0, 0) is None
+    assert it.asked(LoanRequest(1, 1), OTHER, 1, 0) is not None
+    assert it.release(0, 0) is None
     it.returned(LoanReturn(1, 0), OTHER)
     assert it.release(0, 0) == LeaseRelease(0, 1)
 
@@ -255,11 +264,13 @@
     take(lender, 0, 0)
     ask = borrower.ask("a", 2, 0)
     loan_answer = lender.asked(ask, OTHER, 9, S)
-    assert loan_answer is not None and loan_answer.count == 2 and lender.spare(S) == 1
-    assert lender.asked(ask, OTHER, 9, 2 * S) == loan_answer and lender.spare(2 * S) == 1
-    assert borrower.loan_answered(loan_answer, "a", 2 * S) and not borrower.loan_answered(
-        loan_answer, "a", 2 * S
-    )
+    assert loan_answer is not None
+    assert loan_answer.count == 2
+    assert lender.spare(S) == 1
+    assert lender.asked(ask, OTHER, 9, 2 * S) == loan_answer
+    assert lender.spare(2 * S) == 1
+    assert borrower.loan_answered(loan_answer, "a", 2 * S)
+    assert not borrower.loan_answered(loan_answer, "a", 2 * S)
     assert borrower.spare(2 * S) == 2
     ends_us = borrower.loans[loan_answer.number].until_us
     assert ends_us < S + loan_answer.for_us, "from when it was asked for, and less what clocks may differ by"
@@ -273,9 +284,11 @@
     take(lender, 0, 0)
     take(borrower, 3, 0)
     loan_answer = lender.asked(borrower.ask("a", 2, 0), OTHER, 9, 0)
-    assert loan_answer is not None and borrower.loan_answered(loan_answer, "a", 0)
+    assert loan_answer is not None
+    assert borrower.loan_answered(loan_answer, "a", 0)
     ticket = borrower.spend(0)
-    assert ticket is not None and ticket.loan
+    assert ticket is not None
+    assert ticket.loan
     assert borrower.give_back(loan_answer.number, 0) == ("a", LoanReturn(loan_answer.number, 1))
     lender.returned(LoanReturn(loan_answer.number, 1), OTHER)
     lender.returned(LoanReturn(loan_answer.number, 2), OTHER)  # an older one, late
@@ -295,17 +308,23 @@
     assert not borrower.loan_answered(loan_answer, "c", 0)
     ask = borrower.ask("a", 2, 0)
     again = lender.asked(ask, OTHER, 9, 0)
-    assert again is not None and borrower.loan_answered(again, "a", 0)
+    assert again is not None
+    assert borrower.loan_answered(again, "a", 0)
     told = borrower.asked(LoanRequest(1, 1), InstanceLife("c", 1), 9, 0)
-    assert told is not None and told.count == 0
+    assert told is not None
+    assert told.count == 0
 
 
 def test_a_smaller_budget_holds_at_once_for_what_is_spent_from_then_on() -> None:
     it = holder()
     take(it, 0, 0)
-    assert it.spend(0) and it.spend(0) and it.spare(0) == 1
+    assert it.spend(0)
+    assert it.spend(0)
+    assert it.spare(0) == 1
     it.reconfigure(LeaseRules(total=4, slots=4, lease_us=6 * S, hold_us=S), [ACCEPTORS])
-    assert it.spare(0) == 0 and it.spend(0) is None and it.in_use(0) == 2
+    assert it.spare(0) == 0
+    assert it.spend(0) is None
+    assert it.in_use(0) == 2
     assert it.spare(S) == 1
 
 
@@ -346,7 +365,8 @@
 def test_with_other_acceptors_what_is_spent_and_lent_stays_counted() -> None:
     it = holder()
     take(it, 0, 0)
-    assert it.spend(0) is not None and it.asked(LoanRequest(1, 1), OTHER, 1, 0) is not None
+    assert it.spend(0) is not None
+    assert it.asked(LoanRequest(1, 1), OTHER, 1, 0) is not None
     it.reconfigure(RULES, [("x", "y", "q")])
     assert it.spare(0) == 0
     take(it, 0, 0, ("x", "y"))
--- a/tests/decisions/test_paths.py
+++ b/tests/decisions/test_paths.py
@@ -48,7 +48,8 @@
     assert normalise_path(goes_on.encode()) == (goes_on, seen)
     assert normalise_path(seen.encode())[1] == seen
     assert goes_on.count("/") == seen.count("/")
-    assert not {".", ".."} & set(seen.split("/")) and "//" not in seen
+    assert not {".", ".."} & set(seen.split("/"))
+    assert "//" not in seen
 
 
 @given(disguised())
--- a/tests/decisions/test_routes.py
+++ b/tests/decisions/test_routes.py
@@ -97,8 +97,10 @@
             route("given", query=(Predicate("flag"),)),
         ]
     )
-    assert winner(table, head(x_beta="1")) == "beta" and winner(table, head(x_beta="11")) is None
-    assert winner(table, head(query=b"v=1&v=2")) == "query" and winner(table, head(query=b"v=22")) is None
+    assert winner(table, head(x_beta="1")) == "beta"
+    assert winner(table, head(x_beta="11")) is None
+    assert winner(table, head(query=b"v=1&v=2")) == "query"
+    assert winner(table, head(query=b"v=22")) is None
     assert winner(table, head(query=b"flag")) == winner(table, head(query=b"flag=x&a=b")) == "given"
 
 
@@ -272,7 +274,8 @@
     table = RouteTable([route(str(n), f"/s{n}/x", hosts=(f"h{n % 100}",)) for n in range(10_000)])
     for number in rng.sample(range(10_000), 50):
         groups = list(table._groups(f"h{number % 100}"))
-        assert len(groups) == 1 and len(groups[0].by_path(f"/s{number}/x/y")) == 1
+        assert len(groups) == 1
+        assert len(groups[0].by_path(f"/s{number}/x/y")) == 1
         assert winner(table, head(f"/s{number}/x/y", f"h{number % 100}")) == str(number)
 
 
--- a/tests/decisions/test_templates.py
+++ b/tests/decisions/test_templates.py
@@ -24,7 +24,8 @@
 @given(st.text())
 def test_an_escaped_text_is_filled_with_itself(text: str) -> None:
     made = parse_template(escaped(text))
-    assert made.filled({}) == text and not made.names
+    assert made.filled({}) == text
+    assert not made.names
 
 
 @given(
--- a/tests/hooks/test_chain.py
+++ b/tests/hooks/test_chain.py
@@ -65,20 +65,27 @@
     played = Played(body=4)
     asked = trail(chain(played))
     asked.request()
-    assert played.values(Read.METHOD) == [b"POST"] and played.values(Read.PATH) == [b"/buy/7"]
-    assert played.values(Read.QUERY) == [b"a=b"] and played.values(Read.HOST) == [b"shop.example"]
-    assert played.values(Read.TENANT) == [b"kidlat"] and played.values(Read.CLIENT) == [b"192.0.2.7"]
-    assert played.values(Read.CLASS) == [b"read"] and played.values(Read.ROUTE) == [b"buying"]
+    assert played.values(Read.METHOD) == [b"POST"]
+    assert played.values(Read.PATH) == [b"/buy/7"]
+    assert played.values(Read.QUERY) == [b"a=b"]
+    assert played.values(Read.HOST) == [b"shop.example"]
+    assert played.values(Read.TENANT) == [b"kidlat"]
+    assert played.values(Read.CLIENT) == [b"192.0.2.7"]
+    assert played.values(Read.CLASS) == [b"read"]
+    assert played.values(Read.ROUTE) == [b"buying"]
     assert played.values(Read.MAY_CHOOSE) == [b"read", b"mark", b"buy"]
     assert played.values(Read.REMAINING_MS) == [abi.U32.pack(1000)]
-    assert played.values(Read.BODY) == [b"0123"] and played.values(Read.BODY_SIZE) == [abi.U32.pack(10)]
+    assert played.values(Read.BODY) == [b"0123"]
+    assert played.values(Read.BODY_SIZE) == [abi.U32.pack(10)]
     names = [(name, value) for tag, name, value in played.told[-1][1] if tag == Read.HEADER]
     assert names == [(b"host", b"shop.example"), (b"x-a", b"1"), (b"x-a", b"2")]
     assert asked.answer(503, [(b"X-B", b"3")]) == [(b"X-B", b"3")]
-    assert played.values(Read.STATUS) == [abi.U32.pack(503)] and not played.values(Read.BODY)
+    assert played.values(Read.STATUS) == [abi.U32.pack(503)]
+    assert not played.values(Read.BODY)
     asked.end(b"failed", 503)
     asked.end(b"served", 200)
-    assert played.values(Read.OUTCOME) == [b"failed"] and not played.values(Read.HEADER)
+    assert played.values(Read.OUTCOME) == [b"failed"]
+    assert not played.values(Read.HEADER)
     assert [phase for phase, _ in played.told] == ["on_request", "on_answer", "on_end"]
 
 
@@ -158,7 +165,8 @@
     assert (refused.value.status, refused.value.retry_after_us) == (503, 3_000_000)
     assert not first.told  # asked before any other, as some may count what they see
     trail(chain(first, second, passes=True)).request()
-    assert first.told and not second.told
+    assert first.told
+    assert not second.told
 
 
 def test_headers_of_the_route_are_not_a_hooks() -> None:
--- a/tests/hooks/test_daemon_hooks.py
+++ b/tests/hooks/test_daemon_hooks.py
@@ -108,8 +108,10 @@
             reply = await it.ask(
                 message("GET /hooked/a", "X-Debug: 1", "X-Serial: forged", "Connection: x-serial")
             )
-            assert reply.status == 200 and reply.body == b"ok"
-            assert reply.all("X-Seen") == ["yes"] and not reply.all("X-Secret")
+            assert reply.status == 200
+            assert reply.body == b"ok"
+            assert reply.all("X-Seen") == ["yes"]
+            assert not reply.all("X-Secret")
             assert server.arrivals[0].all("X-Serial") == [b"kidlat-7"]
             assert not server.arrivals[0].all("X-Debug")
             await it.ask(message("GET /other", "X-Debug: 1"))
@@ -161,7 +163,8 @@
             chain.hooks[0].compiled = chain.hooks[0].runtime.compile_module(bad)
             client = await it.connect()
             reply = await client.ask(message("POST /buy", "Idempotency-Key: k", body=b"coins"))
-            assert reply.status == 500 and b"nothing has run" in reply.body
+            assert reply.status == 500
+            assert b"nothing has run" in reply.body
             assert server.count == 0
             assert (await client.ask(message("GET /other"))).status == 200
             assert hook(it.daemon)["faults"] == 1
@@ -196,7 +199,8 @@
             chain.hooks[0].compiled = chain.hooks[0].runtime.compile_module(FAULTY[name])
             reply = await it.ask(message("POST /buy", body=b"coins"))
             assert (reply.status, server.count) == ((200, 1) if policy == "pass" else (500, 0))
-            assert hook(it.daemon)["faults"] == 1 and hook(it.daemon)["last_fault"]
+            assert hook(it.daemon)["faults"] == 1
+            assert hook(it.daemon)["last_fault"]
             assert (await it.ask(message("GET /other"))).status == 200
 
     run(test)
@@ -216,11 +220,14 @@
             client = await it.connect()
             replies = [await client.ask(message("POST /buy", body=b"coins")) for _ in range(15)]
             status = hook(it.daemon)
-            assert status["off_for_s"] > 0 and status["skipped"] > 0 and status["faults"] < 15
+            assert status["off_for_s"] > 0
+            assert status["skipped"] > 0
+            assert status["faults"] < 15
             if policy == "pass":
                 assert [reply.status for reply in replies] == [200] * 15
             else:
-                assert replies[-1].status == 503 and int(replies[-1].all("Retry-After")[0]) > 0
+                assert replies[-1].status == 503
+                assert int(replies[-1].all("Retry-After")[0]) > 0
                 assert server.count == 0
             assert (await client.ask(message("GET /other"))).status == 200
             client.close()
@@ -277,7 +284,8 @@
             chain.hooks[0].compiled = chain.hooks[0].runtime.compile_module(wat.module(on_answer=wat.TRAP))
             reply = await it.ask(message("POST /buy", body=b"coins"))
             assert reply.status == (200 if policy == "pass" else 502)
-            assert server.count == 1 and not reply.all("Retry-After")
+            assert server.count == 1
+            assert not reply.all("Retry-After")
 
     run(test)
 
@@ -333,8 +341,10 @@
         good = wat.module(on_request=wat.ALLOW)
         async with running(tmp_path, {"main": [server]}, **hooked(tmp_path, {"h": good})) as it:
             reply = await it.ask(message("POST /buy", "X-Deadline-Ms: 5", body=b"coins"))
-            assert reply.status == 500 and server.count == 0
-            assert hook(it.daemon)["skipped"] == 1 and hook(it.daemon)["faults"] == 0
+            assert reply.status == 500
+            assert server.count == 0
+            assert hook(it.daemon)["skipped"] == 1
+            assert hook(it.daemon)["faults"] == 0
 
     run(test)
 
@@ -349,8 +359,10 @@
         async with running(tmp_path, {"main": [server]}, **hooked(tmp_path, modules)) as it:
             assert (await it.ask(message("POST /buy"))).status == 200
             reply = await it.ask(message("POST /buy", f"X-Long: {'x' * 15_000}"))
-            assert reply.status == 431 and server.count == 1
-            assert hook(it.daemon)["too_long"] == 1 and hook(it.daemon)["faults"] == 0
+            assert reply.status == 431
+            assert server.count == 1
+            assert hook(it.daemon)["too_long"] == 1
+            assert hook(it.daemon)["faults"] == 0
 
     run(test)
 
@@ -489,7 +501,8 @@
             assert (reply.status, reply.body) == (403, b"no")
             assert await client.ended()  # what follows may be frames
             client.close()
-            assert not daemon.services.websockets.relays and not daemon.dispatcher.requests
+            assert not daemon.services.websockets.relays
+            assert not daemon.dispatcher.requests
         finally:
             await daemon.stop()
             server.stop()
@@ -524,7 +537,8 @@
         with pytest.raises(ConfigError) as wrong:
             async with running(tmp_path, {"main": [WebServer()]}, **hooked(tmp_path, {"h": data})):
                 raise AssertionError("it started")
-        assert told in str(wrong.value) and "hooks.h.file" in str(wrong.value)
+        assert told in str(wrong.value)
+        assert "hooks.h.file" in str(wrong.value)
 
     run(test)
 
@@ -553,7 +567,8 @@
 
     async def test() -> None:
         async with running(tmp_path, {"main": [WebServer()]}) as it:
-            assert it.daemon.services.hooks.keeper is None and it.daemon.status()["hooks"] == {}
+            assert it.daemon.services.hooks.keeper is None
+            assert it.daemon.status()["hooks"] == {}
             assert (await it.ask(message("GET /x"))).status == 200
 
     run(test)
--- a/tests/http1/test_requests.py
+++ b/tests/http1/test_requests.py
@@ -57,7 +57,9 @@
 )
 def test_shapes_that_hide_a_request_are_refused(data: bytes) -> None:
     read = reader(data + GET)
-    assert not read.messages and read.error is not None and read.error.status == 400
+    assert not read.messages
+    assert read.error is not None
+    assert read.error.status == 400
     read.feed(GET)  # and what follows is never read
     assert not read.messages
 
@@ -79,14 +81,17 @@
 )
 def test_bounds_and_what_is_not_spoken(data: bytes, status: int) -> None:
     read = reader(data)
-    assert not read.messages and read.error is not None and read.error.status == status
+    assert not read.messages
+    assert read.error is not None
+    assert read.error.status == status
 
 
 def test_chunk_extensions_without_end_are_bounded() -> None:
     read = reader(post(b"Transfer-Encoding: chunked", body=b"1;"))
     for _ in range(100):
         read.feed(b"x" * 1000)
-    assert read.error is not None and not read.messages
+    assert read.error is not None
+    assert not read.messages
 
 
 def test_a_chunked_body_is_decoded_and_its_trailers_are_dropped() -> None:
@@ -94,18 +99,21 @@
         post(b"Transfer-Encoding: chunked", body=b"3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nX-Evil: 1\r\n\r\n") + GET
     )
     first, second = read.messages
-    assert first.body == b"abcde" and b"X-Evil" not in [name for name, _ in first.headers]
+    assert first.body == b"abcde"
+    assert b"X-Evil" not in [name for name, _ in first.headers]
     assert second.target == b"/x"
 
 
 def test_what_came_whole_ahead_of_an_error_is_kept() -> None:
     read = reader(GET + b"garbage\r\n\r\n")
-    assert [message.target for message in read.messages] == [b"/x"] and read.error is not None
+    assert [message.target for message in read.messages] == [b"/x"]
+    assert read.error is not None
 
 
 def test_more_pipelined_requests_than_may_wait_end_the_connection_cleanly() -> None:
     read = reader(GET * 30)
-    assert len(read.messages) == MOST_PIPELINED and read.error is None
+    assert len(read.messages) == MOST_PIPELINED
+    assert read.error is None
     assert [message.keep_alive for message in read.messages].count(False) == 1
     assert not read.messages[-1].keep_alive
 
@@ -116,7 +124,8 @@
     assert bytes(read.rest) == GET
     read.feed(GET)
     read.read_on()
-    assert [message.target for message in read.messages] == [b"/1", b"/x", b"/x"] and read.error is None
+    assert [message.target for message in read.messages] == [b"/1", b"/x", b"/x"]
+    assert read.error is None
 
 
 def test_versions_and_keep_alive() -> None:
@@ -134,7 +143,8 @@
 
 def test_who_waits_for_leave_to_send_the_body() -> None:
     head = post(b"Expect: 100-continue", b"Content-Length: 3")
-    assert reader(head).continue_wanted and not reader(head + b"a").continue_wanted
+    assert reader(head).continue_wanted
+    assert not reader(head + b"a").continue_wanted
     assert not reader(head.replace(b"HTTP/1.1", b"HTTP/1.0")).continue_wanted
 
 
--- a/tests/listeners/test_connections.py
+++ b/tests/listeners/test_connections.py
@@ -138,7 +138,8 @@
             await until(lambda: len(upstream.requests) == 1)
             writer.write(b"x" * 4_000_000)
             head, _ = await read_message(reader)
-            assert b" 500 " in head and b"Connection: close" in head
+            assert b" 500 " in head
+            assert b"Connection: close" in head
             release.set()
             await until(lambda: not servers[0].dispatcher.requests)
             assert len(upstream.requests) == 1
@@ -159,8 +160,10 @@
             await writer.drain()
             release.set()
             head, body = await read_message(reader)
-            assert b" 200 " in head and body == b"done"
-            assert b" 400 " in (await read_message(reader))[0] and await reader.read() == b""
+            assert b" 200 " in head
+            assert body == b"done"
+            assert b" 400 " in (await read_message(reader))[0]
+            assert await reader.read() == b""
             writer.close()
 
     run(test)
@@ -331,7 +334,9 @@
             await asyncio.sleep(0.05)  # the stop is under way
             writer.write(request())
             head, body = await read_message(reader)
-            assert b" 200 " in head and body == b"done" and await reader.read() == b""
+            assert b" 200 " in head
+            assert body == b"done"
+            assert await reader.read() == b""
             writer.close()
             await it.task
 
@@ -353,7 +358,9 @@
             reader, writer = await it.connect()
             writer.write(data)
             head, body = await read_message(reader)
-            assert b" 200 " in head and b"Connection: close" in head and await reader.read() == b""
+            assert b" 200 " in head
+            assert b"Connection: close" in head
+            assert await reader.read() == b""
             writer.close()
 
     run(test)
--- a/tests/listeners/test_descriptors.py
+++ b/tests/listeners/test_descriptors.py
@@ -48,7 +48,8 @@
                 head, _ = await it.ask(UP)
                 assert b" 200 " in head
                 head, body = await it.ask(request())
-                assert b" 200 " in head and body == b"done"
+                assert b" 200 " in head
+                assert body == b"done"
             again = await asyncio.start_server(discovery.serve, "127.0.0.1", discovery.port)
             await discovery.watched()
             discovery.line(listing(entry("new", new.port), rev=7))
--- a/tests/listeners/test_http_listener.py
+++ b/tests/listeners/test_http_listener.py
@@ -29,8 +29,10 @@
         )
         async with running(tmp_path, {"main": [server]}) as it:
             reply = await it.ask(message("GET /"))
-        assert reply.status == 418 and reply.body == b"abc"
-        assert reply.all("Set-Cookie") == ["a=1", "b=2"] and reply.all("ETag") == ['"e"']
+        assert reply.status == 418
+        assert reply.body == b"abc"
+        assert reply.all("Set-Cookie") == ["a=1", "b=2"]
+        assert reply.all("ETag") == ['"e"']
         for gone in ("X-Own", "Keep-Alive", "Transfer-Encoding", "X-Trailer"):
             assert not reply.all(gone)
 
@@ -54,12 +56,16 @@
                 )
             )
             kept = await it.ask(message("GET /", "X-Request-Id: mine"))
-        assert reply.body == b"/buy/a?q=%2e&r|body" and kept.status == 200
+        assert reply.body == b"/buy/a?q=%2e&r|body"
+        assert kept.status == 200
         first, second = server.arrivals
-        assert first.all("Host") == [b"Shop.Example:80"] and first.all("Cookie") == [b"c"]
+        assert first.all("Host") == [b"Shop.Example:80"]
+        assert first.all("Cookie") == [b"c"]
         assert first.all("X-Forwarded-For") == [b"127.0.0.1"]  # a client's own word is not trusted
-        assert not first.all("X-Own") and not first.all("TE")
-        assert len(first.all("X-Request-Id")[0]) == 32 and second.all("X-Request-Id") == [b"mine"]
+        assert not first.all("X-Own")
+        assert not first.all("TE")
+        assert len(first.all("X-Request-Id")[0]) == 32
+        assert second.all("X-Request-Id") == [b"mine"]
         assert 0 < int(first.all("X-Deadline-Ms")[0]) <= 15_000
 
     run(test)
@@ -96,7 +102,8 @@
             assert (await it.ask(message("POST /buy", "X-Deadline-Ms: soon"))).status == 400
             assert (await it.ask(message("POST /buy/silent", "X-Deadline-Ms: 600"))).status == 504
         longer, shorter = (int(arrival.all("X-Deadline-Ms")[0]) for arrival in server.arrivals)
-        assert 600 < longer <= 15_000 and 0 < shorter <= 600
+        assert 600 < longer <= 15_000
+        assert 0 < shorter <= 600
 
     run(test)
 
@@ -116,15 +123,20 @@
             client = await it.connect()
             for _ in range(2):  # on one connection: the next answer begins where it should
                 head = await client.ask(message("HEAD /head"))
-                assert head.status == 200 and head.all("Content-Length") == ["7000000"]
+                assert head.status == 200
+                assert head.all("Content-Length") == ["7000000"]
                 unchanged = await client.ask(message("GET /304"))
-                assert unchanged.status == 304 and unchanged.all("ETag") == ["x"]
+                assert unchanged.status == 304
+                assert unchanged.all("ETag") == ["x"]
                 empty = await client.ask(message("GET /204"))
-                assert empty.status == 204 and not empty.all("Content-Length")
+                assert empty.status == 204
+                assert not empty.all("Content-Length")
                 hinted = await client.ask(message("GET /100"))
-                assert hinted.body == b"hello" and not hinted.all("Link")
+                assert hinted.body == b"hello"
+                assert not hinted.all("Link")
             client.close()
-        assert server.connections == 1 and server.count == 8
+        assert server.connections == 1
+        assert server.count == 8
 
     run(test)
 
@@ -172,7 +184,8 @@
             kept = await client.ask(b"GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n")
             assert kept.all("Connection") == ["keep-alive"]
             last = await client.ask(b"GET / HTTP/1.0\r\n\r\n")
-            assert last.all("Connection") == ["close"] and await client.ended()
+            assert last.all("Connection") == ["close"]
+            assert await client.ended()
             client = await it.connect()
             assert (await client.ask(message("GET /", "Connection: close"))).all("Connection") == ["close"]
             assert await client.ended()
@@ -197,7 +210,8 @@
             client.writer.write(message("GET /1") + message("GET /none", host="") + message("GET /2"))
             assert [(await client.reply()).status for _ in range(3)] == [200, 400, 200]
             client.writer.write(message("GET /3") + b"noise\r\n\r\n" + message("GET /4"))
-            assert [(await client.reply()).status for _ in range(2)] == [200, 400] and await client.ended()
+            assert [(await client.reply()).status for _ in range(2)] == [200, 400]
+            assert await client.ended()
 
     run(test)
 
@@ -216,7 +230,8 @@
             too_long = await client.ask(
                 b"POST /buy HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 99999999\r\n\r\n"
             )
-            assert too_long.status == 413 and await client.ended()
+            assert too_long.status == 413
+            assert await client.ended()
 
     run(test)
 
@@ -229,8 +244,10 @@
                 b"POST /buy HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
                 b"3\r\nabc\r\n0\r\nX-Not-Run: 1\r\n\r\n"
             )
-        assert reply.body == b"/buy|abc" and server.arrivals[0].all("Content-Length") == [b"3"]
-        assert not server.arrivals[0].all("Transfer-Encoding") and not server.arrivals[0].all("X-Not-Run")
+        assert reply.body == b"/buy|abc"
+        assert server.arrivals[0].all("Content-Length") == [b"3"]
+        assert not server.arrivals[0].all("Transfer-Encoding")
+        assert not server.arrivals[0].all("X-Not-Run")
 
     run(test)
 
@@ -250,7 +267,8 @@
         server = WebServer()
         async with running(tmp_path, {"main": [server]}) as it:
             client = await it.connect()
-            assert (await client.ask(data + message("GET /hidden"))).status == 400 and await client.ended()
+            assert (await client.ask(data + message("GET /hidden"))).status == 400
+            assert await client.ended()
         assert server.count == 0
 
     run(test)
@@ -293,7 +311,8 @@
                 assert (await it.ask(message(f"GET {trick}"))).status == 200
             for trick in ("/buy/..%2fadmin", "/buy/..;/admin", "/buy/..%5cadmin", "/buy/%00/../admin"):
                 assert (await it.ask(message(f"GET {trick}"))).status == 400
-        assert server.count == 0 and closed.count == 5
+        assert server.count == 0
+        assert closed.count == 5
 
     run(test)
 
@@ -307,11 +326,13 @@
             client = await it.connect()
             assert (await client.ask(message("GET /nowhere"))).status == 404
             refused = await client.ask(message("PUT /mark"))
-            assert refused.status == 405 and refused.all("Allow") == ["POST"]
+            assert refused.status == 405
+            assert refused.all("Allow") == ["POST"]
             assert (await client.ask(message("POST /mark"))).status == 400  # no key
             assert (await client.ask(message("POST /mark", "Idempotency-Key: k"))).status == 200
             client.close()
-        assert server.count == 1 and server.arrivals[0].all("Idempotency-Key") == [b"k"]
+        assert server.count == 1
+        assert server.arrivals[0].all("Idempotency-Key") == [b"k"]
 
     run(test)
 
@@ -329,10 +350,13 @@
         )
         async with running(tmp_path, {"failing": [failing], "full": [full]}, routes=routes) as it:
             error = await it.ask(message("POST /failing/buy"))
-            assert (error.status, error.body) == (500, b"oops\n") and failing.count == 1
+            assert (error.status, error.body) == (500, b"oops\n")
+            assert failing.count == 1
             assert (await it.ask(message("GET /failing/read"))).status == 500
             refused = await it.ask(message("POST /full/buy"))
-            assert refused.status == 502 and not refused.all("Retry-After") and full.count == 1
+            assert refused.status == 502
+            assert not refused.all("Retry-After")
+            assert full.count == 1
             assert (await it.ask(message("GET /full/read"))).status == 503
 
     run(test)
@@ -343,7 +367,9 @@
         server = WebServer(always(NOT_RUN))
         async with running(tmp_path, {"main": [server]}) as it:
             reply = await it.ask(message("POST /buy"))
-        assert reply.status == 503 and int(reply.all("Retry-After")[0]) >= 1 and not reply.all("X-Not-Run")
+        assert reply.status == 503
+        assert int(reply.all("Retry-After")[0]) >= 1
+        assert not reply.all("X-Not-Run")
 
     run(test)
 
--- a/tests/listeners/test_routes_of_their_own.py
+++ b/tests/listeners/test_routes_of_their_own.py
@@ -50,7 +50,8 @@
                 assert (reply.status, reply.body) == (status, body)
                 assert reply.all("Location") == ([location] if location else [])
             client.close()
-            assert server.count == (2 if status == 200 else 0) and not it.daemon.dispatcher.requests
+            assert server.count == (2 if status == 200 else 0)
+            assert not it.daemon.dispatcher.requests
 
     run(test)
 
@@ -60,7 +61,8 @@
         async with running(tmp_path, {"main": [WebServer()]}, routes=ANSWERS) as it:
             client = await it.connect()
             reply = await client.ask(message("HEAD /tea"))
-            assert reply.status == 418 and reply.all("Content-Length") == ["17"]
+            assert reply.status == 418
+            assert reply.all("Content-Length") == ["17"]
             assert (await client.ask(message("GET /"))).status == 200
             client.close()
 
--- a/tests/listeners/test_websockets.py
+++ b/tests/listeners/test_websockets.py
@@ -285,10 +285,8 @@
             taken = sum(len(server.lines) for server in bad)
             assert taken == 1 if target == "/buy" else taken >= 1
             await ended(site)
-            assert (
-                site.ended[0].cause is CloseCause.HTTP_RESPONSE
-                and not site.daemon.services.websockets.sessions.capacity.by_endpoint
-            )
+            assert site.ended[0].cause is CloseCause.HTTP_RESPONSE
+            assert not site.daemon.services.websockets.sessions.capacity.by_endpoint
 
     run(test)
 
@@ -835,7 +833,8 @@
             for _ in range(5):
                 await site.open()
             assert len(servers[0].lines) == count
-            assert len(clients) == 20 and len(site.daemon.services.websockets.relays) >= 5
+            assert len(clients) == 20
+            assert len(site.daemon.services.websockets.relays) >= 5
 
     run(test)
 
@@ -931,7 +930,8 @@
             release.set()
             assert (await client.reply()).status == status
             assert len(other.lines) == int(status == 101)
-            assert len(server.lines) == 1 and len(site.daemon.services.websockets.relays) == len(other.lines)
+            assert len(server.lines) == 1
+            assert len(site.daemon.services.websockets.relays) == len(other.lines)
             client.close()
 
     run(test)
--- a/tests/nginx/test_import.py
+++ b/tests/nginx/test_import.py
@@ -204,7 +204,8 @@
 def test_what_may_guard_a_location_shuts_it(name: str, tmp_path: Path) -> None:
     _, setup = imported(tmp_path, UP + SERVER % CASES[name][0])
     answers = {route.answers.status for route in setup.routes.routes if route.answers is not None}
-    assert answers <= {501, 404} and 501 in answers
+    assert answers <= {501, 404}
+    assert 501 in answers
     assert all(route.answers is not None for route in setup.routes.routes)
 
 
@@ -220,7 +221,8 @@
         if kinds[route.class_name] == "idempotent":
             assert route.methods == {"GET", "HEAD"}
         else:
-            assert kinds[route.class_name] == "at_most_once" and not route.methods
+            assert kinds[route.class_name] == "at_most_once"
+            assert not route.methods
 
 
 def test_the_servers_of_an_upstream(tmp_path: Path) -> None:
@@ -241,10 +243,13 @@
         (5, 1.0, False),
     ]
     assert [server.address[1] for server in backup.servers] == [3]
-    assert setup.routes.routes[0].pools == ("shop", "shop-backup") and first.bounds.connections == 7
+    assert setup.routes.routes[0].pools == ("shop", "shop-backup")
+    assert first.bounds.connections == 7
     lost = notes(found, "server", X)
-    assert len(lost) == 4 and sum("left out" in note for note in lost) == 3  # and that of the second block
-    assert "nginx refuses it" in notes(found, "upstream", X)[0] and notes(found, "ip_hash", D)
+    assert len(lost) == 4
+    assert sum("left out" in note for note in lost) == 3
+    assert "nginx refuses it" in notes(found, "upstream", X)[0]
+    assert notes(found, "ip_hash", D)
     assert "added up" in " ".join(notes(found, "server", D))
 
 
@@ -284,7 +289,8 @@
         (each.keyed_by.value, each.allowance.rate_per_s, each.allowance.burst, each.allowance.concurrent)
         for each in made
     ] == [("client", 0.5, 6, 0), ("tenant", 5.0, 1, 0), ("all", 0.0, 1, 10)]
-    assert route.tenant_header == b"x-user" and made[1].unlisted_have_keys
+    assert route.tenant_header == b"x-user"
+    assert made[1].unlisted_have_keys
 
 
 def test_websockets_need_the_upgrade_header(tmp_path: Path) -> None:
@@ -298,7 +304,8 @@
             proxy_pass http://shop; } location / { proxy_pass http://shop; }""",
     )
     opened = {route.websocket for route in setup.routes.routes if route.path != "/"}
-    assert "nginx" in opened and setup.pools["shop"].max_sockets > 0
+    assert "nginx" in opened
+    assert setup.pools["shop"].max_sockets > 0
     assert all(not route.websocket for route in setup.routes.routes if "else" in route.name)
 
 
--- a/tests/scenario_tests/test_judge.py
+++ b/tests/scenario_tests/test_judge.py
@@ -203,7 +203,8 @@
         loop.call_later(7200, loop.stop)
         loop.run_forever()
         orders.add(tuple(found))
-        assert 7200 <= loop.time() - start < 7200 + 2 * TIE and loop.nanoseconds() % 1000 == 0
+        assert 7200 <= loop.time() - start < 7200 + 2 * TIE
+        assert loop.nanoseconds() % 1000 == 0
         loop.close()
     assert len(orders) > 2
 
--- a/tests/scenario_tests/test_run.py
+++ b/tests/scenario_tests/test_run.py
@@ -86,7 +86,9 @@
 def test_the_example_beside_the_example_holds_and_touches_all() -> None:
     setup = load(str(ROOT / "deploy/plovertrail.toml"))
     report = run(setup, [load_expectations(str(ROOT / "deploy/plovertrail.expect.toml"), setup)])
-    assert not report.failed and not report.untouched and len(report.results) >= 12
+    assert not report.failed
+    assert not report.untouched
+    assert len(report.results) >= 12
 
 
 REQUESTS: dict[str, tuple[str, str]] = {
@@ -136,10 +138,13 @@
 def test_what_a_scenario_expects_may_break_and_is_told_with_a_trace(name: str, tmp_path: Path) -> None:
     text, why = BROKEN[name]
     found = told(tmp_path, scenario(text))
-    assert why in found and "scenarios[0]" in found and "(seed 0, " in found
+    assert why in found
+    assert "scenarios[0]" in found
+    assert "(seed 0, " in found
     if name != "share":
         assert "shrunk to" in found
-        assert "request  POST http://h/buy (route buy, class buy)" in found and " ms  " in found
+        assert "request  POST http://h/buy (route buy, class buy)" in found
+        assert " ms  " in found
 
 
 VACUOUS = {
@@ -278,15 +283,18 @@
     expect.write_text('[[requests]]\nask = "POST http://h/buy"\nroute = "buy"\n')
     call = CliRunner().invoke
     good = call(main, ["test", str(site)])
-    assert (
-        good.exit_code == 0 and "1 hold, 0 broken" in good.stdout and "untouched: route mark" in good.stdout
-    )
+    assert good.exit_code == 0
+    assert "1 hold, 0 broken" in good.stdout
+    assert "untouched: route mark" in good.stdout
     expect.write_text('[[requests]]\nask = "POST http://h/buy"\nroute = "rest"\n')
     bad = call(main, ["test", str(site), "--json", "--junit", str(junit)])
     said = json.loads(bad.stdout)
-    assert bad.exit_code == 1 and said["failed"] == 1 and "route is 'buy'" in said["failures"][0]["told"][0]
+    assert bad.exit_code == 1
+    assert said["failed"] == 1
+    assert "route is 'buy'" in said["failures"][0]["told"][0]
     suite = ElementTree.parse(junit).getroot()
-    assert suite.get("failures") == "1" and "route is 'buy'" in (suite[0][0].get("message") or "")
+    assert suite.get("failures") == "1"
+    assert "route is 'buy'" in (suite[0][0].get("message") or "")
     assert call(main, ["test", str(site), "--expect", str(tmp_path / "none")]).exit_code == 2
 
 
@@ -299,7 +307,9 @@
         expect = tmp_path / "first.toml"
         expect.write_text(made.stdout)
         report = run(setup, [load_expectations(str(expect), setup)])
-        assert made.exit_code == 0 and len(report.results) >= 3 and not report.failed
+        assert made.exit_code == 0
+        assert len(report.results) >= 3
+        assert not report.failed
 
 
 GUARDED = (
@@ -325,8 +335,11 @@
     """Routes, pools and classes; predicates that no request failed; limits and doors that let all pass."""
     one = '[[requests]]\nask = "POST http://h/buy"\nroute = "buy"\n'
     left = held(tmp_path, one, GUARDED).untouched
-    assert "route mark" in left and "class mark" in left and "limiter each: it let all pass" in left
-    assert "door of pool main: it let all pass" in left and "route beta" in left
+    assert "route mark" in left
+    assert "class mark" in left
+    assert "limiter each: it let all pass" in left
+    assert "door of pool main: it let all pass" in left
+    assert "route beta" in left
     failed = "the header predicates of route beta: no request failed them"
     assert failed in left
     assert (
@@ -338,7 +351,8 @@
     more = one + '[[requests]]\nask = "GET http://h/x"\nheaders = { X-Beta = "1" }\nroute = "beta"\n'
     crowd = scenario("expect = [{ refused = [1, 99] }]", rate=200)
     left = held(tmp_path, more + crowd, GUARDED).untouched
-    assert "limiter each: it let all pass" not in left and "route beta" not in left
+    assert "limiter each: it let all pass" not in left
+    assert "route beta" not in left
 
 
 def test_attempts_in_any_so_long_may_be_bounded(tmp_path: Path) -> None:
--- a/tests/simulation/test_fleet.py
+++ b/tests/simulation/test_fleet.py
@@ -42,7 +42,8 @@
     clock.after(5, ran.append, "third")
     clock.at(0, ran.append, "first")
     clock.run(START_US + 4)
-    assert ran == ["first"] and clock.now_us == START_US + 4
+    assert ran == ["first"]
+    assert clock.now_us == START_US + 4
     clock.run(START_US + 5)
     assert ran == ["first", "second", "third"]
 
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -145,7 +145,8 @@
     told = serve(batch(start) + batch([arrival]))
     size, count = struct.unpack_from("<II", told)
     code, instance, ticket, upstream = struct.unpack_from("<BHII", told, 8 + size + 8)
-    assert (code, instance, ticket) == (20, 3, TICKET) and upstream in (FIRST, SECOND)
+    assert (code, instance, ticket) == (20, 3, TICKET)
+    assert upstream in (FIRST, SECOND)
 
 
 def test_a_restart_in_one_batch_forgets_everything() -> None:
@@ -162,8 +163,10 @@
     members = bytes.fromhex("50 0300 01 29000000 00000000")
     data = bytes.fromhex(LIST) + members + short + members
     first, second = wire.Decoder().batch(data, 4)
-    assert isinstance(first[1], EndpointsUpdated) and len(first[1].endpoints) == 2
-    assert isinstance(second[1], EndpointsUpdated) and second[1].endpoints == []
+    assert isinstance(first[1], EndpointsUpdated)
+    assert len(first[1].endpoints) == 2
+    assert isinstance(second[1], EndpointsUpdated)
+    assert second[1].endpoints == []
 
 
 @pytest.mark.parametrize(
@@ -195,16 +198,21 @@
 def test_what_is_malformed_is_told_in_one_line(data: bytes, words: str) -> None:
     with pytest.raises(wire.WireError) as caught:
         serve(data)
-    assert words in str(caught.value) and "\n" not in str(caught.value)
+    assert words in str(caught.value)
+    assert "\n" not in str(caught.value)
 
 
 def test_settings_are_read_and_unknown_keys_skipped() -> None:
     settings = wire.parse_settings(OPTIONS + "brand-new.key=1\nfees.fleet=0.2\n")
     assert settings == wire.parse_settings(OPTIONS)
     assert [c.effect for c in settings.classes] == ["idempotent", "at_most_once", "deduplicated"]
-    assert settings.classes[2].dedup_window_us == 1_200_000 and settings.classes[2].dedup_scope == "cell"
-    assert settings.tenants[1].allowance_per_s == 152.0 and settings.max_poll_interval_us == 10_000_000
-    assert settings.endpoints_on_request and settings.hedging and not settings.health_checks
+    assert settings.classes[2].dedup_window_us == 1_200_000
+    assert settings.classes[2].dedup_scope == "cell"
+    assert settings.tenants[1].allowance_per_s == 152.0
+    assert settings.max_poll_interval_us == 10_000_000
+    assert settings.endpoints_on_request
+    assert settings.hedging
+    assert not settings.health_checks
 
 
 def test_report_names_are_translated_and_unknown_ones_kept() -> None:
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -38,7 +38,8 @@
         servers = [WebServer(), WebServer(), WebServer()]
         async with running(tmp_path, {"main": servers}, routes=ROUTE, pool_extra='affinity = "client"') as it:
             before = await met(it, servers, 20)
-            assert all(len(where) == 1 for where in before.values()) and len(before) == 20
+            assert all(len(where) == 1 for where in before.values())
+            assert len(before) == 20
             assert len({next(iter(where)) for where in before.values()}) == 3
             assert it.daemon.drain("main", "main1", True) == ""
             during = await met(it, servers, 20)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -53,7 +53,8 @@
 
 def test_the_deployed_command_ends_on_a_bad_frame_with_one_line(sim: str) -> None:
     done = start(sim, bytes.fromhex(EMPTY) + b"\x01\x00")
-    assert done.returncode != 0 and done.stdout == bytes(8)
+    assert done.returncode != 0
+    assert done.stdout == bytes(8)
     assert done.stderr.decode().splitlines() == ["plovertrail: batch 1: truncated header: 2 of 16 bytes"]
 
 
@@ -109,7 +110,8 @@
 
 def test_run_is_one_process_that_uses_nothing_the_platform_refuses() -> None:
     """Further processes, Unix sockets, splice and sendfile belong to fronts that are off there."""
-    assert DEPLOY["run"].startswith("exec ") and not set(DEPLOY["run"]) & set(";&|`$")
+    assert DEPLOY["run"].startswith("exec ")
+    assert not set(DEPLOY["run"]) & set(";&|`$")
     code = (
         "import sys, plovertrail.__main__; "
         "print(*(m.__file__ for n, m in sys.modules.items() if n.startswith('plovertrail')))"
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -64,7 +64,8 @@
 def test_the_rules_are_on(ruff_settings: dict[str, Any]) -> None:
     lint = ruff_settings["lint"]
     assert {*DOCSTRING_RULES, "N"} <= set(lint["select"])
-    assert not lint.get("ignore") and not lint.get("extend-per-file-ignores")
+    assert not lint.get("ignore")
+    assert not lint.get("extend-per-file-ignores")
     assert set(lint["per-file-ignores"][TESTS_PATTERN]) == RULES_NOT_ASKED_OF_TESTS
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -64,7 +64,9 @@
     config: Config = load(str(configuration(tmp_path)))
     assert (config.seed, config.sockets, config.idle_us) == (0x8C1F, 1024, 5_000_000)
     assert (config.zones, config.kinds) == (["a", "b"], ["m"])
-    assert config.settings.zone == 1 and config.settings.endpoints_on_request and config.settings.weighted
+    assert config.settings.zone == 1
+    assert config.settings.endpoints_on_request
+    assert config.settings.weighted
     assert config.settings.report_names == ["in_flight", "queued"]
     assert [kind.effect for kind in config.settings.classes] == ["at_most_once"]
 
@@ -149,7 +151,8 @@
             for upstream in upstreams
             for head, _ in upstream.requests
         }
-        assert ran and ran <= answered
+        assert ran
+        assert ran <= answered
 
     asyncio.run(test())
 
@@ -200,8 +203,10 @@
                 process.send_signal(signal.SIGTERM)
                 stopped.set()
                 late, never = await asyncio.gather(*answers)
-                assert late.startswith(b"HTTP/1.1 200 ") and late.endswith(b"done")
-                assert never.startswith(b"HTTP/1.1 500 ") and b"Connection: close" in never
+                assert late.startswith(b"HTTP/1.1 200 ")
+                assert late.endswith(b"done")
+                assert never.startswith(b"HTTP/1.1 500 ")
+                assert b"Connection: close" in never
                 assert await asyncio.to_thread(process.wait, PATIENCE_S) == 0
         for upstream in upstreams:
             upstream.stop()
@@ -281,7 +286,8 @@
                     process.send_signal(each)
                 release.set()
                 head, body = await read_message(reader)
-                assert b" 200 " in head and body == b"done"
+                assert b" 200 " in head
+                assert body == b"done"
                 writer.close()
                 assert await asyncio.to_thread(process.wait, PATIENCE_S) == 0
         upstream.stop()
@@ -357,7 +363,8 @@
 ) -> None:
     with program(configuration(tmp_path, **changes)) as process:
         _, errors = process.communicate(timeout=PATIENCE_S)
-        assert process.returncode == 2 and len(errors.splitlines()) == 1
+        assert process.returncode == 2
+        assert len(errors.splitlines()) == 1
 
 
 def test_a_start_under_the_platforms_configuration_loads_only_what_it_needs(tmp_path: Path) -> None:
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -73,10 +73,14 @@
         )
         async with sidecar(upstream) as it:
             head, body = await it.ask(request("mark", "77", b"\x00body\r\n"))
-        assert status((head, body)) == 200 and body == b"\x00\xff\r\n\r\n" and b"Content-Type: a/b" in head
+        assert status((head, body)) == 200
+        assert body == b"\x00\xff\r\n\r\n"
+        assert b"Content-Type: a/b" in head
         seen, sent = upstream.requests[0]
-        assert seen.startswith(b"POST /mark/it?x=1 HTTP/1.1\r\n") and sent == b"\x00body\r\n"
-        assert b"X-Request-Id: 77\r\n" in seen and b"Idempotency-Key: k\r\n" in seen
+        assert seen.startswith(b"POST /mark/it?x=1 HTTP/1.1\r\n")
+        assert sent == b"\x00body\r\n"
+        assert b"X-Request-Id: 77\r\n" in seen
+        assert b"Idempotency-Key: k\r\n" in seen
         deadline_ms = int(seen.split(b"X-Deadline-Ms: ")[1].split(b"\r\n")[0])
         assert 0 < deadline_ms <= 15_000
 
@@ -146,7 +150,8 @@
             started = asyncio.get_running_loop().time()
             answer = await it.ask(request("pay", deadline_ms=400))
             took = asyncio.get_running_loop().time() - started
-        assert status(answer) == 500 and took >= 0.3
+        assert status(answer) == 500
+        assert took >= 0.3
 
     run(test)
 
@@ -269,7 +274,8 @@
 
         begin(0)
         await until(lambda: len(results) == 1)
-        assert results[0].outcome is Outcome.OK and len(pool.idle.by_endpoint[0]) == 1
+        assert results[0].outcome is Outcome.OK
+        assert len(pool.idle.by_endpoint[0]) == 1
         open_ones = [begin(1), begin(2)]  # the idle one makes room
         await until(lambda: sum(len(upstream.requests) for upstream in upstreams) == 3)
         assert pool.idle.by_endpoint == {}
@@ -291,16 +297,15 @@
     async def test() -> None:
         pool = ConnectionPool(60_000_000, 10_000_000, max_connections=10)
         for _ in range(30):
-            assert pool.idle.is_trusted(200_000) and pool.idle.is_trusted(20_000)
+            assert pool.idle.is_trusted(200_000)
+            assert pool.idle.is_trusted(20_000)
             pool.record_reuse(200_000, broke=False)
             pool.record_reuse(20_000, broke=False)
         for _ in range(3):
             pool.record_reuse(200_000, broke=True)
-        assert (
-            not pool.idle.is_trusted(210_000)
-            and pool.idle.is_trusted(20_000)
-            and pool.idle.is_trusted(2_000_000)
-        )
+        assert not pool.idle.is_trusted(210_000)
+        assert pool.idle.is_trusted(20_000)
+        assert pool.idle.is_trusted(2_000_000)
         await until(lambda: pool.idle.is_trusted(200_000))  # they are tried again in time
 
     async def over_sockets() -> None:
@@ -357,7 +362,8 @@
             async with sidecar(upstream) as it:
                 assert status(await it.ask(request("pay"))) == 500
                 assert status(await it.ask(request("pay"))) == 200
-        assert outcomes == [Outcome.MALFORMED, Outcome.OK] and upstream.connections == 2
+        assert outcomes == [Outcome.MALFORMED, Outcome.OK]
+        assert upstream.connections == 2
 
     run(test)
 
@@ -446,7 +452,9 @@
         peer.close()
         await until(lambda: bool(results))
         assert [result.outcome for result in results] == [Outcome.OK if early else Outcome.CONNECT_FAILED]
-        assert pool.idle.by_endpoint == {} and pool.connections == {} and connection.closed
+        assert pool.idle.by_endpoint == {}
+        assert pool.connections == {}
+        assert connection.closed
 
     run(test)
 
@@ -502,7 +510,8 @@
             writer.write(data)
             answer = await reader.read()
             writer.close()
-            assert int(answer.split(b" ")[1]) == expected and b"Connection: close" in answer
+            assert int(answer.split(b" ")[1]) == expected
+            assert b"Connection: close" in answer
             assert upstream.requests == []
             assert status(await it.ask(request())) == 200
 
@@ -554,7 +563,8 @@
     seen = RecentRequestIds(period_s=4.0)
     for number in range(1000):
         now = number / 10
-        assert seen.add(b"%d" % number) and not seen.add(b"%d" % max(0, number - 30))
+        assert seen.add(b"%d" % number)
+        assert not seen.add(b"%d" % max(0, number - 30))
     assert len(seen.current) + len(seen.previous) < 100
     assert seen.add(b"1")
 
@@ -665,7 +675,8 @@
         old, new, discovery = Upstream(answering(OK)), Upstream(answering(OK)), Discovery()
         await new.start()
         async with sidecar(old, discovery=discovery) as it:
-            assert status(await it.ask(request())) == 200 and len(old.requests) == 1
+            assert status(await it.ask(request())) == 200
+            assert len(old.requests) == 1
             await discovery.watched()
             assert b"follow=1&since=1 " in discovery.calls[0]
             changes = [entry("u0", old.port, "leaving"), entry("u1", new.port)]
@@ -778,7 +789,8 @@
             before = len(old.requests)
             for _ in range(10):
                 assert status(await it.ask(request())) == 200
-            assert len(old.requests) == before and len(discovery.calls) == 1
+            assert len(old.requests) == before
+            assert len(discovery.calls) == 1
             discovery.line(listing(entry("u0", old.port), rev=4, full=False))  # the next one in one line
             async with asyncio.timeout(PATIENCE_S):
                 while len(old.requests) == before:
@@ -974,7 +986,8 @@
             held.set()
             for each in (reader, late_reader):
                 head, body = await read(each)
-                assert body == b"done" and b"Connection: close" in head
+                assert body == b"done"
+                assert b"Connection: close" in head
             for client in (idle_writer, writer, late_writer):
                 client.close()
             await it.task
@@ -1002,7 +1015,8 @@
             slow_writer.write(b"y")  # its last byte comes while the stop is under way
             assert status(await read_message(slow)) == 500
             head, _ = await read_message(half)
-            assert status((head, b"")) == 503 and b"Connection: close" in head
+            assert status((head, b"")) == 503
+            assert b"Connection: close" in head
             await it.task
             half_writer.close()
             slow_writer.close()
@@ -1039,7 +1053,8 @@
             answers = []
             for reader, writer in readers:
                 head, body = await read_message(reader)
-                assert b"Connection: close" in head and await reader.read() == b""
+                assert b"Connection: close" in head
+                assert await reader.read() == b""
                 answers.append(status((head, body)))
                 writer.close()
             await it.task
--- a/tests/websocket/test_frames.py
+++ b/tests/websocket/test_frames.py
@@ -69,16 +69,19 @@
     found = read(Framing(of_server=False), frame(TEXT, text.encode(), masked=True), size)
     pieces = [got.payload for got in found if isinstance(got, Frame)]
     assert "".join(piece for piece in pieces if isinstance(piece, str)) == text
-    assert isinstance(found[-1], Frame) and found[-1].message_finished
+    assert isinstance(found[-1], Frame)
+    assert found[-1].message_finished
 
 
 def test_nothing_is_read_or_held_behind_a_close_or_a_fault() -> None:
     for last in (close_frame(masked=True), frame(TEXT, b"unmasked")):
         framing = Framing(of_server=False)
-        assert len(read(framing, last + frame(TEXT, b"after", masked=True))) == 1 and framing.ended
+        assert len(read(framing, last + frame(TEXT, b"after", masked=True))) == 1
+        assert framing.ended
         assert read(framing, b"x" * 100_000) == []
 
 
 def test_a_fault_tells_its_code() -> None:
     found = read(Framing(of_server=False), frame(TEXT, b"\xff", masked=True))
-    assert isinstance(found[0], Broken) and found[0].code == 1007
+    assert isinstance(found[0], Broken)
+    assert found[0].code == 1007
--- a/tests/websocket/test_handshake.py
+++ b/tests/websocket/test_handshake.py
@@ -38,7 +38,8 @@
 
 def test_a_good_handshake_gives_its_key_and_what_it_offers() -> None:
     assert check_request(b"GET", "1.1", GOOD) == (KEY, (b"live", b"quiet"))
-    assert asks_for_socket(GOOD) and not asks_for_socket([(b"Upgrade", b"h2c, foo")])
+    assert asks_for_socket(GOOD)
+    assert not asks_for_socket([(b"Upgrade", b"h2c, foo")])
 
 
 @pytest.mark.parametrize(
--- a/tests/websocket_site.py
+++ b/tests/websocket_site.py
@@ -166,6 +166,7 @@
             await daemon.stop()
         for server in servers:
             server.stop()
-    assert not daemon.services.websockets.sessions.sessions and not daemon.services.websockets.relays
+    assert not daemon.services.websockets.sessions.sessions
+    assert not daemon.services.websockets.relays
     idents = [socket.session_id for socket in site.ended]
     assert len(idents) == len(set(idents)), "a socket ended twice"
