--- a/benchmarks/cluster_membership.py
+++ b/benchmarks/cluster_membership.py
@@ -1,4 +1,4 @@
-"""What knowing one another costs and how soon it tells: `python -m benchmarks.members`.
+"""What knowing one another costs and how soon it tells: `python -m benchmarks.cluster_membership`.
 
 Instances on a virtual clock (fakes/fellows_model), with no kernel in between. For each loss: by when a
 dead one is silent at all others, beside the stated time, and how many probes of live ones raised a
