--- a/benchmarks/planted_fault_list.py
+++ b/benchmarks/planted_fault_list.py
@@ -129,13 +129,13 @@
     Fault(
         "the group is of the zone instead of the cell",
         ENDPOINT_SELECTION,
-        'place = first.listed.zone if request_class.dedup_scope == "zone" else first.listed.cell',
-        "place = first.listed.zone",
+        'location = first.listed.zone if request_class.dedup_scope == "zone" else first.listed.cell',
+        "location = first.listed.zone",
     ),
     Fault(
         "groups are mixed up",
         ENDPOINT_TABLE,
-        "return self.dedup_groups.get((scope, place), NO_PEERS).values()",
+        "return self.dedup_groups.get((scope, location), NO_ENDPOINTS).values()",
         "return self.by_id.values()",
     ),
     Fault(
--- a/plovertrail/decisions/load_balancing/endpoint_selection.py
+++ b/plovertrail/decisions/load_balancing/endpoint_selection.py
@@ -97,9 +97,9 @@
         Endpoints are sampled by the weights that hold for all requests, and accepted with the fraction that
         is left for this one. Few samples miss; after some misses all endpoints are searched.
         """
-        peers = self._dedup_peers(request, sampler)
-        if peers is not None:
-            return self._choose(request, peers, now_us)
+        candidates = self._dedup_targets(request, sampler)
+        if candidates is not None:
+            return self._choose(request, candidates, now_us)
         class_index = request.event.class_index
         tried = [attempt.endpoint for attempt in request.attempts] if request.attempts else ()
         for _ in range(MAX_SAMPLES):
@@ -148,7 +148,7 @@
             return False
         return endpoint.listed.id not in request.event.excluded
 
-    def _dedup_peers(self, request: RequestState, sampler: WeightedSampler) -> list[EndpointState] | None:
+    def _dedup_targets(self, request: RequestState, sampler: WeightedSampler) -> list[EndpointState] | None:
         """Return the endpoints that drop duplicates of a request; None if it may go to any.
 
         Rule 2 of the contract: once an attempt with an idempotency key may have run, it is retried only where
@@ -160,6 +160,6 @@
         first = request.first_that_may_have_run()
         if first is None:
             return None
-        place = first.listed.zone if request_class.dedup_scope == "zone" else first.listed.cell
-        peers = self._table.dedup_peers(request_class.dedup_scope, place)
-        return [endpoint for endpoint in peers if endpoint.listed.id in sampler]
+        location = first.listed.zone if request_class.dedup_scope == "zone" else first.listed.cell
+        group = self._table.dedup_group(request_class.dedup_scope, location)
+        return [endpoint for endpoint in group if endpoint.listed.id in sampler]
--- a/plovertrail/decisions/load_balancing/endpoint_table.py
+++ b/plovertrail/decisions/load_balancing/endpoint_table.py
@@ -11,7 +11,7 @@
 from plovertrail.decisions.settings import Settings
 
 PENALTY_SCALE = 0.1  # a failure penalty of this quarters the weight; one failure divides it by twelve
-NO_PEERS: Mapping[int, EndpointState] = {}
+NO_ENDPOINTS: Mapping[int, EndpointState] = {}
 
 
 class EndpointTable:
@@ -98,8 +98,8 @@
         group = endpoint.group
         self._remove_from_dedup_groups(endpoint)
         endpoint.listed = listed
-        for place in (("zone", listed.zone), ("cell", listed.cell)):
-            self.dedup_groups.setdefault(place, {})[listed.id] = endpoint
+        for key in (("zone", listed.zone), ("cell", listed.cell)):
+            self.dedup_groups.setdefault(key, {})[listed.id] = endpoint
         is_warming = self.warm_up_fraction(endpoint, now_us) < 1.0
         if is_warming:
             group.active.discard(listed.id)
@@ -120,13 +120,13 @@
             self._remove_from_dedup_groups(endpoint)
         return endpoint
 
-    def dedup_peers(self, scope: str, place: int) -> Collection[EndpointState]:
-        """Return the endpoints that drop each other's duplicates: those of one zone or cell."""
-        return self.dedup_groups.get((scope, place), NO_PEERS).values()
+    def dedup_group(self, scope: str, location: int) -> Collection[EndpointState]:
+        """Return the endpoints of a zone or cell, which recognize each other's duplicates."""
+        return self.dedup_groups.get((scope, location), NO_ENDPOINTS).values()
 
     def _remove_from_dedup_groups(self, endpoint: EndpointState) -> None:
-        for place in (("zone", endpoint.listed.zone), ("cell", endpoint.listed.cell)):
-            peers = self.dedup_groups.get(place, {})
-            peers.pop(endpoint.listed.id, None)
-            if not peers:
-                self.dedup_groups.pop(place, None)
+        for key in (("zone", endpoint.listed.zone), ("cell", endpoint.listed.cell)):
+            group = self.dedup_groups.get(key, {})
+            group.pop(endpoint.listed.id, None)
+            if not group:
+                self.dedup_groups.pop(key, None)
