--- a/plovertrail/decisions/load_balancing/balancer.py
+++ b/plovertrail/decisions/load_balancing/balancer.py
@@ -96,11 +96,11 @@
         """The ready endpoints by id, in the order in which they were listed."""
         return self.table.by_id
 
-    def restore_endpoints_with(self, restorer: EndpointRestorer) -> None:
+    def set_endpoint_restorer(self, restorer: EndpointRestorer) -> None:
         """Have each endpoint that is added from now on restored to what was known of it before a restart."""
         self._updates.restorer = restorer
 
-    def report_no_response_to(self, listener: NoResponseListener | None) -> None:
+    def set_no_response_listener(self, listener: NoResponseListener | None) -> None:
         """Report each attempt that has had no response for longer than one takes to a listener."""
         self._tracker.listener = listener
 
--- a/plovertrail/simulation/instances.py
+++ b/plovertrail/simulation/instances.py
@@ -98,7 +98,7 @@
         self.admission = StartupAdmission(self.fleet.size, now_us, self.rng.random) if around.admits else None
         if with_state:
             age_us = now_us - self.kept_us
-            self.balancer.restore_endpoints_with(
+            self.balancer.set_endpoint_restorer(
                 lambda server: (
                     server.listed.id in self.memory
                     and warm_state.restore_endpoint(
--- a/plovertrail/store/warm_state.py
+++ b/plovertrail/store/warm_state.py
@@ -114,7 +114,7 @@
                 age_us = pool.balancer.now_us - stored.recorded_at_us
                 self.restored["servers"] += restore_endpoint(pool.balancer, endpoint, history, age_us)
 
-        pool.balancer.restore_endpoints_with(restore)
+        pool.balancer.set_endpoint_restorer(restore)
 
     def restore_limiter(self, name: str, limiter: RateLimiter) -> None:
         """Give a new limiter the levels that were stored under its name; once."""
--- a/tests/decisions/test_warm_state.py
+++ b/tests/decisions/test_warm_state.py
@@ -39,7 +39,7 @@
             consecutive_no_response=(*history.consecutive_no_response, *[0] * classes)[:classes],
         )
 
-    balancer.restore_endpoints_with(
+    balancer.set_endpoint_restorer(
         lambda server: (
             server.listed.id in histories
             and restore_endpoint(balancer, server, fit(histories[server.listed.id]), age_us)
--- a/tests/store/test_stored_data.py
+++ b/tests/store/test_stored_data.py
@@ -147,7 +147,7 @@
     balancer = LoadBalancer(Settings(classes=classes, warm_up_us=0), 1, now_us)
     restore_mean_latencies(balancer, pool_history, now_us)
     called = dict(enumerate(sorted(pool_history.endpoints), 1))
-    balancer.restore_endpoints_with(
+    balancer.set_endpoint_restorer(
         lambda endpoint: restore_endpoint(
             balancer,
             endpoint,
