--- a/benchmarks/planted_fault_list.py
+++ b/benchmarks/planted_fault_list.py
@@ -111,14 +111,14 @@
     Fault(
         "an unsafe request is tried again",
         RETRY_POLICY,
-        'if first is None or kind.effect == "idempotent":',
-        'if first is None or kind.effect != "deduplicated":',
+        'if first is None or request_class.effect == "idempotent":',
+        'if first is None or request_class.effect != "deduplicated":',
     ),
     Fault(
         "a keyed one is tried again as if it were safe",
         RETRY_POLICY,
-        'if first is None or kind.effect == "idempotent":',
-        'if first is None or kind.effect != "at_most_once":',
+        'if first is None or request_class.effect == "idempotent":',
+        'if first is None or request_class.effect != "at_most_once":',
     ),
     Fault(
         "the group is forgotten",
@@ -159,8 +159,9 @@
     Fault(
         "what may have run is refused",
         RETRY_POLICY,
-        '            kind.effect == "idempotent"\n            or request.first_that_may_have_run() is None\n',
-        '            kind.effect != ""\n            or request.first_that_may_have_run() is None\n',
+        '            request_class.effect == "idempotent"\n'
+        "            or request.first_that_may_have_run() is None\n",
+        '            request_class.effect != ""\n            or request.first_that_may_have_run() is None\n',
     ),
     Fault(
         "what may have run goes to the next pool",
@@ -185,8 +186,8 @@
     Fault(
         "each pool goes by its own attempts",
         RETRY_POLICY,
-        "left = self._settings.max_attempts if event.attempts_left is None else event.attempts_left",
-        "left = self._settings.max_attempts - event.earlier_attempts",
+        "attempt_limit = self._settings.max_attempts if event.attempts_left is None else event.attempts_left",
+        "attempt_limit = self._settings.max_attempts - event.earlier_attempts",
     ),
     Fault(
         "the weight is inverted",
--- a/plovertrail/decisions/load_balancing/retry_policy.py
+++ b/plovertrail/decisions/load_balancing/retry_policy.py
@@ -30,18 +30,21 @@
         event = request.event
         if request.is_closed or request.is_streaming or now_us >= event.due_us:
             return False
-        left = self._settings.max_attempts if event.attempts_left is None else event.attempts_left
-        if len(request.attempts) >= left:
+        attempt_limit = self._settings.max_attempts if event.attempts_left is None else event.attempts_left
+        if len(request.attempts) >= attempt_limit:
             return False
         if request.in_flight > 0 and not self._settings.hedging:
             return False
         if not request.attempts:
             return True
         first = request.first_that_may_have_run()
-        kind = self._settings.classes[event.class_index]
-        if first is None or kind.effect == "idempotent":
+        request_class = self._settings.classes[event.class_index]
+        if first is None or request_class.effect == "idempotent":
             return True
-        return kind.effect == "deduplicated" and now_us - first.sent_at_us < kind.dedup_window_us
+        return (
+            request_class.effect == "deduplicated"
+            and now_us - first.sent_at_us < request_class.dedup_window_us
+        )
 
     def may_retry(self, request: RequestState, outcome: Outcome, now_us: int) -> bool:
         """Whether a request may be sent again after an attempt that ended like this.
@@ -110,11 +113,11 @@
 
     def _may_reject(self, request: RequestState) -> bool:
         """Whether a retry by the client would be harmless; otherwise the request has failed."""
-        kind = self._class_of(request)
+        request_class = self._class_of(request)
         return (
-            kind.effect == "idempotent"
+            request_class.effect == "idempotent"
             or request.first_that_may_have_run() is None
-            or (kind.effect == "deduplicated" and kind.dedup_scope == "all")
+            or (request_class.effect == "deduplicated" and request_class.dedup_scope == "all")
         )
 
     def _class_of(self, request: RequestState) -> RequestClass:
