--- a/plovertrail/decisions/load_balancing/attempt_sending.py
+++ b/plovertrail/decisions/load_balancing/attempt_sending.py
@@ -42,7 +42,7 @@
         request.in_flight += 1
         endpoint.attempts.append(attempt)
         if not self._table.settings.classes[event.class_index].stream:
-            self._timers.require_by(self._tracker.track(attempt))
+            self._timers.ensure_fires_by(self._tracker.track(attempt))
         timeout_us = self._retries.attempt_timeout_us(request, now_us)
         start_within_us = self._retries.start_within_us(request, now_us)
         hedge_delay_us = self._retries.hedge_delay_us(request)
--- a/plovertrail/decisions/load_balancing/balancer.py
+++ b/plovertrail/decisions/load_balancing/balancer.py
@@ -112,7 +112,7 @@
         elif isinstance(event, RequestArrived):
             self._on_request_arrived(event)
         elif isinstance(event, TimerFired):
-            self.timers.fired(now_us)
+            self.timers.record_fired(now_us)
             self._run_due_timers()
         else:
             self._handle_other(event)
@@ -143,7 +143,7 @@
     def apply_restored_state(self, endpoint: EndpointState) -> None:
         """Take the state that was restored to an endpoint into account."""
         if endpoint.failure_penalty:
-            self.penalties.track(endpoint, self.now_us)
+            self.penalties.schedule_decay(endpoint, self.now_us)
         if endpoint.concurrency_limit < 1.0:
             # After a restart of all instances, each of them would try a failing endpoint at once.
             mean_us = sum(self.latencies.mean_us) / len(self.latencies.mean_us)
@@ -245,7 +245,7 @@
             self.polls.record_failure(event.watch_stalled, self.now_us)
             return
         if event.kind is not ListKind.CACHED:
-            self.polls.record_list()
+            self.polls.record_list_received()
         self._updates.apply(event, self.now_us)
 
     def _answer(self, request: RequestState) -> None:
@@ -267,15 +267,15 @@
         while (due := timers.pop_due(self.now_us)) is not None:
             kind, request_id = due
             if kind is TimerKind.POLL:
-                if self.polls.poll_is_due(self.now_us):
+                if self.polls.begin_due_poll(self.now_us):
                     self._actions.pending.append(Subscribe(True))
             elif kind is TimerKind.HEDGE:
                 if request_id in self.requests:
                     self._send_hedge(self.requests[request_id])
             elif self.buffer.waiting is not None and self.buffer.waiting.event.request == request_id:
                 self._answer(self.buffer.waiting)
-        timers.all_due_popped()
-        timers.require_by(self._tracker.check_overdue(self.now_us))
+        timers.reset_next_due()
+        timers.ensure_fires_by(self._tracker.check_overdue(self.now_us))
 
     def _arm_timer(self) -> None:
         at_us = self.timers.next_due_us
--- a/plovertrail/decisions/load_balancing/outlier_ejection.py
+++ b/plovertrail/decisions/load_balancing/outlier_ejection.py
@@ -43,9 +43,9 @@
             return  # it would count against the endpoint that was listed again under its id
         if not is_fault or len(self.decay_at_us) < MAX_PENALIZED_SHARE * len(self._table.by_id):
             endpoint.failure_penalty += (is_fault - endpoint.failure_penalty) / FAULT_WINDOW
-            self.track(endpoint, now_us)
+            self.schedule_decay(endpoint, now_us)
 
-    def track(self, endpoint: EndpointState, since_us: int) -> None:
+    def schedule_decay(self, endpoint: EndpointState, since_us: int) -> None:
         """Schedule the decay of a penalty, or lift it once it is negligible."""
         endpoint_id = endpoint.listed.id
         if endpoint.failure_penalty < MIN_PENALTY:
@@ -63,7 +63,7 @@
                 endpoint = self._table.by_id[endpoint_id]
                 endpoint.failure_penalty /= 2.0
                 del self.decay_at_us[endpoint_id]
-                self.track(
+                self.schedule_decay(
                     endpoint, at_us
                 )  # from when it was due, so that all steps of a long pause are made
                 self._table.update_selection_weight(endpoint, now_us)
--- a/plovertrail/decisions/load_balancing/poll_schedule.py
+++ b/plovertrail/decisions/load_balancing/poll_schedule.py
@@ -79,12 +79,12 @@
         longest_us = max_backoff_us(self._settings, since_us, now_us)
         self._schedule(now_us + self._backoff_us(longest_us), now_us)
 
-    def record_list(self) -> None:
+    def record_list_received(self) -> None:
         """Stop polling, as the list was received and is watched."""
         self._failures = 0
         self.next_poll_us = 0
 
-    def poll_is_due(self, now_us: int) -> bool:
+    def begin_due_poll(self, now_us: int) -> bool:
         """Whether to poll now; if so, the next poll is scheduled in case that this one is lost."""
         if self.next_poll_us == 0 or now_us < self.next_poll_us:
             return False
--- a/plovertrail/decisions/load_balancing/timers.py
+++ b/plovertrail/decisions/load_balancing/timers.py
@@ -30,9 +30,9 @@
         """Add a wake-up; one that is due already comes with the next batch of events."""
         at_us = max(at_us, now_us + 1)
         heapq.heappush(self._heap, (at_us, kind, request))
-        self.require_by(at_us)
+        self.ensure_fires_by(at_us)
 
-    def require_by(self, at_us: int) -> None:
+    def ensure_fires_by(self, at_us: int) -> None:
         """Make sure that the timer fires at this time at the latest."""
         if at_us < self.next_due_us:
             self.next_due_us = at_us
@@ -44,11 +44,11 @@
         _, kind, request = heapq.heappop(self._heap)
         return kind, request
 
-    def all_due_popped(self) -> None:
+    def reset_next_due(self) -> None:
         """Forget requirements that have been met; only the wake-ups in the heap count from now on."""
         self.next_due_us = self._heap[0][0] if self._heap else NEVER_US
 
-    def fired(self, now_us: int) -> None:
+    def record_fired(self, now_us: int) -> None:
         """Note that a timer fired.
 
         A stale timer leaves the armed one in force: if it armed another, the two would never die out.
