--- a/plovertrail/decisions/load_balancing/slow_start.py
+++ b/plovertrail/decisions/load_balancing/slow_start.py
@@ -35,15 +35,22 @@
 class WarmUpQueue:
     """The next sends to the endpoints of one group that warm up, by the group's progress."""
 
-    __slots__ = ("progress", "_due", "_response_rate", "_peak_rate", "_mark", "_mark_us")
+    __slots__ = (
+        "progress",
+        "_due",
+        "_response_rate",
+        "_peak_rate",
+        "_interval_progress",
+        "_interval_began_us",
+    )
 
     def __init__(self, now_us: int) -> None:
         self.progress = 0.0  # responses so far, and a tenth of the requests admitted
         self._due: list[tuple[float, int]] = []  # (progress, endpoint id); a heap, with stale entries
         self._response_rate = EventRate(now_us)
         self._peak_rate = 0.0  # responses a second at best; it decays
-        self._mark = 0.0  # the progress at the end of the last interval of a shortage
-        self._mark_us = now_us
+        self._interval_progress = 0.0  # the progress at the end of the last interval of a shortage
+        self._interval_began_us = now_us
 
     def __len__(self) -> int:
         return len(self._due)
@@ -78,10 +85,10 @@
         Overloaded warm endpoints serve less, and endpoints that warm up beside them would get fewer sends the
         more they are needed. The progress is never faster than what was served, whatever the demand.
         """
-        gap_us = now_us - self._mark_us
+        gap_us = now_us - self._interval_began_us
         if gap_us < SHORTAGE_INTERVAL_US:
             return
         if gap_us < 2 * SHORTAGE_INTERVAL_US:
-            self.progress = max(self.progress, self._mark + self._peak_rate * gap_us / 1e6)
-        self._mark = self.progress
-        self._mark_us = now_us
+            self.progress = max(self.progress, self._interval_progress + self._peak_rate * gap_us / 1e6)
+        self._interval_progress = self.progress
+        self._interval_began_us = now_us
--- a/plovertrail/decisions/load_balancing/warm_up_scheduler.py
+++ b/plovertrail/decisions/load_balancing/warm_up_scheduler.py
@@ -9,8 +9,8 @@
 
 # Of the overload factor, if the warm endpoints are at their limits: work comes in bursts.
 OVERLOAD_MARGIN = 0.6
-CALM_SHARE = 0.4  # of that, while the warm endpoints respond fast and need no help
-HELP_LOAD = 0.4  # of the slow response time: from here on they need all of it
+LOW_LOAD_SHARE = 0.4  # of that, while the warm endpoints respond fast and need no help
+FULL_SHARE_LOAD = 0.4  # of the slow response time: from here on they need all of it
 
 
 class WarmUpScheduler:
@@ -56,8 +56,8 @@
         group = endpoint.group
         # Beside no warm endpoint at all, no response would show that help is needed.
         has_warm = len(group.active) + len(group.standby) > 0
-        calm_share = CALM_SHARE if has_warm else 1.0
-        need = min(1.0, max(calm_share, group.admission.load / HELP_LOAD))
+        low_load_share = LOW_LOAD_SHARE if has_warm else 1.0
+        load_share = min(1.0, max(low_load_share, group.admission.load / FULL_SHARE_LOAD))
         fraction = self._table.warm_up_fraction(endpoint, now_us)
-        tolerated = min(1.0, fraction * OVERLOAD_MARGIN * self._table.settings.overload_factor * need)
+        tolerated = min(1.0, fraction * OVERLOAD_MARGIN * self._table.settings.overload_factor * load_share)
         return tolerated * min(1.0, endpoint.concurrency_limit)  # one that rejects may be about to collapse
