--- a/plovertrail/decisions/load_balancing/concurrency_limits.py
+++ b/plovertrail/decisions/load_balancing/concurrency_limits.py
@@ -44,11 +44,11 @@
             # Slow responses leave one slot: otherwise all endpoints would be ejected for long after an
             # outage.
             limit = max(limit * (1.0 + step), min(limit, 1.0))
-        elif limit < 1.0 or self._was_short(attempt):
+        elif limit < 1.0 or self._was_after_shortage(attempt):
             limit += min(limit, step)
         endpoint.concurrency_limit = min(max(limit, MIN_LIMIT), float(MAX_LIMIT))
 
-    def _was_short(self, attempt: AttemptState) -> bool:
+    def _was_after_shortage(self, attempt: AttemptState) -> bool:
         """Whether slots were short around the time of a send.
 
         Slots that are opened without need, above all by many instances, overload endpoints in a burst.
--- a/plovertrail/decisions/load_balancing/endpoint_selection.py
+++ b/plovertrail/decisions/load_balancing/endpoint_selection.py
@@ -86,8 +86,8 @@
                 continue
             if self._table.selection_weight(endpoint, now_us) <= 0.0:
                 continue
-            is_trusted = self._selection_penalty(endpoint, request.event.class_index) < NO_RESPONSE_SCALE
-            if is_trusted and self._may_take(request, endpoint, now_us):
+            is_healthy = self._selection_penalty(endpoint, request.event.class_index) < NO_RESPONSE_SCALE
+            if is_healthy and self._may_take(request, endpoint, now_us):
                 return endpoint
         return None
 
@@ -111,8 +111,8 @@
                 penalty = self._selection_penalty(endpoint, class_index)
                 if penalty <= 0.0 or self._accepts(penalty):
                     return endpoint
-        everyone = [self._table.by_id[endpoint_id] for endpoint_id in sampler]
-        return self._choose(request, everyone, now_us)
+        endpoints = [self._table.by_id[endpoint_id] for endpoint_id in sampler]
+        return self._choose(request, endpoints, now_us)
 
     def _accepts(self, penalty: float) -> bool:
         return self._random.random() * (1.0 + penalty / NO_RESPONSE_SCALE) ** 2 < 1.0
@@ -122,17 +122,17 @@
     ) -> EndpointState | None:
         """Choose among some endpoints by their weights; those tried before are used if there is no other."""
         class_index = request.event.class_index
-        found = []
+        candidates = []
         for endpoint in endpoints:
             weight = self._table.selection_weight(endpoint, now_us)
             if weight > 0.0 and self._may_take(request, endpoint, now_us):
                 penalty = self._selection_penalty(endpoint, class_index)
-                found.append((endpoint, weight / (1.0 + penalty / NO_RESPONSE_SCALE) ** 2))
+                candidates.append((endpoint, weight / (1.0 + penalty / NO_RESPONSE_SCALE) ** 2))
         tried = [attempt.endpoint for attempt in request.attempts]
-        found = [pair for pair in found if pair[0] not in tried] or found
-        if not found:
+        candidates = [pair for pair in candidates if pair[0] not in tried] or candidates
+        if not candidates:
             return None
-        return self._random.choices(found, [weight for _, weight in found])[0][0]
+        return self._random.choices(candidates, [weight for _, weight in candidates])[0][0]
 
     @staticmethod
     def _selection_penalty(endpoint: EndpointState, class_index: int) -> float:
--- a/plovertrail/decisions/load_balancing/endpoint_table.py
+++ b/plovertrail/decisions/load_balancing/endpoint_table.py
@@ -81,7 +81,7 @@
         return True
 
     def add(self, listed: Endpoint) -> EndpointState:
-        """Add an endpoint that was not listed before; `relist` puts it into a sampler."""
+        """Add an endpoint that was not listed before; `apply_listing` puts it into a sampler."""
         is_remote = self.settings.cross_zone_fee > 0 and listed.zone != self.settings.zone
         group = self.groups[int(is_remote)]
         endpoint = self.by_id[listed.id] = EndpointState(listed, group, len(self.settings.classes))
@@ -93,7 +93,7 @@
         endpoint.group.capacity -= self.relative_capacity(endpoint.listed)
         endpoint.group.capacity += self.relative_capacity(listed)
 
-    def relist(self, endpoint: EndpointState, listed: Endpoint, now_us: int) -> bool:
+    def apply_listing(self, endpoint: EndpointState, listed: Endpoint, now_us: int) -> bool:
         """Take over what the list says of an endpoint; returns whether it is warming up."""
         group = endpoint.group
         self._remove_from_dedup_groups(endpoint)
--- a/plovertrail/decisions/load_balancing/endpoint_updates.py
+++ b/plovertrail/decisions/load_balancing/endpoint_updates.py
@@ -53,7 +53,7 @@
             endpoint.fast_growth |= event.kind is ListKind.CACHED
             if endpoint.listed.started_us != listed.started_us or endpoint.next_warm_up_send == 0:
                 started.append(endpoint)
-            self._relist(endpoint, listed, now_us)
+            self._apply_listing(endpoint, listed, now_us)
         for endpoint in started:
             if table.warm_up_fraction(endpoint, now_us) < 1.0:
                 self._warm_ups.schedule_first_send(endpoint, now_us)
@@ -65,8 +65,8 @@
         for endpoint_id in self._table.by_id.keys() - {listed.id for listed in endpoints}:
             self._remove(endpoint_id)
 
-    def _relist(self, endpoint: EndpointState, listed: Endpoint, now_us: int) -> None:
-        if self._table.relist(endpoint, listed, now_us):
+    def _apply_listing(self, endpoint: EndpointState, listed: Endpoint, now_us: int) -> None:
+        if self._table.apply_listing(endpoint, listed, now_us):
             warm_at_us = listed.started_us + self._table.settings.warm_up_us
             self._reopener.rechecks.schedule(warm_at_us, listed.id)
 
@@ -97,11 +97,11 @@
             if endpoint_id in by_id:
                 by_id[endpoint_id].peer_penalties = None
         self.penalized = set()
-        left = [int(MAX_PENALIZED_SHARE * len(by_id))] * len(self._table.settings.classes)
+        quotas = [int(MAX_PENALIZED_SHARE * len(by_id))] * len(self._table.settings.classes)
         for (endpoint_id, class_index), penalty in sorted(penalties.items(), key=lambda item: -item[1]):
             endpoint = by_id.get(endpoint_id)
-            if endpoint is None or class_index >= len(left) or left[class_index] <= 0 or penalty <= 0.0:
+            if endpoint is None or class_index >= len(quotas) or quotas[class_index] <= 0 or penalty <= 0.0:
                 continue
-            left[class_index] -= 1
+            quotas[class_index] -= 1
             endpoint.peer_penalties = (endpoint.peer_penalties or {}) | {class_index: min(1.0, penalty)}
             self.penalized.add(endpoint_id)
--- a/plovertrail/decisions/load_balancing/latency_estimates.py
+++ b/plovertrail/decisions/load_balancing/latency_estimates.py
@@ -4,7 +4,7 @@
 
 from plovertrail.decisions.settings import RequestClass
 
-INITIAL_SHARE = 4  # of the latency objective, a first guess is this part
+INITIAL_DIVISOR = 4  # of the latency objective, a first guess is this part
 
 
 class LatencyEstimates:
@@ -13,7 +13,7 @@
     __slots__ = ("mean_us", "slow_us")
 
     def __init__(self, classes: list[RequestClass]) -> None:
-        self.mean_us = [each.latency_objective_us / INITIAL_SHARE for each in classes]
+        self.mean_us = [each.latency_objective_us / INITIAL_DIVISOR for each in classes]
         # The time of a slow response, and how long a request may wait for a slot: the other half of the
         # objective is left for a retry.
         self.slow_us = [each.latency_objective_us // 2 for each in classes]
--- a/plovertrail/decisions/load_balancing/outcome_recording.py
+++ b/plovertrail/decisions/load_balancing/outcome_recording.py
@@ -44,18 +44,18 @@
         # A timeout while later sends were answered says nothing of the load. Counted as load, it would cut an
         # endpoint that leaves some attempts without a response to one slot, and distort its latency.
         is_out_of_order = attempt.slot_released or attempt.later_answered > 0
-        counts = not (is_out_of_order and outcome is Outcome.TIMEOUT)
-        if counts and self._health.update(attempt, outcome, elapsed_us, now_us):
-            self._retire_if_failing(endpoint, now_us)
+        is_relevant = not (is_out_of_order and outcome is Outcome.TIMEOUT)
+        if is_relevant and self._health.update(attempt, outcome, elapsed_us, now_us):
+            self._move_to_standby_if_failing(endpoint, now_us)
             self._log_ejection(endpoint, now_us)
         self._table.update_selection_weight(endpoint, now_us)
         if outcome in RESPONDED:
             endpoint.group.warm_up.record_response(now_us)
             self._tracker.record_response(attempt, earlier, now_us)
-        if counts and outcome in TIMED:
+        if is_relevant and outcome in TIMED:
             self._latencies.record(attempt.class_index, elapsed_us)
 
-    def _retire_if_failing(self, endpoint: EndpointState, now_us: int) -> None:
+    def _move_to_standby_if_failing(self, endpoint: EndpointState, now_us: int) -> None:
         """Replace an active endpoint that fails by a standby one, until after its cool-down."""
         if endpoint.concurrency_limit < STANDBY_BELOW and self._table.set_active(endpoint, False, now_us):
             self._actions.pending.append(CloseIdle(endpoint.listed.id))
--- a/plovertrail/decisions/load_balancing/pending_actions.py
+++ b/plovertrail/decisions/load_balancing/pending_actions.py
@@ -26,6 +26,6 @@
 
     def take(self) -> list[Action]:
         """Return the actions, and begin anew."""
-        taken = self.pending
+        actions = self.pending
         self.pending = []
-        return taken
+        return actions
--- a/plovertrail/decisions/load_balancing/response_tracking.py
+++ b/plovertrail/decisions/load_balancing/response_tracking.py
@@ -95,8 +95,8 @@
             consecutive = min(endpoint.consecutive_no_response[class_index] + 1, MAX_CONSECUTIVE)
             endpoint.consecutive_no_response[class_index] = consecutive
             if consecutive >= EXCLUDE_AFTER:
-                usual_us = self._limits_us[class_index] * (0.5 + self._random.random())
-                until_us = now_us + int(usual_us * 2 ** (consecutive - 1))
+                base_us = self._limits_us[class_index] * (0.5 + self._random.random())
+                until_us = now_us + int(base_us * 2 ** (consecutive - 1))
                 self._exclusions.exclude(endpoint, class_index, until_us)
         self._release_slot(attempt, now_us)
 
