--- a/plovertrail/decisions/actions.py
+++ b/plovertrail/decisions/actions.py
@@ -1,6 +1,6 @@
-"""The actions that a load balancer asks for; whoever embeds it carries them out in the order given.
+"""The actions that a load balancer returns; the caller carries them out in the order given.
 
-Times are whole microseconds (`_us`) on the process's own monotonic clock.
+Times are whole microseconds (`_us`) on the process's monotonic clock.
 """
 
 from __future__ import annotations
@@ -10,25 +10,25 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; the attempts of a request are numbered 0, 1, 2 ... in the order of their sends."""
+    """Start an attempt. The attempts of a request are numbered from 0 in the order in which they are sent."""
 
     request: int
     endpoint_id: int
-    timeout_us: int = 0  # 0 = until the client disconnects
-    start_within_us: int = 0  # how late it may be written; 0 = at any time
+    timeout_us: int = 0  # 0 = no timeout; the attempt ends when the client disconnects
+    start_within_us: int = 0  # discard the attempt if it is not written within this time; 0 = no limit
 
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: not done, and a retry by the client is harmless."""
+    """Final answer: the request was not served, and the client may safely retry it."""
 
     request: int
-    retry_after_us: int = 0  # 0 = no advice
+    retry_after_us: int = 0  # 0 = send no Retry-After
 
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, with no promise about what it did."""
+    """Final answer: the request failed and may have been executed."""
 
     request: int
 
@@ -43,14 +43,14 @@
 
 @dataclass(slots=True)
 class HealthCheck:
-    """Ask an endpoint for its health and load, outside of requests."""
+    """Send a health check to an endpoint, which reports its health and load."""
 
     endpoint_id: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Deliver `TimerFired` with this token at `at_us`."""
+    """Deliver a `TimerFired` event with this token at `at_us`."""
 
     at_us: int
     token: int = 0
@@ -77,15 +77,15 @@
 
 @dataclass(slots=True)
 class SendToPeer:
-    """Send a message to one other instance, or to all."""
+    """Send a message to one peer or to all peers."""
 
     payload: bytes
-    to: int | None = None  # None = every peer
+    to: int | None = None  # None = all peers
 
 
 @dataclass(slots=True)
 class Log:
-    """Write a line to the log."""
+    """Write a log line."""
 
     text: str
 
