--- a/plovertrail/decisions/load_balancing/__init__.py
+++ b/plovertrail/decisions/load_balancing/__init__.py
@@ -1,1 +1,1 @@
-"""Load balancing of requests over a group of endpoints: decisions only, without I/O, clock or logging."""
+"""Load balancing over the endpoints of one pool: decisions only, without I/O, clock or logging."""
--- a/plovertrail/decisions/load_balancing/balancer.py
+++ b/plovertrail/decisions/load_balancing/balancer.py
@@ -1,7 +1,8 @@
-"""The event handler of one pool's load balancing: events in, actions out (docs/design.md).
+"""The load balancer of one pool: it handles events and returns actions (docs/design.md).
 
-A request takes a free slot of a random endpoint, waits in the one buffer if none is free, is rejected if the
-buffer is taken, and is retried through a slot. This module calls the others in the order that an event needs.
+A request takes a free slot of a random endpoint. If there is none, it waits in a buffer for one request, or
+is rejected if the buffer is occupied. A retry takes a slot in the same way. This module passes each event to
+the other modules of the package.
 """
 
 from __future__ import annotations
@@ -48,22 +49,23 @@
 from plovertrail.decisions.load_balancing.warm_up_scheduler import WarmUpScheduler
 from plovertrail.decisions.settings import Settings
 
-# Of an admitted request. If all endpoints warm up, no responses would open their slots.
+# Warm-up progress per admitted request. If all endpoints are warming up, there are no responses at first that
+# would open their slots.
 PROGRESS_PER_ARRIVAL = 0.1
 
 
 class LoadBalancer:
     """Selects an endpoint for each request and ends each request with one final answer.
 
-    The modules it consists of own the state. `retry_budget` may be shared with other load balancers of the
-    process. The modules share one random generator, so the order of its draws follows the events.
+    Its components own the state. `retry_budget` may be shared with other load balancers of the process. All
+    components draw from one random generator, so the same events and seed give the same actions.
     """
 
     def __init__(
         self, settings: Settings, seed: int, now_us: int, retry_budget: RetryBudget | None = None
     ) -> None:
         self.settings = settings
-        self.now_us = now_us  # of the last event
+        self.now_us = now_us  # time of the last event
         self.requests: dict[int, RequestState] = {}
         self.latencies = LatencyEstimates(settings.classes)
         self.table = EndpointTable(settings, now_us)
@@ -93,19 +95,19 @@
 
     @property
     def endpoints(self) -> dict[int, EndpointState]:
-        """The ready endpoints by id, in the order in which they were listed."""
+        """The ready endpoints by id, in the order in which they were added."""
         return self.table.by_id
 
     def set_endpoint_restorer(self, restorer: EndpointRestorer) -> None:
-        """Have each endpoint that is added from now on restored to what was known of it before a restart."""
+        """Set the callback that restores the state of each endpoint that is added from now on."""
         self._updates.restorer = restorer
 
     def set_no_response_listener(self, listener: NoResponseListener | None) -> None:
-        """Report each attempt that has had no response for longer than one takes to a listener."""
+        """Set the callback for attempts that are overdue without a response; None removes it."""
         self._tracker.listener = listener
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Handle an event and return the actions to carry out, in their order."""
+        """Handle an event and return the actions to carry out, in order."""
         self.now_us = now_us
         if isinstance(event, AttemptEnded):
             self._on_attempt_ended(event)
@@ -123,9 +125,10 @@
         return self._actions.take()
 
     def has_capacity(self, now_us: int) -> bool:
-        """Whether a request would find a free slot; for a queue that admits requests to this pool.
+        """Return whether a request would find a free slot, for an external queue in front of this pool.
 
-        Limits grow only where slots were short, and requests that wait in such a queue count as a shortage.
+        Concurrency limits grow only after a shortage of slots, so a negative answer is recorded as one: the
+        requests in that queue are not seen here.
         """
         self.now_us = now_us
         self.reopener.reopen_due(now_us)
@@ -137,21 +140,21 @@
         return False
 
     def next_slot_opening_us(self) -> int:
-        """Return when the next slot may open by time and not by an event."""
+        """Return when the next slot may open because of time alone, without an event."""
         return self.rechecks.next_due_us()
 
     def apply_restored_state(self, endpoint: EndpointState) -> None:
-        """Take the state that was restored to an endpoint into account."""
+        """Apply the consequences of the state that was restored for an endpoint."""
         if endpoint.failure_penalty:
             self.penalties.schedule_decay(endpoint, self.now_us)
         if endpoint.concurrency_limit < 1.0:
-            # After a restart of all instances, each of them would try a failing endpoint at once.
+            # Otherwise, after a restart of all instances, each of them would try a failing endpoint at once.
             mean_us = sum(self.latencies.mean_us) / len(self.latencies.mean_us)
             self._ejector.eject(endpoint, mean_us, self.now_us)
         self.table.update_selection_weight(endpoint, self.now_us)
 
     def _handle_other(self, event: Event) -> None:
-        """Handle an event that comes less often than those on requests, attempts and timers."""
+        """Handle the event types that are less frequent than arrivals, attempt ends and timers."""
         if isinstance(event, RequestCancelled):
             if event.request in self.requests:
                 self._close(self.requests[event.request])
@@ -174,7 +177,7 @@
         self._overload.record_arrival(bool(request.attempts), self._actions, self.now_us)
 
     def _dispatch(self, request: RequestState) -> None:
-        """Send a request through a free slot, else buffer it, else reject it."""
+        """Send a request through a free slot; without one, buffer it or give the final answer."""
         now_us = self.now_us
         latest_us = self.retries.latest_start_us(request)
         if now_us >= latest_us:
@@ -213,9 +216,9 @@
         self._actions.pending.append(self._sender.send(request, endpoint, self.now_us))
 
     def _send_hedge(self, request: RequestState) -> None:
-        """Send a second attempt while the first runs on.
+        """Send a second attempt while the first is still in flight.
 
-        Never in a shortage: hedges would take the slots of requests that have none.
+        Not while a request is buffered: hedges would take the slots that other requests wait for.
         """
         if request.in_flight == 1 and self.buffer.waiting is None:
             endpoint = self._select_endpoint(request)
@@ -249,7 +252,7 @@
         self._updates.apply(event, self.now_us)
 
     def _answer(self, request: RequestState) -> None:
-        """Give the final answer; the only place of one, so that rules 1 and 2 of the contract hold."""
+        """Give the final answer; only this method does, to ensure rules 1 and 2 of the contract."""
         if not request.attempts:
             for group in self.table.groups:
                 group.warm_up.record_rejection(self.now_us)
@@ -280,7 +283,7 @@
     def _arm_timer(self) -> None:
         at_us = self.timers.next_due_us
         if self.buffer.waiting is not None:
-            # No event wakes a request that waits for a slot that opens by time.
+            # A slot that opens because of time alone causes no event, so the buffered request needs a timer.
             self.reopener.reopen_due(self.now_us)
             at_us = min(at_us, self.reopener.next_opening_us(self.buffer.waiting.event.class_index))
         if self.timers.arm(at_us):
