--- a/plovertrail/decisions/load_balancing/endpoint_selection.py
+++ b/plovertrail/decisions/load_balancing/endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Which endpoint an attempt goes to: weighted sampling, affinity, exclusions and dedup groups."""
+"""Selects the endpoint of an attempt: weighted sampling, affinity, exclusions and dedup groups."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from plovertrail.decisions.load_balancing.request_state import RequestState
 from plovertrail.decisions.load_balancing.weighted_sampler import WeightedSampler
 
-MIN_ACTIVE = 4  # endpoints in regular use by an instance with hardly any traffic
-SENDS_PER_S_PER_ACTIVE = 1.5  # one more endpoint for so many: fewer teach nothing, more crowd it
-NO_RESPONSE_SCALE = 0.1  # a selection penalty of this quarters the probability; chance stays far below it
-MAX_SAMPLES = 12  # random samples before all endpoints are searched; most selections need one
+MIN_ACTIVE = 4  # active endpoints of an instance with almost no traffic
+SENDS_PER_S_PER_ACTIVE = 1.5  # per active endpoint: fewer are too few to judge it, more overload it
+NO_RESPONSE_SCALE = 0.1  # a penalty of this size quarters the probability; chance causes far less
+MAX_SAMPLES = 12  # samples before all endpoints are searched; most selections need one
 
 
 class EndpointSelector:
-    """Selects a free slot at random.
+    """Selects an endpoint with a free slot at random.
 
-    It prefers an endpoint that warms up and is due for a send, then one of the few active endpoints that the
-    traffic of this instance needs, then any. If a due send competed with others' free slots it would often be
-    lost, while the warm endpoints are overloaded. A busy zone spills over only requests that are not admitted
-    there or find no slot.
+    In order of preference: a warming endpoint that is due for a send, an active endpoint, one on standby; but
+    standby comes before active while the traffic needs more active endpoints. If due sends competed with the
+    free slots of other endpoints, many would be lost while the warm endpoints are overloaded. Requests go to
+    other zones only if they are not admitted in this zone or find no free slot there.
     """
 
     __slots__ = ("_table", "_exclusions", "_random")
@@ -40,7 +40,7 @@
             if endpoint is not None:
                 return endpoint
         class_index = request.event.class_index
-        penalized: EndpointState | None = None  # used if there is no other
+        penalized: EndpointState | None = None  # fallback if there is no other endpoint
         for group in self._table.groups:
             self._update_warming(group, now_us)
             for sampler in self._samplers(group):
@@ -49,8 +49,8 @@
                 endpoint = self._sample(request, sampler, now_us)
                 if endpoint is None:
                     continue
-                # In a sampler with one member, an endpoint that peers report as unhealthy would always be
-                # selected.
+                # An endpoint that peers report as unhealthy is only a fallback: in a sampler without other
+                # members it would be selected every time.
                 penalties = endpoint.peer_penalties
                 if penalties and penalized is None and class_index in penalties:
                     penalized = endpoint
@@ -68,17 +68,17 @@
         """Return the samplers of a group in the order in which they are tried."""
         admission = group.admission
         if not admission.admits():
-            return (group.warming,)  # their sends are scheduled, and they do not cause the overload
+            return (group.warming,)  # their sends are scheduled and do not add to the overload
         needed = MIN_ACTIVE + int(admission.send_rate.per_second / SENDS_PER_S_PER_ACTIVE)
         if len(group.active) < needed and group.standby.total_weight > 0.0:
             return (group.warming, group.standby, group.active)
-        # If each instance were connected to each endpoint, their connection tables would fill up.
+        # Standby last: if each instance were connected to each endpoint, connection tables would fill up.
         return group.samplers
 
     def _preferred(self, request: RequestState, now_us: int) -> EndpointState | None:
-        """Return the preferred endpoint of a first attempt, if it could also be selected at random.
+        """Return the first preferred endpoint that random selection could also return.
 
-        Retries have no preference: an endpoint that fails must not get them too.
+        This is for first attempts only: retries must not go back to a failing preferred endpoint.
         """
         for endpoint_id in request.event.preferred:
             endpoint = self._table.by_id.get(endpoint_id)
@@ -92,10 +92,11 @@
         return None
 
     def _sample(self, request: RequestState, sampler: WeightedSampler, now_us: int) -> EndpointState | None:
-        """Return an endpoint of a sampler in proportion to the weights that hold for this request.
+        """Return a random endpoint of a sampler, weighted for this request.
 
-        Endpoints are sampled by the weights that hold for all requests, and accepted with the fraction that
-        is left for this one. Few samples miss; after some misses all endpoints are searched.
+        This is rejection sampling: the sampler's weights hold for all requests, and a sample is accepted with
+        the fraction of its weight that is left for this request. Few samples are rejected, and after
+        `MAX_SAMPLES` all endpoints are searched.
         """
         candidates = self._dedup_targets(request, sampler)
         if candidates is not None:
@@ -120,7 +121,7 @@
     def _choose(
         self, request: RequestState, endpoints: list[EndpointState], now_us: int
     ) -> EndpointState | None:
-        """Choose among some endpoints by their weights; those tried before are used if there is no other."""
+        """Choose among endpoints by weight; those already tried are used only if there is no other."""
         class_index = request.event.class_index
         candidates = []
         for endpoint in endpoints:
@@ -136,12 +137,12 @@
 
     @staticmethod
     def _selection_penalty(endpoint: EndpointState, class_index: int) -> float:
-        """Return how much less an endpoint is selected for a class, by own attempts and peers' reports."""
+        """Return the penalty of an endpoint for a class, from own attempts and the reports of peers."""
         reported = endpoint.peer_penalties.get(class_index, 0.0) if endpoint.peer_penalties else 0.0
         return endpoint.no_response_rate[class_index] + reported
 
     def _may_take(self, request: RequestState, endpoint: EndpointState, now_us: int) -> bool:
-        """Whether an endpoint with a free slot may have this request now."""
+        """Return whether an endpoint with a free slot may get this request now."""
         class_index = request.event.class_index
         is_excluded = now_us < endpoint.excluded_until_us[class_index]
         if is_excluded and self._exclusions.are_effective(class_index):
@@ -149,10 +150,10 @@
         return endpoint.listed.id not in request.event.excluded
 
     def _dedup_targets(self, request: RequestState, sampler: WeightedSampler) -> list[EndpointState] | None:
-        """Return the endpoints that drop duplicates of a request; None if it may go to any.
+        """Return the endpoints that recognize duplicates of a request; None if it may go to any endpoint.
 
-        Rule 2 of the contract: once an attempt with an idempotency key may have run, it is retried only where
-        its key is known.
+        Rule 2 of the contract: once an attempt with an idempotency key may have run, the request is retried
+        only at endpoints that know the key.
         """
         request_class = self._table.settings.classes[request.event.class_index]
         if request_class.effect != "deduplicated" or request_class.dedup_scope == "all":
