--- a/plovertrail/decisions/load_balancing/endpoint_table.py
+++ b/plovertrail/decisions/load_balancing/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The ready endpoints: their groups, their selection weights, and which of them deduplicate together."""
+"""The ready endpoints with their groups, selection weights and dedup groups."""
 
 from __future__ import annotations
 
@@ -10,36 +10,36 @@
 from plovertrail.decisions.load_balancing.slow_start import warm_up_fraction
 from plovertrail.decisions.settings import Settings
 
-PENALTY_SCALE = 0.1  # a failure penalty of this quarters the weight; one failure divides it by twelve
+PENALTY_SCALE = 0.1  # a failure penalty of this size quarters the weight; one failure divides it by twelve
 NO_ENDPOINTS: Mapping[int, EndpointState] = {}
 
 
 class EndpointTable:
-    """Owns the endpoints by id, their groups, and the weight of each in the sampler that holds it."""
+    """Owns the endpoints by id, their groups, and the weight of each endpoint in its sampler."""
 
     __slots__ = ("settings", "by_id", "groups", "dedup_groups")
 
     def __init__(self, settings: Settings, now_us: int) -> None:
         self.settings = settings
-        self.by_id: dict[int, EndpointState] = {}  # in the order in which they were listed
-        # Selected from in this order; the second one holds the other zones where crossing zones costs.
+        self.by_id: dict[int, EndpointState] = {}  # in the order in which they were added
+        # In the order of selection; if cross-zone traffic has a cost, the second group holds other zones.
         self.groups = [EndpointGroup(now_us) for _ in range(2 if settings.cross_zone_fee > 0 else 1)]
-        self.dedup_groups: dict[tuple[str, int], dict[int, EndpointState]] = {}  # by zone and by cell
+        self.dedup_groups: dict[tuple[str, int], dict[int, EndpointState]] = {}  # by (scope, zone or cell)
 
     def is_current(self, endpoint: EndpointState) -> bool:
-        """Whether an endpoint is still listed; one that was removed and listed again is another endpoint."""
+        """Return whether an endpoint is still listed; it is not if its id was removed and added again."""
         return self.by_id.get(endpoint.listed.id) is endpoint
 
     def warm_up_fraction(self, endpoint: EndpointState, now_us: int) -> float:
-        """Return the fraction of its capacity that an endpoint is certain to have."""
+        """Return the fraction of its full capacity that an endpoint has reached for certain."""
         return warm_up_fraction(self.settings, endpoint.listed, now_us)
 
     def relative_capacity(self, listed: Endpoint) -> float:
-        """Return the capacity of a warm endpoint relative to the others, as far as it is listed."""
+        """Return the capacity of an endpoint when warm, relative to the others; 1 if none is listed."""
         return listed.weight if self.settings.weighted else 1.0
 
     def open_slots(self, endpoint: EndpointState, now_us: int) -> int:
-        """Return how many attempts of this instance an endpoint may have in flight now."""
+        """Return how many attempts this instance may have in flight at an endpoint now."""
         if now_us < endpoint.ejected_until_us:
             return 0
         if endpoint.listed.started_us != 0 and self.warm_up_fraction(endpoint, now_us) < 1.0:
@@ -47,7 +47,7 @@
         return int(endpoint.concurrency_limit) or 1
 
     def selection_weight(self, endpoint: EndpointState, now_us: int) -> float:
-        """Return the weight of an endpoint: its free slots, which count less where it is slow or failing."""
+        """Return the weight of an endpoint: its free slots, reduced if it is slow or failing."""
         free_slots = self.open_slots(endpoint, now_us) - endpoint.in_flight
         if free_slots <= 0:
             return 0.0
@@ -56,7 +56,7 @@
         return free_slots * weight / (endpoint.relative_latency * penalty) ** 2
 
     def update_selection_weight(self, endpoint: EndpointState | None, now_us: int) -> None:
-        """Bring the weight of an endpoint up to date after anything it depends on has changed."""
+        """Update the weight of an endpoint after a change of anything that it depends on."""
         if endpoint is None:
             return
         endpoint_id = endpoint.listed.id
@@ -68,7 +68,7 @@
             group.standby.set(endpoint_id, weight)
 
     def set_active(self, endpoint: EndpointState, active: bool, now_us: int) -> bool:
-        """Move an endpoint between active and standby; returns whether it has moved."""
+        """Move an endpoint between active and standby; return whether it was moved."""
         group = endpoint.group
         endpoint_id = endpoint.listed.id
         if not self.is_current(endpoint) or endpoint_id in group.warming:
@@ -81,7 +81,7 @@
         return True
 
     def add(self, listed: Endpoint) -> EndpointState:
-        """Add an endpoint that was not listed before; `apply_listing` puts it into a sampler."""
+        """Add a new endpoint; `apply_listing` adds it to a sampler."""
         is_remote = self.settings.cross_zone_fee > 0 and listed.zone != self.settings.zone
         group = self.groups[int(is_remote)]
         endpoint = self.by_id[listed.id] = EndpointState(listed, group, len(self.settings.classes))
@@ -89,12 +89,12 @@
         return endpoint
 
     def adjust_capacity(self, endpoint: EndpointState, listed: Endpoint) -> None:
-        """Bring the capacity of its group up to date before a known endpoint is listed anew."""
+        """Update the capacity of the group before the listing of a known endpoint changes."""
         endpoint.group.capacity -= self.relative_capacity(endpoint.listed)
         endpoint.group.capacity += self.relative_capacity(listed)
 
     def apply_listing(self, endpoint: EndpointState, listed: Endpoint, now_us: int) -> bool:
-        """Take over what the list says of an endpoint; returns whether it is warming up."""
+        """Apply an entry of the endpoint list; return whether the endpoint is warming up."""
         group = endpoint.group
         self._remove_from_dedup_groups(endpoint)
         endpoint.listed = listed
@@ -111,7 +111,7 @@
         return is_warming
 
     def remove(self, endpoint_id: int) -> EndpointState | None:
-        """Remove an endpoint at once; attempts that are in flight there end as they do."""
+        """Remove an endpoint; its attempts in flight are left to end by themselves."""
         endpoint = self.by_id.pop(endpoint_id, None)
         if endpoint is not None:
             for sampler in endpoint.group.samplers:
--- a/plovertrail/decisions/load_balancing/endpoint_updates.py
+++ b/plovertrail/decisions/load_balancing/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Endpoint lists and the reports of other instances, applied to the endpoints."""
+"""Applies endpoint lists and the health reports of peers to the endpoints."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from plovertrail.decisions.load_balancing.slot_reopening import SlotReopener
 from plovertrail.decisions.load_balancing.warm_up_scheduler import WarmUpScheduler
 
-MAX_PENALIZED_SHARE = 1 / 3  # of the endpoints, for each class: reports may be wrong
+MAX_PENALIZED_SHARE = 1 / 3  # of the endpoints, per class: reports may be wrong
 
 
 class EndpointRestorer(Protocol):
-    """Gives a new endpoint the state that was known of it before a restart of this process."""
+    """Restores the state of a new endpoint that was saved before a restart of this process."""
 
     def __call__(self, endpoint: EndpointState, /) -> object:
-        """Restore one endpoint that was just added."""
+        """Restore the state of an endpoint that was just added."""
 
 
 class EndpointUpdates:
-    """Applies endpoint lists."""
+    """Applies endpoint lists to the endpoint table."""
 
     __slots__ = ("restorer", "_table", "_warm_ups", "_reopener")
 
@@ -33,11 +33,11 @@
         self._reopener = reopener
 
     def apply(self, event: EndpointsUpdated, now_us: int) -> None:
-        """Apply a list, complete or in part."""
+        """Apply a complete or partial list."""
         table = self._table
         if event.kind is not ListKind.DELTA and not event.partial:
             self._remove_unlisted(event.endpoints)
-        self._reopener.reopen_due(now_us)  # without traffic, nothing else would expire stale entries
+        self._reopener.reopen_due(now_us)  # without traffic, nothing else would remove stale entries
         added = []
         started = []
         for listed in event.endpoints:
@@ -71,17 +71,17 @@
             self._reopener.rechecks.schedule(warm_at_us, listed.id)
 
     def _remove(self, endpoint_id: int) -> None:
-        """Rule 3 of the contract: an endpoint that drains or was removed gets nothing from now on."""
+        """Remove an endpoint, since a draining or removed one gets no requests (rule 3 of the contract)."""
         endpoint = self._table.remove(endpoint_id)
         if endpoint is not None:
             self._reopener.forget(endpoint)
 
 
 class PeerPenalties:
-    """The selection penalties that come from the health reports of other instances.
+    """The selection penalties derived from the health reports of peers.
 
-    Whatever they say may be wrong. So endpoints are selected less for it and never excluded, and no more than
-    a third of them for each class, the worst ones.
+    Reports may be wrong. So penalized endpoints are selected less often but never excluded, and per class no
+    more than a third of all endpoints, those with the highest penalties, are penalized.
     """
 
     __slots__ = ("penalized", "_table")
@@ -91,7 +91,7 @@
         self._table = table
 
     def apply(self, penalties: Mapping[tuple[int, int], float]) -> None:
-        """Replace all penalties, given by endpoint id and class index."""
+        """Replace all penalties; keys are endpoint id and class index."""
         by_id = self._table.by_id
         for endpoint_id in self.penalized:
             if endpoint_id in by_id:
