--- a/plovertrail/decisions/load_balancing/class_exclusions.py
+++ b/plovertrail/decisions/load_balancing/class_exclusions.py
@@ -1,4 +1,4 @@
-"""Endpoints that are not selected for a request class, as they left its attempts without a response."""
+"""Endpoints excluded for a request class because they left attempts of it without a response."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 from plovertrail.decisions.load_balancing.endpoint_table import EndpointTable
 from plovertrail.decisions.load_balancing.timers import NEVER_US
 
-MAX_EXCLUDED_SHARE = 2 / 3  # with more endpoints than this the fleet is slow, and none is excluded
+MAX_EXCLUDED_SHARE = 2 / 3  # of the endpoints: if more are excluded, the whole fleet is slow, and none is
 
 
 class ClassExclusions:
-    """Counts the exclusions of each class, and ends them when their time is over."""
+    """Owns the number of exclusions per class, and ends exclusions when they expire."""
 
     __slots__ = ("counts", "_table", "_ends")
 
     def __init__(self, table: EndpointTable) -> None:
         classes = table.settings.classes
-        self.counts = [0] * len(classes)  # of listed endpoints
+        self.counts = [0] * len(classes)  # by class; listed endpoints only
         self._table = table
-        self._ends: list[list[tuple[int, int]]] = [[] for _ in classes]  # (end, endpoint id); heaps
+        self._ends: list[list[tuple[int, int]]] = [[] for _ in classes]  # (expiry, endpoint id); heaps
 
     def are_effective(self, class_index: int) -> bool:
-        """Whether few enough endpoints are excluded for a class."""
+        """Return whether exclusions for a class apply: not if too many endpoints are excluded."""
         return self.counts[class_index] <= MAX_EXCLUDED_SHARE * len(self._table.by_id)
 
     def exclude(self, endpoint: EndpointState, class_index: int, until_us: int) -> None:
-        """Exclude an endpoint for a class until then; 0 ends the exclusion."""
+        """Exclude an endpoint for a class until `until_us`; 0 ends the exclusion."""
         endpoint.excluded_until_us[class_index] = until_us
         if self._table.is_current(endpoint):
             self.counts[class_index] += (until_us > 0) - endpoint.counted_as_excluded[class_index]
@@ -36,7 +36,7 @@
                 heapq.heappush(self._ends[class_index], (until_us, endpoint.listed.id))
 
     def end_due(self, now_us: int) -> None:
-        """End the exclusions whose time is over."""
+        """End the exclusions that have expired."""
         for class_index, ends in enumerate(self._ends):
             while ends and ends[0][0] <= now_us:
                 endpoint = self._table.by_id.get(heapq.heappop(ends)[1])
@@ -44,12 +44,12 @@
                     self.exclude(endpoint, class_index, 0)
 
     def next_end_us(self, class_index: int) -> int:
-        """Return when the next exclusion for a class may end."""
+        """Return the earliest time at which an exclusion for a class may end."""
         ends = self._ends[class_index]
         return ends[0][0] if ends else NEVER_US
 
     def forget(self, endpoint: EndpointState) -> None:
-        """Count an endpoint that was removed no more."""
+        """Subtract a removed endpoint from the counts."""
         self.counts = [
             count - counted for count, counted in zip(self.counts, endpoint.counted_as_excluded, strict=True)
         ]
