--- a/plovertrail/decisions/load_balancing/response_tracking.py
+++ b/plovertrail/decisions/load_balancing/response_tracking.py
@@ -1,11 +1,11 @@
-"""Attempts that have had no response for longer than one takes.
-
-An endpoint, or what lies before it, may never answer a part of the requests (dropped, stuck on a lock, bound
-for a dead shard) or all of one class, and serve the others well. A request that must not be repeated is lost
-there, and its timeout shows it only after many usual response times. So from the latency objective on, the
-endpoint is selected less for that class, and only now and then once it has left some in a row without a
-response. This also holds for an endpoint that answers nothing at all. It can do harm where a class is slow by
-nature and seldom: its late responses then send it elsewhere.
+"""Tracks attempts that are overdue: they have had no response within the latency objective.
+
+An endpoint, or the network before it, may leave some requests (dropped, blocked on a lock, routed to a dead
+shard) or all requests of one class without a response, and serve the others well. Requests that must not be
+retried are lost there, and their timeouts show this only after many mean response times. So once an attempt
+is overdue, the endpoint is selected less for that class, and after several overdue attempts in a row it is
+excluded for a time. This also covers endpoints that do not respond at all. The disadvantage: a class that is
+slow by nature and rare is moved away from endpoints that would respond late.
 """
 
 from __future__ import annotations
@@ -21,21 +21,21 @@
 from plovertrail.decisions.load_balancing.endpoint_table import EndpointTable
 from plovertrail.decisions.load_balancing.timers import NEVER_US
 
-MIN_LATER_ANSWERED = 4  # later sends answered first that distinguish a lost attempt from a queued one
-RATE_WINDOW = 16  # attempts of a class over which the rate of those without a response is averaged
-EXCLUDE_AFTER = 3  # attempts of a class without a response in a row
-MAX_CONSECUTIVE = 5  # longer rows count as this long
+MIN_LATER_ANSWERED = 4  # responses to later sends that tell a lost attempt from a queued one
+RATE_WINDOW = 16  # attempts of a class over which the rate of overdue ones is averaged
+EXCLUDE_AFTER = 3  # consecutive overdue attempts of a class
+MAX_CONSECUTIVE = 5  # more are counted as this many, which limits the exclusion time
 
 
 class NoResponseListener(Protocol):
-    """Receives each attempt that has had no response for longer than one takes."""
+    """Callback for each attempt that is overdue without a response."""
 
     def __call__(self, endpoint: EndpointState, class_index: int, /) -> None:
-        """Handle one attempt of this class at this endpoint."""
+        """Handle an overdue attempt of this class at this endpoint."""
 
 
 class ResponseTracker:
-    """Follows the attempts in flight until they are answered or overdue."""
+    """Tracks attempts in flight until they have ended or are overdue."""
 
     __slots__ = ("listener", "_table", "_exclusions", "_random", "_limits_us", "_awaiting")
 
@@ -44,19 +44,19 @@
         self._table = table
         self._exclusions = exclusions
         self._random = rng
-        # Few responses take longer than the objective unless the endpoint is slow to all. With a shorter
-        # limit, what an overload makes slow would be taken for lost.
+        # Few responses take longer than the objective unless the endpoint is slow for all requests. With a
+        # shorter limit, attempts that are slow because of an overload would be mistaken for lost ones.
         self._limits_us = [each.latency_objective_us for each in table.settings.classes]
-        # By class, in the order of their sends and so of the times at which they are overdue.
+        # By class, in send order, which is also the order in which they become overdue.
         self._awaiting: list[deque[AttemptState]] = [deque() for _ in self._limits_us]
 
     def track(self, attempt: AttemptState) -> int:
-        """Follow a new attempt; returns when it is overdue."""
+        """Track a new attempt; return when it becomes overdue."""
         self._awaiting[attempt.class_index].append(attempt)
         return attempt.sent_at_us + self._limits_us[attempt.class_index]
 
     def check_overdue(self, now_us: int) -> int:
-        """Handle the attempts that are overdue; returns when the next one may be."""
+        """Handle the overdue attempts; return when the next one may become overdue."""
         next_us = NEVER_US
         for awaiting, limit_us in zip(self._awaiting, self._limits_us, strict=True):
             while awaiting and (
@@ -70,7 +70,7 @@
         return next_us
 
     def record_response(self, attempt: AttemptState, earlier: list[AttemptState], now_us: int) -> None:
-        """Record a response; `earlier` are the attempts sent to the endpoint before and not answered yet."""
+        """Record a response; `earlier` are the attempts in flight that were sent to the endpoint before."""
         endpoint = attempt.endpoint
         class_index = attempt.class_index
         endpoint.no_response_rate[class_index] -= endpoint.no_response_rate[class_index] / RATE_WINDOW
@@ -101,14 +101,14 @@
         self._release_slot(attempt, now_us)
 
     def _release_slot(self, attempt: AttemptState, now_us: int) -> None:
-        """Free the slot of an overdue attempt that is lost, as its endpoint answers later sends.
-
-        Each of the few that are never answered would hold a slot to its deadline, until all slots are held
-        and everything else is rejected. The attempt stays in flight, since its response may still be of use.
-        Nothing is answered before an attempt that holds the only slot, so each endpoint may have one released
-        on suspicion while the others respond fast. A slow or silent endpoint, or fleet, releases no more. It
-        can do harm where an endpoint serves by priority or by time slices, and is still working on the
-        attempt: it then gets up to twice its slots.
+        """Free the slot of an overdue attempt that is probably lost, since its endpoint answers later sends.
+
+        Otherwise each attempt that never gets a response would hold a slot until its deadline, and once all
+        slots are held, other requests are rejected. The attempt stays in flight, since a late response can
+        still be used. If the attempt holds the only slot, no later send can prove it lost; so each endpoint
+        may have one slot released on suspicion while the group responds fast. Slow or unresponsive endpoints
+        and fleets release no more. The disadvantage: an endpoint that serves by priority or time slices may
+        still be working on the attempt, and then gets up to twice its limit.
         """
         endpoint = attempt.endpoint
         released = [other for other in endpoint.attempts if other.slot_released]
