--- a/plovertrail/decisions/load_balancing/outcome_recording.py
+++ b/plovertrail/decisions/load_balancing/outcome_recording.py
@@ -1,4 +1,4 @@
-"""Records the end of an attempt: health, selection weight, warm-up progress, responses and latency."""
+"""Records ended attempts: health, selection weight, warm-up progress, responses and latency."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from plovertrail.decisions.load_balancing.pending_actions import PendingActions
 from plovertrail.decisions.load_balancing.response_tracking import ResponseTracker
 
-STANDBY_BELOW = 0.5  # slots: an endpoint with a lower limit is no longer in regular use
-LOG_EJECTED_BELOW = 0.25  # slots
-LOG_RESTORED_FROM = 1.0
+STANDBY_BELOW = 0.5  # slots; an endpoint with a lower concurrency limit is moved to standby
+LOG_EJECTED_BELOW = 0.25  # slots; endpoints with a lower concurrency limit are logged as ejected
+LOG_RESTORED_FROM = 1.0  # slots
 
 
 class OutcomeRecorder:
-    """Records the attempts that end."""
+    """Records ended attempts."""
 
     __slots__ = ("_table", "_latencies", "_health", "_tracker", "_actions")
 
@@ -41,8 +41,8 @@
         """Record an attempt that has just ended."""
         endpoint = attempt.endpoint
         earlier = endpoint.end_attempt(attempt)
-        # A timeout while later sends were answered says nothing of the load. Counted as load, it would cut an
-        # endpoint that leaves some attempts without a response to one slot, and distort its latency.
+        # A timeout while later sends were answered does not indicate load. If it did, an endpoint that leaves
+        # some attempts without a response would be reduced to one slot, and its latency would be distorted.
         is_out_of_order = attempt.slot_released or attempt.later_answered > 0
         is_relevant = not (is_out_of_order and outcome is Outcome.TIMEOUT)
         if is_relevant and self._health.update(attempt, outcome, elapsed_us, now_us):
@@ -56,7 +56,7 @@
             self._latencies.record(attempt.class_index, elapsed_us)
 
     def _move_to_standby_if_failing(self, endpoint: EndpointState, now_us: int) -> None:
-        """Replace an active endpoint that fails by a standby one, until after its cool-down."""
+        """Move a failing endpoint to standby, so that another replaces it, and close its idle connections."""
         if endpoint.concurrency_limit < STANDBY_BELOW and self._table.set_active(endpoint, False, now_us):
             self._actions.pending.append(CloseIdle(endpoint.listed.id))
 
--- a/plovertrail/decisions/load_balancing/outcomes.py
+++ b/plovertrail/decisions/load_balancing/outcomes.py
@@ -1,19 +1,19 @@
-"""What the outcome of an attempt says about the request and about the endpoint."""
+"""Sets of attempt outcomes by what they imply for the request and for the endpoint."""
 
 from __future__ import annotations
 
 from plovertrail.decisions.events import Outcome
 
-# The request was certainly not executed, so any request may be sent again.
+# The request was certainly not executed, so it may be retried whatever its class.
 NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-# A failure that frees the slot much sooner than a response would.
+# Failures that end an attempt, and free its slot, much sooner than a response would.
 IMMEDIATE_FAILURES = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET)
 FAULTS = (*IMMEDIATE_FAILURES, Outcome.MALFORMED)
-# The endpoint has done the work, so the elapsed time is a response time.
+# The endpoint has processed the request, so the elapsed time is a response time.
 RESPONDED = (Outcome.OK, Outcome.MALFORMED)
-# Timeouts count as response times: a slow fleet must not be judged by its few fast responses alone.
+# Timeouts count as response times: a slow fleet must not be measured by its few fast responses alone.
 TIMED = (*RESPONDED, Outcome.TIMEOUT)
-# Outcomes that say something about the endpoint's load.
+# Outcomes that indicate the endpoint's load.
 LOAD_SIGNALS = (*TIMED, Outcome.REJECTED)
-# Malformed responses are retried too: an endpoint that corrupts some responses would otherwise lose them all.
+# Includes malformed responses: otherwise each request whose response is corrupted would be lost.
 RETRYABLE = (*FAULTS, Outcome.TIMEOUT)
