--- a/plovertrail/decisions/load_balancing/poll_schedule.py
+++ b/plovertrail/decisions/load_balancing/poll_schedule.py
@@ -1,10 +1,10 @@
-"""When discovery is polled for the endpoint list, so that changes take effect in time.
+"""Schedules polls of discovery for the endpoint list, so that changes take effect in time.
 
-Whatever polls fail, a change takes effect within six seconds after discovery had it and was reachable, and a
-draining endpoint gets no request after its grace period. That bound may conflict with the rate that discovery
-can serve when a whole fleet polls at one moment. If the settings state such a rate, it is kept, and the polls
-of a large fleet are spread over a longer time. If they state none, as on the platform, the six seconds are
-kept, and the polls are spread over the time that they leave.
+Even if polls fail, a change takes effect within six seconds after discovery had it and was reachable, and a
+draining endpoint gets no requests after its grace period. This limit may conflict with the rate of polls that
+discovery can serve when a whole fleet polls at once. If the settings state that rate, it takes precedence,
+and the polls of a large fleet are spread over a longer time. If not, as on the platform, the limit of six
+seconds takes precedence, and the polls are spread over the time that it leaves.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 from plovertrail.decisions.load_balancing.timers import TimerKind, TimerQueue
 from plovertrail.decisions.settings import Settings
 
-NOTIFICATION_LIMIT_US = 6_000_000  # the contract: a change counts as known after this time at the latest
-RESPONSE_LIMIT_US = 3_000_000  # discovery queues a poll for so long before it rejects it
-POLL_TIMEOUT_US = RESPONSE_LIMIT_US + 100_000  # a poll without a response by then gets none
-WATCH_TIMEOUT_US = 3_000_000  # a watch sends an empty line every 2 s; silent for this long, it is broken
-INITIAL_BACKOFF_US = 250_000  # long beside one poll, short beside a drain
-MIN_SPREAD_US = 150_000  # polls are spread over this even where the bounds leave nothing
-DEFAULT_DISCOVERY_RATE_PER_S = 20.0  # polls in the worst second, where the settings state no rate
-POLL_INTERVAL_SHARE = 0.9  # of the longest poll interval, after a poll that failed
-MAX_DOUBLINGS = 20
+NOTIFICATION_LIMIT_US = 6_000_000  # by the contract, a change counts as known after this time
+RESPONSE_LIMIT_US = 3_000_000  # discovery queues a poll for at most this long before it rejects it
+POLL_TIMEOUT_US = RESPONSE_LIMIT_US + 100_000  # a poll without a response by then is taken to be lost
+WATCH_TIMEOUT_US = 3_000_000  # a watch sends an empty line every 2 s; without one for this long it is broken
+INITIAL_BACKOFF_US = 250_000  # long compared to a poll, short compared to a drain
+MIN_SPREAD_US = 150_000  # polls are spread over at least this time, even if the limits leave none
+DEFAULT_DISCOVERY_RATE_PER_S = 20.0  # peak rate of polls if the settings state none
+POLL_INTERVAL_SHARE = 0.9  # of the maximum poll interval; the limit after a failed poll
+MAX_DOUBLINGS = 20  # of the backoff
 
 
 def max_poll_gap_us(settings: Settings) -> int:
-    """Return the longest time from one poll, or the last line of a watch, to the begin of the next poll.
+    """Return the maximum time from one poll, or the last line of a watch, to the start of the next poll.
 
-    A change that one poll just missed is then reported by the next one, in time for its drain.
+    A change just missed by one poll is then reported by the next one before the grace period of a drain ends.
     """
     interval_us = int(POLL_INTERVAL_SHARE * settings.max_poll_interval_us)
     if settings.discovery_rate_per_s:
@@ -38,17 +38,17 @@
 
 
 def max_backoff_us(settings: Settings, since_us: int, now_us: int) -> int:
-    """Return how long the next poll may wait; the last one began, or the watch was last heard, at `since_us`.
+    """Return the maximum delay of the next poll; the last poll began, or the watch last sent, at `since_us`.
 
-    Some time is always left to spread over: polls that failed together must not all come again at the bound.
+    It is never below `MIN_SPREAD_US`: polls that failed together must not all be repeated at the limit.
     """
     return max(MIN_SPREAD_US, since_us + max_poll_gap_us(settings) - now_us)
 
 
 def max_notification_delay_us(settings: Settings) -> int:
-    """Return the longest time until a change is known that discovery has and can be reached for.
+    """Return the maximum time until a change is known, once discovery has it and is reachable.
 
-    It adds up a poll that was lost at that moment, the delay of the next one, and its time in the queue.
+    It is the sum of a poll lost at that moment, the delay of the next poll, and its time in the queue.
     """
     return max(max_poll_gap_us(settings), POLL_TIMEOUT_US + MIN_SPREAD_US) + RESPONSE_LIMIT_US
 
@@ -59,33 +59,33 @@
     __slots__ = ("next_poll_us", "_settings", "_timers", "_random", "_failures", "_last_poll_us")
 
     def __init__(self, settings: Settings, timers: TimerQueue, rng: random.Random, now_us: int) -> None:
-        self.next_poll_us = 0  # 0 = not scheduled, as the list is watched
+        self.next_poll_us = 0  # 0 = none is scheduled, since the list is watched
         self._settings = settings
         self._timers = timers
         self._random = rng
-        self._failures = 0  # in a row
+        self._failures = 0  # consecutive failures
         self._last_poll_us = now_us
         first_us = min(settings.max_poll_interval_us // 2, max_poll_gap_us(settings))
         self._schedule(now_us + self._backoff_us(first_us), now_us)
 
     def record_failure(self, watch_stalled: bool, now_us: int) -> None:
-        """Schedule the next poll after one that failed, or after a watch that broke or fell silent."""
+        """Schedule the next poll after a failed poll, or after a watch that broke or stalled."""
         self._failures += 1
         since_us = now_us
         if watch_stalled:
             since_us -= WATCH_TIMEOUT_US
-        elif self.next_poll_us != 0:  # there was no watch, so it was a poll that failed
+        elif self.next_poll_us != 0:  # there was no watch, so a poll has failed
             since_us = self._last_poll_us
         longest_us = max_backoff_us(self._settings, since_us, now_us)
         self._schedule(now_us + self._backoff_us(longest_us), now_us)
 
     def record_list_received(self) -> None:
-        """Stop polling, as the list was received and is watched."""
+        """Stop polling, since the list was received and is watched."""
         self._failures = 0
         self.next_poll_us = 0
 
     def begin_due_poll(self, now_us: int) -> bool:
-        """Whether to poll now; if so, the next poll is scheduled in case that this one is lost."""
+        """Return whether to poll now; if so, schedule the next poll in case this one is lost."""
         if self.next_poll_us == 0 or now_us < self.next_poll_us:
             return False
         self._last_poll_us = now_us
@@ -94,9 +94,9 @@
         return True
 
     def _backoff_us(self, longest_us: int) -> int:
-        """Return a random delay that spreads the polls of all instances that begin at one moment.
+        """Return a random delay, which spreads polls that all instances would otherwise start at once.
 
-        The span doubles with each failure: polls at a higher rate than discovery serves all fail, and still
+        Its range doubles with each failure: at a rate above what discovery serves, all polls fail and still
         cost it work.
         """
         settings = self._settings
