--- a/plovertrail/decisions/load_balancing/warm_up_scheduler.py
+++ b/plovertrail/decisions/load_balancing/warm_up_scheduler.py
@@ -1,4 +1,4 @@
-"""When an endpoint that warms up gets its next send (rule 4 of the contract: none is overloaded)."""
+"""Schedules sends to warming endpoints so that none is overloaded (rule 4 of the contract)."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from plovertrail.decisions.load_balancing.endpoint_state import EndpointState
 from plovertrail.decisions.load_balancing.endpoint_table import EndpointTable
 
-# Of the overload factor, if the warm endpoints are at their limits: work comes in bursts.
+# The fraction of the overload factor that is used at most, since work comes in bursts.
 OVERLOAD_MARGIN = 0.6
-LOW_LOAD_SHARE = 0.4  # of that, while the warm endpoints respond fast and need no help
-FULL_SHARE_LOAD = 0.4  # of the slow response time: from here on they need all of it
+LOW_LOAD_SHARE = 0.4  # the fraction of that used while the warm endpoints respond fast
+FULL_SHARE_LOAD = 0.4  # load of the warm endpoints (1 = slow response time) from which all of it is used
 
 
 class WarmUpScheduler:
-    """Schedules the sends to endpoints that warm up."""
+    """Schedules sends to warming endpoints."""
 
     __slots__ = ("_table", "_random")
 
@@ -23,17 +23,18 @@
         self._random = rng
 
     def schedule_first_send(self, endpoint: EndpointState, now_us: int) -> None:
-        """Schedule the first send after a random part of the usual interval.
+        """Schedule the first send after a random fraction of the normal interval.
 
-        All instances learn of a start almost together, and must not send to the endpoint in one burst.
+        All instances learn of a new endpoint almost at once, and must not send to it in one burst.
         """
         self.schedule_send(endpoint, self._random.random(), now_us)
 
     def schedule_send(self, endpoint: EndpointState, intervals: float, now_us: int) -> None:
-        """Schedule the next send after a number of usual intervals.
+        """Schedule the next send after a number of normal intervals.
 
-        An endpoint gets a share of what this instance sees served by the group, by its warm-up fraction and
-        capacity, times what it tolerates. Whatever the demand, the fleet serves no more than it can.
+        The endpoint gets a share of the requests that the group serves for this instance, by its capacity,
+        warm-up fraction and overload tolerance. This limits the sends of all instances together, since the
+        fleet serves no more than its capacity, whatever the demand.
         """
         table = self._table
         group = endpoint.group
@@ -52,12 +53,12 @@
         table.update_selection_weight(endpoint, now_us)
 
     def _tolerated_fraction(self, endpoint: EndpointState, now_us: int) -> float:
-        """Return the fraction of a warm endpoint's share that an endpoint may be sent."""
+        """Return the fraction of a warm endpoint's share that an endpoint may get."""
         group = endpoint.group
-        # Beside no warm endpoint at all, no response would show that help is needed.
+        # Without any warm endpoint, no response would indicate a high load.
         has_warm = len(group.active) + len(group.standby) > 0
         low_load_share = LOW_LOAD_SHARE if has_warm else 1.0
         load_share = min(1.0, max(low_load_share, group.admission.load / FULL_SHARE_LOAD))
         fraction = self._table.warm_up_fraction(endpoint, now_us)
         tolerated = min(1.0, fraction * OVERLOAD_MARGIN * self._table.settings.overload_factor * load_share)
-        return tolerated * min(1.0, endpoint.concurrency_limit)  # one that rejects may be about to collapse
+        return tolerated * min(1.0, endpoint.concurrency_limit)  # one that rejects may be close to overload
