--- a/plovertrail/decisions/load_balancing/retry_budget.py
+++ b/plovertrail/decisions/load_balancing/retry_budget.py
@@ -1,9 +1,9 @@
-"""The budget of retries, which bounds how far retries can multiply the load of a failing fleet."""
+"""The retry budget, which limits how far retries can multiply the load on a failing fleet."""
 
 from __future__ import annotations
 
-RETRY_SHARE = 0.2  # retries that a first attempt earns: enough if a fifth of the fleet fails every attempt
-MAX_RETRY_BALANCE = 5.0  # retries that may be saved up in quiet times
+RETRY_SHARE = 0.2  # retries credited per first attempt; enough if a fifth of the fleet fails every attempt
+MAX_RETRY_BALANCE = 5.0  # retries that may accumulate while few are made
 
 
 class RetryBudget:
@@ -15,13 +15,13 @@
         self.balance = MAX_RETRY_BALANCE
 
     def allows_retry(self) -> bool:
-        """Whether one retry can be paid for."""
+        """Return whether the balance allows a retry."""
         return self.balance >= 1.0
 
     def record_first_attempt(self) -> None:
-        """Credit the share of a retry that a first attempt earns."""
+        """Credit `RETRY_SHARE` for a first attempt."""
         self.balance = min(MAX_RETRY_BALANCE, self.balance + RETRY_SHARE)
 
     def record_retry(self) -> None:
-        """Charge one retry; the balance may become negative, as hedged requests are sent regardless."""
+        """Charge one retry; the balance may become negative, since hedges are sent regardless of it."""
         self.balance -= 1.0
--- a/plovertrail/decisions/load_balancing/retry_policy.py
+++ b/plovertrail/decisions/load_balancing/retry_policy.py
@@ -1,7 +1,7 @@
-"""Whether and within what time an attempt may be made, and how a request ends that gets no further attempt.
+"""Decides whether and until when attempts may be made, and the final answer if there is no further attempt.
 
-Rules 1 and 2 of the contract, as far as they do not depend on the endpoint: each request gets one final
-answer, and is rejected or retried only where that cannot execute it twice.
+This covers rules 1 and 2 of the contract as far as they do not depend on the endpoint: each request gets one
+final answer, and is rejected or retried only where a second execution is impossible or allowed.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class RetryPolicy:
-    """Decides by the class of a request, its earlier attempts, the time left and the retry budget."""
+    """Decides by request class, earlier attempts, remaining time and retry budget."""
 
     __slots__ = ("_settings", "_latencies", "_budget")
 
@@ -26,7 +26,7 @@
         self._budget = budget
 
     def may_send(self, request: RequestState, now_us: int) -> bool:
-        """Whether any endpoint may be sent this request now."""
+        """Return whether a request may be sent to any endpoint now."""
         event = request.event
         if request.is_closed or request.is_streaming or now_us >= event.due_us:
             return False
@@ -47,31 +47,31 @@
         )
 
     def may_retry(self, request: RequestState, outcome: Outcome, now_us: int) -> bool:
-        """Whether a request may be sent again after an attempt that ended like this.
+        """Return whether a request may be retried after an attempt with this outcome.
 
-        Without a budget, the retries of timeouts would double the load that keeps a slow fleet slow.
+        Without a budget, retries after timeouts would double the load that makes a fleet slow.
         """
         return outcome in RETRYABLE and self.may_send(request, now_us) and self._budget.allows_retry()
 
     def charge_attempt(self, request: RequestState) -> None:
-        """Book an attempt that is about to be made: the first one earns a part of a retry."""
+        """Credit the budget for a first attempt, or charge it for a later one."""
         if request.total_attempts() == 0:
             self._budget.record_first_attempt()
         else:
             self._budget.record_retry()
 
     def latest_start_us(self, request: RequestState) -> int:
-        """Return after when an attempt is not expected to be back in time to be of use.
+        """Return the latest time at which an attempt can be expected to respond in time.
 
-        The expected time is half the objective at most: after an outage that outlasted every response,
-        nothing would be tried again otherwise.
+        The expected response time is at most half the latency objective: otherwise, after an outage in which
+        all attempts timed out, no request would be sent any more.
         """
         class_index = request.event.class_index
         response_us = min(self._latencies.mean_us[class_index], self._latencies.slow_us[class_index])
         return request.useful_until_us - int(response_us)
 
     def attempt_timeout_us(self, request: RequestState, now_us: int) -> int:
-        """Return how long a response is waited for: while it is of use, or as usual if a retry may follow."""
+        """Return the timeout of an attempt: the useful time left, or less if a retry may follow."""
         left_us = max(1, request.useful_until_us - now_us)
         may_retry = not self._settings.hedging and self._class_of(request).effect != "at_most_once"
         if not may_retry or not self._budget.allows_retry():
@@ -81,9 +81,9 @@
         return min(left_us, max(usual_us, 4 * request.event.cost_us))
 
     def start_within_us(self, request: RequestState, now_us: int) -> int:
-        """Return how late the newest attempt may be written to be recognized as a duplicate; 0 = any time.
+        """Return within what time a retry must be written to be recognized as a duplicate; 0 = no limit.
 
-        Its connection may take so long to open that the endpoints no longer remember the first attempt.
+        Its connection may take so long to open that the endpoints no longer remember the idempotency key.
         """
         request_class = self._class_of(request)
         if request_class.effect != "deduplicated":
@@ -94,16 +94,16 @@
         return max(1, first.sent_at_us + request_class.dedup_window_us - now_us)
 
     def hedge_delay_us(self, request: RequestState) -> int | None:
-        """Return after what time a hedge may follow: soon enough to be of use, late enough to be rare."""
+        """Return the delay of a hedge, short enough to be useful and long enough to be rare; None = never."""
         if not self._settings.hedging or self._class_of(request).effect == "at_most_once":
             return None
         index = request.event.class_index
         return min(int(2 * self._latencies.mean_us[index]), self._latencies.slow_us[index])
 
     def final_answer(self, request: RequestState, uniform: float) -> Reject | Fail:
-        """Return the answer to a request that got no response; `uniform` is a random number from 0 to 1.
+        """Return the final answer to a request without a response; `uniform` is a random number from 0 to 1.
 
-        Retry-After is about one response time, spread so that rejected clients do not all retry together.
+        Retry-After is about one response time, with jitter so that rejected clients do not retry together.
         """
         if not self._may_reject(request):
             return Fail(request.event.request)
@@ -112,7 +112,7 @@
         return Reject(request.event.request, int(after_us) if self._settings.retry_after else 0)
 
     def _may_reject(self, request: RequestState) -> bool:
-        """Whether a retry by the client would be harmless; otherwise the request has failed."""
+        """Return whether a retry by the client is safe; if not, the request must be answered as failed."""
         request_class = self._class_of(request)
         return (
             request_class.effect == "idempotent"
