--- a/plovertrail/decisions/load_balancing/request_buffer.py
+++ b/plovertrail/decisions/load_balancing/request_buffer.py
@@ -1,4 +1,4 @@
-"""The one buffer: the most valuable request that found no free slot waits there for the next one."""
+"""A buffer for one request, the most valuable of those that found no free slot."""
 
 from __future__ import annotations
 
@@ -6,30 +6,30 @@
 from plovertrail.decisions.load_balancing.request_state import RequestState
 from plovertrail.decisions.settings import Settings
 
-TENANT_WINDOW = 200  # arrivals: enough to distinguish a tenant at twice its share from chance
+TENANT_WINDOW = 200  # arrivals; enough to tell a tenant at twice its share from chance
 
 
 class TenantUsage:
-    """How much of the recent traffic each tenant makes up, and how much of it is its share."""
+    """Tracks the share of each tenant in the recent traffic, relative to its quota."""
 
     __slots__ = ("_settings", "_allowed_per_s", "_arrivals")
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
         self._allowed_per_s = max(1.0, sum(tenant.allowance_per_s for tenant in settings.tenants))
-        self._arrivals = [0.0] * len(settings.tenants)  # the old ones decay
+        self._arrivals = [0.0] * len(settings.tenants)  # by tenant, with exponential decay
 
     def record_arrival(self, tenant: int) -> None:
-        """Count a request."""
+        """Count an arrival of a tenant."""
         if tenant < len(self._arrivals):
             self._arrivals = [count * (1.0 - 1.0 / TENANT_WINDOW) for count in self._arrivals]
             self._arrivals[tenant] += 1.0
 
     def weight(self, request: RequestState) -> float:
-        """Return a factor for the value of a request: less than 1 if its tenant exceeds its share.
+        """Return a factor for the value of a request, below 1 if its tenant exceeds its share.
 
-        The share is estimated from the tenants seen here unless the fleet's is known, as an instance does not
-        know total rates.
+        An instance does not know the rates of the whole fleet. Unless the request carries the share of its
+        tenant in the fleet's traffic, the share is estimated from local traffic.
         """
         tenant = request.event.tenant
         if tenant >= len(self._arrivals):
@@ -43,8 +43,8 @@
 class RequestBuffer:
     """Holds at most one request.
 
-    A request of more value takes the place of the one that waits: in a shortage the bulk of cheap requests
-    would keep the valuable ones out of every slot.
+    A request of higher value replaces the one that waits: otherwise, in a shortage, the many requests of low
+    value would take all slots from the few of high value.
     """
 
     __slots__ = ("waiting", "_settings", "_latencies", "_tenants")
@@ -56,16 +56,16 @@
         self._tenants = tenants
 
     def accepts(self, request: RequestState) -> bool:
-        """Whether a request may wait here, in place of the one that does."""
+        """Return whether a request may be buffered, in place of the buffered one if there is one."""
         return self.waiting is None or self._value(request) > self._value(self.waiting)
 
     def discard(self, request: RequestState) -> None:
-        """Let a request wait no more if it does."""
+        """Remove a request if it is the buffered one."""
         if self.waiting is request:
             self.waiting = None
 
     def _value(self, request: RequestState) -> float:
-        """Return the value of a slot's time given to a request."""
+        """Return the value of a request per unit of slot time."""
         class_index = request.event.class_index
         value = self._settings.classes[class_index].priority_weight
         if not self._settings.weight_by_work:
--- a/plovertrail/decisions/load_balancing/request_state.py
+++ b/plovertrail/decisions/load_balancing/request_state.py
@@ -1,4 +1,4 @@
-"""The state of one request that is owed a final answer, or that still has attempts in flight."""
+"""The state of a request that has no final answer yet, or that still has attempts in flight."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
         self.event = event
         late_is_useful = request_class.late_weight > 0
         limit_us = request_class.deadline_us if late_is_useful else request_class.latency_objective_us
-        self.useful_until_us = min(now_us + limit_us, event.due_us)  # a later response earns nothing
+        self.useful_until_us = min(now_us + limit_us, event.due_us)  # a later response has no value
         self.attempts: list[AttemptState] = []
-        self.in_flight = 0  # attempts that have not ended
-        self.is_closed = False  # the final answer was given, or the client has left
-        self.is_streaming = False  # a part of a response has been passed on
+        self.in_flight = 0  # number of attempts that have not ended
+        self.is_closed = False  # the final answer was given, or the client has disconnected
+        self.is_streaming = False  # part of a response has been forwarded
 
     def total_attempts(self) -> int:
-        """Return the number of attempts, including those of other pools."""
+        """Return the number of attempts, including those made by other pools."""
         return self.event.earlier_attempts + len(self.attempts)
 
     def first_that_may_have_run(self) -> AttemptState | None:
