--- a/plovertrail/decisions/load_balancing/attempt_sending.py
+++ b/plovertrail/decisions/load_balancing/attempt_sending.py
@@ -1,4 +1,4 @@
-"""Starts an attempt: takes a slot, charges admission and the retry budget, and sets its timers."""
+"""Starts attempts: takes a slot, charges admission and the retry budget, and sets the timers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class AttemptSender:
-    """Sends requests to endpoints that were selected for them."""
+    """Sends requests to the endpoints selected for them."""
 
     __slots__ = ("_table", "_warm_ups", "_retries", "_tracker", "_timers")
 
@@ -33,7 +33,7 @@
         self._timers = timers
 
     def send(self, request: RequestState, endpoint: EndpointState, now_us: int) -> Send:
-        """Start an attempt and return the action that carries it out."""
+        """Start an attempt and return the action that sends it."""
         event = request.event
         self._take_slot(endpoint, now_us)
         self._retries.charge_attempt(request)
--- a/plovertrail/decisions/load_balancing/attempt_state.py
+++ b/plovertrail/decisions/load_balancing/attempt_state.py
@@ -1,4 +1,4 @@
-"""The state of one attempt: one send of a request to one endpoint."""
+"""The state of one attempt: a single send of a request to an endpoint."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptState:
-    """One attempt; its index in the request's list is the attempt's number."""
+    """One attempt. Its number is its index in `RequestState.attempts`."""
 
     endpoint: EndpointState
-    listed: Endpoint  # the endpoint as it was listed when the attempt was sent
+    listed: Endpoint  # the list entry of the endpoint when the attempt was sent
     class_index: int
     sent_at_us: int
-    later_answered: int = 0  # later sends to the same endpoint that were answered first
-    later_answered_in_class: bool = False  # one of those was of the same request class
-    no_response: bool = False  # it has been in flight for longer than a response takes
-    slot_released: bool = False  # its slot was freed although it has not ended
+    later_answered: int = 0  # number of later sends to the same endpoint that were answered first
+    later_answered_in_class: bool = False  # one of them was of the same request class
+    no_response: bool = False  # it is overdue: in flight for longer than the latency objective
+    slot_released: bool = False  # its slot was freed before it ended
     outcome: Outcome | None = None  # None while it is in flight
--- a/plovertrail/decisions/load_balancing/event_rate.py
+++ b/plovertrail/decisions/load_balancing/event_rate.py
@@ -1,4 +1,4 @@
-"""How often something has happened recently."""
+"""Estimates the recent rate of events."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class EventRate:
-    """An exponentially decaying rate of events."""
+    """A rate of events as an exponential moving average."""
 
     __slots__ = ("per_second", "updated_at_us")
 
--- a/plovertrail/decisions/load_balancing/latency_estimates.py
+++ b/plovertrail/decisions/load_balancing/latency_estimates.py
@@ -1,10 +1,10 @@
-"""The usual response time of each request class."""
+"""Estimates of the response time of each request class."""
 
 from __future__ import annotations
 
 from plovertrail.decisions.settings import RequestClass
 
-INITIAL_DIVISOR = 4  # of the latency objective, a first guess is this part
+INITIAL_DIVISOR = 4  # the initial estimate is the latency objective divided by this
 
 
 class LatencyEstimates:
@@ -14,12 +14,12 @@
 
     def __init__(self, classes: list[RequestClass]) -> None:
         self.mean_us = [each.latency_objective_us / INITIAL_DIVISOR for each in classes]
-        # The time of a slow response, and how long a request may wait for a slot: the other half of the
-        # objective is left for a retry.
+        # From this time on a response counts as slow, and a request waits for a slot no longer than this: the
+        # other half of the objective is left for a retry.
         self.slow_us = [each.latency_objective_us // 2 for each in classes]
 
     def record(self, class_index: int, elapsed_us: int) -> None:
-        """Record an attempt; a timeout counts as the objective at most."""
+        """Record the time of an attempt, which counts as no more than the latency objective."""
         mean_us = self.mean_us[class_index]
         elapsed_us = min(elapsed_us, 2 * self.slow_us[class_index])
         self.mean_us[class_index] = max(1.0, mean_us + (elapsed_us - mean_us) / 8)
--- a/plovertrail/decisions/load_balancing/pending_actions.py
+++ b/plovertrail/decisions/load_balancing/pending_actions.py
@@ -1,14 +1,14 @@
-"""The actions of one event, collected until it has been handled."""
+"""Collects the actions of an event until it has been handled."""
 
 from __future__ import annotations
 
 from plovertrail.decisions.actions import Action, Log
 
-MIN_LOG_INTERVAL_US = 1_000_000  # a line a second at most, however many endpoints change
+MIN_LOG_INTERVAL_US = 1_000_000  # at most one line per second, however many endpoints change state
 
 
 class PendingActions:
-    """A list of actions in the order in which they are to be carried out, and a rate limit on log lines."""
+    """The actions in the order in which to carry them out, and a rate limit for log lines."""
 
     __slots__ = ("pending", "_next_log_us")
 
@@ -17,7 +17,7 @@
         self._next_log_us = now_us
 
     def log(self, text: str, now_us: int) -> bool:
-        """Add a log line; returns False if it is too soon, and the caller tries again if it still holds."""
+        """Add a log line; return False if the rate limit forbids it, and the caller may try again later."""
         if now_us < self._next_log_us:
             return False
         self._next_log_us = now_us + MIN_LOG_INTERVAL_US
@@ -25,7 +25,7 @@
         return True
 
     def take(self) -> list[Action]:
-        """Return the actions, and begin anew."""
+        """Return the collected actions and clear the list."""
         actions = self.pending
         self.pending = []
         return actions
--- a/plovertrail/decisions/load_balancing/slot_reopening.py
+++ b/plovertrail/decisions/load_balancing/slot_reopening.py
@@ -1,4 +1,4 @@
-"""Slots that open by time and not by an event: the ends of cool-downs, warm-ups, exclusions and penalties."""
+"""Opens slots because of time alone: at the end of cool-downs, warm-ups, exclusions and penalties."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class SlotReopener:
-    """Brings the selection weights up to date with the time."""
+    """Updates the selection weights that change with time."""
 
     __slots__ = ("rechecks", "_table", "_penalties", "_exclusions")
 
@@ -27,7 +27,7 @@
         self._exclusions = exclusions
 
     def reopen_due(self, now_us: int) -> None:
-        """Apply everything that is due."""
+        """Apply all changes that are due."""
         self._penalties.decay_due(now_us)
         while (endpoint_id := self.rechecks.pop_due(now_us)) is not None:
             endpoint = self._table.by_id.get(endpoint_id)
@@ -36,11 +36,11 @@
         self._exclusions.end_due(now_us)
 
     def next_opening_us(self, class_index: int) -> int:
-        """Return when the next slot may open by time for a request of this class."""
+        """Return when the next slot may open, without an event, for a request of this class."""
         return min(self.rechecks.next_due_us(), self._exclusions.next_end_us(class_index))
 
     def forget(self, endpoint: EndpointState) -> None:
-        """Drop the penalty and the exclusions of an endpoint that was removed."""
+        """Drop the penalty and exclusions of a removed endpoint."""
         self._penalties.forget(endpoint.listed.id)
         self._exclusions.forget(endpoint)
 
@@ -49,8 +49,8 @@
         is_warm = self._table.warm_up_fraction(endpoint, now_us) >= 1.0
         if is_warm and endpoint.listed.id in warming:
             warming.discard(endpoint.listed.id)
-            # If half of a fleet was replaced, all instances would otherwise crowd the old endpoints, which
-            # are active and slow but have a slot free, and the fast new ones would stay idle.
+            # Otherwise, if half of a fleet was replaced, all instances would overload the old endpoints, as
+            # these are active and slow but have a free slot, while the fast new ones stay idle.
             if endpoint.relative_latency < 1.0:
                 self._table.set_active(endpoint, True, now_us)
         self._table.update_selection_weight(endpoint, now_us)
--- a/plovertrail/decisions/load_balancing/weighted_sampler.py
+++ b/plovertrail/decisions/load_balancing/weighted_sampler.py
@@ -1,9 +1,9 @@
-"""Random sampling in proportion to weights that change all the time.
+"""Random sampling in proportion to frequently changing weights.
 
-A binary tree of sums over the weights (Wong and Easton, "An Efficient Method for Weighted Sampling without
-Replacement", SIAM J. Comput. 9, 1980): a change goes from a leaf to the root and a sample back, so both cost
-the logarithm of the number of members. The sums on the way up are added anew rather than adjusted, so that
-rounding errors do not accumulate.
+A binary tree of partial sums of the weights (Wong and Easton, "An Efficient Method for Weighted Sampling
+without Replacement", SIAM J. Comput. 9, 1980): a change updates the path from a leaf to the root, and a
+sample descends from the root to a leaf, so both take logarithmic time. The sums on the path are recomputed
+rather than adjusted by the difference, so that rounding errors do not accumulate.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
     @property
     def total_weight(self) -> float:
-        """The sum of all weights."""
+        """Sum of all weights."""
         return self._sums[1]
 
     def set(self, member: int, weight: float) -> None:
@@ -52,7 +52,7 @@
         self._put(leaf, weight)
 
     def change(self, member: int, weight: float) -> bool:
-        """Change the weight of a member; returns False if it is none."""
+        """Change the weight of a member; return False if it is not a member."""
         leaf = self._leaves.get(member)
         if leaf is None:
             return False
@@ -60,14 +60,14 @@
         return True
 
     def discard(self, member: int) -> None:
-        """Remove a member if it is one."""
+        """Remove a member; do nothing if it is not one."""
         leaf = self._leaves.pop(member, None)
         if leaf is not None:
             self._put(leaf, 0.0)
             self._free_leaves.append(leaf)
 
     def sample(self, uniform: float) -> int | None:
-        """Return the member that a number from 0 to 1 (without 1) falls to; None if all weights are 0."""
+        """Return the member selected by a uniform random number in [0, 1); None if all weights are 0."""
         sums = self._sums
         remainder = uniform * sums[1]
         if sums[1] <= 0.0:
