--- a/tests/decisions/load_balancing/harness.py
+++ b/tests/decisions/load_balancing/harness.py
@@ -99,7 +99,7 @@
         self.listed: dict[int, Endpoint] = {}
         self.not_ready_since_us: dict[int, int] = {}  # by id of a draining or removed endpoint
         self.timers: list[tuple[int, int]] = []
-        self.log: list[Action] = []
+        self.actions: list[Action] = []
         self.next_id = 1
 
     # Events
@@ -108,7 +108,7 @@
         actions = self.balancer.handle(self.now_us, event)
         for action in actions:
             self.check(action)
-        self.log.extend(actions)
+        self.actions.extend(actions)
         return actions
 
     def update_endpoints(self, entries: list[Endpoint], kind: ListKind = ListKind.FULL) -> list[Action]:
@@ -253,10 +253,10 @@
     # Results
 
     def sends(self, request: int | None = None) -> list[Send]:
-        return [a for a in self.log if isinstance(a, Send) and request in (None, a.request)]
+        return [a for a in self.actions if isinstance(a, Send) and request in (None, a.request)]
 
     def answer(self, request: int) -> Action | None:
-        for action in self.log:
+        for action in self.actions:
             if isinstance(action, Reject | Fail) and action.request == request:
                 return action
         return None
--- a/tests/decisions/load_balancing/test_contract_rules.py
+++ b/tests/decisions/load_balancing/test_contract_rules.py
@@ -149,7 +149,7 @@
             extra = dice.choice(list(EndpointStatus)) if kind == "list" else dice.randrange(30_000_000)
         play(harness, (kind, number, extra))
     harness.advance(5_000_000)
-    return list(harness.log)
+    return list(harness.actions)
 
 
 def test_heavy_use_breaks_no_rule_and_is_decided_alike_each_time() -> None:
--- a/tests/decisions/load_balancing/test_endpoint_updates.py
+++ b/tests/decisions/load_balancing/test_endpoint_updates.py
@@ -29,8 +29,8 @@
 
 
 def poll_positions(harness: BalancerHarness) -> list[int]:
-    """The positions of the polls in the log of actions."""
-    return [i for i, action in enumerate(harness.log) if isinstance(action, Subscribe)]
+    """Return the indexes of the polls among all actions."""
+    return [i for i, action in enumerate(harness.actions) if isinstance(action, Subscribe)]
 
 
 def test_a_list_on_request_is_watched() -> None:
@@ -165,7 +165,7 @@
     request = harness.request_arrives(0)
     harness.advance(2_000_000)
     assert harness.answer(request) is not None
-    assert all(t.at_us > START_US for t in harness.log if isinstance(t, SetTimer))
+    assert all(t.at_us > START_US for t in harness.actions if isinstance(t, SetTimer))
 
 
 def test_forty_instances_starting_together_get_the_list_from_a_discovery_that_rejects() -> None:
--- a/tests/decisions/load_balancing/test_overload_logging.py
+++ b/tests/decisions/load_balancing/test_overload_logging.py
@@ -14,7 +14,7 @@
 
 
 def log_lines(harness: BalancerHarness) -> list[str]:
-    return [action.text for action in harness.log if isinstance(action, Log)]
+    return [action.text for action in harness.actions if isinstance(action, Log)]
 
 
 def end_all_attempts(harness: BalancerHarness, outcome: Outcome) -> None:
--- a/tests/decisions/load_balancing/test_selection_reference.py
+++ b/tests/decisions/load_balancing/test_selection_reference.py
@@ -258,11 +258,11 @@
     balancer = played.balancer
     assert 100 in balancer.table.groups[0].active
     assert balancer.endpoints[100].in_flight == 1
-    before = len(played.log)
+    before = len(played.actions)
     balancer.requests[old].attempts[0].endpoint.concurrency_limit = 0.01
     played.end_attempt(old, 0, Outcome.REJECTED)
     assert 100 in balancer.table.groups[0].active
-    assert not [action for action in played.log[before:] if isinstance(action, CloseIdle)]
+    assert not [action for action in played.actions[before:] if isinstance(action, CloseIdle)]
     check_consistency(balancer)
 
 
