--- a/tests/decisions/load_balancing/harness.py
+++ b/tests/decisions/load_balancing/harness.py
@@ -1,7 +1,7 @@
-"""A test harness around a LoadBalancer that carries out its actions and checks the contract.
+"""A test harness that drives a LoadBalancer, carries out its actions and checks them against the contract.
 
-Tests say what happens and when. Every action is checked against the four rules of the contract, from records
-that are independent of the load balancer's own.
+Every action is checked against the four rules of the contract with records that the harness keeps by itself,
+independently of the state of the load balancer.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
 
 
 def ready_endpoints(count: int, **changes: Any) -> list[Endpoint]:
-    """Return ready endpoints, two to a cell and to a zone."""
+    """Return ready endpoints, two per zone and per cell."""
     return [Endpoint(100 + i, zone=i // 2, cell=i // 2, **changes) for i in range(count)]
 
 
@@ -84,10 +84,10 @@
     is_streaming: bool = False
 
     def may_have_run(self) -> list[RecordedAttempt]:
-        return [t for t in self.attempts if t.outcome not in NEVER_RAN]
+        return [attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN]
 
     def in_flight(self) -> list[int]:
-        return [n for n, t in enumerate(self.attempts) if t.outcome is None]
+        return [number for number, attempt in enumerate(self.attempts) if attempt.outcome is None]
 
 
 class BalancerHarness:
@@ -97,7 +97,7 @@
         self.balancer = LoadBalancer(self.settings, seed, self.now_us)
         self.requests: dict[int, RecordedRequest] = {}
         self.listed: dict[int, Endpoint] = {}
-        self.not_ready_since_us: dict[int, int] = {}  # by id of a draining or removed endpoint
+        self.not_ready_since_us: dict[int, int] = {}  # by endpoint id; draining and removed endpoints
         self.timers: list[tuple[int, int]] = []
         self.actions: list[Action] = []
         self.next_id = 1
@@ -119,15 +119,15 @@
             else:
                 self.not_ready_since_us.setdefault(entry.id, self.now_us)
         if kind in (ListKind.FULL, ListKind.CACHED):
-            for request_id in self.listed.keys() - {e.id for e in entries}:
-                self.not_ready_since_us.setdefault(request_id, self.now_us)
+            for endpoint_id in self.listed.keys() - {entry.id for entry in entries}:
+                self.not_ready_since_us.setdefault(endpoint_id, self.now_us)
         return self.handle_event(EndpointsUpdated(kind, entries))
 
-    def request_arrives(self, class_index: int = 0, patience_us: int | None = None, **fields: Any) -> int:
+    def request_arrives(self, class_index: int = 0, timeout_us: int | None = None, **fields: Any) -> int:
         request_id = self.next_id
         self.next_id += 1
-        patience = patience_us or self.settings.classes[class_index].deadline_us
-        event = RequestArrived(request_id, self.now_us + patience, class_index, **fields)
+        due_in_us = timeout_us or self.settings.classes[class_index].deadline_us
+        event = RequestArrived(request_id, self.now_us + due_in_us, class_index, **fields)
         self.requests[request_id] = RecordedRequest(event)
         self.handle_event(event)
         return request_id
@@ -136,9 +136,9 @@
         self, request: int, attempt: int, outcome: Outcome, **fields: list[float]
     ) -> list[Action]:
         record = self.requests[request]
-        this = record.attempts[attempt]
-        assert this.outcome is None
-        this.outcome = outcome
+        ended = record.attempts[attempt]
+        assert ended.outcome is None
+        ended.outcome = outcome
         if (outcome is Outcome.OK or record.is_streaming) and not record.is_closed:
             record.is_closed = True
             record.answers += 1
@@ -146,9 +146,9 @@
             AttemptEnded(
                 request,
                 attempt,
-                this.endpoint_id,
+                ended.endpoint_id,
                 outcome,
-                self.now_us - this.sent_us,
+                self.now_us - ended.sent_us,
                 record.is_closed,
                 **fields,
             )
@@ -166,32 +166,32 @@
         self.handle_event(RequestCancelled(request))
 
     def advance(self, by_us: int) -> None:
-        """Move the clock, firing the timers and timeouts that are due on the way."""
+        """Advance the clock, and fire the timers and attempt timeouts that become due."""
         end_us = self.now_us + by_us
         while True:
-            due = [(at, 1, token, 0) for at, token in self.timers]
+            due = [(at_us, 1, token, 0) for at_us, token in self.timers]
             due += [
-                (t.ends_us, 0, request_id, n)
+                (attempt.ends_us, 0, request_id, number)
                 for request_id, record in self.requests.items()
                 if not record.is_streaming
-                for n, t in enumerate(record.attempts)
-                if t.outcome is None
+                for number, attempt in enumerate(record.attempts)
+                if attempt.outcome is None
             ]
-            due = [d for d in due if d[0] <= end_us]
+            due = [each for each in due if each[0] <= end_us]
             if not due:
                 break
-            at, kind, first, second = min(due)
-            self.now_us = max(self.now_us, at)
-            if kind == 0:
-                self.end_attempt(first, second, Outcome.TIMEOUT)
+            at_us, is_timer, request_id_or_token, number = min(due)
+            self.now_us = max(self.now_us, at_us)
+            if is_timer == 0:
+                self.end_attempt(request_id_or_token, number, Outcome.TIMEOUT)
             else:
-                self.timers.remove((at, first))
-                self.handle_event(TimerFired(first))
+                self.timers.remove((at_us, request_id_or_token))
+                self.handle_event(TimerFired(request_id_or_token))
         self.now_us = end_us
         slack_us = 4 * self.settings.tick_us
         for request_id, record in self.requests.items():
             overdue = self.now_us > record.event.due_us + slack_us and not record.is_streaming
-            assert not overdue or record.answers == 1, f"rule 1: request {request_id} is unanswered past due"
+            assert not overdue or record.answers == 1, f"rule 1: request {request_id} is overdue"
 
     # Checks
 
@@ -201,35 +201,35 @@
         elif isinstance(action, Reject | Fail):
             self.check_answer(action)
         elif isinstance(action, Cancel):
-            assert self.settings.cancel, "a cancel where none is allowed"
-            assert action.attempt < len(self.requests[action.request].attempts), "a cancel of no attempt"
+            assert self.settings.cancel, "cancelled although cancellation is not allowed"
+            assert action.attempt < len(self.requests[action.request].attempts), "no such attempt"
         elif isinstance(action, SetTimer):
             assert action.at_us >= self.now_us
             self.timers.append((action.at_us, action.token))
         elif isinstance(action, HealthCheck):
-            assert self.settings.health_checks, "a health check where none is allowed"
+            assert self.settings.health_checks, "sent a health check although they are not allowed"
         else:
             assert not isinstance(action, Subscribe | PollEndpoints) or self.settings.endpoints_on_request
 
     def check_send(self, send: Send) -> None:
         record = self.requests[send.request]
         entry = self.listed[send.endpoint_id]
-        kind = self.settings.classes[record.event.class_index]
-        assert not record.is_closed, "rule 1: a send after the end"
+        request_class = self.settings.classes[record.event.class_index]
+        assert not record.is_closed, "rule 1: sent after the final answer"
         assert len(record.attempts) < self.settings.max_attempts, "more attempts than allowed"
         assert send.endpoint_id not in self.not_ready_since_us, (
-            "rule 3: a send to a draining or removed endpoint"
+            "rule 3: sent to a draining or removed endpoint"
         )
-        assert self.settings.hedging or not record.in_flight(), "rule 2: two attempts in flight together"
+        assert self.settings.hedging or not record.in_flight(), "rule 2: two attempts in flight at once"
         for earlier in record.may_have_run():
-            assert kind.effect != "at_most_once", "rule 2: an at-most-once request sent again"
-            if kind.effect == "deduplicated":
-                left_us = earlier.sent_us + kind.dedup_window_us - self.now_us
+            assert request_class.effect != "at_most_once", "rule 2: retried an at-most-once request"
+            if request_class.effect == "deduplicated":
+                left_us = earlier.sent_us + request_class.dedup_window_us - self.now_us
                 assert 0 < send.start_within_us <= left_us, (
-                    "rule 2: after the dedup window, or once its connection is up"
+                    "rule 2: sent after the dedup window, or may be written after it"
                 )
-                assert kind.dedup_scope != "cell" or entry.cell == earlier.cell, "rule 2: outside the cell"
-                assert kind.dedup_scope != "zone" or entry.zone == earlier.zone, "rule 2: outside the zone"
+                assert request_class.dedup_scope != "cell" or entry.cell == earlier.cell, "rule 2: other cell"
+                assert request_class.dedup_scope != "zone" or entry.zone == earlier.zone, "rule 2: other zone"
         ends_us = record.event.due_us
         if send.timeout_us:
             ends_us = min(ends_us, self.now_us + send.timeout_us)
@@ -239,21 +239,21 @@
 
     def check_answer(self, answer: Reject | Fail) -> None:
         record = self.requests[answer.request]
-        kind = self.settings.classes[record.event.class_index]
-        assert not record.is_closed, "rule 1: a second answer"
+        request_class = self.settings.classes[record.event.class_index]
+        assert not record.is_closed, "rule 1: a second final answer"
         record.is_closed = True
         record.answers += 1
         if isinstance(answer, Reject):
             assert answer.retry_after_us <= self.settings.max_retry_after_us
-            harmless = kind.effect == "idempotent" or (
-                kind.effect == "deduplicated" and kind.dedup_scope == "all"
+            may_run_again = request_class.effect == "idempotent" or (
+                request_class.effect == "deduplicated" and request_class.dedup_scope == "all"
             )
-            assert harmless or not record.may_have_run(), "rule 2: a rejection of a request that may have run"
+            assert may_run_again or not record.may_have_run(), "rule 2: rejected a request that may have run"
 
     # Results
 
     def sends(self, request: int | None = None) -> list[Send]:
-        return [a for a in self.actions if isinstance(a, Send) and request in (None, a.request)]
+        return [each for each in self.actions if isinstance(each, Send) and request in (None, each.request)]
 
     def answer(self, request: int) -> Action | None:
         for action in self.actions:
--- a/tests/decisions/load_balancing/scenarios.py
+++ b/tests/decisions/load_balancing/scenarios.py
@@ -1,4 +1,4 @@
-"""Situations that several tests begin with."""
+"""Setups and traffic patterns shared by several tests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """An endpoint whose attempts all end with one outcome."""
+    """An endpoint all of whose attempts end with the same outcome."""
 
     endpoint_id: int
     outcome: Outcome = Outcome.REJECTED
@@ -25,13 +25,13 @@
 
 
 def fill_slots(harness: BalancerHarness) -> list[int]:
-    """Take every slot; the last request is the one in the buffer."""
-    taken = []
+    """Send requests until all slots are taken; the last one returned is in the buffer."""
+    requests = []
     for _ in range(1000):
-        taken.append(harness.request_arrives(READ))
-        if not harness.sends(taken[-1]):
-            return taken
-    raise AssertionError("the slots never ran out")
+        requests.append(harness.request_arrives(READ))
+        if not harness.sends(requests[-1]):
+            return requests
+    raise AssertionError("there are still free slots after 1000 requests")
 
 
 def run_requests(
@@ -39,12 +39,12 @@
     steps: int,
     fault: Fault | None = None,
     class_index: int = READ,
-    took_us: int = 10_000,
+    response_us: int = 10_000,
 ) -> None:
-    """Start a request a step; attempts in flight end with the step, with `fault` at its endpoint."""
+    """Start one request per step, and end all attempts in flight at the end of the step."""
     for _ in range(steps):
         harness.request_arrives(class_index)
-        harness.advance(took_us)
+        harness.advance(response_us)
         for request_id in [i for i, record in harness.requests.items() if record.in_flight()]:
             for attempt in harness.requests[request_id].in_flight():
                 endpoint_id = harness.requests[request_id].attempts[attempt].endpoint_id
@@ -54,15 +54,15 @@
 
 
 def count_slots(harness: BalancerHarness) -> int:
-    """How many requests can be in flight now; they are ended again."""
-    taken = [r for r in fill_slots(harness) if harness.sends(r)]
-    for request in taken:
+    """Return how many requests can be in flight at once; they have ended afterwards."""
+    sent = [request for request in fill_slots(harness) if harness.sends(request)]
+    for request in sent:
         harness.end_attempt(request, 0, Outcome.OK)
-    return len(taken)
+    return len(sent)
 
 
 def run_slow_requests(harness: BalancerHarness, seconds: int) -> None:
-    """Every response takes longer than the objective."""
+    """Start one request per second, each of which times out."""
     for _ in range(seconds):
         harness.request_arrives(PAY)
         harness.advance(1_000_000)
--- a/tests/decisions/load_balancing/test_concurrency_limits.py
+++ b/tests/decisions/load_balancing/test_concurrency_limits.py
@@ -25,7 +25,7 @@
     def rounds(count: int, took_us: int) -> None:
         for _ in range(count):
             fill_slots(harness)
-            run_requests(harness, 1, took_us=took_us)
+            run_requests(harness, 1, response_us=took_us)
 
     rounds(60, 20_000)
     run_requests(harness, 1)
@@ -46,7 +46,7 @@
     harness = ready_harness(1)
     for _ in range(80):
         fill_slots(harness)
-        run_requests(harness, 1, took_us=20_000)
+        run_requests(harness, 1, response_us=20_000)
     run_requests(harness, 1)
     return harness
 
@@ -54,7 +54,7 @@
 def test_one_heavy_request_among_fast_responses_shrinks_no_limit() -> None:
     harness = busy_harness()
     before = count_slots(harness)
-    run_requests(harness, 1, took_us=170_000)  # over half the aim
+    run_requests(harness, 1, response_us=170_000)  # over half the aim
     assert count_slots(harness) >= before - 1
 
 
@@ -86,8 +86,8 @@
         harness = ready_harness(4)
         for _ in range(6):
             fill_slots(harness)
-            run_requests(harness, 1, took_us=took_us)
-        run_requests(harness, 1, took_us=took_us)
+            run_requests(harness, 1, response_us=took_us)
+        run_requests(harness, 1, response_us=took_us)
         counts.append(count_slots(harness))
     assert counts[0] > counts[1]
 
--- a/tests/decisions/load_balancing/test_contract_rules.py
+++ b/tests/decisions/load_balancing/test_contract_rules.py
@@ -78,7 +78,7 @@
     ]
     if what == "arrive":
         assert isinstance(extra, int)
-        harness.request_arrives(number, patience_us=extra)
+        harness.request_arrives(number, timeout_us=extra)
     elif what == "advance":
         harness.advance(number)
     elif what in ("list", "restart"):
--- a/tests/decisions/load_balancing/test_dispatch.py
+++ b/tests/decisions/load_balancing/test_dispatch.py
@@ -51,7 +51,7 @@
 
 def test_a_request_too_close_to_its_deadline_is_rejected_unsent() -> None:
     harness = ready_harness()
-    request = harness.request_arrives(READ, patience_us=1_000)
+    request = harness.request_arrives(READ, timeout_us=1_000)
     assert isinstance(harness.answer(request), Reject)
     assert not harness.sends(request)
 
@@ -100,7 +100,7 @@
 
 def test_responses_in_no_measurable_time_are_handled() -> None:
     harness = ready_harness()
-    run_requests(harness, 50, took_us=0)
+    run_requests(harness, 50, response_us=0)
     waiting, last = fill_slots(harness)[-1], harness.request_arrives(PAY)
     assert [harness.answer(r) is None for r in (waiting, last)].count(True) == 1
 
--- a/tests/decisions/load_balancing/test_endpoint_selection.py
+++ b/tests/decisions/load_balancing/test_endpoint_selection.py
@@ -33,13 +33,13 @@
 
 def test_an_instance_with_little_traffic_uses_few_of_many_endpoints() -> None:
     harness = ready_harness(60, instances=400)
-    run_requests(harness, 100, took_us=1_000_000)
+    run_requests(harness, 100, response_us=1_000_000)
     assert len({s.endpoint_id for s in harness.sends()}) <= 6
 
 
 def test_an_instance_that_becomes_busy_uses_more_endpoints() -> None:
     harness = ready_harness(60, instances=400)
-    run_requests(harness, 600, took_us=20_000)
+    run_requests(harness, 600, response_us=20_000)
     assert len({s.endpoint_id for s in harness.sends()}) >= 30
 
 
--- a/tests/decisions/load_balancing/test_slow_start.py
+++ b/tests/decisions/load_balancing/test_slow_start.py
@@ -15,9 +15,9 @@
 def test_an_endpoint_that_just_started_gets_few_requests() -> None:
     harness = BalancerHarness(settings(instances=24))
     harness.update_endpoints(ready_endpoints(3))
-    run_requests(harness, 20, took_us=20_000)
+    run_requests(harness, 20, response_us=20_000)
     harness.update_endpoints([Endpoint(1, started_us=harness.now_us - 1_000), *ready_endpoints(3)])
-    run_requests(harness, 150, took_us=20_000)
+    run_requests(harness, 150, response_us=20_000)
     warming = sum(1 for s in harness.sends() if s.endpoint_id == 1)
     assert 0 < warming <= 8  # an even share would be 37
 
@@ -27,7 +27,7 @@
     harness.update_endpoints(
         [Endpoint(1, started_us=harness.now_us - 12_000_000), *ready_endpoints(3)]
     )  # two thirds warm
-    run_requests(harness, 1000, took_us=5_000)
+    run_requests(harness, 1000, response_us=5_000)
     warming = sum(1 for s in harness.sends() if s.endpoint_id == 1)
     assert 0 < warming < 190  # an even share would be 250
 
@@ -38,9 +38,9 @@
     def part(took_us: int) -> float:
         harness = BalancerHarness(settings(instances=40, warm_up_us=2_000_000_000))
         harness.update_endpoints([Endpoint(1, started_us=harness.now_us - 1_000), *ready_endpoints(9)])
-        run_requests(harness, 600, took_us=took_us)
+        run_requests(harness, 600, response_us=took_us)
         before = len(harness.sends())
-        run_requests(harness, 600, took_us=took_us)
+        run_requests(harness, 600, response_us=took_us)
         return sum(1 for s in harness.sends()[before:] if s.endpoint_id == 1) / 600
 
     even = 0.2 / 9.2  # its part by its warmth
@@ -64,7 +64,7 @@
     harness = BalancerHarness(settings(instances=40, warm_up_us=2_000_000_000, weighted=True))
     warming = [Endpoint(1, started_us=harness.now_us, weight=3.0), Endpoint(2, started_us=harness.now_us)]
     harness.update_endpoints([*warming, *ready_endpoints(8)])
-    run_requests(harness, 2_000, took_us=20_000)
+    run_requests(harness, 2_000, response_us=20_000)
     large, small = (sum(1 for s in harness.sends() if s.endpoint_id == number) for number in (1, 2))
     assert 2.4 * small < large < 3.6 * small
 
