--- a/tests/decisions/load_balancing/harness.py
+++ b/tests/decisions/load_balancing/harness.py
@@ -119,7 +119,7 @@
             else:
                 self.not_ready_since_us.setdefault(entry.id, self.now_us)
         if kind in (ListKind.FULL, ListKind.CACHED):
-            for endpoint_id in self.listed.keys() - {entry.id for entry in entries}:
+            for endpoint_id in self.listed.keys() - {each.id for each in entries}:
                 self.not_ready_since_us.setdefault(endpoint_id, self.now_us)
         return self.handle_event(EndpointsUpdated(kind, entries))
 
@@ -180,10 +180,10 @@
             due = [each for each in due if each[0] <= end_us]
             if not due:
                 break
-            at_us, is_timer, request_id_or_token, number = min(due)
+            at_us, is_timer, request_id_or_token, attempt_number = min(due)
             self.now_us = max(self.now_us, at_us)
             if is_timer == 0:
-                self.end_attempt(request_id_or_token, number, Outcome.TIMEOUT)
+                self.end_attempt(request_id_or_token, attempt_number, Outcome.TIMEOUT)
             else:
                 self.timers.remove((at_us, request_id_or_token))
                 self.handle_event(TimerFired(request_id_or_token))
--- a/tests/decisions/load_balancing/scenarios.py
+++ b/tests/decisions/load_balancing/scenarios.py
@@ -55,7 +55,7 @@
 
 def count_slots(harness: BalancerHarness) -> int:
     """Return how many requests can be in flight at once; they have ended afterwards."""
-    sent = [request for request in fill_slots(harness) if harness.sends(request)]
+    sent = [each for each in fill_slots(harness) if harness.sends(each)]
     for request in sent:
         harness.end_attempt(request, 0, Outcome.OK)
     return len(sent)
