--- a/tests/decisions/load_balancing/test_concurrency_limits.py
+++ b/tests/decisions/load_balancing/test_concurrency_limits.py
@@ -1,4 +1,4 @@
-"""How limits grow and shrink."""
+"""Growth and reduction of concurrency limits."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
     assert count_slots(harness) == 4
 
 
-def test_limits_grow_on_demand_and_shrink_on_slow_responses() -> None:
+def test_limits_grow_on_demand_and_are_reduced_by_slow_responses() -> None:
     harness = ready_harness(4)
 
-    def rounds(count: int, took_us: int) -> None:
+    def run_rounds(count: int, response_us: int) -> None:
         for _ in range(count):
             fill_slots(harness)
-            run_requests(harness, 1, response_us=took_us)
+            run_requests(harness, 1, response_us=response_us)
 
-    rounds(60, 20_000)
+    run_rounds(60, 20_000)
     run_requests(harness, 1)
-    grown = count_slots(harness)
-    assert 8 <= grown <= 32
-    rounds(20, 250_000)
+    slots_before = count_slots(harness)
+    assert 8 <= slots_before <= 32
+    run_rounds(20, 250_000)
     run_requests(harness, 3)
-    assert count_slots(harness) < grown / 2
+    assert count_slots(harness) < slots_before / 2
 
 
 def test_limits_begin_at_one_slot_whatever_the_number_of_instances() -> None:
@@ -42,7 +42,7 @@
 
 
 def busy_harness() -> BalancerHarness:
-    """One upstream whose slots have opened under need."""
+    """Return a harness with one endpoint whose limit has grown in a shortage of slots."""
     harness = ready_harness(1)
     for _ in range(80):
         fill_slots(harness)
@@ -51,10 +51,10 @@
     return harness
 
 
-def test_one_heavy_request_among_fast_responses_shrinks_no_limit() -> None:
+def test_one_heavy_request_among_fast_ones_reduces_no_limit() -> None:
     harness = busy_harness()
     before = count_slots(harness)
-    run_requests(harness, 1, response_us=170_000)  # over half the aim
+    run_requests(harness, 1, response_us=170_000)  # more than half the latency objective
     assert count_slots(harness) >= before - 1
 
 
@@ -65,39 +65,39 @@
 
 
 def test_limits_grow_until_two_objectives_after_a_shortage() -> None:
-    windows = []
+    growth = []
     for pause_us in (300_000, 900_000):
         harness = ready_harness(1)
-        taken = fill_slots(harness)
+        requests = fill_slots(harness)
         harness.advance(10_000)
-        for request in (taken[0], taken[-1]):
+        for request in (requests[0], requests[-1]):
             harness.end_attempt(request, 0, Outcome.OK)
         harness.advance(pause_us)
         before = harness.balancer.endpoints[100].concurrency_limit
         run_requests(harness, 3)
-        windows.append(harness.balancer.endpoints[100].concurrency_limit - before)
-    assert windows[0] > 0
-    assert windows[1] == 0
+        growth.append(harness.balancer.endpoints[100].concurrency_limit - before)
+    assert growth[0] > 0
+    assert growth[1] == 0
 
 
 def test_limits_grow_faster_with_faster_responses() -> None:
-    counts = []
-    for took_us in (10_000, 120_000):
+    slots = []
+    for response_us in (10_000, 120_000):
         harness = ready_harness(4)
         for _ in range(6):
             fill_slots(harness)
-            run_requests(harness, 1, response_us=took_us)
-        run_requests(harness, 1, response_us=took_us)
-        counts.append(count_slots(harness))
-    assert counts[0] > counts[1]
+            run_requests(harness, 1, response_us=response_us)
+        run_requests(harness, 1, response_us=response_us)
+        slots.append(count_slots(harness))
+    assert slots[0] > slots[1]
 
 
-def test_limits_grow_fast_after_the_start_of_a_busy_instance() -> None:
+def test_limits_grow_fast_after_an_instance_starts_under_load() -> None:
     def count_rejected(kind: ListKind) -> int:
         harness = BalancerHarness(settings())
         harness.update_endpoints(ready_endpoints(4), kind)
         count = 0
-        for _ in range(10):  # each time more than the slots that are open
+        for _ in range(10):  # each time more requests than open slots
             requests = [harness.request_arrives(PAY) for _ in range(16)]
             sent = [request for request in requests if harness.sends(request)]
             count += len(requests) - len(sent)
