--- a/tests/decisions/load_balancing/test_dispatch.py
+++ b/tests/decisions/load_balancing/test_dispatch.py
@@ -1,4 +1,4 @@
-"""A request is sent, buffered or rejected."""
+"""Dispatch of requests: sent, buffered or rejected."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
     assert [s.endpoint_id in harness.listed for s in harness.sends(request)] == [True]
 
 
-def test_attempts_in_flight_are_limited_and_one_request_is_buffered_and_the_next_rejected() -> None:
+def test_without_a_free_slot_one_request_is_buffered_and_the_next_is_rejected() -> None:
     harness = ready_harness()
-    taken = fill_slots(harness)
-    assert harness.answer(taken[-1]) is None
+    requests = fill_slots(harness)
+    assert harness.answer(requests[-1]) is None
     last = harness.request_arrives(READ)
     answer = harness.answer(last)
     assert isinstance(answer, Reject)
@@ -36,20 +36,20 @@
 
 def test_the_buffered_request_gets_the_first_free_slot() -> None:
     harness = ready_harness()
-    taken = fill_slots(harness)
-    freed = harness.sends(taken[0])[0].endpoint_id
-    harness.end_attempt(taken[0], 0, Outcome.OK)
-    assert [s.endpoint_id for s in harness.sends(taken[-1])] == [freed]
+    requests = fill_slots(harness)
+    freed = harness.sends(requests[0])[0].endpoint_id
+    harness.end_attempt(requests[0], 0, Outcome.OK)
+    assert [s.endpoint_id for s in harness.sends(requests[-1])] == [freed]
 
 
-def test_a_request_buffered_past_the_delay_threshold_is_rejected() -> None:
+def test_a_request_buffered_for_too_long_is_rejected() -> None:
     harness = ready_harness()
-    waiting = fill_slots(harness)[-1]
+    buffered = fill_slots(harness)[-1]
     harness.advance(200_000)
-    assert isinstance(harness.answer(waiting), Reject)
+    assert isinstance(harness.answer(buffered), Reject)
 
 
-def test_a_request_too_close_to_its_deadline_is_rejected_unsent() -> None:
+def test_a_request_too_close_to_its_deadline_is_rejected_without_an_attempt() -> None:
     harness = ready_harness()
     request = harness.request_arrives(READ, timeout_us=1_000)
     assert isinstance(harness.answer(request), Reject)
@@ -66,7 +66,7 @@
     assert harness.sends(harness.request_arrives(READ))
 
 
-def test_draining_and_removed_endpoints_get_nothing() -> None:
+def test_draining_and_removed_endpoints_get_no_requests() -> None:
     harness = ready_harness(2)
     harness.update_endpoints([Endpoint(100, EndpointStatus.DRAINING), Endpoint(101, EndpointStatus.REMOVED)])
     request = harness.request_arrives(READ)
@@ -74,35 +74,35 @@
     assert not harness.sends(request)
 
 
-def test_a_request_of_more_value_takes_the_buffer() -> None:
+def test_a_request_of_higher_value_replaces_the_buffered_one() -> None:
     harness = ready_harness()
-    cheap = fill_slots(harness)[-1]
-    dear = harness.request_arrives(PAY)
-    assert isinstance(harness.answer(cheap), Reject)
-    assert harness.answer(dear) is None
-    late = harness.request_arrives(READ)
-    assert isinstance(harness.answer(late), Reject)
+    low = fill_slots(harness)[-1]
+    high = harness.request_arrives(PAY)
+    assert isinstance(harness.answer(low), Reject)
+    assert harness.answer(high) is None
+    next_low = harness.request_arrives(READ)
+    assert isinstance(harness.answer(next_low), Reject)
     harness.end_attempt(harness.sends()[0].request, 0, Outcome.OK)
-    assert harness.sends(dear)
+    assert harness.sends(high)
 
 
-def test_a_request_of_a_tenant_over_its_share_loses_the_buffer() -> None:
+def test_a_buffered_request_of_a_tenant_over_its_share_is_replaced() -> None:
     harness = ready_harness(tenants=[Tenant("big", 100.0), Tenant("small", 100.0)], over_share_weight=0.1)
     for _ in range(50):
         harness.request_arrives(READ, tenant=0)
-    holder = harness.balancer.buffer.waiting
-    assert holder is not None
-    assert holder.event.tenant == 0
-    modest = harness.request_arrives(READ, tenant=1)
-    assert harness.answer(modest) is None
-    assert harness.answer(holder.event.request) is not None
+    buffered = harness.balancer.buffer.waiting
+    assert buffered is not None
+    assert buffered.event.tenant == 0
+    within_share = harness.request_arrives(READ, tenant=1)
+    assert harness.answer(within_share) is None
+    assert harness.answer(buffered.event.request) is not None
 
 
-def test_responses_in_no_measurable_time_are_handled() -> None:
+def test_response_times_of_zero_are_handled() -> None:
     harness = ready_harness()
     run_requests(harness, 50, response_us=0)
-    waiting, last = fill_slots(harness)[-1], harness.request_arrives(PAY)
-    assert [harness.answer(r) is None for r in (waiting, last)].count(True) == 1
+    buffered, last = fill_slots(harness)[-1], harness.request_arrives(PAY)
+    assert [harness.answer(request) is None for request in (buffered, last)].count(True) == 1
 
 
 def test_a_stale_timer_does_not_arm_another() -> None:
@@ -119,16 +119,16 @@
 
 def test_removed_endpoints_leave_no_state() -> None:
     harness = ready_harness(4)
-    for n in range(50):
-        harness.update_endpoints([Endpoint(1000 + n)], ListKind.DELTA)
+    for number in range(50):
+        harness.update_endpoints([Endpoint(1000 + number)], ListKind.DELTA)
         run_requests(harness, 5)
-        harness.update_endpoints([Endpoint(1000 + n, EndpointStatus.REMOVED)], ListKind.DELTA)
+        harness.update_endpoints([Endpoint(1000 + number, EndpointStatus.REMOVED)], ListKind.DELTA)
     assert len(harness.balancer.endpoints) == 4
     assert len(harness.balancer.table.groups[0].active) <= 4
 
 
 @pytest.mark.parametrize("hedging", [True, False])
-def test_requests_are_sent_again_after_an_outage_longer_than_every_response(hedging: bool) -> None:
+def test_requests_are_sent_again_after_an_outage_in_which_all_attempts_timed_out(hedging: bool) -> None:
     harness = ready_harness(2, hedging=hedging)
     for _ in range(20):
         for class_index in (READ, PAY, MARK):
--- a/tests/decisions/load_balancing/test_endpoint_selection.py
+++ b/tests/decisions/load_balancing/test_endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Which endpoints are selected."""
+"""Selection of endpoints for attempts."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
     assert {s.endpoint_id for s in harness.sends()} == set(harness.listed)
 
 
-def test_the_own_zone_is_preferred_if_crossing_zones_costs() -> None:
+def test_the_local_zone_is_preferred_if_cross_zone_traffic_has_a_cost() -> None:
     harness = ready_harness(8, zone=1, cross_zone_fee=0.03)
     first = [harness.request_arrives(READ) for _ in range(2)]
-    assert {harness.listed[harness.sends(r)[0].endpoint_id].zone for r in first} == {1}
+    assert {harness.listed[harness.sends(each)[0].endpoint_id].zone for each in first} == {1}
     third = harness.request_arrives(READ)
     assert harness.listed[harness.sends(third)[0].endpoint_id].zone != 1
 
 
-def test_zones_do_not_matter_if_crossing_is_free() -> None:
+def test_zones_do_not_matter_if_cross_zone_traffic_is_free() -> None:
     harness = ready_harness(8, zone=1)
     run_requests(harness, 100)
     assert {harness.listed[s.endpoint_id].zone for s in harness.sends()} == {0, 1, 2, 3}
@@ -43,11 +43,11 @@
     assert len({s.endpoint_id for s in harness.sends()}) >= 30
 
 
-def test_an_endpoint_slower_than_the_others_is_selected_less() -> None:
+def test_an_endpoint_slower_than_the_others_is_selected_less_often() -> None:
     harness = ready_harness(4, hedging=False)
     for _ in range(200):
         request = harness.request_arrives(READ)
-        slow = harness.sends(request)[0].endpoint_id == 100
-        harness.advance(120_000 if slow else 30_000)
+        is_slow = harness.sends(request)[0].endpoint_id == 100
+        harness.advance(120_000 if is_slow else 30_000)
         harness.end_attempt(request, 0, Outcome.OK)
     assert sum(1 for s in harness.sends() if s.endpoint_id == 100) < 25
