--- a/tests/decisions/load_balancing/test_contract_rules.py
+++ b/tests/decisions/load_balancing/test_contract_rules.py
@@ -1,4 +1,4 @@
-"""The four rules under arbitrary legal event sequences; harness.py checks every action."""
+"""The four rules of the contract under arbitrary valid event sequences; the harness checks every action."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     st.tuples(st.just("full"), st.integers(0, 8), st.sampled_from([ListKind.FULL, ListKind.CACHED])),
     st.tuples(st.just("restart"), st.integers(0, 7), st.integers(0, 30_000_000)),
     st.tuples(st.just("fail"), st.just(0), st.just(0)),
-    st.tuples(st.just("quit"), st.integers(0, 50), st.just(0)),
+    st.tuples(st.just("cancel"), st.integers(0, 50), st.just(0)),
     st.tuples(st.just("stream"), st.integers(0, 50), st.just(0)),
 )
 
@@ -71,44 +71,46 @@
     ]
 
 
-def play(harness: BalancerHarness, step: tuple[str, int, object]) -> None:
-    what, number, extra = step
+def apply_step(harness: BalancerHarness, step: tuple[str, int, object]) -> None:
+    kind, number, argument = step
     in_flight = [
-        (request_id, n) for request_id, record in harness.requests.items() for n in record.in_flight()
+        (request_id, attempt)
+        for request_id, record in harness.requests.items()
+        for attempt in record.in_flight()
     ]
-    if what == "arrive":
-        assert isinstance(extra, int)
-        harness.request_arrives(number, timeout_us=extra)
-    elif what == "advance":
+    if kind == "arrive":
+        assert isinstance(argument, int)
+        harness.request_arrives(number, timeout_us=argument)
+    elif kind == "advance":
         harness.advance(number)
-    elif what in ("list", "restart"):
-        started = harness.now_us - extra if isinstance(extra, int) else 0
-        state = extra if isinstance(extra, EndpointStatus) else EndpointStatus.READY
+    elif kind in ("list", "restart"):
+        started = harness.now_us - argument if isinstance(argument, int) else 0
+        state = argument if isinstance(argument, EndpointStatus) else EndpointStatus.READY
         entry = Endpoint(100 + number, state, number // 2, 0, number // 2, 1.0, started)
         harness.update_endpoints([entry], ListKind.DELTA)
-    elif what == "full":
-        assert isinstance(extra, ListKind)
-        harness.update_endpoints(ready_endpoints(number), extra)
-    elif what == "fail" and harness.settings.endpoints_on_request:
+    elif kind == "full":
+        assert isinstance(argument, ListKind)
+        harness.update_endpoints(ready_endpoints(number), argument)
+    elif kind == "fail" and harness.settings.endpoints_on_request:
         harness.handle_event(EndpointsUpdated(ListKind.FAILED))
-    elif what == "quit" and harness.requests:
+    elif kind == "cancel" and harness.requests:
         request_id = list(harness.requests)[number % len(harness.requests)]
         if not harness.requests[request_id].is_closed:
             harness.cancel_request(request_id)
-    elif what == "end" and in_flight:
-        assert isinstance(extra, Outcome)
-        harness.end_attempt(*in_flight[number % len(in_flight)], extra)
-    elif what == "stream":
+    elif kind == "end" and in_flight:
+        assert isinstance(argument, Outcome)
+        harness.end_attempt(*in_flight[number % len(in_flight)], argument)
+    elif kind == "stream":
         start_stream(harness, number, in_flight)
 
 
 def start_stream(harness: BalancerHarness, number: int, in_flight: list[tuple[int, int]]) -> None:
     streams = [
-        (i, n)
-        for i, n in in_flight
-        if harness.settings.classes[harness.requests[i].event.class_index].stream
-        and not harness.requests[i].is_streaming
-        and not harness.requests[i].is_closed
+        (request_id, attempt)
+        for request_id, attempt in in_flight
+        if harness.settings.classes[harness.requests[request_id].event.class_index].stream
+        and not harness.requests[request_id].is_streaming
+        and not harness.requests[request_id].is_closed
     ]
     if streams:
         harness.start_stream(*streams[number % len(streams)])
@@ -116,43 +118,43 @@
 
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=400)
 @given(CONFIGS, st.integers(0, 2**64 - 1), st.lists(STEPS, max_size=80))
-def test_no_rule_is_broken_whatever_happens(
+def test_no_rule_is_broken_by_any_sequence_of_events(
     config: dict[str, object], seed: int, steps: list[tuple[str, int, object]]
 ) -> None:
     harness = BalancerHarness(settings(classes=all_classes(), **config), seed)
     harness.update_endpoints(ready_endpoints(6), ListKind.CACHED)
     for step in steps:
-        play(harness, step)
-    harness.advance(5_000_000)  # everything is answered by its due time
+        apply_step(harness, step)
+    harness.advance(5_000_000)  # each request must have an answer by its deadline
 
 
-def busy_day(config: dict[str, object], seed: int) -> list[object]:
-    """Heavy use with every kind of fault, so that slots run out and requests are buffered and retried."""
-    dice = random.Random(seed)
+def actions_under_heavy_load(config: dict[str, object], seed: int) -> list[object]:
+    """Return the actions under a load with all kinds of faults that leads to buffering and retries."""
+    rng = random.Random(seed)
     harness = BalancerHarness(settings(classes=all_classes(), **config), seed)
     harness.update_endpoints(ready_endpoints(6), ListKind.CACHED)
     for _ in range(1500):
-        kind = dice.choices(
-            ["arrive", "end", "advance", "list", "restart", "quit", "stream", "fail"],
+        kind = rng.choices(
+            ["arrive", "end", "advance", "list", "restart", "cancel", "stream", "fail"],
             [50, 40, 10, 1, 1, 1, 1, 1],
         )[0]
-        extra: object = 0
-        number = dice.randrange(50)
+        argument: object = 0
+        number = rng.randrange(50)
         if kind == "arrive":
-            number, extra = dice.randrange(5), dice.randrange(1_000, 2_000_000)
+            number, argument = rng.randrange(5), rng.randrange(1_000, 2_000_000)
         elif kind == "end":
-            extra = dice.choices(FAULTS, [20, 2, 2, 2, 1, 1, 1, 1])[0]
+            argument = rng.choices(FAULTS, [20, 2, 2, 2, 1, 1, 1, 1])[0]
         elif kind == "advance":
-            number = dice.randrange(60_000)
+            number = rng.randrange(60_000)
         elif kind in ("list", "restart"):
-            number = dice.randrange(8)
-            extra = dice.choice(list(EndpointStatus)) if kind == "list" else dice.randrange(30_000_000)
-        play(harness, (kind, number, extra))
+            number = rng.randrange(8)
+            argument = rng.choice(list(EndpointStatus)) if kind == "list" else rng.randrange(30_000_000)
+        apply_step(harness, (kind, number, argument))
     harness.advance(5_000_000)
     return list(harness.actions)
 
 
-def test_heavy_use_breaks_no_rule_and_is_decided_alike_each_time() -> None:
+def test_heavy_load_breaks_no_rule_and_gives_the_same_actions_each_time() -> None:
     for seed in range(12):
         config: dict[str, object] = {
             "hedging": seed % 2 == 0,
@@ -161,12 +163,12 @@
             "report_names": [["utilization"], [], ["queued", "in_flight"]][seed % 3],
             "health_checks": seed % 4 == 0,
         }
-        assert busy_day(config, seed) == busy_day(config, seed)
+        assert actions_under_heavy_load(config, seed) == actions_under_heavy_load(config, seed)
 
 
 @dataclass
 class InFlight:
-    """One attempt that an endpoint will end."""
+    """An attempt in flight, with the time and outcome of its end."""
 
     ends_us: int
     instance: int
@@ -178,17 +180,17 @@
 
 
 class StartingEndpoint:
-    """An endpoint that starts among nine others of one core, under several times their capacity.
+    """Simulates a starting endpoint beside nine warm ones, under several times their capacity.
 
-    They serve one request at a time and reject what would wait over 300 ms; a request takes a warm one 40 ms.
-    Each instance gets `skew` requests a tick of 4 ms, up to 26 times the capacity of the nine.
+    Endpoints serve one request at a time, in 40 ms when warm, and reject what would take over 300 ms.
+    Each instance gets its number of `arrivals` per tick of 4 ms, up to 26 times the capacity of the nine.
     """
 
-    def __init__(self, skew: list[int], outcome: Outcome) -> None:
-        self.skew = skew
-        self.outcome = outcome  # of each attempt at the endpoint that starts
-        self.settings = settings(instances=len(skew), classes=[RequestClass("read", 300_000, 1_500_000)])
-        self.balancers = [LoadBalancer(self.settings, n, START_US) for n in range(len(skew))]
+    def __init__(self, arrivals: list[int], outcome: Outcome) -> None:
+        self.arrivals = arrivals
+        self.outcome = outcome  # of each attempt at the starting endpoint
+        self.settings = settings(instances=len(arrivals), classes=[RequestClass("read", 300_000, 1_500_000)])
+        self.balancers = [LoadBalancer(self.settings, n, START_US) for n in range(len(arrivals))]
         listed = [Endpoint(1, started_us=START_US), *[Endpoint(n) for n in range(2, 11)]]
         self.free_us = {entry.id: START_US for entry in listed}
         self.sent: list[int] = []
@@ -201,7 +203,7 @@
             balancer.handle(self.now_us, EndpointsUpdated(ListKind.FULL, listed))
 
     def fraction(self, at_us: int) -> float:
-        """The warm-up fraction of the endpoint that starts."""
+        """Return the warm-up fraction of the starting endpoint."""
         initial = self.settings.warm_up_initial_capacity
         return initial + (1 - initial) * (at_us - START_US) / self.settings.warm_up_us
 
@@ -215,15 +217,15 @@
 
     def due_events(self) -> list[tuple[int, Event]]:
         events: list[tuple[int, Event]] = []
-        for number, rate in enumerate(self.skew):
-            for _ in range(rate):
+        for number, count in enumerate(self.arrivals):
+            for _ in range(count):
                 self.request += 1
                 events.append((number, RequestArrived(self.request, self.now_us + 1_500_000)))
         for end in [each for each in self.in_flight if each.ends_us <= self.now_us]:
             self.in_flight.remove(end)
-            took_us = self.now_us - end.sent_us
+            elapsed_us = self.now_us - end.sent_us
             ok = end.outcome is Outcome.OK
-            ended = AttemptEnded(end.request, end.attempt, end.endpoint_id, end.outcome, took_us, ok)
+            ended = AttemptEnded(end.request, end.attempt, end.endpoint_id, end.outcome, elapsed_us, ok)
             events.append((end.instance, ended))
         for timer in [each for each in self.timers if each[0] <= self.now_us]:
             self.timers.remove(timer)
@@ -249,19 +251,19 @@
             self.sent.append(self.now_us)
 
     def peak_load(self) -> float:
-        """The most work sent to it in `overload_duration_us`, of what overloads it."""
+        """Return the peak of the work sent in `overload_duration_us`, relative to the overload limit."""
         duration_us = self.settings.overload_duration_us
-        worst = 0.0
+        peak = 0.0
         for start in self.sent:
             work_us = 40_000 * sum(1 for at_us in self.sent if start <= at_us < start + duration_us)
             budget_us = self.settings.overload_factor * self.fraction(start) * duration_us
-            worst = max(worst, work_us / budget_us)
-        return worst
+            peak = max(peak, work_us / budget_us)
+        return peak
 
 
-def test_an_endpoint_that_starts_is_not_overloaded_by_all_instances_together() -> None:
-    for skew in ([1, 1, 1], [3, 0, 0], [1] * 8, [1] * 24, [4, 1, 1, 1]):
+def test_a_starting_endpoint_is_not_overloaded_by_all_instances_together() -> None:
+    for arrivals in ([1, 1, 1], [3, 0, 0], [1] * 8, [1] * 24, [4, 1, 1, 1]):
         for outcome in (Outcome.OK, Outcome.REJECTED, Outcome.ERROR, Outcome.CONNECT_FAILED):
-            starting = StartingEndpoint(skew, outcome)
+            starting = StartingEndpoint(arrivals, outcome)
             starting.run(START_US + 8_000_000)
-            assert 0 < starting.peak_load() <= 1, (skew, outcome)
+            assert 0 < starting.peak_load() <= 1, (arrivals, outcome)
--- a/tests/decisions/load_balancing/test_site_settings.py
+++ b/tests/decisions/load_balancing/test_site_settings.py
@@ -1,4 +1,4 @@
-"""Other customers' settings: the deployments in `deploy/sites/`, under every kind of fault."""
+"""The settings of the deployments in `deploy/sites/`, under all kinds of faults."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from plovertrail.decisions.events import EndpointStatus, ListKind
 from plovertrail.decisions.settings import RequestClass, Settings
 from tests.decisions.load_balancing.harness import BalancerHarness, ready_endpoints
-from tests.decisions.load_balancing.test_contract_rules import FAULTS, play
+from tests.decisions.load_balancing.test_contract_rules import FAULTS, apply_step
 
 FOLDER = Path(__file__).parents[3] / "deploy" / "sites"
 EFFECTS = {"safe": "idempotent", "keyed": "deduplicated", "unsafe": "at_most_once"}
@@ -24,7 +24,7 @@
 
 
 def settings_of(site: dict[str, Any]) -> Settings:
-    """The settings of an instance of that deployment, as far as load balancing needs them."""
+    """Return the load balancing settings of an instance of a deployment."""
     classes = [
         RequestClass(
             kind["name"],
@@ -38,15 +38,15 @@
         )
         for kind in site["class"]
     ]
-    allow, rules = site["allow"], site["rules"]
+    allowed, rules = site["allow"], site["rules"]
     return Settings(
         classes=classes,
         instances=8,
-        max_attempts=allow["max_attempts"],
-        retry_after=allow["retry_after"],
-        cancel=allow["cancel"],
-        health_checks=allow["probes"],
-        hedging=allow["second_copies"],
+        max_attempts=allowed["max_attempts"],
+        retry_after=allowed["retry_after"],
+        cancel=allowed["cancel"],
+        health_checks=allowed["probes"],
+        hedging=allowed["second_copies"],
         max_retry_after_us=1000 * site["clients"]["max_retry_after_ms"],
         connect_timeout_us=1000 * site["tier"][0]["conn"]["connect_timeout_ms"],
         endpoints_on_request=site["discovery"]["mode"] == "ask",
@@ -63,34 +63,34 @@
 
 @pytest.mark.parametrize("path", SITES, ids=lambda path: path.stem)
 @pytest.mark.parametrize("seed", range(4))
-def test_no_rule_is_broken_under_other_customers_settings(path: Path, seed: int) -> None:
-    dice = random.Random(seed)
+def test_no_rule_is_broken_under_the_settings_of_any_site(path: Path, seed: int) -> None:
+    rng = random.Random(seed)
     config = settings_of(read(path))
     harness = BalancerHarness(config, seed)
     harness.update_endpoints(ready_endpoints(6), ListKind.CACHED)
     for _ in range(1500):
-        what = dice.choices(
-            ["arrive", "end", "advance", "list", "restart", "quit", "fail"], [50, 40, 10, 1, 1, 1, 1]
+        kind = rng.choices(
+            ["arrive", "end", "advance", "list", "restart", "cancel", "fail"], [50, 40, 10, 1, 1, 1, 1]
         )[0]
-        number, extra = dice.randrange(50), None
-        step: tuple[str, int, object] = (what, number, extra)
-        if what == "arrive":
-            number = dice.randrange(len(config.classes))
-            step = (what, number, dice.randrange(1_000, config.classes[number].deadline_us + 1))
-        elif what == "end":
-            step = (what, number, dice.choices(FAULTS, [20, 2, 2, 2, 1, 1, 1, 1])[0])
-        elif what == "advance":
-            step = (what, dice.randrange(60_000), None)
-        elif what == "list":
-            step = (what, dice.randrange(8), dice.choice(list(EndpointStatus)))
-        elif what == "restart":
-            step = (what, dice.randrange(8), dice.randrange(30_000_000))
-        play(harness, step)
-    harness.advance(2 * max(kind.deadline_us for kind in config.classes))  # all is answered by its due time
+        number, argument = rng.randrange(50), None
+        step: tuple[str, int, object] = (kind, number, argument)
+        if kind == "arrive":
+            number = rng.randrange(len(config.classes))
+            step = (kind, number, rng.randrange(1_000, config.classes[number].deadline_us + 1))
+        elif kind == "end":
+            step = (kind, number, rng.choices(FAULTS, [20, 2, 2, 2, 1, 1, 1, 1])[0])
+        elif kind == "advance":
+            step = (kind, rng.randrange(60_000), None)
+        elif kind == "list":
+            step = (kind, rng.randrange(8), rng.choice(list(EndpointStatus)))
+        elif kind == "restart":
+            step = (kind, rng.randrange(8), rng.randrange(30_000_000))
+        apply_step(harness, step)
+    harness.advance(2 * max(each.deadline_us for each in config.classes))  # all must have answers by then
 
 
-def test_the_sites_differ_in_what_could_be_taken_for_granted() -> None:
-    """Each of these is true of at least one of them."""
+def test_the_sites_differ_in_deadlines_effects_zones_costs_and_discovery() -> None:
+    """Between them, the sites cover each of these properties."""
     sites = [read(path) for path in SITES]
     classes = [kind for site in sites for kind in site["class"]]
     deadlines = {kind["deadline_ms"] for kind in classes}
