--- a/tests/decisions/load_balancing/test_outlier_ejection.py
+++ b/tests/decisions/load_balancing/test_outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Failure penalties, ejection and restoration."""
+"""Failure penalties, and ejection and restoration of endpoints."""
 
 from __future__ import annotations
 
@@ -18,31 +18,31 @@
 
 
 def traffic_share_after(outcome: Outcome, wait_us: int = 0) -> float:
-    """What endpoint 100 gets of an even share among twelve after its first attempt had this outcome."""
-    got = 0
+    """Return the traffic of an endpoint after its first attempt, as a fraction of an even share."""
+    sent = 0
     for seed in range(10):
         harness = BalancerHarness(settings(instances=40), seed)
         harness.update_endpoints(ready_endpoints(12))
-        upstream = 0
-        while upstream != 100:
+        endpoint_id = 0
+        while endpoint_id != 100:
             request = harness.request_arrives(PAY)
-            upstream = harness.sends(request)[0].endpoint_id
+            endpoint_id = harness.sends(request)[0].endpoint_id
             harness.advance(10_000)
-            harness.end_attempt(request, 0, outcome if upstream == 100 else Outcome.OK)
+            harness.end_attempt(request, 0, outcome if endpoint_id == 100 else Outcome.OK)
         harness.advance(wait_us)
         before = len(harness.sends())
         run_requests(harness, 120, class_index=PAY)
-        got += sum(1 for s in harness.sends()[before:] if s.endpoint_id == 100)
-    return got / 100
+        sent += sum(1 for s in harness.sends()[before:] if s.endpoint_id == 100)
+    return sent / 100
 
 
-def test_the_first_fault_of_an_endpoint_counts_while_few_others_have_any() -> None:
-    """It would lose requests that must not be repeated, and an instance with little traffic several."""
+def test_the_first_fault_of_an_endpoint_counts_while_few_endpoints_have_faults() -> None:
+    """Otherwise an instance with little traffic would lose several requests that must not be retried."""
     assert traffic_share_after(Outcome.ERROR) < 0.4
     assert traffic_share_after(Outcome.ERROR) < 0.4 * traffic_share_after(Outcome.OK)
 
 
-def test_faults_at_all_endpoints_alike_penalize_at_most_a_third() -> None:
+def test_faults_at_all_endpoints_penalize_at_most_a_third_of_them() -> None:
     harness = BalancerHarness(settings(instances=40))
     harness.update_endpoints(ready_endpoints(12))
     for _ in range(600):
@@ -63,17 +63,17 @@
     harness = BalancerHarness(settings(instances=40))
     harness.update_endpoints(ready_endpoints(6))
     request = harness.request_arrives(PAY)
-    upstream = harness.sends(request)[0].endpoint_id
+    endpoint_id = harness.sends(request)[0].endpoint_id
     harness.end_attempt(request, 0, Outcome.ERROR)
-    assert list(harness.balancer.penalties.decay_at_us) == [upstream]
-    harness.update_endpoints([Endpoint(upstream, EndpointStatus.REMOVED)], ListKind.DELTA)
+    assert list(harness.balancer.penalties.decay_at_us) == [endpoint_id]
+    harness.update_endpoints([Endpoint(endpoint_id, EndpointStatus.REMOVED)], ListKind.DELTA)
     harness.advance(60_000_000)
     harness.request_arrives(PAY)
     assert not harness.balancer.penalties.decay_at_us
     assert not harness.balancer.penalties
 
 
-def test_a_late_fault_of_a_removed_endpoint_does_not_count_against_its_successor() -> None:
+def test_a_late_fault_of_a_removed_endpoint_does_not_count_after_it_is_added_again() -> None:
     harness = BalancerHarness(settings(instances=40))
     harness.update_endpoints(ready_endpoints(1))
     old = harness.request_arrives(PAY)
@@ -103,7 +103,7 @@
     assert sum(1 for s in harness.sends()[-200:] if s.endpoint_id == 100) > 30
 
 
-def test_a_single_error_leaves_an_endpoint_its_other_slots() -> None:
+def test_after_a_single_error_an_endpoint_keeps_half_of_its_slots() -> None:
     harness = busy_harness()
     before = count_slots(harness)
     harness.end_attempt(harness.request_arrives(PAY), 0, Outcome.ERROR)
@@ -116,10 +116,10 @@
 
 
 @pytest.mark.parametrize("fault", [Outcome.RESET, Outcome.MALFORMED, Outcome.ERROR])
-def test_a_fault_at_all_endpoints_alike_ejects_none(fault: Outcome) -> None:
+def test_one_fault_at_each_endpoint_ejects_none(fault: Outcome) -> None:
     harness = ready_harness(6)
     for outcome in (Outcome.OK, fault):
-        requests = [harness.request_arrives(PAY) for _ in range(6)]  # one at each upstream
+        requests = [harness.request_arrives(PAY) for _ in range(6)]  # one at each endpoint
         harness.advance(20_000)
         for request in requests:
             harness.end_attempt(request, 0, outcome)
