--- a/tests/decisions/load_balancing/test_selection_reference.py
+++ b/tests/decisions/load_balancing/test_selection_reference.py
@@ -1,4 +1,4 @@
-"""Selection compared with the reference, which goes through all endpoints for each request."""
+"""Endpoint selection compared with a reference that examines all endpoints for each request."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from plovertrail.decisions.load_balancing.endpoint_table import PENALTY_SCALE
 from plovertrail.decisions.load_balancing.request_state import RequestState
 from plovertrail.decisions.load_balancing.slow_start import STALE_ENTRIES
-from tests.decisions.load_balancing import harness as harness
+from tests.decisions.load_balancing import harness as harness_module
 from tests.decisions.load_balancing.harness import BalancerHarness, ready_endpoints
 
 OUTCOMES = [
@@ -39,13 +39,15 @@
     Outcome.MALFORMED,
     Outcome.CONNECT_FAILED,
 ]
-STEP = st.tuples(st.sampled_from(["arrive", "arrive", "end", "time", "list", "quit"]), st.integers(0, 2**16))
+STEP = st.tuples(
+    st.sampled_from(["arrive", "arrive", "end", "advance", "list", "cancel"]), st.integers(0, 2**16)
+)
 
 
-def choices(balancer: LoadBalancer, request: RequestState) -> dict[int, float]:
-    """The endpoints that the reference would select from, with their weights, in the present state."""
-    old = object.__new__(reference_balance.LoadBalancer)
-    old.settings, old.now_us = balancer.settings, balancer.now_us
+def reference_weights(balancer: LoadBalancer, request: RequestState) -> dict[int, float]:
+    """Return the endpoints, with their weights, that the reference would select from in the current state."""
+    oracle = object.__new__(reference_balance.LoadBalancer)
+    oracle.settings, oracle.now_us = balancer.settings, balancer.now_us
     endpoints = list(balancer.endpoints.values())
     index = request.event.class_index
     excluded_count = sum(1 for endpoint in endpoints if balancer.now_us < endpoint.excluded_until_us[index])
@@ -55,35 +57,35 @@
     for group in balancer.table.groups:
         if group.admission.credit < 1.0:
             continue
-        mine = [endpoint for endpoint in endpoints if endpoint.group is group]
+        members = [endpoint for endpoint in endpoints if endpoint.group is group]
         warming, active, standby = (
-            free_slots(old, request, [each for each in mine if each.listed.id in sampler], may_exclude)
+            free_slots(oracle, request, [each for each in members if each.listed.id in sampler], may_exclude)
             for sampler in (group.warming, group.active, group.standby)
         )
         needed = MIN_ACTIVE + int(group.admission.send_rate.per_second / SENDS_PER_S_PER_ACTIVE)
         if len(group.active) < needed:
             active, standby = standby, active
-        found = warming or active or standby
-        if found:
-            return found
+        weights = warming or active or standby
+        if weights:
+            return weights
     return {}
 
 
 def free_slots(
-    old: reference_balance.LoadBalancer,
+    oracle: reference_balance.LoadBalancer,
     request: RequestState,
     endpoints: list[EndpointState],
     may_exclude: bool,
 ) -> dict[int, float]:
-    found = old.free_slots(request, endpoints, may_exclude)  # type: ignore[arg-type]
+    shares = oracle.free_slots(request, endpoints, may_exclude)  # type: ignore[arg-type]
     return {
         endpoint.listed.id: share / (1.0 + endpoint.failure_penalty / PENALTY_SCALE) ** 2  # type: ignore[attr-defined]
-        for endpoint, share in found
+        for endpoint, share in shares
     }
 
 
 def select(balancer: LoadBalancer, request: RequestState) -> EndpointState | None:
-    """The endpoint that the balancer selects for a request now."""
+    """Return the endpoint that the balancer selects for a request now."""
     if not balancer.retries.may_send(request, balancer.now_us):
         return None
     balancer.reopener.reopen_due(balancer.now_us)
@@ -91,7 +93,7 @@
 
 
 def check_consistency(balancer: LoadBalancer) -> None:
-    """Check that indexes and counts agree with the endpoints."""
+    """Check that the indexes and counts are consistent with the endpoints."""
     balancer.reopener.reopen_due(balancer.now_us)
     assert set(balancer.penalties.decay_at_us) == {
         n for n, endpoint in balancer.endpoints.items() if endpoint.failure_penalty
@@ -101,15 +103,15 @@
             1 for s in balancer.endpoints.values() if balancer.now_us < s.excluded_until_us[index]
         )
     for group in balancer.table.groups:
-        mine = {number for number, endpoint in balancer.endpoints.items() if endpoint.group is group}
-        groups = [set(group.active), set(group.standby), set(group.warming)]
-        assert set().union(*groups) == mine
-        assert sum(map(len, groups)) == len(mine)
+        ids = {number for number, endpoint in balancer.endpoints.items() if endpoint.group is group}
+        samplers = [set(group.active), set(group.standby), set(group.warming)]
+        assert set().union(*samplers) == ids
+        assert sum(map(len, samplers)) == len(ids)
         assert group.capacity == pytest.approx(
-            sum(balancer.table.relative_capacity(balancer.endpoints[n].listed) for n in mine)
+            sum(balancer.table.relative_capacity(balancer.endpoints[n].listed) for n in ids)
         )
         assert set(group.warming) == {
-            n for n in mine if balancer.table.warm_up_fraction(balancer.endpoints[n], balancer.now_us) < 1.0
+            n for n in ids if balancer.table.warm_up_fraction(balancer.endpoints[n], balancer.now_us) < 1.0
         }
     for kind in ("zone", "cell"):
         for number, endpoint in balancer.endpoints.items():
@@ -117,45 +119,45 @@
     assert sum(map(len, balancer.table.dedup_groups.values())) == 2 * len(balancer.endpoints)
 
 
-def play(steps: list[tuple[str, int]], seed: int) -> BalancerHarness:
-    """Play some steps, and check consistency and selection after each."""
-    played = BalancerHarness(
-        harness.settings(
+def run_steps(steps: list[tuple[str, int]], seed: int) -> BalancerHarness:
+    """Run some steps, and check consistency and selection after each."""
+    harness = BalancerHarness(
+        harness_module.settings(
             warm_up_initial_capacity=0.3, warm_up_us=3_000_000, weighted=True, select_by_weight=True
         ),
         seed,
     )
     entries = [Endpoint(100 + i, zone=i // 2, cell=i // 2, weight=1.0 + i % 3) for i in range(8)]
-    played.update_endpoints(entries)
-    for what, number in steps:
-        if what == "arrive":
+    harness.update_endpoints(entries)
+    for kind, number in steps:
+        if kind == "arrive":
             for _ in range(1 + number % 4):
-                played.request_arrives(
+                harness.request_arrives(
                     number % 3, key=number, excluded=frozenset((100,)) if number % 5 == 0 else ()
                 )
-        elif what == "end":
+        elif kind == "end":
             in_flight = [
-                (request_id, n) for request_id, record in played.requests.items() for n in record.in_flight()
+                (request_id, n) for request_id, record in harness.requests.items() for n in record.in_flight()
             ]
             if in_flight:
-                played.end_attempt(*in_flight[number % len(in_flight)], OUTCOMES[number % len(OUTCOMES)])
-        elif what == "time":
-            played.advance((1, 1_000, 30_000, 200_000, 900_000)[number % 5])
-        elif what == "quit":
-            open_now = [request_id for request_id, record in played.requests.items() if not record.is_closed]
-            if open_now:
-                played.cancel_request(open_now[number % len(open_now)])
+                harness.end_attempt(*in_flight[number % len(in_flight)], OUTCOMES[number % len(OUTCOMES)])
+        elif kind == "advance":
+            harness.advance((1, 1_000, 30_000, 200_000, 900_000)[number % 5])
+        elif kind == "cancel":
+            open_ids = [request_id for request_id, record in harness.requests.items() if not record.is_closed]
+            if open_ids:
+                harness.cancel_request(open_ids[number % len(open_ids)])
         else:
-            entry = changed(entries[number % len(entries)], number, played.now_us)
+            entry = changed_entry(entries[number % len(entries)], number, harness.now_us)
             entries[number % len(entries)] = entry
-            played.update_endpoints([entry], ListKind.DELTA)
-        check_consistency(played.balancer)
-        check_selection(played.balancer)
-    return played
+            harness.update_endpoints([entry], ListKind.DELTA)
+        check_consistency(harness.balancer)
+        check_selection(harness.balancer)
+    return harness
 
 
-def changed(entry: Endpoint, number: int, now_us: int) -> Endpoint:
-    """The endpoint with another status, cell, weight and start."""
+def changed_entry(entry: Endpoint, number: int, now_us: int) -> Endpoint:
+    """Return a list entry with another status, cell, weight and start time."""
     state = (EndpointStatus.READY, EndpointStatus.DRAINING, EndpointStatus.REMOVED)[number % 3]
     started_us = now_us - number % 2_000_000 if number % 2 else 0
     return Endpoint(entry.id, state, entry.zone, 0, (entry.cell + number) % 4, 1.0 + number % 4, started_us)
@@ -165,7 +167,7 @@
     """Check that each open request would get an endpoint that the reference may select."""
     for request in balancer.requests.values():
         if request.in_flight == 0 and not request.is_closed:
-            expected = choices(balancer, request)
+            expected = reference_weights(balancer, request)
             selected = select(balancer, request)
             assert (selected is None) == (not expected)
             assert selected is None or selected.listed.id in expected
@@ -176,22 +178,22 @@
 def test_state_is_consistent_and_selections_agree_with_the_reference(
     steps: list[tuple[str, int]], seed: int
 ) -> None:
-    play(steps, seed)
+    run_steps(steps, seed)
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_endpoints_are_selected_as_often_as_by_the_reference(seed: int) -> None:
     rng = random.Random(seed)
-    kinds = ["arrive", "arrive", "arrive", "end", "end", "time", "list"]
-    played = play([(rng.choice(kinds), rng.randrange(2**16)) for _ in range(150)], seed)
-    balancer = played.balancer
-    played.advance(100_000)
+    kinds = ["arrive", "arrive", "arrive", "end", "end", "advance", "list"]
+    harness = run_steps([(rng.choice(kinds), rng.randrange(2**16)) for _ in range(150)], seed)
+    balancer = harness.balancer
+    harness.advance(100_000)
     for group in balancer.table.groups:
         group.admission.credit = 2.0
     for class_index in range(3):
         event = RequestArrived(9_999, balancer.now_us + 1_000_000, class_index)
         request = RequestState(event, balancer.settings.classes[class_index], balancer.now_us)
-        expected = choices(balancer, request)
+        expected = reference_weights(balancer, request)
         count = 4_000
         selected = Counter(
             endpoint.listed.id for _ in range(count) if (endpoint := select(balancer, request))
@@ -200,84 +202,84 @@
         assert sum(selected.values()) == (count if expected else 0)
         total = sum(expected.values())
         for number, share in expected.items():
-            usual = count * share / total
-            # four standard deviations, and a few for the rare ones
-            assert abs(selected[number] - usual) <= 4 * (usual * (1 - share / total)) ** 0.5 + 4
+            mean = count * share / total
+            # Four standard deviations, and four more selections for endpoints that are selected rarely.
+            assert abs(selected[number] - mean) <= 4 * (mean * (1 - share / total)) ** 0.5 + 4
 
 
 def test_an_endpoint_excluded_for_a_request_is_never_selected() -> None:
-    played = BalancerHarness()
-    played.update_endpoints(ready_endpoints(3))
-    barred = frozenset((100, 102))
-    request_ids = [played.request_arrives(0, excluded=barred) for _ in range(20)]
-    assert {send.endpoint_id for request_id in request_ids for send in played.sends(request_id)} == {101}
-    balancer = played.balancer
+    harness = BalancerHarness()
+    harness.update_endpoints(ready_endpoints(3))
+    excluded = frozenset((100, 102))
+    request_ids = [harness.request_arrives(0, excluded=excluded) for _ in range(20)]
+    assert {send.endpoint_id for request_id in request_ids for send in harness.sends(request_id)} == {101}
+    balancer = harness.balancer
     event = RequestArrived(9_999, balancer.now_us + 1_000_000, excluded=frozenset((100, 101, 102)))
     request = RequestState(event, balancer.settings.classes[0], balancer.now_us)
     assert [select(balancer, request) for _ in range(50)] == [None] * 50
 
 
-def test_the_count_of_exclusions_follows_their_ends_and_the_list() -> None:
-    played = BalancerHarness()
-    played.update_endpoints(ready_endpoints(4))
-    balancer = played.balancer
+def test_the_count_of_exclusions_is_updated_when_they_end_and_when_endpoints_are_removed() -> None:
+    harness = BalancerHarness()
+    harness.update_endpoints(ready_endpoints(4))
+    balancer = harness.balancer
     for number in (100, 101, 102):
-        balancer.exclusions.exclude(balancer.endpoints[number], 0, played.now_us + 1_000 * number)
-    balancer.exclusions.exclude(balancer.endpoints[100], 0, played.now_us + 500_000)  # for longer
+        balancer.exclusions.exclude(balancer.endpoints[number], 0, harness.now_us + 1_000 * number)
+    balancer.exclusions.exclude(balancer.endpoints[100], 0, harness.now_us + 500_000)  # extended
     balancer.exclusions.exclude(balancer.endpoints[101], 0, 0)
     check_consistency(balancer)
     assert balancer.exclusions.counts[0] == 2
-    played.update_endpoints([Endpoint(102, EndpointStatus.REMOVED)], ListKind.DELTA)
+    harness.update_endpoints([Endpoint(102, EndpointStatus.REMOVED)], ListKind.DELTA)
     check_consistency(balancer)
     assert balancer.exclusions.counts[0] == 1
     for after_us, count in ((499_999, 1), (2, 0)):
-        played.advance(after_us)
-        played.handle_event(TimerFired(0))  # the module learns the time
+        harness.advance(after_us)
+        harness.handle_event(TimerFired(0))  # so that the load balancer learns the time
         check_consistency(balancer)
         assert balancer.exclusions.counts[0] == count
 
 
-def test_a_retry_goes_to_an_endpoint_not_tried_yet_if_there_is_one() -> None:
-    played = BalancerHarness(harness.settings(hedging=False))
-    played.update_endpoints(ready_endpoints(3))
-    request_id = played.request_arrives(0)
-    seen = [played.sends(request_id)[-1].endpoint_id]
+def test_a_retry_goes_to_an_endpoint_not_yet_tried_if_there_is_one() -> None:
+    harness = BalancerHarness(harness_module.settings(hedging=False))
+    harness.update_endpoints(ready_endpoints(3))
+    request_id = harness.request_arrives(0)
+    selected = [harness.sends(request_id)[-1].endpoint_id]
     for attempt in range(3):
-        played.end_attempt(request_id, attempt, Outcome.CONNECT_FAILED)
-        seen.append(played.sends(request_id)[-1].endpoint_id)
-    assert len(set(seen[:3])) == 3
-
-
-def test_an_endpoint_listed_again_is_not_affected_by_its_old_attempts() -> None:
-    played = BalancerHarness()
-    played.update_endpoints(ready_endpoints(1))
-    old = played.request_arrives(0)
-    played.update_endpoints([Endpoint(100, EndpointStatus.REMOVED)], ListKind.DELTA)
-    played.update_endpoints(ready_endpoints(1), ListKind.DELTA)
-    played.request_arrives(0)
-    balancer = played.balancer
+        harness.end_attempt(request_id, attempt, Outcome.CONNECT_FAILED)
+        selected.append(harness.sends(request_id)[-1].endpoint_id)
+    assert len(set(selected[:3])) == 3
+
+
+def test_an_endpoint_that_is_added_again_is_not_affected_by_its_old_attempts() -> None:
+    harness = BalancerHarness()
+    harness.update_endpoints(ready_endpoints(1))
+    old = harness.request_arrives(0)
+    harness.update_endpoints([Endpoint(100, EndpointStatus.REMOVED)], ListKind.DELTA)
+    harness.update_endpoints(ready_endpoints(1), ListKind.DELTA)
+    harness.request_arrives(0)
+    balancer = harness.balancer
     assert 100 in balancer.table.groups[0].active
     assert balancer.endpoints[100].in_flight == 1
-    before = len(played.actions)
+    before = len(harness.actions)
     balancer.requests[old].attempts[0].endpoint.concurrency_limit = 0.01
-    played.end_attempt(old, 0, Outcome.REJECTED)
+    harness.end_attempt(old, 0, Outcome.REJECTED)
     assert 100 in balancer.table.groups[0].active
-    assert not [action for action in played.actions[before:] if isinstance(action, CloseIdle)]
+    assert not [action for action in harness.actions[before:] if isinstance(action, CloseIdle)]
     check_consistency(balancer)
 
 
-def test_without_traffic_endpoints_that_restart_repeatedly_leave_no_state() -> None:
-    played = BalancerHarness(harness.settings(warm_up_us=1_000_000))
+def test_endpoints_that_restart_repeatedly_without_traffic_leave_no_state() -> None:
+    harness = BalancerHarness(harness_module.settings(warm_up_us=1_000_000))
     for _ in range(300):
-        played.update_endpoints(ready_endpoints(4, started_us=played.now_us))
-        played.advance(600_000)
-    group = played.balancer.table.groups[0]
+        harness.update_endpoints(ready_endpoints(4, started_us=harness.now_us))
+        harness.advance(600_000)
+    group = harness.balancer.table.groups[0]
     assert len(group.warm_up) <= 2 * 4 + STALE_ENTRIES
-    assert len(played.balancer.rechecks) <= 12
-    check_consistency(played.balancer)
+    assert len(harness.balancer.rechecks) <= 12
+    check_consistency(harness.balancer)
     for _ in range(20):
-        played.advance(100_000)
-        request_id = played.request_arrives(0)
-        if played.sends(request_id):
-            played.end_attempt(request_id, 0, Outcome.OK)
-    assert len(played.sends()) > 10
+        harness.advance(100_000)
+        request_id = harness.request_arrives(0)
+        if harness.sends(request_id):
+            harness.end_attempt(request_id, 0, Outcome.OK)
+    assert len(harness.sends()) > 10
