--- a/tests/decisions/load_balancing/test_response_tracking.py
+++ b/tests/decisions/load_balancing/test_response_tracking.py
@@ -1,4 +1,4 @@
-"""Attempts without a response."""
+"""Attempts that are overdue without a response."""
 
 from __future__ import annotations
 
@@ -14,35 +14,35 @@
 )
 
 
-def test_an_endpoint_is_excluded_for_a_class_that_it_never_answers() -> None:
-    kinds = classes()
-    kinds[PAY] = replace(kinds[PAY], late_weight=0.5)  # so that it is waited for to its deadline
-    harness = ready_harness(classes=kinds)
-    deaf = min(harness.listed)
+def test_an_endpoint_is_excluded_for_a_class_that_it_never_responds_to() -> None:
+    request_classes = classes()
+    request_classes[PAY] = replace(request_classes[PAY], late_weight=0.5)  # attempts last until the deadline
+    harness = ready_harness(classes=request_classes)
+    silent = min(harness.listed)
 
-    def sent_to_deaf(class_index: int) -> int:
+    def sends_to_silent(class_index: int) -> int:
         request = harness.request_arrives(class_index)
         sends = harness.sends(request)
         harness.advance(20_000)
-        if sends and (sends[0].endpoint_id != deaf or class_index != PAY):
+        if sends and (sends[0].endpoint_id != silent or class_index != PAY):
             harness.end_attempt(request, 0, Outcome.OK)
-        return sum(1 for send in sends if send.endpoint_id == deaf)
+        return sum(1 for send in sends if send.endpoint_id == silent)
 
-    assert 3 <= sum(sent_to_deaf(PAY) for _ in range(1000)) <= 15
-    assert sum(sent_to_deaf(READ) for _ in range(40)) > 0
+    assert 3 <= sum(sends_to_silent(PAY) for _ in range(1000)) <= 15
+    assert sum(sends_to_silent(READ) for _ in range(40)) > 0
 
 
-def test_an_endpoint_that_is_slow_to_all_releases_at_most_one_slot() -> None:
+def test_an_endpoint_that_is_slow_for_all_requests_releases_at_most_one_slot() -> None:
     harness = ready_harness(1, hedging=False)
-    for _ in range(40):  # requests that meet open slots
-        both = [harness.request_arrives(READ), harness.request_arrives(READ)]
+    for _ in range(40):  # so that the limit grows
+        requests = [harness.request_arrives(READ), harness.request_arrives(READ)]
         harness.advance(10_000)
-        for request in both:
+        for request in requests:
             if harness.sends(request) and harness.answer(request) is None:
                 harness.end_attempt(request, 0, Outcome.OK)
     slots = len(fill_slots(harness)) - 1
-    kind = harness.settings.classes[READ]
-    harness.advance(kind.latency_objective_us - 1)
+    request_class = harness.settings.classes[READ]
+    harness.advance(request_class.latency_objective_us - 1)
     assert len(fill_slots(harness)) == 1
     sent = len(harness.sends())
     harness.advance(1)
--- a/tests/decisions/load_balancing/test_retries.py
+++ b/tests/decisions/load_balancing/test_retries.py
@@ -34,23 +34,23 @@
     assert len(harness.sends(request)) == 1
 
 
-def test_an_at_most_once_request_times_out_when_its_response_is_of_no_more_use() -> None:
+def test_an_at_most_once_request_times_out_when_a_response_has_no_more_value() -> None:
     harness = ready_harness()
-    request = harness.request_arrives(PAY)  # a late answer to it is worth nothing
+    request = harness.request_arrives(PAY)  # its class has no late weight
     harness.advance(290_000)
     assert harness.answer(request) is None
     harness.advance(20_000)
     assert isinstance(harness.answer(request), Fail)
 
 
-def test_a_request_with_a_late_weight_is_waited_for_until_its_deadline() -> None:
+def test_an_attempt_of_a_class_with_late_weight_lasts_until_the_deadline() -> None:
     harness = ready_harness(max_attempts=1)
     request = harness.request_arrives(READ)
     harness.advance(1_400_000)
     assert harness.answer(request) is None
 
 
-def test_a_slow_request_is_hedged_elsewhere_and_its_first_attempt_may_still_answer() -> None:
+def test_a_slow_request_is_hedged_at_another_endpoint_and_its_first_attempt_may_still_succeed() -> None:
     harness = ready_harness()
     request = harness.request_arrives(READ)
     harness.advance(250_000)
@@ -78,12 +78,12 @@
     assert all(len(record.attempts) <= 1 for record in harness.requests.values())
 
 
-@pytest.mark.parametrize(("class_index", "again"), [(READ, True), (MARK, True), (PAY, False)])
-def test_an_error_is_retried_if_the_class_may_run_again(class_index: int, again: bool) -> None:
+@pytest.mark.parametrize(("class_index", "is_retried"), [(READ, True), (MARK, True), (PAY, False)])
+def test_an_error_is_retried_if_the_class_may_run_twice(class_index: int, is_retried: bool) -> None:
     harness = ready_harness()
     request = harness.request_arrives(class_index)
     harness.end_attempt(request, 0, Outcome.ERROR)
-    assert (len(harness.sends(request)) == 2) is again
+    assert (len(harness.sends(request)) == 2) is is_retried
 
 
 def test_the_retry_budget_limits_retries_when_every_attempt_fails() -> None:
@@ -95,8 +95,8 @@
         while harness.requests[request].in_flight():
             harness.end_attempt(request, len(harness.requests[request].attempts) - 1, Outcome.ERROR)
             errors += 1
-    first = sum(1 for record in harness.requests.values() if record.attempts)
-    assert 5 <= errors - first <= 5 + first / 5
+    first_attempts = sum(1 for record in harness.requests.values() if record.attempts)
+    assert 5 <= errors - first_attempts <= 5 + first_attempts / 5
 
 
 def test_a_request_known_to_be_heavy_gets_a_longer_timeout() -> None:
