--- a/tests/decisions/load_balancing/test_slow_start.py
+++ b/tests/decisions/load_balancing/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Endpoints that warm up get sends in proportion to the capacity they have reached."""
+"""Warming endpoints get requests in proportion to the capacity that they have reached."""
 
 from __future__ import annotations
 
@@ -22,45 +22,44 @@
     assert 0 < warming <= 8  # an even share would be 37
 
 
-def test_an_endpoint_gets_less_than_the_others_until_it_is_warm() -> None:
+def test_an_endpoint_gets_fewer_requests_than_the_others_until_it_is_warm() -> None:
     harness = BalancerHarness(settings(instances=400))
-    harness.update_endpoints(
-        [Endpoint(1, started_us=harness.now_us - 12_000_000), *ready_endpoints(3)]
-    )  # two thirds warm
+    # At two thirds of its full capacity.
+    harness.update_endpoints([Endpoint(1, started_us=harness.now_us - 12_000_000), *ready_endpoints(3)])
     run_requests(harness, 1000, response_us=5_000)
     warming = sum(1 for s in harness.sends() if s.endpoint_id == 1)
     assert 0 < warming < 190  # an even share would be 250
 
 
-def test_a_warming_endpoint_helps_if_the_warm_ones_are_slow() -> None:
-    """If its sends competed with free slots of others, it would be idle beside overloaded warm ones."""
+def test_a_warming_endpoint_gets_more_while_the_warm_ones_are_slow() -> None:
+    """If its sends competed with the free slots of others, it would be idle while they are overloaded."""
 
-    def part(took_us: int) -> float:
+    def traffic_share(response_us: int) -> float:
         harness = BalancerHarness(settings(instances=40, warm_up_us=2_000_000_000))
         harness.update_endpoints([Endpoint(1, started_us=harness.now_us - 1_000), *ready_endpoints(9)])
-        run_requests(harness, 600, response_us=took_us)
+        run_requests(harness, 600, response_us=response_us)
         before = len(harness.sends())
-        run_requests(harness, 600, response_us=took_us)
+        run_requests(harness, 600, response_us=response_us)
         return sum(1 for s in harness.sends()[before:] if s.endpoint_id == 1) / 600
 
-    even = 0.2 / 9.2  # its part by its warmth
-    calm, busy = part(20_000), part(100_000)
-    assert 0.6 * even < calm <= 1.3 * even
-    assert 1.4 * even < busy <= 2.0 * even
+    even = 0.2 / 9.2  # its share by its warm-up fraction
+    low_load, high_load = traffic_share(20_000), traffic_share(100_000)
+    assert 0.6 * even < low_load <= 1.3 * even
+    assert 1.4 * even < high_load <= 2.0 * even
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_warming_endpoint_without_warm_ones_gets_its_whole_share(seed: int) -> None:
-    """Each admitted request counts a tenth, and a send is due within two thirds of a served one."""
+def test_a_warming_endpoint_without_warm_ones_gets_its_full_share(seed: int) -> None:
+    """Each admitted request counts as a tenth of a response; a send is due after two thirds of one."""
     harness = BalancerHarness(seed=seed)
     harness.update_endpoints(ready_endpoints(1, started_us=START_US))
     for _ in range(8):
         if harness.sends(harness.request_arrives(1)):
             return
-    raise AssertionError("nothing was sent")
+    raise AssertionError("no request was sent")
 
 
-def test_a_warming_endpoint_of_more_capacity_gets_more() -> None:
+def test_a_warming_endpoint_of_higher_capacity_gets_more_requests() -> None:
     harness = BalancerHarness(settings(instances=40, warm_up_us=2_000_000_000, weighted=True))
     warming = [Endpoint(1, started_us=harness.now_us, weight=3.0), Endpoint(2, started_us=harness.now_us)]
     harness.update_endpoints([*warming, *ready_endpoints(8)])
@@ -69,8 +68,8 @@
     assert 2.4 * small < large < 3.6 * small
 
 
-def test_a_warming_endpoint_that_rejects_gets_less() -> None:
-    def got(outcome: Outcome) -> int:
+def test_a_warming_endpoint_that_rejects_gets_fewer_requests() -> None:
+    def sends_with(outcome: Outcome) -> int:
         harness = BalancerHarness(settings(instances=40, warm_up_us=2_000_000_000))
         harness.update_endpoints([Endpoint(1, started_us=harness.now_us), *ready_endpoints(3)])
         for _ in range(600):
@@ -83,4 +82,4 @@
                     harness.end_attempt(request, len(harness.requests[request].attempts) - 1, Outcome.OK)
         return sum(1 for s in harness.sends() if s.endpoint_id == 1)
 
-    assert 0 < got(Outcome.REJECTED) < got(Outcome.OK) / 3
+    assert 0 < sends_with(Outcome.REJECTED) < sends_with(Outcome.OK) / 3
