--- a/tests/decisions/load_balancing/test_overload_logging.py
+++ b/tests/decisions/load_balancing/test_overload_logging.py
@@ -1,4 +1,4 @@
-"""Log lines about overload."""
+"""Log lines on overload, and their rate limit."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def end_all_attempts(harness: BalancerHarness, outcome: Outcome) -> None:
-    """Start a few requests, and end all attempts in flight with one outcome."""
+    """Start 20 requests, and end all attempts in flight with the same outcome."""
     for _ in range(20):
         harness.request_arrives(PAY)
     harness.advance(10_000)
@@ -37,7 +37,7 @@
     assert log_lines(harness)[-1] == "overload ends"
 
 
-def test_log_lines_are_limited_to_one_a_second() -> None:
+def test_log_lines_are_limited_to_one_per_second() -> None:
     harness = ready_harness(50)
     begin_us = harness.now_us
     for fault in (Outcome.REJECTED, Outcome.OK, Outcome.REJECTED, Outcome.OK):
--- a/tests/decisions/load_balancing/test_unexpected_events.py
+++ b/tests/decisions/load_balancing/test_unexpected_events.py
@@ -1,4 +1,4 @@
-"""Unexpected but legal events change nothing; invalid settings raise errors."""
+"""Unexpected but valid events have no effect; invalid settings raise errors."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from tests.decisions.load_balancing.harness import START_US, BalancerHarness, ready_endpoints, settings
 
 
-def test_events_about_unknown_requests_and_endpoints_change_nothing() -> None:
+def test_events_of_unknown_requests_and_endpoints_have_no_effect() -> None:
     harness = BalancerHarness()
     harness.update_endpoints(ready_endpoints(3))
     for event in (
@@ -38,7 +38,7 @@
     assert harness.sends(harness.request_arrives(0))
 
 
-def test_outcomes_and_cancellations_after_the_answer_are_ignored() -> None:
+def test_outcomes_and_cancellations_after_the_final_answer_are_ignored() -> None:
     harness = BalancerHarness()
     harness.update_endpoints(ready_endpoints(3))
     request = harness.request_arrives(0)
@@ -51,14 +51,14 @@
     assert harness.handle_event(RequestCancelled(served)) == []
 
 
-def test_an_outcome_of_an_attempt_never_made_is_ignored() -> None:
+def test_an_outcome_of_a_nonexistent_attempt_is_ignored() -> None:
     harness = BalancerHarness()
     harness.update_endpoints(ready_endpoints(3))
     request = harness.request_arrives(0)
     assert harness.handle_event(AttemptEnded(request, 9, 100, Outcome.OK, 5, False)) == []
 
 
-def test_a_stream_that_breaks_is_not_sent_again() -> None:
+def test_a_request_whose_stream_breaks_is_not_retried() -> None:
     harness = BalancerHarness(settings(classes=[RequestClass("feed", 100_000, 500_000, stream=True)]))
     harness.update_endpoints(ready_endpoints(3))
     request = harness.request_arrives(0)
--- a/tests/decisions/load_balancing/test_weighted_sampler.py
+++ b/tests/decisions/load_balancing/test_weighted_sampler.py
@@ -1,4 +1,4 @@
-"""Sampling in proportion to weights while members are added and removed."""
+"""Weighted sampling while members are added, changed and removed."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 
 
 @given(CHANGES, st.floats(0, 1, exclude_max=True))
-def test_a_sample_has_a_weight_whatever_was_added_changed_and_removed(
+def test_a_sampled_member_has_a_weight_after_any_changes(
     changes: list[tuple[int, float | None]], uniform: float
 ) -> None:
-    sampler, plain = WeightedSampler(), dict[int, float]()
+    sampler, expected = WeightedSampler(), dict[int, float]()
     for member, weight in changes:
         if weight is None:
             sampler.discard(member)
-            plain.pop(member, None)
+            expected.pop(member, None)
         else:
             sampler.set(member, weight)
-            plain[member] = weight
-    assert set(sampler) == set(plain)
-    assert len(sampler) == len(plain)
-    assert all((member in sampler) == (member in plain) for member in range(41))
+            expected[member] = weight
+    assert set(sampler) == set(expected)
+    assert len(sampler) == len(expected)
+    assert all((member in sampler) == (member in expected) for member in range(41))
     sampled = sampler.sample(uniform)
     if sampled is None:
-        assert not any(plain.values())
+        assert not any(expected.values())
     else:
-        assert plain[sampled] > 0
+        assert expected[sampled] > 0
 
 
 def test_each_member_is_sampled_in_proportion_to_its_weight() -> None:
@@ -51,10 +51,10 @@
         (sampled[number] - count * weight / total) ** 2 / (count * weight / total)
         for number, weight in weights.items()
     )
-    assert chi_square < 110  # 65 degrees of freedom; over 110 one time in 2,000
+    assert chi_square < 110  # 65 degrees of freedom; exceeded by chance once in 2,000 times
 
 
-def test_without_weights_nothing_is_sampled() -> None:
+def test_nothing_is_sampled_if_all_weights_are_zero() -> None:
     sampler = WeightedSampler()
     assert sampler.sample(0.5) is None
     sampler.set(1, 0.0)
