--- a/plovertrail/decisions/load_balancing/balancer.py
+++ b/plovertrail/decisions/load_balancing/balancer.py
@@ -41,7 +41,7 @@
 from plovertrail.decisions.load_balancing.poll_schedule import PollSchedule
 from plovertrail.decisions.load_balancing.request_buffer import RequestBuffer, TenantUsage
 from plovertrail.decisions.load_balancing.request_state import RequestState
-from plovertrail.decisions.load_balancing.response_tracking import NoResponseListener, ResponseTracker
+from plovertrail.decisions.load_balancing.response_tracking import NoResponseCallback, ResponseTracker
 from plovertrail.decisions.load_balancing.retry_budget import RetryBudget
 from plovertrail.decisions.load_balancing.retry_policy import RetryPolicy
 from plovertrail.decisions.load_balancing.slot_reopening import SlotReopener
@@ -102,9 +102,9 @@
         """Set the callback that restores the state of each endpoint that is added from now on."""
         self._updates.restorer = restorer
 
-    def set_no_response_listener(self, listener: NoResponseListener | None) -> None:
+    def set_no_response_callback(self, callback: NoResponseCallback | None) -> None:
         """Set the callback for attempts that are overdue without a response; None removes it."""
-        self._tracker.listener = listener
+        self._tracker.callback = callback
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
         """Handle an event and return the actions to carry out, in order."""
--- a/plovertrail/decisions/load_balancing/response_tracking.py
+++ b/plovertrail/decisions/load_balancing/response_tracking.py
@@ -27,7 +27,7 @@
 MAX_CONSECUTIVE = 5  # more are counted as this many, which limits the exclusion time
 
 
-class NoResponseListener(Protocol):
+class NoResponseCallback(Protocol):
     """Callback for each attempt that is overdue without a response."""
 
     def __call__(self, endpoint: EndpointState, class_index: int, /) -> None:
@@ -37,10 +37,10 @@
 class ResponseTracker:
     """Tracks attempts in flight until they have ended or are overdue."""
 
-    __slots__ = ("listener", "_table", "_exclusions", "_random", "_limits_us", "_awaiting")
+    __slots__ = ("callback", "_table", "_exclusions", "_random", "_limits_us", "_awaiting")
 
     def __init__(self, table: EndpointTable, exclusions: ClassExclusions, rng: random.Random) -> None:
-        self.listener: NoResponseListener | None = None
+        self.callback: NoResponseCallback | None = None
         self._table = table
         self._exclusions = exclusions
         self._random = rng
@@ -87,8 +87,8 @@
         endpoint = attempt.endpoint
         class_index = attempt.class_index
         attempt.no_response = True
-        if self.listener is not None:
-            self.listener(endpoint, class_index)
+        if self.callback is not None:
+            self.callback(endpoint, class_index)
         rate = endpoint.no_response_rate[class_index]
         endpoint.no_response_rate[class_index] = rate + (1.0 - rate) / RATE_WINDOW
         if not attempt.later_answered_in_class:
--- a/plovertrail/health_reporter.py
+++ b/plovertrail/health_reporter.py
@@ -95,7 +95,7 @@
         enabled = self.exchange.outlier_detector is not None
         self.dispatcher.pools.attempt_observer = self if enabled else None
         for pool in self._registry_of:
-            pool.balancer.set_no_response_listener(partial(self.no_response, pool) if enabled else None)
+            pool.balancer.set_no_response_callback(partial(self.no_response, pool) if enabled else None)
         if enabled:
             runner.add(EVALUATION, self.evaluate, EVALUATION.interval_us)
             self.exchange.report_urgently(self.evaluate_soon)
