--- a/plovertrail/decisions/load_balancing/balancer.py
+++ b/plovertrail/decisions/load_balancing/balancer.py
@@ -140,7 +140,7 @@
         return False
 
     def next_slot_opening_us(self) -> int:
-        """Return when the next slot may open because of time alone, without an event."""
+        """Return when the next slot may open by the passing of time, without an event."""
         return self.rechecks.next_due_us()
 
     def apply_restored_state(self, endpoint: EndpointState) -> None:
@@ -283,7 +283,7 @@
     def _arm_timer(self) -> None:
         at_us = self.timers.next_due_us
         if self.buffer.waiting is not None:
-            # A slot that opens because of time alone causes no event, so the buffered request needs a timer.
+            # A slot that opens by the passing of time causes no event, so the buffered request needs a timer.
             self.reopener.reopen_due(self.now_us)
             at_us = min(at_us, self.reopener.next_opening_us(self.buffer.waiting.event.class_index))
         if self.timers.arm(at_us):
--- a/plovertrail/decisions/load_balancing/concurrency_limits.py
+++ b/plovertrail/decisions/load_balancing/concurrency_limits.py
@@ -13,7 +13,7 @@
 MAX_LIMIT = 8  # slots of one instance at one endpoint, however fast its responses are
 MIN_LIMIT = 1 / 64  # a failing endpoint is tried about once in 64 mean response times
 GROWTH = 0.4  # change of a limit, in slots, per round of responses and unit of distance from the target load
-SHORTAGE_WINDOW = 4  # slow response times: limits grow only if a shortage is this recent
+SHORTAGE_WINDOW = 4  # in slow response times; a limit grows only after a shortage this recent
 
 
 class ConcurrencyLimiter:
--- a/plovertrail/decisions/load_balancing/outcome_recording.py
+++ b/plovertrail/decisions/load_balancing/outcome_recording.py
@@ -15,7 +15,7 @@
 
 STANDBY_BELOW = 0.5  # slots; an endpoint with a lower concurrency limit is moved to standby
 LOG_EJECTED_BELOW = 0.25  # slots; endpoints with a lower concurrency limit are logged as ejected
-LOG_RESTORED_FROM = 1.0  # slots
+LOG_RESTORED_FROM = 1.0  # slots; from this limit on, they are logged as restored
 
 
 class OutcomeRecorder:
--- a/plovertrail/decisions/load_balancing/outcomes.py
+++ b/plovertrail/decisions/load_balancing/outcomes.py
@@ -4,7 +4,7 @@
 
 from plovertrail.decisions.events import Outcome
 
-# The request was certainly not executed, so it may be retried whatever its class.
+# The request was certainly not executed, so requests of any class may be retried.
 NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 # Failures that end an attempt, and free its slot, much sooner than a response would.
 IMMEDIATE_FAILURES = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET)
--- a/plovertrail/decisions/load_balancing/retry_policy.py
+++ b/plovertrail/decisions/load_balancing/retry_policy.py
@@ -77,8 +77,8 @@
         if not may_retry or not self._budget.allows_retry():
             return left_us
         index = request.event.class_index
-        usual_us = max(int(4 * self._latencies.mean_us[index]), self._latencies.slow_us[index])
-        return min(left_us, max(usual_us, 4 * request.event.cost_us))
+        typical_us = max(int(4 * self._latencies.mean_us[index]), self._latencies.slow_us[index])
+        return min(left_us, max(typical_us, 4 * request.event.cost_us))
 
     def start_within_us(self, request: RequestState, now_us: int) -> int:
         """Return within what time a retry must be written to be recognized as a duplicate; 0 = no limit.
--- a/plovertrail/decisions/load_balancing/slot_reopening.py
+++ b/plovertrail/decisions/load_balancing/slot_reopening.py
@@ -1,4 +1,4 @@
-"""Opens slots because of time alone: at the end of cool-downs, warm-ups, exclusions and penalties."""
+"""Opens slots with the passing of time: at the end of cool-downs, warm-ups, exclusions and penalties."""
 
 from __future__ import annotations
 
