--- a/tests/decisions/load_balancing/test_slow_start.py
+++ b/tests/decisions/load_balancing/test_slow_start.py
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_warming_endpoint_without_warm_ones_gets_its_full_share(seed: int) -> None:
-    """Each admitted request counts as a tenth of a response; a send is due after two thirds of one."""
+    """Each admitted request counts as a tenth of a response; a send is due after at most 2/3 of one."""
     harness = BalancerHarness(seed=seed)
     harness.update_endpoints(ready_endpoints(1, started_us=START_US))
     for _ in range(8):
