--- a/plovertrail/decisions/load_balancing/attempt_sending.py
+++ b/plovertrail/decisions/load_balancing/attempt_sending.py
@@ -1,4 +1,4 @@
-"""Starts an attempt: takes a slot, charges admission and the retry budget, and sets its timers."""
+"""Starts attempts: takes a slot, charges admission and the retry budget, and sets the timers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class AttemptSender:
-    """Sends requests to endpoints that were selected for them."""
+    """Sends requests to the endpoints selected for them."""
 
     __slots__ = ("_table", "_warm_ups", "_retries", "_tracker", "_timers")
 
@@ -33,7 +33,7 @@
         self._timers = timers
 
     def send(self, request: RequestState, endpoint: EndpointState, now_us: int) -> Send:
-        """Start an attempt and return the action that carries it out."""
+        """Start an attempt and return the action that sends it."""
         event = request.event
         self._take_slot(endpoint, now_us)
         self._retries.charge_attempt(request)
@@ -42,7 +42,7 @@
         request.in_flight += 1
         endpoint.attempts.append(attempt)
         if not self._table.settings.classes[event.class_index].stream:
-            self._timers.require_by(self._tracker.track(attempt))
+            self._timers.ensure_fires_by(self._tracker.track(attempt))
         timeout_us = self._retries.attempt_timeout_us(request, now_us)
         start_within_us = self._retries.start_within_us(request, now_us)
         hedge_delay_us = self._retries.hedge_delay_us(request)
