--- a/plovertrail/http1/requests.py
+++ b/plovertrail/http1/requests.py
@@ -8,7 +8,7 @@
 
 import httptools
 
-MOST_PIPELINED = 16  # requests of one connection that wait for the one that is open
+MAX_PIPELINED_REQUESTS = 16  # requests of one connection that wait for the one that is open
 MOST_HEADERS = 100
 CHECKED = frozenset((b"content-length", b"transfer-encoding", b"expect"))
 VALUE = re.compile(rb"[\t -~\x80-\xff]*")  # RFC 9110, section 5.5
@@ -116,7 +116,7 @@
 
     def on_message_begin(self) -> None:
         """Parser callback: a request begins. Raises if MOST_PIPELINED requests already wait."""
-        if len(self.messages) >= MOST_PIPELINED:
+        if len(self.messages) >= MAX_PIPELINED_REQUESTS:
             self.messages[-1].keep_alive = False
             self.full = True
             raise MalformedRequestError(400, "too many requests at once")
--- a/tests/http1/test_requests.py
+++ b/tests/http1/test_requests.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from plovertrail.http1.heads import answer_head, end_to_end
-from plovertrail.http1.requests import MOST_HEADERS, MOST_PIPELINED, RequestReader
+from plovertrail.http1.requests import MAX_PIPELINED_REQUESTS, MOST_HEADERS, RequestReader
 
 HOST = b"Host: a\r\n"
 GET = b"GET /x HTTP/1.1\r\n" + HOST + b"\r\n"
@@ -112,7 +112,7 @@
 
 def test_more_pipelined_requests_than_may_wait_end_the_connection_cleanly() -> None:
     read = reader(GET * 30)
-    assert len(read.messages) == MOST_PIPELINED
+    assert len(read.messages) == MAX_PIPELINED_REQUESTS
     assert read.error is None
     assert [message.keep_alive for message in read.messages].count(False) == 1
     assert not read.messages[-1].keep_alive
