--- a/plovertrail/hooks/trial.py
+++ b/plovertrail/hooks/trial.py
@@ -16,7 +16,7 @@
 from plovertrail.hooks.bounds import PHASES, HookError
 from plovertrail.hooks.engine import Bounds, Compiled, Instance, InvalidModuleError, Runtime
 from plovertrail.hooks.schema import WrittenRequest, told
-from plovertrail.http1.requests import MOST_HEADERS
+from plovertrail.http1.requests import MAX_HEADERS
 
 TRIAL = WrittenRequest(
     host="hook.invalid",
@@ -48,7 +48,7 @@
         records = told(TRIAL, phase, setup)
         try:
             instance = Instance(runtime, compiled, Bounds(setup.fuel, setup.memory))
-            room = abi.U32.size + len(records) + max_head + MOST_HEADERS * abi.HEAD.size + setup.body
+            room = abi.U32.size + len(records) + max_head + MAX_HEADERS * abi.HEAD.size + setup.body
             if instance.size < room:
                 raise InvalidModuleError(
                     f"its buffer of {instance.size} bytes is too small: with limits.max_head and "
--- a/plovertrail/http1/requests.py
+++ b/plovertrail/http1/requests.py
@@ -9,7 +9,7 @@
 import httptools
 
 MAX_PIPELINED_REQUESTS = 16  # requests of one connection that wait for the one that is open
-MOST_HEADERS = 100
+MAX_HEADERS = 100
 CHECKED = frozenset((b"content-length", b"transfer-encoding", b"expect"))
 VALUE = re.compile(rb"[\t -~\x80-\xff]*")  # RFC 9110, section 5.5
 
@@ -130,7 +130,7 @@
         """Parser callback: one header, or a trailer, which is dropped. Raises MalformedRequestError."""
         if self._head_done:
             return  # a trailer: it must not pass for a header
-        if len(self._headers) >= MOST_HEADERS:
+        if len(self._headers) >= MAX_HEADERS:
             raise MalformedRequestError(431, "too many headers")
         value = value.strip(b" \t")
         if not VALUE.fullmatch(value):
--- a/tests/http1/test_requests.py
+++ b/tests/http1/test_requests.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from plovertrail.http1.heads import answer_head, end_to_end
-from plovertrail.http1.requests import MAX_PIPELINED_REQUESTS, MOST_HEADERS, RequestReader
+from plovertrail.http1.requests import MAX_HEADERS, MAX_PIPELINED_REQUESTS, RequestReader
 
 HOST = b"Host: a\r\n"
 GET = b"GET /x HTTP/1.1\r\n" + HOST + b"\r\n"
@@ -74,7 +74,7 @@
         (post(b"Expect: the-moon"), 417),
         (b"GET /" + b"x" * 2000 + b" HTTP/1.1\r\n" + HOST + b"\r\n", 431),
         (b"GET / HTTP/1.1\r\nA: " + b"x" * 3000, 431),
-        (post(*[b"A: b"] * (MOST_HEADERS + 1)), 431),
+        (post(*[b"A: b"] * (MAX_HEADERS + 1)), 431),
         (b"GET / HTTP/2.0\r\n" + HOST + b"\r\n", 505),
         (b"GET /\r\n\r\n", 505),
     ],
