--- a/plovertrail/http1/requests.py
+++ b/plovertrail/http1/requests.py
@@ -38,13 +38,13 @@
 
 
 class RequestReader:
-    """Bytes in, `messages` out, and once there is an `error`, nothing more. Bounds: `longest_head` and
-    `longest_body` in bytes, 100 headers, 16 messages. Behind a request for another protocol reading stops:
+    """Bytes in, `messages` out, and once there is an `error`, nothing more. Bounds: `max_head_bytes` and
+    `max_body_bytes` in bytes, 100 headers, 16 messages. Behind a request for another protocol reading stops:
     `rest` is what has come, and `read_on` ignores the Upgrade, as one may (RFC 9110, section 7.8)."""
 
-    def __init__(self, longest_head: int, longest_body: int) -> None:
-        self.longest_head = longest_head
-        self.longest_body = longest_body
+    def __init__(self, max_head_bytes: int, max_body_bytes: int) -> None:
+        self.max_head_bytes = max_head_bytes
+        self.max_body_bytes = max_body_bytes
         self.stopped = False  # behind an Upgrade
         self.rest = bytearray()  # what has come behind it; the one who feeds bounds it
         self.messages: deque[RequestMessage] = deque()
@@ -102,9 +102,9 @@
             self.error = None
         elif self.error is None:
             # hazard: a head, or chunks of a byte with long extensions, without end would fill the memory
-            if self._partial and not self._head_done and self._size > self.longest_head:
+            if self._partial and not self._head_done and self._size > self.max_head_bytes:
                 self.error = MalformedRequestError(431, "the head is too long")
-            elif self._size > self.longest_head + 2 * self.longest_body + 65_536:
+            elif self._size > self.max_head_bytes + 2 * self.max_body_bytes + 65_536:
                 self.error = MalformedRequestError(413, "the request is too long")
 
     def read_on(self) -> None:
@@ -144,7 +144,7 @@
         if plain == b"content-length":
             if not value.isdigit() or len(value) > 15:
                 raise MalformedRequestError(400, "Content-Length is no whole number")
-            if int(value) > self.longest_body:
+            if int(value) > self.max_body_bytes:
                 raise MalformedRequestError(
                     413, "the body is too long"
                 )  # hazard: it would be read for nothing
@@ -160,7 +160,7 @@
         assert self._parser is not None
         self._head_done = True
         size = len(self._target) + sum(len(name) + len(value) + 4 for name, value in self._headers)
-        if size > self.longest_head:
+        if size > self.max_head_bytes:
             raise MalformedRequestError(431, "the head is too long")
         version = self._parser.get_http_version()
         if version not in ("1.0", "1.1"):
@@ -175,7 +175,7 @@
         """Parser callback: a further piece of the body. Raises MalformedRequestError if it is too long."""
         self.continue_wanted = False
         self._body += data
-        if len(self._body) > self.longest_body:
+        if len(self._body) > self.max_body_bytes:
             raise MalformedRequestError(413, "the body is too long")
 
     def on_message_complete(self) -> None:
