--- a/plovertrail/http1/requests.py
+++ b/plovertrail/http1/requests.py
@@ -61,7 +61,7 @@
         self._size = 0  # bytes of the message so far, as far as whole reads tell
         self._partial = False
         self._head_done = False
-        self.continue_wanted = False  # the client waits to be told to send the body (RFC 9110, 10.1.1)
+        self.expects_continue = False  # the client waits to be told to send the body (RFC 9110, 10.1.1)
 
     @property
     def partial(self) -> bool:
@@ -153,7 +153,7 @@
         elif plain == b"expect":
             if value.lower() != b"100-continue":
                 raise MalformedRequestError(417, "an Expect other than 100-continue")
-            self.continue_wanted = True
+            self.expects_continue = True
 
     def on_headers_complete(self) -> None:
         """Parser callback: the head has come whole. Raises MalformedRequestError if it may not be taken."""
@@ -169,11 +169,11 @@
             # hazard: who goes by one of them and who by the other see the next request begin elsewhere
             raise MalformedRequestError(400, "a body with two lengths")
         if version == "1.0":
-            self.continue_wanted = False
+            self.expects_continue = False
 
     def on_body(self, data: bytes) -> None:
         """Parser callback: a further piece of the body. Raises MalformedRequestError if it is too long."""
-        self.continue_wanted = False
+        self.expects_continue = False
         self._body += data
         if len(self._body) > self.max_body_bytes:
             raise MalformedRequestError(413, "the body is too long")
--- a/plovertrail/listeners/http_listener.py
+++ b/plovertrail/listeners/http_listener.py
@@ -118,8 +118,8 @@
         if (self.reader.partial or self.received_bytes) and self.state is ConnectionState.IDLE:
             self.server.set_state(self, ConnectionState.READING)
             self.received_bytes = max(self.received_bytes, 1)
-        if self.reader.continue_wanted and self.transport is not None:
-            self.reader.continue_wanted = False
+        if self.reader.expects_continue and self.transport is not None:
+            self.reader.expects_continue = False
             self.transport.write(CONTINUE)
 
     def _take_next(self) -> bool:
--- a/tests/http1/test_requests.py
+++ b/tests/http1/test_requests.py
@@ -143,9 +143,9 @@
 
 def test_who_waits_for_leave_to_send_the_body() -> None:
     head = post(b"Expect: 100-continue", b"Content-Length: 3")
-    assert reader(head).continue_wanted
-    assert not reader(head + b"a").continue_wanted
-    assert not reader(head.replace(b"HTTP/1.1", b"HTTP/1.0")).continue_wanted
+    assert reader(head).expects_continue
+    assert not reader(head + b"a").expects_continue
+    assert not reader(head.replace(b"HTTP/1.1", b"HTTP/1.0")).expects_continue
 
 
 @given(st.data())
