--- a/plovertrail/http1/requests.py
+++ b/plovertrail/http1/requests.py
@@ -107,7 +107,7 @@
             elif self._size > self.max_head_bytes + 2 * self.max_body_bytes + 65_536:
                 self.error = MalformedRequestError(413, "the request is too long")
 
-    def read_on(self) -> None:
+    def ignore_upgrade(self) -> None:
         """The upgrade is ignored: what follows is the next request."""
         data, self.rest, self.stopped = bytes(self.rest), bytearray(), False
         self.feed(data)
--- a/plovertrail/listeners/http_listener.py
+++ b/plovertrail/listeners/http_listener.py
@@ -157,7 +157,7 @@
             prepared = self.prepare(exchange)
             if isinstance(prepared, ProxyRequest) and exchange.handshake is None and exchange.message.upgrade:
                 exchange.message.upgrade = False  # to another protocol than WebSocket
-                self.reader.read_on()
+                self.reader.ignore_upgrade()
             return prepared
         except RequestRejectedError as error:
             allowed = ", ".join(sorted(error.allowed)).encode()
--- a/tests/http1/test_requests.py
+++ b/tests/http1/test_requests.py
@@ -123,7 +123,7 @@
     assert [(message.target, message.upgrade) for message in read.messages] == [(b"/1", True)]
     assert bytes(read.rest) == GET
     read.feed(GET)
-    read.read_on()
+    read.ignore_upgrade()
     assert [message.target for message in read.messages] == [b"/1", b"/x", b"/x"]
     assert read.error is None
 
