--- a/plovertrail/http1/heads.py
+++ b/plovertrail/http1/heads.py
@@ -32,7 +32,7 @@
     return [header for header in headers if header[0].lower() not in gone]
 
 
-def answer_head(status: int, headers: Headers, length: int | None, connection: bytes = b"") -> bytes:
+def response_head(status: int, headers: Headers, length: int | None, connection: bytes = b"") -> bytes:
     """The head of an answer; `length` is None where there is no Content-Length (204, 304)."""
     lines = [b"HTTP/1.1 %d %s\r\n" % (status, REASONS.get(status, b"Status"))]
     lines.extend([b"%s: %s\r\n" % header for header in headers])
--- a/plovertrail/listeners/http_listener.py
+++ b/plovertrail/listeners/http_listener.py
@@ -20,7 +20,7 @@
 )
 from plovertrail.generation import CurrentGeneration
 from plovertrail.hooks.chain import AnswerWithheldError, RequestRefusedError
-from plovertrail.http1.heads import Headers, answer_head, end_to_end
+from plovertrail.http1.heads import Headers, end_to_end, response_head
 from plovertrail.http1.requests import RequestMessage, RequestReader
 from plovertrail.listeners.client_connection import ClientConnection
 from plovertrail.listeners.connection_state import ConnectionState, ConnectionTimeouts
@@ -267,7 +267,9 @@
             and not response.close
             and not self.is_last_response()
         )
-        data = answer_head(response.status, response.headers, length, _connection_header(message, keep_alive))
+        data = response_head(
+            response.status, response.headers, length, _connection_header(message, keep_alive)
+        )
         if message is None or message.method != b"HEAD":
             data += response.body
         self.responses += 1
@@ -291,7 +293,7 @@
             return
         headers = [header for header in end_to_end(result.headers) if header[0].lower() not in OWN_HEADERS]
         headers += answer_headers(handshake.client_key, tunnel.subprotocol)
-        transport.write(answer_head(101, headers, None, b"Upgrade"))
+        transport.write(response_head(101, headers, None, b"Upgrade"))
         received = bytes(self.reader.rest + self.pending)
         self.reader.release()
         self.reader.rest = bytearray()
--- a/tests/http1/test_requests.py
+++ b/tests/http1/test_requests.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from plovertrail.http1.heads import answer_head, end_to_end
+from plovertrail.http1.heads import end_to_end, response_head
 from plovertrail.http1.requests import MAX_HEADERS, MAX_PIPELINED_REQUESTS, RequestReader
 
 HOST = b"Host: a\r\n"
@@ -186,6 +186,6 @@
         (b"Set-Cookie", b"a"),
         (b"Set-Cookie", b"b"),
     ]
-    assert answer_head(299, [(b"A", b"1")], 2, b"close") == (
+    assert response_head(299, [(b"A", b"1")], 2, b"close") == (
         b"HTTP/1.1 299 Status\r\nA: 1\r\nContent-Length: 2\r\nConnection: close\r\n\r\n"
     )
