--- a/plovertrail/http1/requests.py
+++ b/plovertrail/http1/requests.py
@@ -40,13 +40,13 @@
 class RequestReader:
     """Bytes in, `messages` out, and once there is an `error`, nothing more. Bounds: `max_head_bytes` and
     `max_body_bytes` in bytes, 100 headers, 16 messages. Behind a request for another protocol reading stops:
-    `rest` is what has come, and `read_on` ignores the Upgrade, as one may (RFC 9110, section 7.8)."""
+    `unparsed` is what has come, and `read_on` ignores the Upgrade, as one may (RFC 9110, section 7.8)."""
 
     def __init__(self, max_head_bytes: int, max_body_bytes: int) -> None:
         self.max_head_bytes = max_head_bytes
         self.max_body_bytes = max_body_bytes
         self.stopped = False  # behind an Upgrade
-        self.rest = bytearray()  # what has come behind it; the one who feeds bounds it
+        self.unparsed = bytearray()  # what has come behind it; the one who feeds bounds it
         self.messages: deque[RequestMessage] = deque()
         self.error: MalformedRequestError | None = None
         self.full = False  # more requests came than may wait: what follows is not read
@@ -75,7 +75,7 @@
     def feed(self, data: bytes) -> None:
         """Read on; never raises."""
         if self.stopped:
-            self.rest += data
+            self.unparsed += data
             return
         while data and self.error is None and not self.full and self._parser is not None:
             self._size += len(data)
@@ -87,7 +87,7 @@
                 self._parser = httptools.HttpRequestParser(self)
                 if self.messages:
                     self.messages[-1].upgrade = self.stopped = True
-                    self.rest += data
+                    self.unparsed += data
                     return
             except httptools.HttpParserCallbackError as error:
                 cause = error.__context__
@@ -109,7 +109,7 @@
 
     def ignore_upgrade(self) -> None:
         """The upgrade is ignored: what follows is the next request."""
-        data, self.rest, self.stopped = bytes(self.rest), bytearray(), False
+        data, self.unparsed, self.stopped = bytes(self.unparsed), bytearray(), False
         self.feed(data)
 
     # What the parser calls
--- a/plovertrail/listeners/http_listener.py
+++ b/plovertrail/listeners/http_listener.py
@@ -294,9 +294,9 @@
         headers = [header for header in end_to_end(result.headers) if header[0].lower() not in OWN_HEADERS]
         headers += answer_headers(handshake.client_key, tunnel.subprotocol)
         transport.write(response_head(101, headers, None, b"Upgrade"))
-        received = bytes(self.reader.rest + self.pending)
+        received = bytes(self.reader.unparsed + self.pending)
         self.reader.release()
-        self.reader.rest = bytearray()
+        self.reader.unparsed = bytearray()
         self.pending = bytearray()
         exchange, self.exchange = self.exchange, None
         if exchange is not None:
--- a/tests/http1/test_requests.py
+++ b/tests/http1/test_requests.py
@@ -121,7 +121,7 @@
 def test_an_offer_to_upgrade_is_ignored() -> None:
     read = reader(b"GET /1 HTTP/1.1\r\n" + HOST + b"Connection: Upgrade\r\nUpgrade: h2c\r\n\r\n" + GET)
     assert [(message.target, message.upgrade) for message in read.messages] == [(b"/1", True)]
-    assert bytes(read.rest) == GET
+    assert bytes(read.unparsed) == GET
     read.feed(GET)
     read.ignore_upgrade()
     assert [message.target for message in read.messages] == [b"/1", b"/x", b"/x"]
