--- a/plovertrail/http1/requests.py
+++ b/plovertrail/http1/requests.py
@@ -18,10 +18,10 @@
     """What is no request that may be taken: the status to answer with, and why. The connection ends with it,
     as where the next request would begin is not known."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
-        self.why = why
+        self.reason = reason
 
 
 @dataclass(slots=True)
--- a/plovertrail/listeners/http_listener.py
+++ b/plovertrail/listeners/http_listener.py
@@ -127,7 +127,7 @@
         if self.reader.messages:
             self._take(self.reader.messages.popleft())
         elif self.reader.error is not None:
-            self._respond(error_response(self.reader.error.status, self.reader.error.why, close=True))
+            self._respond(error_response(self.reader.error.status, self.reader.error.reason, close=True))
         elif self.pending:
             data = bytes(self.pending)
             self.pending = bytearray()
