--- a/plovertrail/http1/requests.py
+++ b/plovertrail/http1/requests.py
@@ -45,7 +45,7 @@
     def __init__(self, max_head_bytes: int, max_body_bytes: int) -> None:
         self.max_head_bytes = max_head_bytes
         self.max_body_bytes = max_body_bytes
-        self.stopped = False  # behind an Upgrade
+        self.stopped_at_upgrade = False  # behind an Upgrade
         self.unparsed = bytearray()  # what has come behind it; the one who feeds bounds it
         self.messages: deque[RequestMessage] = deque()
         self.error: MalformedRequestError | None = None
@@ -74,7 +74,7 @@
 
     def feed(self, data: bytes) -> None:
         """Read on; never raises."""
-        if self.stopped:
+        if self.stopped_at_upgrade:
             self.unparsed += data
             return
         while data and self.error is None and not self.full and self._parser is not None:
@@ -86,7 +86,7 @@
                 data = data[upgrade.args[0] :]
                 self._parser = httptools.HttpRequestParser(self)
                 if self.messages:
-                    self.messages[-1].upgrade = self.stopped = True
+                    self.messages[-1].upgrade = self.stopped_at_upgrade = True
                     self.unparsed += data
                     return
             except httptools.HttpParserCallbackError as error:
@@ -109,7 +109,7 @@
 
     def ignore_upgrade(self) -> None:
         """The upgrade is ignored: what follows is the next request."""
-        data, self.unparsed, self.stopped = bytes(self.unparsed), bytearray(), False
+        data, self.unparsed, self.stopped_at_upgrade = bytes(self.unparsed), bytearray(), False
         self.feed(data)
 
     # What the parser calls
