--- a/plovertrail/http1/requests.py
+++ b/plovertrail/http1/requests.py
@@ -49,7 +49,7 @@
         self.unparsed = bytearray()  # what has come behind it; the one who feeds bounds it
         self.messages: deque[RequestMessage] = deque()
         self.error: MalformedRequestError | None = None
-        self.full = False  # more requests came than may wait: what follows is not read
+        self.pipeline_full = False  # more requests came than may wait: what follows is not read
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self._begin()
 
@@ -77,7 +77,7 @@
         if self.stopped_at_upgrade:
             self.unparsed += data
             return
-        while data and self.error is None and not self.full and self._parser is not None:
+        while data and self.error is None and not self.pipeline_full and self._parser is not None:
             self._size += len(data)
             try:
                 self._parser.feed_data(data)
@@ -98,7 +98,7 @@
                 )
             except httptools.HttpParserError:
                 self.error = MalformedRequestError(400, "malformed request")
-        if self.full:
+        if self.pipeline_full:
             self.error = None
         elif self.error is None:
             # hazard: a head, or chunks of a byte with long extensions, without end would fill the memory
@@ -118,7 +118,7 @@
         """Parser callback: a request begins. Raises if MOST_PIPELINED requests already wait."""
         if len(self.messages) >= MAX_PIPELINED_REQUESTS:
             self.messages[-1].keep_alive = False
-            self.full = True
+            self.pipeline_full = True
             raise MalformedRequestError(400, "too many requests at once")
         self._partial = True
 
