--- a/plovertrail/http1/requests.py
+++ b/plovertrail/http1/requests.py
@@ -10,7 +10,7 @@
 
 MAX_PIPELINED_REQUESTS = 16  # requests of one connection that wait for the one that is open
 MAX_HEADERS = 100
-CHECKED = frozenset((b"content-length", b"transfer-encoding", b"expect"))
+CHECKED_HEADERS = frozenset((b"content-length", b"transfer-encoding", b"expect"))
 VALUE = re.compile(rb"[\t -~\x80-\xff]*")  # RFC 9110, section 5.5
 
 
@@ -137,7 +137,7 @@
             raise MalformedRequestError(400, "a header's value is not text")
         self._headers.append((name, value))
         plain = name.lower()
-        if plain not in CHECKED:
+        if plain not in CHECKED_HEADERS:
             return
         if plain != b"expect":
             self._framing.append(plain)
