--- a/plovertrail/http1/requests.py
+++ b/plovertrail/http1/requests.py
@@ -11,7 +11,7 @@
 MAX_PIPELINED_REQUESTS = 16  # requests of one connection that wait for the one that is open
 MAX_HEADERS = 100
 CHECKED_HEADERS = frozenset((b"content-length", b"transfer-encoding", b"expect"))
-VALUE = re.compile(rb"[\t -~\x80-\xff]*")  # RFC 9110, section 5.5
+HEADER_VALUE = re.compile(rb"[\t -~\x80-\xff]*")  # RFC 9110, section 5.5
 
 
 class MalformedRequestError(Exception):
@@ -133,7 +133,7 @@
         if len(self._headers) >= MAX_HEADERS:
             raise MalformedRequestError(431, "too many headers")
         value = value.strip(b" \t")
-        if not VALUE.fullmatch(value):
+        if not HEADER_VALUE.fullmatch(value):
             raise MalformedRequestError(400, "a header's value is not text")
         self._headers.append((name, value))
         plain = name.lower()
