--- a/plovertrail/http1/heads.py
+++ b/plovertrail/http1/heads.py
@@ -19,7 +19,7 @@
         b"content-length",
     )
 )
-REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
+REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 
 
 def end_to_end(headers: Headers, dropped: frozenset[bytes] = frozenset()) -> Headers:
@@ -34,7 +34,7 @@
 
 def response_head(status: int, headers: Headers, length: int | None, connection: bytes = b"") -> bytes:
     """The head of an answer; `length` is None where there is no Content-Length (204, 304)."""
-    lines = [b"HTTP/1.1 %d %s\r\n" % (status, REASONS.get(status, b"Status"))]
+    lines = [b"HTTP/1.1 %d %s\r\n" % (status, REASON_PHRASES.get(status, b"Status"))]
     lines.extend([b"%s: %s\r\n" % header for header in headers])
     if length is not None:
         lines.append(b"Content-Length: %d\r\n" % length)
