--- a/plovertrail/http1/requests.py
+++ b/plovertrail/http1/requests.py
@@ -58,7 +58,7 @@
         self._headers: list[tuple[bytes, bytes]] = []
         self._framing: list[bytes] = []  # the headers that tell how long the body is
         self._body = bytearray()
-        self._size = 0  # bytes of the message so far, as far as whole reads tell
+        self._message_bytes = 0  # bytes of the message so far, as far as whole reads tell
         self._partial = False
         self._head_done = False
         self.expects_continue = False  # the client waits to be told to send the body (RFC 9110, 10.1.1)
@@ -78,7 +78,7 @@
             self.unparsed += data
             return
         while data and self.error is None and not self.pipeline_full and self._parser is not None:
-            self._size += len(data)
+            self._message_bytes += len(data)
             try:
                 self._parser.feed_data(data)
                 data = b""
@@ -102,9 +102,9 @@
             self.error = None
         elif self.error is None:
             # hazard: a head, or chunks of a byte with long extensions, without end would fill the memory
-            if self._partial and not self._head_done and self._size > self.max_head_bytes:
+            if self._partial and not self._head_done and self._message_bytes > self.max_head_bytes:
                 self.error = MalformedRequestError(431, "the head is too long")
-            elif self._size > self.max_head_bytes + 2 * self.max_body_bytes + 65_536:
+            elif self._message_bytes > self.max_head_bytes + 2 * self.max_body_bytes + 65_536:
                 self.error = MalformedRequestError(413, "the request is too long")
 
     def ignore_upgrade(self) -> None:
