--- a/plovertrail/http1/heads.py
+++ b/plovertrail/http1/heads.py
@@ -1,4 +1,4 @@
-"""Heads as a proxy passes them on (RFC 9110, section 7.6)."""
+"""Message heads as a proxy forwards them (RFC 9110, section 7.6)."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 Headers = list[tuple[bytes, bytes]]
 HOP_BY_HOP = frozenset(
-    (  # of one connection; Content-Length is written anew for the body that goes on
+    (  # headers that hold for one connection, and Content-Length, which is set anew for the forwarded body
         b"connection",
         b"keep-alive",
         b"proxy-connection",
@@ -23,17 +23,17 @@
 
 
 def end_to_end(headers: Headers, dropped: frozenset[bytes] = frozenset()) -> Headers:
-    """The headers that go on: without those of the connection, those that it names, and `dropped`."""
-    named: frozenset[bytes] = frozenset()
+    """The headers to forward: without hop-by-hop headers, those that Connection names, and `dropped`."""
+    named_in_connection: frozenset[bytes] = frozenset()
     for name, value in headers:
         if len(name) == 10 and name.lower() == b"connection":
-            named |= frozenset(part.strip().lower() for part in value.split(b","))
-    gone = HOP_BY_HOP | dropped | named if named or dropped else HOP_BY_HOP
-    return [header for header in headers if header[0].lower() not in gone]
+            named_in_connection |= frozenset(token.strip().lower() for token in value.split(b","))
+    excluded = HOP_BY_HOP | dropped | named_in_connection if named_in_connection or dropped else HOP_BY_HOP
+    return [header for header in headers if header[0].lower() not in excluded]
 
 
 def response_head(status: int, headers: Headers, length: int | None, connection: bytes = b"") -> bytes:
-    """The head of an answer; `length` is None where there is no Content-Length (204, 304)."""
+    """The head of a response; `length` is None where there is no Content-Length (204, 304)."""
     lines = [b"HTTP/1.1 %d %s\r\n" % (status, REASON_PHRASES.get(status, b"Status"))]
     lines.extend([b"%s: %s\r\n" % header for header in headers])
     if length is not None:
