--- a/plovertrail/dispatch/dispatcher.py
+++ b/plovertrail/dispatch/dispatcher.py
@@ -1,8 +1,8 @@
-"""Joins the decisions to the sockets: what happens becomes events, and the actions are carried out.
+"""Connects the decision modules to the sockets: passes events to them and carries out their actions.
 
-A server pool has a load balancer of its own; a request asks the pools that it was given in their order.
-Nothing is decided here. Each request gets its final response in `Dispatcher.answer` and each attempt its
-outcome in `Dispatcher.end_attempt`, the only places for either, exactly once.
+Each server pool has a load balancer of its own, and a request tries the pools of its route in order. Nothing
+is decided here. A request gets its final response only in `Dispatcher.answer` and an attempt its outcome only
+in `Dispatcher.end_attempt`, each exactly once.
 """
 
 from __future__ import annotations
@@ -51,21 +51,21 @@
     never_stale,
 )
 
-if TYPE_CHECKING:  # imported where they are configured: the platform's start has none of them
+if TYPE_CHECKING:  # imported only where configured, to keep the platform's sidecar (__main__.py) small
     from plovertrail.decisions.rate_limits import RateLimiter
     from plovertrail.decisions.shared_counters import TenantUsage
 
 log = logging.getLogger(__name__)
 
-ANSWER_MARGIN_US = 10_000  # a response is sent so long before the client's deadline, to arrive in time
-BACKSTOP_US = 5_000  # the dispatcher's own deadline comes so long after the load balancer's
+ANSWER_MARGIN_US = 10_000  # time between the last moment for a response and the client's deadline
+BACKSTOP_US = 5_000  # the dispatcher's own timer fires this long after the load balancer's deadline
 
 
 class Dispatcher:
-    """The live requests and attempts, and the pools that they go through.
+    """Holds the live requests and their attempts, and the pools that they are sent to.
 
-    `turn_is_stale` tells whether the present turn of the loop began too long ago to act on, as the process
-    was paused in it.
+    `turn_is_stale` returns whether the process was paused during the current iteration of the event loop, so
+    that its knowledge of the endpoints may be out of date.
     """
 
     def __init__(self, turn_is_stale: Callable[[], bool] = never_stale) -> None:
@@ -79,27 +79,27 @@
         self.pools = Pools(self.events, self.retry_budget)
         self.attempts = AttemptRunner(self.loop, self)
         self.sequence = PoolSequence(self.loop, self.events, self.retry_budget, self)
-        self.tenant_use: TenantUsage | None = None  # where instances count together
+        self.tenant_use: TenantUsage | None = None  # set where instances share their counters
         self.discovery: DiscoverySubscriber = NoDiscovery()
 
     # Pools
 
     def start(self, pool: ServerPool) -> None:
-        """Let a pool's load balancer act for the first time."""
+        """Wake a pool's load balancer for the first time."""
         self.sequence.wake(pool)
 
     def retire(self, pool: ServerPool) -> None:
-        """Take a pool out of service: its endpoints get nothing new, attempts in flight finish."""
+        """Take a pool out of service: it gets no new attempts, and those in flight finish."""
         self.pools.remove(pool)
         for request in list(self.requests.values()):
-            # One that waits in the load balancer's buffer would wait for a slot that never opens.
+            # A request in the load balancer's buffer would wait for a slot that never becomes free.
             waits = request.pool is pool and not request.finished
             if waits and all(attempt.ended for attempt in request.attempts):
                 self.events.put(pool, RequestCancelled(request.request_id))
                 self.sequence.try_next_pool(request, rejection_without_endpoints(pool))
 
     def shrink_subset(self, pool: ServerPool) -> None:
-        """Drop the endpoints that a pool's subset can do without."""
+        """Drop the endpoints that a pool's subset no longer needs, except those with attempts in flight."""
         if pool.retired or pool.subset is None:
             return
         busy = {
@@ -110,16 +110,19 @@
         }
         pool.feed.shrink_subset(clock_us(), busy)
 
-    # A process that was paused
+    # Suspension after a pause of the process
 
     def suspend(self, paused_us: int = 0) -> None:
-        """Send nothing until `resume`; unwritten attempts are cancelled, as their endpoints may drain."""
+        """Send nothing until `resume`; cancels unwritten attempts, as their endpoints may be draining."""
         self.suspension.begin(paused_us)
         for request in list(self.requests.values()):
             self.attempts.abandon_unwritten(request, Outcome.CONNECT_FAILED)
 
     def resume(self) -> None:
-        """Act again, as the sources have been read: endpoint lists first, then sends, then other events."""
+        """Process what was held back, once the sources have been read again.
+
+        Endpoint lists come first, then sends, then other events.
+        """
         if not self.suspension.active:
             return
         updates, sends = self.suspension.end()
@@ -137,12 +140,12 @@
         pools: Sequence[ServerPool],
         limiters: Sequence[RateLimiter] = (),
     ) -> int:
-        """Take a request; `reply` is called once with its response unless its client disconnects first."""
+        """Accept a request; `reply` is called once with its response unless its client disconnects first."""
         self.last_request_id += 1
         due_us = proxied.arrived_us + max(1, proxied.deadline_us - ANSWER_MARGIN_US)
         request = LiveRequest(self.last_request_id, proxied, due_us, reply, pools, FailoverState(due_us))
         self.requests[request.request_id] = request
-        # Whatever becomes of the load balancer's own timers, no client is left without an answer.
+        # Guarantees a response even if the load balancer's own timers fail.
         request.timer = call_at(self.loop, due_us + BACKSTOP_US, self._deadline_exceeded, request)
         if self.tenant_use is not None:
             self.tenant_use.record_request(proxied.tenant, clock_us())
@@ -159,11 +162,11 @@
         return request.request_id
 
     def tenant_share(self, tenant: int) -> float:
-        """A tenant's share of all that the fleet is asked for; 0: not known, or not for the fleet."""
+        """A tenant's share of the requests to the whole fleet; 0: unknown, or counters are not shared."""
         return 0.0 if self.tenant_use is None else self.tenant_use.share(tenant, clock_us())
 
     def disconnected(self, request_id: int) -> None:
-        """The client of a request has closed its connection."""
+        """Handle that the client of a request has closed its connection."""
         request = self.requests.get(request_id)
         if request is not None and not request.finished:
             self._finish(request)
@@ -171,7 +174,7 @@
                 self.events.put(request.pool, RequestCancelled(request_id))
 
     def expire(self, request_id: int) -> None:
-        """Answer a request now, as no more time is left for it."""
+        """Answer a request now, as its time is up."""
         request = self.requests.get(request_id)
         if request is not None and not request.finished:
             self._answer_expired(request)
@@ -190,7 +193,7 @@
             self.events.put(request.pool, RequestCancelled(request.request_id))
 
     def answer(self, request_id: int, response: ProxyResponse) -> None:
-        """Give a request its final response; the one place for it."""
+        """Give a request its final response; ignored if it has finished already."""
         request = self.requests.get(request_id)
         if request is None or request.finished:
             return
@@ -198,7 +201,7 @@
         request.reply(response)
 
     def _finish(self, request: LiveRequest) -> None:
-        """End a request for its client; attempts that are not written yet are cancelled."""
+        """Mark a request as finished; attempts that are not written yet are cancelled."""
         request.finished = True
         if request.arrival is not None:
             self.sequence.release_queue_place(request)
@@ -214,19 +217,19 @@
             for permit in request.permits:
                 permit.limiter.ended(permit, clock_us())
 
-    # Events in, actions out
+    # Events and actions of the load balancers
 
     def _admit_queued(self) -> None:
-        """Admit the next request where there is room, one at a time, as each takes a slot."""
+        """Admit the next queued request that finds a free slot: only one, as it takes that slot."""
         for pool in self.pools:
             if pool.queue is not None and pool.queue.admit_next():
-                return  # its event is in the queue now, and this is called again after it
+                return  # its event is queued now, and this method is called again once that is handled
 
     def _handle(self, pool: ServerPool, event: Event) -> None:
         try:
             actions = pool.balancer.handle(clock_us(), event)
         except Exception:
-            # One request that the load balancer fails on must not take the others with it.
+            # An exception on one request must not affect the others.
             log.exception("load balancer failed event=%s pool=%s", type(event).__name__, pool.name)
             request = self.requests.get(getattr(event, "request", 0))
             if request is not None and not request.finished:
@@ -265,7 +268,7 @@
 
     def _send_unless_suspended(self, pool: ServerPool, action: Send) -> None:
         if self.turn_is_stale() and not self.suspension.active:
-            # Paused between two events of one turn, the second would send to an endpoint that may drain.
+            # After a pause between two events of one loop iteration, the endpoint may already be draining.
             self.suspend()
         if self.suspension.active:
             self.suspension.sends.append((pool, action))
@@ -274,13 +277,13 @@
 
     def _send(self, pool: ServerPool, action: Send) -> None:
         request = self.requests.get(action.request)
-        if request is not None and request.pool is pool:  # else it is over, and the load balancer knows
+        if request is not None and request.pool is pool:  # else it has ended, as the load balancer was told
             self.attempts.start(request, pool, action)
 
-    # Ends of attempts
+    # Results of attempts
 
     def end_attempt(self, request: LiveRequest, number: int, result: TransportResult) -> None:
-        """End an attempt; the one place for it."""
+        """Record an attempt's result and pass it to the load balancer; ignored if it has ended already."""
         attempt = request.attempts[number]
         if attempt.ended:
             return
@@ -314,10 +317,10 @@
 def upgraded_result(
     request: LiveRequest, attempt: LiveAttempt, result: TransportResult, handshake: WebSocketHandshake
 ) -> TransportResult:
-    """How a handshake's attempt has ended.
+    """The result of a handshake's attempt.
 
-    A WebSocket that may not open, as its client has disconnected or its endpoint drains, is closed again: the
-    handshake has run.
+    A WebSocket that may not open, as its client has disconnected or its endpoint is draining, is closed.
+    The result is then RESET, as the endpoint has already processed the handshake.
     """
     if result.tunnel is not None and (request.finished or not handshake.accept_upgrade()):
         result.tunnel.close()
