--- a/plovertrail/dispatch/pool_sequence.py
+++ b/plovertrail/dispatch/pool_sequence.py
@@ -1,4 +1,4 @@
-"""The way of a request through its route's pools: into a queue, to a load balancer, on to the next pool."""
+"""Passes a request through the pools of its route: the queue and the load balancer of each in turn."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 from plovertrail.dispatch.timers import call_at
 from plovertrail.dispatch.types import ProxyResponse, ResponseKind, UnionContainer
 
-if TYPE_CHECKING:  # imported where a queue is configured: the platform's start has none
+if TYPE_CHECKING:  # imported only where configured, to keep the platform's sidecar (__main__.py) small
     from plovertrail.decisions.fair_queue import FairQueueSettings
 
 
 class RequestOwner(Protocol):
-    """What the way through the pools asks of the dispatcher."""
+    """What PoolSequence needs of the dispatcher."""
 
     @property
     def requests(self) -> Mapping[int, LiveRequest]:
-        """The requests that are live."""
+        """The live requests by their numbers."""
 
     def answer(self, request_id: int, response: ProxyResponse) -> None:
         """Give a request its final response."""
 
     def tenant_share(self, tenant: int) -> float:
-        """A tenant's share of all that the fleet is asked for; 0: not known."""
+        """A tenant's share of the requests to the whole fleet; 0: unknown."""
 
 
 class PoolSequence:
-    """Passes requests from pool to pool, in the order that each was given.
+    """Passes requests from pool to pool, each in the order of its route.
 
     `retry_budget` bounds the retries of all pools together.
     """
@@ -55,7 +55,7 @@
     def configure_queue(
         self, pool: ServerPool, settings: FairQueueSettings | None, rng: Callable[[], float]
     ) -> None:
-        """Give a pool a queue, another one, or none; requests that wait stay queued, or are admitted."""
+        """Set up, change or remove a pool's queue; requests that wait in a removed queue are admitted."""
         if settings is not None and pool.queue is not None:
             pool.queue.configure(settings)
         elif settings is not None:
@@ -69,11 +69,11 @@
                 self.admit(pool, request_id)
 
     def wake(self, pool: ServerPool) -> None:
-        """Let a pool's load balancer act, as time has passed."""
+        """Let a pool's load balancer act on the time that has passed."""
         self.events.put(pool, TimerFired(0))
 
     def try_next_pool(self, request: LiveRequest, response: ProxyResponse) -> None:
-        """Pass a request that no pool has to its next one; without one `response` is its answer."""
+        """Pass a request to its next pool; if there is none, answer it with `response`."""
         failover = request.failover
         handshake = request.proxied.handshake
         serving = [
@@ -81,22 +81,22 @@
             for pool in request.pools
         ]
         max_attempts = request.pools[0].settings.max_attempts
-        number = next_pool(failover, serving, max_attempts, self.retry_budget, clock_us())
-        if number is None:
+        pool_index = next_pool(failover, serving, max_attempts, self.retry_budget, clock_us())
+        if pool_index is None:
             response.result = request.last_result
             self.owner.answer(request.request_id, response)
             return
         self.release_queue_place(request)
-        pool = request.pools[number]
-        failover.pools_tried = number + 1
+        pool = request.pools[pool_index]
+        failover.pools_tried = pool_index + 1
         if pool.queue is None and pool.admission is not None and not pool.admits():
             after_us = pool.admission.retry_after_us() if pool.settings.retry_after else 0
             self.try_next_pool(request, ProxyResponse(ResponseKind.REJECTED, after_us))
             return
         request.pool = pool
         request.first_attempt = len(request.attempts)
-        left = attempts_left(failover, serving, number, max_attempts)
-        request.arrival = self._arrival(request, pool, left)
+        attempt_limit = attempts_left(failover, serving, pool_index, max_attempts)
+        request.arrival = self._arrival(request, pool, attempt_limit)
         if pool.queue is None:
             self.admit(pool, request.request_id)
         else:
@@ -143,19 +143,19 @@
             self._wake_when_connectable(pool, request)
 
     def reject(self, pool: ServerPool, request_id: int, retry_after_us: int) -> None:
-        """Take a request from a pool's queue, as it has waited for too long or in vain."""
+        """Reject a request that a pool's queue is too full for, or that would wait or has waited too long."""
         after_us = retry_after_us if pool.settings.retry_after else 0
         self.pool_declined(pool, request_id, ProxyResponse(ResponseKind.REJECTED, after_us))
 
     def release_queue_place(self, request: LiveRequest) -> None:
-        """Release a request's place in the queue of its pool, whether it waits or was admitted."""
+        """Release a request's place in the queue of its pool, whether it waits or has been admitted."""
         request.arrival = None
         if request.pool is not None and request.pool.queue is not None:
             request.pool.queue.release(request.request_id, request.slot_time_us)
         request.slot_time_us = 0
 
     def _wake_when_connectable(self, pool: ServerPool, request: LiveRequest) -> None:
-        """Wake the load balancer once a connection may be made for a request: that has no event."""
+        """Wake the load balancer when a connection may be made for a request, as no event reports that."""
         wait_us = pool.transport.next_connect_us() - clock_us()
         if wait_us > 0 and not request.finished and not request.attempts and pool.connect_timer is None:
             pool.connect_timer = call_at(self.loop, clock_us() + wait_us, self._on_connectable, pool)
@@ -166,6 +166,6 @@
 
 
 def rejection_without_endpoints(pool: ServerPool) -> ProxyResponse:
-    """The response where no endpoint is listed: the longest Retry-After, as nothing tells a better one."""
+    """The response where no endpoint is listed: the longest Retry-After, as no better time is known."""
     after_us = pool.settings.max_retry_after_us if pool.settings.retry_after else 0
     return ProxyResponse(ResponseKind.REJECTED, after_us)
