--- a/plovertrail/dispatch/attempts.py
+++ b/plovertrail/dispatch/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at endpoints: begun, timed and cancelled here; their ends go to the dispatcher."""
+"""Starts, times out and cancels attempts, and reports their results to the dispatcher."""
 
 from __future__ import annotations
 
@@ -15,37 +15,37 @@
 
 
 class AttemptOwner(Protocol):
-    """What attempts ask of the dispatcher."""
+    """What AttemptRunner needs of the dispatcher."""
 
     def end_attempt(self, request: LiveRequest, number: int, result: TransportResult) -> None:
-        """An attempt has ended; a second end of the same one is ignored."""
+        """Record the result of an attempt; ignored if it has ended already."""
 
     def disconnected(self, request_id: int) -> None:
-        """The client of a request has closed its connection."""
+        """Handle that the client of a request has closed its connection."""
 
 
 class AttemptRunner:
-    """Carries out what load balancers decide about attempts."""
+    """Carries out the load balancers' actions on attempts."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, owner: AttemptOwner) -> None:
         self.loop = loop
         self.owner = owner
 
     def start(self, request: LiveRequest, pool: ServerPool, action: Send) -> None:
-        """Send a request to the endpoint that was selected, unless that is of no use any more."""
+        """Send a request to the selected endpoint, unless the attempt could no longer succeed."""
         now_us = clock_us()
         number = len(request.attempts)
         attempt = LiveAttempt(pool, action.endpoint_id, now_us)
         request.attempts.append(attempt)
         request.failover.attempt_began()
         address = pool.addresses.get(action.endpoint_id)
-        left_us = request.due_us - now_us
-        if address is None:  # it was removed since it was selected
+        remaining_us = request.due_us - now_us
+        if address is None:  # the endpoint was removed after it was selected
             self.owner.end_attempt(request, number, TransportResult(Outcome.CONNECT_FAILED))
             return
         if (
             request.finished
-            or left_us <= 0
+            or remaining_us <= 0
             or action.timeout_us < 0
             or number >= request.pools[0].settings.max_attempts
             or self._client_disconnected(request)
@@ -53,7 +53,7 @@
         ):
             self.owner.end_attempt(request, number, TransportResult(Outcome.NOT_SENT))
             return
-        timeout_us = min(action.timeout_us or left_us, left_us)
+        timeout_us = min(action.timeout_us or remaining_us, remaining_us)
         attempt.timer = call_at(self.loop, now_us + timeout_us, self._on_timeout, request, number)
         attempt.handle = pool.transport.start(
             action.endpoint_id,
@@ -64,18 +64,18 @@
         )
 
     def cancel(self, request: LiveRequest, action: Cancel) -> None:
-        """Cancel the attempt that a load balancer has no use for."""
+        """Cancel an attempt that the load balancer no longer needs."""
         number = request.first_attempt + action.attempt
         if number < len(request.attempts):
             self.abandon(request, number, Outcome.CANCELLED)
 
     def abandon(self, request: LiveRequest, number: int, outcome: Outcome) -> None:
-        """End an attempt with an outcome; one that never had a connection has failed to connect."""
+        """End an attempt with an outcome: CONNECT_FAILED if nothing of it was written."""
         attempt = request.attempts[number]
         if attempt.ended or attempt.handle is None:
             return
         if not attempt.handle.written:
-            outcome = Outcome.CONNECT_FAILED  # no connection in time: it never ran
+            outcome = Outcome.CONNECT_FAILED  # there was no connection in time, so it never ran
         attempt.handle.cancel()
         self.owner.end_attempt(request, number, TransportResult(outcome))
 
@@ -90,10 +90,10 @@
         self.abandon(request, number, Outcome.TIMEOUT)
 
     def _client_disconnected(self, request: LiveRequest) -> bool:
-        """Whether nobody waits for the request any more.
+        """Whether the request's client has disconnected, also if the event loop has not reported it yet.
 
-        The end of the client's connection may lie unread in the system while a due timer, a freed slot or a
-        long turn of the loop comes first; what is sent then would run for nobody.
+        The end of the connection may be unread in the kernel when a timer, a freed slot or a long loop
+        iteration starts an attempt, whose response no one would receive.
         """
         if request.proxied.client_disconnected():
             self.owner.disconnected(request.request_id)
