--- a/plovertrail/dispatch/live_request.py
+++ b/plovertrail/dispatch/live_request.py
@@ -1,6 +1,6 @@
-"""The requests and attempts that are live: state of the dispatcher, changed by it and its parts alone.
+"""The state of live requests and attempts, changed only by the dispatcher and its parts.
 
-Times are by the monotonic clock, in microseconds.
+Times are in microseconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from plovertrail.dispatch.server_pool import ServerPool
 from plovertrail.dispatch.types import AttemptHandle, ProxyRequest, ProxyResponse, TransportResult
 
-if TYPE_CHECKING:  # imported where a limit is configured: the platform's start has none
+if TYPE_CHECKING:  # imported only where configured, to keep the platform's sidecar (__main__.py) small
     from plovertrail.decisions.rate_limits import Permit
 
 
@@ -29,25 +29,25 @@
     handle: AttemptHandle | None = None
     timer: asyncio.TimerHandle | None = None
     ended: bool = False
-    handshake_counted: bool = False  # the WebSocket that it asks for counts at its endpoint
+    handshake_counted: bool = False  # its WebSocket handshake counts towards the endpoint's limit
 
 
 @dataclass(slots=True)
 class LiveRequest:
-    """A client's request while it is open or any of its attempts is."""
+    """A client's request, until it is finished and all its attempts have ended."""
 
     request_id: int
     proxied: ProxyRequest
-    due_us: int  # its deadline
+    due_us: int  # the time by which it has to be answered
     reply: Callable[[ProxyResponse], None]  # called with the final response, at most once
-    pools: Sequence[ServerPool]  # those it began with, in their order
+    pools: Sequence[ServerPool]  # the pools of its route when it arrived, in order
     failover: FailoverState
-    pool: ServerPool | None = None  # the one that has it now
-    first_attempt: int = 0  # the number of that pool's first attempt
-    arrival: RequestArrived | None = None  # that pool's event, while the request is queued before it
-    slot_time_us: int = 0  # for how long that pool's slots were held, over its attempts
-    last_result: TransportResult | None = None  # of the attempt that ended last
+    pool: ServerPool | None = None  # the current pool
+    first_attempt: int = 0  # the index of the current pool's first attempt
+    arrival: RequestArrived | None = None  # the event for the current pool, until the request is admitted
+    slot_time_us: int = 0  # total time for which its attempts held slots of the current pool
+    last_result: TransportResult | None = None  # the result of the attempt that ended last
     attempts: list[LiveAttempt] = field(default_factory=list)
     timer: asyncio.TimerHandle | None = None
-    permits: Sequence[Permit] = ()  # of the limits that it counts under
-    finished: bool = False  # it has had its final response, or the client has disconnected
+    permits: Sequence[Permit] = ()  # from the rate limiters that admitted it
+    finished: bool = False  # it has been answered, or its client has disconnected
