--- a/plovertrail/dispatch/server_pool.py
+++ b/plovertrail/dispatch/server_pool.py
@@ -1,4 +1,4 @@
-"""One pool of servers: its load balancer, the endpoints in use and the transport that reaches them."""
+"""A pool of endpoints with its load balancer and the transport to the endpoints."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from plovertrail.dispatch.endpoint_feed import EndpointFeed
 from plovertrail.dispatch.types import Address, EndpointTransport, ProxyRequest
 
-if TYPE_CHECKING:  # imported where they are configured: the platform's start has none of them
+if TYPE_CHECKING:  # imported only where configured, to keep the platform's sidecar (__main__.py) small
     from plovertrail.decisions.affinity import Affinity, Ring
     from plovertrail.decisions.fair_queue import FairQueue, FairQueueSettings
     from plovertrail.decisions.startup_admission import StartupAdmission
@@ -23,11 +23,11 @@
 
 
 class RequestQueue(Protocol):
-    """Where requests wait for a free slot of a pool (queueing.PoolQueue)."""
+    """A queue in which requests wait for a free slot of a pool (queueing.PoolQueue)."""
 
     @property
     def fair_queue(self) -> FairQueue:
-        """The order of those that wait, and what tenants have had."""
+        """The waiting requests in order, and the tenants' use of the pool."""
 
     def configure(self, settings: FairQueueSettings) -> None:
         """Apply other settings; requests that wait stay queued."""
@@ -36,19 +36,19 @@
         """Queue a request, or admit it at once where a slot is free."""
 
     def admit_next(self) -> bool:
-        """Admit the request that is next, if there is a slot for it; returns whether one was admitted."""
+        """Admit the next request if there is a slot for it; returns whether one was admitted."""
 
     def release(self, request_id: int, slot_time_us: int) -> None:
-        """Remove a request that waits, or end one that was admitted and has held slots for so long."""
+        """Remove a waiting request, or record the end of an admitted one and for how long it held slots."""
 
     def close(self) -> list[int]:
-        """The pool has no queue any more; returns the requests that wait."""
+        """Close the queue and return the waiting requests."""
 
 
 class ServerPool:
-    """The endpoints under one load balancer, as far as requests may be sent to them.
+    """The endpoints of one load balancer that requests may be sent to.
 
-    `deliver` takes what the load balancer is to hear of the endpoint list.
+    `deliver` is called with each change of the endpoint list that the load balancer has to be told.
     """
 
     def __init__(
@@ -67,11 +67,11 @@
         self.addresses: dict[int, Address] = {}
         self.serving: set[int] = set()  # the endpoints that new requests may go to
         self.retired = False
-        self.connect_timer: asyncio.TimerHandle | None = None  # until a further connection may be made
+        self.connect_timer: asyncio.TimerHandle | None = None  # fires when the next connection may be made
         self.affinity: Affinity | None = None  # None: requests prefer no endpoint
         self.ring: Ring | None = None
-        self.queue: RequestQueue | None = None  # None: requests go to the load balancer as they come
-        self.admission: StartupAdmission | None = None  # None: whatever finds a slot is admitted
+        self.queue: RequestQueue | None = None  # None: requests go straight to the load balancer
+        self.admission: StartupAdmission | None = None  # None: admission depends on free slots alone
 
     @property
     def subset(self) -> EndpointSubset | None:
@@ -79,18 +79,18 @@
         return self.feed.subset
 
     def use_subset(self, subset: EndpointSubset) -> None:
-        """Use a part of the endpoints; call this before the first list."""
+        """Use only a subset of the endpoints; to be called before the first list."""
         self.feed.subset = subset
 
     def use_affinity(self, affinity: Affinity) -> None:
-        """Prefer an endpoint for requests with the same affinity key; call this before the first list."""
+        """Prefer one endpoint for requests with the same affinity key; to be called before the first list."""
         from plovertrail.decisions.affinity import Ring
 
         self.affinity = affinity
         self.ring = Ring()
 
     def apply(self, event: EndpointsUpdated) -> None:
-        """Keep what new requests may go to in step with what the load balancer hears."""
+        """Update the endpoints for new requests by an event that also goes to the load balancer."""
         if event.kind in (ListKind.FULL, ListKind.CACHED) and not event.partial:
             for endpoint_id in self.addresses.keys() - {entry.id for entry in event.endpoints}:
                 self.forget(endpoint_id)
@@ -108,7 +108,7 @@
                 self.forget(entry.id)
 
     def forget(self, endpoint_id: int) -> None:
-        """Send nothing new to an endpoint, or to its old address."""
+        """Send no new requests to an endpoint, or to its previous address."""
         self.serving.discard(endpoint_id)
         if self.ring is not None:
             self.ring.discard(endpoint_id)
@@ -116,14 +116,14 @@
             self.transport.forget(endpoint_id)
 
     def preferred_endpoints(self, request: ProxyRequest) -> tuple[int, ...]:
-        """The endpoints that a request should go to if they have a free slot."""
+        """The endpoints that a request should be sent to if they have a free slot."""
         if self.affinity is None or self.ring is None:
             return ()
         key = self.affinity.key_of(request.client, request.tenant_name, request.target, request.headers)
         return self.ring.preferred(key)
 
     def admits(self) -> bool:
-        """Whether this instance admits one more request beside those that the pool has."""
+        """Whether this instance admits one more request to the pool."""
         admission = self.admission
         if admission is None:
             return True
@@ -131,7 +131,7 @@
         return admission.admits(len(self.balancer.requests), clock_us())
 
     def retry_after_us(self, action: Reject) -> int:
-        """The Retry-After of a rejection: not before a connection that the request needs may be made."""
+        """The Retry-After of a rejection: not before a connection for the retry may be made."""
         if not action.retry_after_us:
             return 0
         longest_us = self.settings.max_retry_after_us
