--- a/plovertrail/dispatch/pools.py
+++ b/plovertrail/dispatch/pools.py
@@ -1,4 +1,4 @@
-"""The pools in force, and what sources and other instances say of their endpoints."""
+"""The active pools, and updates to their endpoints from sources and other instances."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Pools:
-    """The pools in force, in the order in which they were added.
+    """The active pools, in the order in which they were added.
 
     `retry_budget` bounds the retries of all pools together.
     """
@@ -36,7 +36,7 @@
         return self._pools[number]
 
     def add(self, name: str, settings: Settings, seed: int, transport: EndpointTransport) -> ServerPool:
-        """Add a pool; its load balancer may ask for something from the first moment on."""
+        """Create a pool with its load balancer and add it."""
         balancer = LoadBalancer(settings, seed, clock_us(), self.retry_budget)
         pool = ServerPool(name, settings, balancer, transport, self._deliver_endpoints)
         self._pools.append(pool)
@@ -45,7 +45,7 @@
     def update_endpoints(
         self, pool: ServerPool, event: EndpointsUpdated, addresses: dict[int, Address]
     ) -> None:
-        """Take over what a source says of a pool's endpoints."""
+        """Apply what a source reports about a pool's endpoints."""
         if event.kind is ListKind.FAILED:
             self.events.put(pool, event)
             return
@@ -54,12 +54,12 @@
         pool.feed.update(event, addresses)
 
     def update_peer_health(self, pool: ServerPool, penalties: Mapping[tuple[int, int], float]) -> None:
-        """Take over what other instances report of a pool's endpoints, by endpoint and class."""
+        """Apply the penalties that other instances report for a pool's endpoints, by endpoint and class."""
         self.events.put(pool, PeerHealthUpdated(penalties))
 
     @property
     def has_endpoints(self) -> bool:
-        """Whether there is an endpoint to send to."""
+        """Whether any pool has an endpoint to send to."""
         return any(pool.addresses for pool in self._pools)
 
     def _deliver_endpoints(self, pool: ServerPool, event: EndpointsUpdated) -> None:
@@ -69,7 +69,10 @@
     def attempt_ended(
         self, attempt: LiveAttempt, class_index: int, outcome: Outcome, elapsed_us: int
     ) -> None:
-        """Learn from how an attempt has ended; its load balancer hears of it by an event."""
+        """Tell the observer and the startup admission how an attempt ended.
+
+        The load balancer is told by an event.
+        """
         pool = attempt.pool
         if self.attempt_observer is not None:
             self.attempt_observer.attempt_ended(pool, attempt.endpoint_id, class_index, outcome, elapsed_us)
@@ -78,7 +81,7 @@
             pool.admission.attempt_ended(outcome, elapsed_us, objective_us, clock_us())
 
     def remove(self, pool: ServerPool) -> None:
-        """Take a pool out of force: its load balancer hears that no endpoint is listed."""
+        """Remove a pool: its load balancer gets an empty endpoint list."""
         self._pools.remove(pool)
         pool.retired = True
         pool.feed.close()
