--- a/plovertrail/dispatch/endpoint_feed.py
+++ b/plovertrail/dispatch/endpoint_feed.py
@@ -1,4 +1,4 @@
-"""Delivers a pool's endpoint list to its load balancer: in slices, and only the subset in use."""
+"""Delivers a pool's endpoint list to its load balancer, in slices and limited to the subset in use."""
 
 from __future__ import annotations
 
@@ -11,46 +11,46 @@
 from plovertrail.decisions.events import Endpoint, EndpointStatus, EndpointsUpdated, ListKind
 from plovertrail.dispatch.types import Address
 
-if TYPE_CHECKING:  # imported where a subset is used: the platform's start has none
+if TYPE_CHECKING:  # imported only where configured, to keep the platform's sidecar (__main__.py) small
     from plovertrail.decisions.subsetting import EndpointSubset
 
 SLICE_SIZE = 250  # endpoints in one event; a load balancer takes about 10 us for each
 
 
 class EndpointFeed:
-    """The endpoint list of one pool, delivered so that no event holds up the loop.
+    """Delivers the endpoint list of one pool without blocking the event loop.
 
-    To deliver 10,000 endpoints in one event would hold up all open requests for longer than some of them have
-    left, so a long list is delivered one slice a turn of the loop. Endpoints that drain or were removed go
-    first, and a later list overrides what has not been delivered of an earlier one.
+    Handling 10,000 endpoints in one event would delay all open requests, some beyond their deadlines, so a
+    long list is delivered one slice per iteration of the loop. Endpoints that are draining or removed come
+    first. A later list overrides the undelivered part of an earlier one.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, deliver: Callable[[EndpointsUpdated], None]) -> None:
         self.loop = loop
         self.deliver = deliver
         self.subset: EndpointSubset | None = None  # None: this instance uses all endpoints
-        self.listed: dict[int, Address] = {}  # also those that are not in the subset
-        self.pending_removals: dict[int, Endpoint | None] = {}  # None: it isn't listed any more
+        self.listed: dict[int, Address] = {}  # all listed endpoints, also those outside the subset
+        self.pending_removals: dict[int, Endpoint | None] = {}  # None: no longer listed
         self.pending_updates: dict[int, Endpoint] = {}
         self.scheduled: asyncio.Handle | None = None  # the delivery of the next slice
 
     @property
     def has_pending(self) -> bool:
-        """Whether part of a long list has not been delivered yet."""
+        """Whether part of a list is still to be delivered."""
         return bool(self.pending_updates or self.pending_removals)
 
     def update(self, event: EndpointsUpdated, addresses: dict[int, Address]) -> None:
-        """Deliver what a source says, or the first slice of it."""
+        """Deliver an update from a source, or its first slice."""
         self.deliver(self._within_subset(self._first_slice(event, addresses)))
         self._schedule_next_slice(event.kind)
 
     def widen_subset(self, now_us: int) -> None:
-        """Add endpoints to the subset, as requests have found no free slot."""
+        """Add endpoints to the subset, as requests found no free slot."""
         if self.subset is not None:
             self._deliver_changes(self.subset.widen(now_us))
 
     def shrink_subset(self, now_us: int, busy: Set[int]) -> None:
-        """Drop the endpoints that the subset can do without; those that are busy stay."""
+        """Drop the endpoints that the subset no longer needs, except the `busy` ones."""
         if self.subset is not None:
             self._deliver_changes(self.subset.narrow(now_us, busy))
 
@@ -77,7 +77,7 @@
             self._schedule_next_slice(kind)
 
     def _first_slice(self, event: EndpointsUpdated, addresses: dict[int, Address]) -> EndpointsUpdated:
-        """All of a short list, and the first slice of a long one."""
+        """Record an update, and return all of it if it is short, else its first slice."""
         replaces_all = event.kind in (ListKind.FULL, ListKind.CACHED) and not event.partial
         unlisted = self.listed.keys() - addresses.keys() if replaces_all else set()
         self.listed |= addresses
@@ -86,7 +86,7 @@
         }:
             self.listed.pop(endpoint_id, None)
         if len(event.endpoints) + len(unlisted) > SLICE_SIZE:
-            # A slice can't say by omission which endpoints are missing, so they are removed one by one.
+            # A slice is only part of the list, so endpoints that are no longer listed are removed explicitly.
             for endpoint_id in unlisted:
                 self.pending_updates.pop(endpoint_id, None)
                 self.pending_removals[endpoint_id] = None
@@ -109,7 +109,7 @@
             self.pending_removals[entry.id] = entry
 
     def _next_slice(self) -> list[Endpoint]:
-        """Take out the next pending entries; while some drain or were removed, only these."""
+        """Remove and return the next pending entries: removals and drains if there are any, else updates."""
         if self.pending_removals:
             first = list(islice(self.pending_removals, SLICE_SIZE))
             removals = {endpoint_id: self.pending_removals.pop(endpoint_id) for endpoint_id in first}
@@ -117,7 +117,7 @@
         return [self.pending_updates.pop(number) for number in list(islice(self.pending_updates, SLICE_SIZE))]
 
     def _within_subset(self, event: EndpointsUpdated) -> EndpointsUpdated:
-        """What an event says of the endpoints that this instance uses."""
+        """Limit an event to the endpoints that this instance uses."""
         if self.subset is None:
             return event
         if event.kind in (ListKind.FULL, ListKind.CACHED) and not event.partial:
