--- a/plovertrail/dispatch/queueing.py
+++ b/plovertrail/dispatch/queueing.py
@@ -18,7 +18,7 @@
 from plovertrail.dispatch.timers import call_at
 from plovertrail.dispatch.types import ProxyRequest
 
-LEAST_TIMER_US = 1_000  # between two looks at a queue
+MIN_TIMER_DELAY_US = 1_000  # between two looks at a queue
 
 
 class QueueOwner(Protocol):
@@ -114,7 +114,7 @@
         if expiration_us is None:
             return
         at_us = max(
-            min(expiration_us, self.pool.balancer.next_slot_opening_us()), clock_us() + LEAST_TIMER_US
+            min(expiration_us, self.pool.balancer.next_slot_opening_us()), clock_us() + MIN_TIMER_DELAY_US
         )
         if self.timer is not None:
             if self.timer_due_us <= at_us:
