--- a/plovertrail/dispatch/event_queue.py
+++ b/plovertrail/dispatch/event_queue.py
@@ -1,4 +1,4 @@
-"""The events that load balancers have not handled yet, in their order, while nothing is suspended."""
+"""The queue of events for the load balancers, which pauses while the dispatcher is suspended."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class EventQueue:
-    """Hands events over one at a time: what one brings about waits until it has been handled.
+    """Handles events one at a time; events that are added meanwhile wait for their turn.
 
-    `handle` takes an event; `on_idle` is called each time the last one has been handled, and may add more.
+    `handle` is called with each event, and `on_idle` whenever the queue has become empty; it may add events.
     """
 
     def __init__(
@@ -29,7 +29,7 @@
         self.running = False
 
     def put(self, pool: ServerPool, event: Event) -> None:
-        """Add an event, and handle what there is unless this is done already."""
+        """Add an event, and handle all events unless a caller further up the stack does so."""
         if self.suspension.active:
             self._put_suspended(pool, event)
             return
@@ -38,18 +38,18 @@
             self.run()
 
     def _put_suspended(self, pool: ServerPool, event: Event) -> None:
-        """Hold an event back: endpoint updates apart from others, each timer once."""
+        """Hold an event back: endpoint updates separately from the others, and each timer only once."""
         if isinstance(event, EndpointsUpdated):
             self.suspension.endpoint_updates.append((pool, event))
         elif not (isinstance(event, TimerFired) and (pool, event) in self.events):
             self.events.append((pool, event))
 
     def put_back(self, events: list[tuple[ServerPool, EndpointsUpdated]]) -> None:
-        """Put events before all others, in their order."""
+        """Insert events before all others, in their order."""
         self.events.extendleft(reversed(events))
 
     def run(self) -> None:
-        """Handle all events, unless suspended or further up the stack."""
+        """Handle all events, unless suspended or already running further up the stack."""
         suspension = self.suspension
         if self.running or suspension.active:
             return
