--- a/plovertrail/dispatch/observers.py
+++ b/plovertrail/dispatch/observers.py
@@ -1,4 +1,4 @@
-"""What the dispatcher tells others, and whom it asks: interfaces that their owners implement."""
+"""Interfaces through which the dispatcher notifies other parts of the program."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 
 
 class EndpointObserver(Protocol):
-    """Hears of all changes of endpoint lists, before the load balancers do."""
+    """Is notified of all changes of endpoint lists, before the load balancers are."""
 
     def endpoints_changed(self, pool: ServerPool, event: EndpointsUpdated) -> None:
-        """A pool's endpoints have changed."""
+        """Handle a change of a pool's endpoints."""
 
 
 class AttemptObserver(Protocol):
-    """Hears how all attempts ended, where instances exchange health reports."""
+    """Is notified of the results of all attempts, where instances exchange health reports."""
 
     def attempt_ended(
         self, pool: ServerPool, endpoint_id: int, class_index: int, outcome: Outcome, elapsed_us: int
     ) -> None:
-        """An attempt at an endpoint has ended."""
+        """Handle the end of an attempt at an endpoint."""
 
 
 class DiscoverySubscriber(Protocol):
-    """A subscription to the endpoint list that a load balancer may ask for."""
+    """Subscribes to the endpoint list when a load balancer asks for it."""
 
     def subscribe(self, active: bool) -> None:
-        """Begin or end it."""
+        """Begin or end the subscription."""
 
 
 class NoDiscovery:
-    """Where lists come whether they are asked for or not."""
+    """Used where endpoint lists arrive without a subscription."""
 
     def subscribe(self, active: bool) -> None:
         """Do nothing."""
