--- a/plovertrail/dispatch/queueing.py
+++ b/plovertrail/dispatch/queueing.py
@@ -1,4 +1,4 @@
-"""The fair queue before a pool: requests wait there until the pool has a free slot."""
+"""The fair queue of a pool, in which requests wait until the pool has a free slot."""
 
 from __future__ import annotations
 
@@ -18,28 +18,28 @@
 from plovertrail.dispatch.timers import call_at
 from plovertrail.dispatch.types import ProxyRequest
 
-MIN_TIMER_DELAY_US = 1_000  # between two looks at a queue
+MIN_TIMER_DELAY_US = 1_000  # between two wake-ups of a queue
 
 
 class QueueOwner(Protocol):
-    """What a queue asks of the dispatcher."""
+    """What PoolQueue needs of the dispatcher."""
 
     @property
     def has_events(self) -> bool:
-        """Whether events wait that may take slots which still look free."""
+        """Whether there are unhandled events, which may take slots that still count as free."""
 
     def admit(self, pool: ServerPool, request_id: int) -> None:
         """Hand a request to the pool's load balancer."""
 
     def reject(self, pool: ServerPool, request_id: int, retry_after_us: int) -> None:
-        """Take a request from the pool, as it has waited for too long or in vain."""
+        """Reject a request that the queue is too full for, or that would wait or has waited too long."""
 
     def wake(self, pool: ServerPool) -> None:
-        """Let the pool's load balancer act, as time has passed."""
+        """Let the pool's load balancer act on the time that has passed."""
 
 
 class PoolQueue:
-    """One pool's queue with its timer. `rng` gives numbers from 0 to 1."""
+    """The queue of one pool and its timer. `rng` returns numbers from 0 to 1."""
 
     def __init__(
         self, pool: ServerPool, settings: FairQueueSettings, rng: Callable[[], float], owner: QueueOwner
@@ -58,8 +58,8 @@
     def enqueue(self, request_id: int, request: ProxyRequest, due_us: int) -> None:
         """Queue a request, or admit it at once where a slot is free.
 
-        What has been admitted and is still an event will take slots that look free, so while there are events
-        no slot counts as free.
+        An admitted request takes its slot only when its event is handled, so no slot counts as free while
+        there are events.
         """
         pool = self.pool
         now_us = clock_us()
@@ -81,7 +81,7 @@
             pool.feed.widen_subset(now_us)
 
     def admit_next(self) -> bool:
-        """Admit the request that is next, if there is a slot for it; returns whether one was admitted."""
+        """Admit the next request if there is a slot for it; returns whether one was admitted."""
         pool = self.pool
         if self.fair_queue.waiting and pool.balancer.has_capacity(clock_us()) and pool.admits():
             admitted = self.fair_queue.next(clock_us())
@@ -91,12 +91,12 @@
         return False
 
     def release(self, request_id: int, slot_time_us: int) -> None:
-        """Remove a request that waits, or end one that was admitted and has held slots for so long."""
+        """Remove a waiting request, or record the end of an admitted one and for how long it held slots."""
         self.fair_queue.cancelled(request_id, clock_us())
         self.fair_queue.ended(request_id, slot_time_us, clock_us())
 
     def close(self) -> list[int]:
-        """The pool has no queue any more; returns the requests that wait."""
+        """Cancel the timer and return the waiting requests."""
         if self.timer is not None:
             self.timer.cancel()
         return list(self.fair_queue.waiting)
@@ -109,7 +109,7 @@
                 self.owner.reject(self.pool, action.request_id, action.retry_after_us)
 
     def _set_timer(self) -> None:
-        """Wake the queue for a slot that opens by time, or a wait that ends: neither has an event."""
+        """Set the timer for the next slot that opens by time, or the next expiration: they have no events."""
         expiration_us = self.fair_queue.next_expiration_us()
         if expiration_us is None:
             return
