--- a/plovertrail/dispatch/types.py
+++ b/plovertrail/dispatch/types.py
@@ -20,12 +20,12 @@
 class UnionContainer:
     """The union of two containers; a live view."""
 
-    def __init__(self, one: Container[int], other: Container[int]) -> None:
-        self.one = one
-        self.other = other
+    def __init__(self, first: Container[int], second: Container[int]) -> None:
+        self.first = first
+        self.second = second
 
     def __contains__(self, item: object) -> bool:
-        return item in self.one or item in self.other
+        return item in self.first or item in self.second
 
 
 class WebSocketHandshake(Protocol):
