--- a/plovertrail/dispatch/__init__.py
+++ b/plovertrail/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Requests on their way: from their arrival to pools, attempts and the one final answer."""
+"""Dispatches requests: to pools, in attempts at endpoints, until each has its one final response."""
