--- a/plovertrail/dispatch/types.py
+++ b/plovertrail/dispatch/types.py
@@ -1,4 +1,4 @@
-"""What the listeners, the dispatcher and the transports hand each other about a request."""
+"""The types that listeners, the dispatcher and transports use to exchange requests and responses."""
 
 from __future__ import annotations
 
@@ -29,72 +29,72 @@
 
 
 class WebSocketHandshake(Protocol):
-    """A request that asks for a WebSocket (RFC 6455), as the socket's owner follows it."""
+    """The opening handshake of a WebSocket (RFC 6455), implemented by the owner of the WebSocket."""
 
     def upgrade_request(self) -> tuple[bytes, Headers]:
-        """The key of one attempt, and the headers that ask for the upgrade."""
+        """A new Sec-WebSocket-Key for one attempt, and the headers that ask for the upgrade."""
 
     def checked_subprotocol(self, headers: Headers, key: bytes) -> bytes:
-        """The subprotocol that an endpoint's 101 chose, or nothing; raises ValueError if the 101 is wrong."""
+        """The subprotocol that an endpoint's 101 chose, or b""; raises ValueError if the 101 is invalid."""
 
     def excluded_endpoints(self, pool: str) -> Set[int]:
-        """The endpoints of a pool that take no further WebSocket; a live view."""
+        """The endpoints of a pool that accept no further WebSocket; a live view."""
 
     def has_capacity(self, pool: str, serving: Set[int]) -> bool:
-        """Whether any of these endpoints may take one more."""
+        """Whether any of these endpoints may accept one more WebSocket."""
 
     def attempt_begins(self, pool: str, endpoint_id: int, address: Address) -> bool:
-        """An attempt is about to begin; returns whether it may."""
+        """Count an attempt that is about to begin; returns whether it may."""
 
     def attempt_sent(self) -> None:
-        """The endpoint may see the handshake from now on."""
+        """Record that the handshake is being sent: the endpoint may process it from now on."""
 
     def attempt_failed(self) -> None:
-        """The attempt has ended without a WebSocket."""
+        """Record that the attempt has ended without a WebSocket."""
 
     def accept_upgrade(self) -> bool:
-        """The endpoint has accepted; returns whether the WebSocket may open."""
+        """Handle the endpoint's 101; returns whether the WebSocket may open."""
 
 
 def never_stale() -> bool:
-    """False: nobody watches for pauses of the process."""
+    """The default where pauses of the process are not detected."""
     return False
 
 
 def never_disconnected() -> bool:
-    """False: no connection of a client can tell whether it has closed."""
+    """The default where it can't be told whether a client's connection has closed."""
     return False
 
 
 @dataclass(slots=True)
 class ProxyRequest:
-    """A client's request, as it was read. Names and numbers are those of the configuration."""
+    """A client's request. Tenants and classes have their names and numbers in the configuration."""
 
     method: bytes
     target: bytes
-    headers: Headers  # those that are forwarded
+    headers: Headers  # the headers to forward
     body: bytes
     arrived_us: int
-    deadline_us: int  # counted from its arrival
+    deadline_us: int  # relative to its arrival
     class_index: int
     external_id: bytes = b""  # X-Request-Id
     tenant: int = 0
     key: int = 0
     cost_us: int = 0
     retried: bool = False
-    host: bytes = b""  # for the endpoint; empty: its address
+    host: bytes = b""  # the Host header for the endpoint; empty: the endpoint's address
     handshake: WebSocketHandshake | None = None
     tenant_name: str = ""
-    client: str = ""  # whose it is; the client's address where its route says nothing else
-    # whether its client has closed the connection, also if that was not read yet
+    client: str = ""  # identifies the client; its address unless the route configures otherwise
+    # returns whether the client has closed its connection, also if the event loop has not reported it yet
     client_disconnected: Callable[[], bool] = never_disconnected
 
 
 class ResponseKind(enum.Enum):
-    """What becomes of a request."""
+    """How a request ended."""
 
     SERVED = "served"
-    REJECTED = "refused"  # nothing has run, or it may run again
+    REJECTED = "refused"  # it has not run, or it is safe to run it again
     FAILED = "failed"
 
 
@@ -104,20 +104,20 @@
 
     kind: ResponseKind
     retry_after_us: int = 0
-    result: TransportResult | None = None  # of the last attempt, if there was one
-    limit_exceeded: LimitExceeded | None = None  # the limit that rejected it
+    result: TransportResult | None = None  # the result of the last attempt, if there was one
+    limit_exceeded: LimitExceeded | None = None  # the rate limit that rejected the request
 
 
 @dataclass(slots=True)
 class Tunnel:
-    """An upgraded connection to an endpoint, not read until it is taken over."""
+    """An upgraded connection to an endpoint; reading is paused until the receiver takes it over."""
 
     transport: asyncio.Transport
     received: bytes  # bytes received after the head
-    subprotocol: bytes  # the one that the endpoint chose; empty: none
+    subprotocol: bytes  # chosen by the endpoint; empty: none
 
     def close(self) -> None:
-        """Drop the connection without taking it over."""
+        """Abort the connection."""
         self.transport.abort()
 
 
@@ -126,7 +126,7 @@
     """How an attempt ended, as the transport saw it."""
 
     outcome: Outcome
-    status: int = 0  # 0: no complete response came
+    status: int = 0  # 0: no complete response was received
     headers: Headers = field(default_factory=list)
     body: bytes = b""
     tunnel: Tunnel | None = None
@@ -134,10 +134,10 @@
 
 @dataclass(slots=True)
 class AttemptTimes:
-    """Within what an attempt is of use, in microseconds from now."""
+    """Time limits of an attempt, in microseconds from now."""
 
-    timeout_us: int  # sent to the endpoint in X-Deadline-Ms
-    start_within_us: int = 0  # nothing is written after this; 0: at any time
+    timeout_us: int  # for the response; sent to the endpoint in X-Deadline-Ms
+    start_within_us: int = 0  # for sending the request; 0: no limit
 
 
 class AttemptHandle(Protocol):
@@ -145,14 +145,14 @@
 
     @property
     def written(self) -> bool:
-        """Whether any of it has been written."""
+        """Whether any of the request has been written."""
 
     def cancel(self) -> None:
-        """Stop waiting: nothing more is written, and a connection that has carried it is closed."""
+        """Cancel the attempt: nothing more is written, and a connection that carried it is closed."""
 
 
 class EndpointTransport(Protocol):
-    """Carries attempts to the endpoints of one pool."""
+    """Sends attempts to the endpoints of one pool."""
 
     def start(
         self,
@@ -162,25 +162,28 @@
         times: AttemptTimes,
         on_end: Callable[[TransportResult], None],
     ) -> AttemptHandle:
-        """Begin an attempt; `on_end` is called once, later, unless the attempt is cancelled first."""
+        """Begin an attempt; `on_end` is called once with its result, unless the attempt is cancelled first.
+
+        It is never called before this method has returned.
+        """
 
     def unreachable(self, needs_new_connection: bool) -> Container[int]:
-        """The endpoints that no attempt could reach now; a live view.
+        """The endpoints that an attempt can't reach now, as it may not make the new connection that it needs.
 
-        It would need a further connection, and may have none.
+        A live view. `needs_new_connection`: idle connections can't be used.
         """
 
     def next_connect_us(self) -> int:
-        """When a further connection may be made; 0: at once."""
+        """When the next connection may be made; 0: at once."""
 
     def reserve_retry_us(self, longest_us: int) -> int:
-        """Reserve a connect for a rejected client's retry, and return its time; 0: none is needed.
+        """Reserve a connect for a rejected client's retry, and return its time; 0: no need to wait for one.
 
-        Each client gets a time of its own, within `longest_us` if that is possible.
+        Each client gets a connect of its own, at most `longest_us` from now, as long as there are enough.
         """
 
     def close_idle(self, endpoint_id: int) -> None:
         """Close the idle connections to an endpoint."""
 
     def forget(self, endpoint_id: int) -> None:
-        """Close those connections, and the busy ones once they are done."""
+        """Close the idle connections to an endpoint, and those in use once their attempts have ended."""
