--- a/plovertrail/upstreams/connect_limits.py
+++ b/plovertrail/upstreams/connect_limits.py
@@ -21,7 +21,7 @@
         self.configured_max = max_connections
         self.max_connections = min(max_connections, self.instance.connections or max_connections)
 
-    def apply(self, limits: InstanceLimits, first: float) -> None:
+    def apply(self, limits: InstanceLimits, start_fraction: float) -> None:
         """Keep to another part of the fleet's.
 
         The first connect comes after `first`, from 0 to 1, of the interval between two.
@@ -31,14 +31,14 @@
         if not limits.connect_interval_us:
             self.rate = None
         elif self.rate is None:
-            self.rate = ConnectRateLimiter(limits.connect_interval_us, clock_us(), first)
+            self.rate = ConnectRateLimiter(limits.connect_interval_us, clock_us(), start_fraction)
         else:
             self.rate.set_interval(limits.connect_interval_us, clock_us())
 
-    def process_paused(self, first: float) -> None:
+    def process_paused(self, start_fraction: float) -> None:
         """The process did nothing for a while; `first` as for `apply`."""
         if self.rate is not None:
-            self.rate.process_paused(clock_us(), first)
+            self.rate.process_paused(clock_us(), start_fraction)
 
     @property
     def are_fleet_wide(self) -> bool:
--- a/plovertrail/upstreams/connection_pool.py
+++ b/plovertrail/upstreams/connection_pool.py
@@ -152,16 +152,16 @@
         """Apply another bound; connections beyond it are closed as they become idle."""
         self.limits.configure(max_connections)
 
-    def apply_limits(self, limits: InstanceLimits, first: float) -> None:
+    def apply_limits(self, limits: InstanceLimits, start_fraction: float) -> None:
         """Apply this instance's limits; connections beyond them are closed as they become idle.
 
         The first connect comes after `first`, from 0 to 1, of the interval between two.
         """
-        self.limits.apply(limits, first)
+        self.limits.apply(limits, start_fraction)
 
-    def process_paused(self, first: float) -> None:
+    def process_paused(self, start_fraction: float) -> None:
         """The process did nothing for a while; `first` as for `apply_limits`."""
-        self.limits.process_paused(first)
+        self.limits.process_paused(start_fraction)
 
     def may_connect(self, endpoint_id: int) -> bool:
         """Whether a further connection to an endpoint may be made."""
