--- a/plovertrail/upstreams/idle_connections.py
+++ b/plovertrail/upstreams/idle_connections.py
@@ -10,7 +10,7 @@
 REUSE_MEMORY = 16  # uses of connections that were idle for about as long
 MAX_BROKEN_SHARE = 0.15  # of them; a request lost costs about ten new connections
 BROKEN_DECAY = 0.99  # for each one passed over, so that they are tried again
-LEAST_SWEEP_S = 0.1  # between two looks for connections to close
+MIN_SWEEP_INTERVAL_S = 0.1  # between two looks for connections to close
 
 
 class IdleConnections:
@@ -33,7 +33,7 @@
         connection.idle_since_us = clock_us()
         self.by_endpoint.setdefault(connection.endpoint_id, []).append(connection)
         if self.sweeper is None:
-            self.sweeper = self.loop.call_later(max(LEAST_SWEEP_S, self.keep_us / 1e6), self._sweep)
+            self.sweeper = self.loop.call_later(max(MIN_SWEEP_INTERVAL_S, self.keep_us / 1e6), self._sweep)
 
     def discard(self, connection: Connection) -> None:
         """Keep a connection no longer; nothing happens if it wasn't kept."""
@@ -94,4 +94,6 @@
                 connection.close()
         if self.by_endpoint:
             first_us = min(connections[0].idle_since_us for connections in self.by_endpoint.values())
-            self.sweeper = self.loop.call_later(max(LEAST_SWEEP_S, (first_us - oldest_us) / 1e6), self._sweep)
+            self.sweeper = self.loop.call_later(
+                max(MIN_SWEEP_INTERVAL_S, (first_us - oldest_us) / 1e6), self._sweep
+            )
