--- a/plovertrail/upstreams/idle_connections.py
+++ b/plovertrail/upstreams/idle_connections.py
@@ -7,7 +7,7 @@
 from plovertrail.clock import clock_us
 from plovertrail.upstreams.connection import Connection
 
-REUSE_MEMORY = 16  # uses of connections that were idle for about as long
+REUSE_AVERAGE_SAMPLES = 16  # uses of connections that were idle for about as long
 MAX_BROKEN_SHARE = 0.15  # of them; a request lost costs about ten new connections
 BROKEN_DECAY = 0.99  # for each one passed over, so that they are tried again
 MIN_SWEEP_INTERVAL_S = 0.1  # between two looks for connections to close
@@ -70,7 +70,7 @@
     def record_reuse(self, idle_us: int, broke: bool) -> None:
         """Record whether a connection that had been idle for so long broke on reuse."""
         age = idle_us.bit_length()
-        self.broken_share[age] += (float(broke) - self.broken_share[age]) / REUSE_MEMORY
+        self.broken_share[age] += (float(broke) - self.broken_share[age]) / REUSE_AVERAGE_SAMPLES
 
     def close_oldest(self) -> bool:
         """Close the connection that has been idle for longest; returns whether there was one."""
