--- a/plovertrail/upstreams/idle_connections.py
+++ b/plovertrail/upstreams/idle_connections.py
@@ -9,7 +9,7 @@
 
 REUSE_AVERAGE_SAMPLES = 16  # uses of connections that were idle for about as long
 MAX_BROKEN_SHARE = 0.15  # of them; a request lost costs about ten new connections
-BROKEN_DECAY = 0.99  # for each one passed over, so that they are tried again
+BROKEN_SHARE_DECAY = 0.99  # for each one passed over, so that they are tried again
 MIN_SWEEP_INTERVAL_S = 0.1  # between two looks for connections to close
 
 
@@ -63,7 +63,7 @@
         """
         age = idle_us.bit_length()
         if self.broken_share[age] > MAX_BROKEN_SHARE:
-            self.broken_share[age] *= BROKEN_DECAY
+            self.broken_share[age] *= BROKEN_SHARE_DECAY
             return False
         return True
 
