--- a/plovertrail/upstreams/idle_connections.py
+++ b/plovertrail/upstreams/idle_connections.py
@@ -21,9 +21,9 @@
     that has just had its response. `keep_us`: for how long they are kept.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, keep_us: int) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, max_idle_us: int) -> None:
         self.loop = loop
-        self.keep_us = keep_us
+        self.max_idle_us = max_idle_us
         self.by_endpoint: dict[int, list[Connection]] = {}
         self.broken_share = [0.0] * 64  # of those that broke at their next request, by log2 of the idle time
         self.sweeper: asyncio.TimerHandle | None = None  # set while there are idle connections
@@ -33,7 +33,9 @@
         connection.idle_since_us = clock_us()
         self.by_endpoint.setdefault(connection.endpoint_id, []).append(connection)
         if self.sweeper is None:
-            self.sweeper = self.loop.call_later(max(MIN_SWEEP_INTERVAL_S, self.keep_us / 1e6), self._sweep)
+            self.sweeper = self.loop.call_later(
+                max(MIN_SWEEP_INTERVAL_S, self.max_idle_us / 1e6), self._sweep
+            )
 
     def discard(self, connection: Connection) -> None:
         """Keep a connection no longer; nothing happens if it wasn't kept."""
@@ -48,7 +50,7 @@
         while idle := self.by_endpoint.get(endpoint_id):
             connection = idle[0]
             idle_us = now_us - connection.idle_since_us
-            if idle_us < self.keep_us and self.is_trusted(idle_us) and connection.usable():
+            if idle_us < self.max_idle_us and self.is_trusted(idle_us) and connection.usable():
                 self.discard(connection)
                 connection.idle_us = idle_us
                 return connection
@@ -88,7 +90,7 @@
     def _sweep(self) -> None:
         """Close what endpoints are about to close."""
         self.sweeper = None
-        oldest_us = clock_us() - self.keep_us
+        oldest_us = clock_us() - self.max_idle_us
         for connections in list(self.by_endpoint.values()):
             for connection in [each for each in connections if each.idle_since_us <= oldest_us]:
                 connection.close()
