--- a/plovertrail/upstreams/idle_connections.py
+++ b/plovertrail/upstreams/idle_connections.py
@@ -63,16 +63,16 @@
         What lies between may drop idle connections sooner than the settings say, without a word. Each costs a
         request, so those idle for as long as others that broke are not used.
         """
-        age = idle_us.bit_length()
-        if self.broken_share[age] > MAX_BROKEN_SHARE:
-            self.broken_share[age] *= BROKEN_SHARE_DECAY
+        bucket = idle_us.bit_length()
+        if self.broken_share[bucket] > MAX_BROKEN_SHARE:
+            self.broken_share[bucket] *= BROKEN_SHARE_DECAY
             return False
         return True
 
     def record_reuse(self, idle_us: int, broke: bool) -> None:
         """Record whether a connection that had been idle for so long broke on reuse."""
-        age = idle_us.bit_length()
-        self.broken_share[age] += (float(broke) - self.broken_share[age]) / REUSE_AVERAGE_SAMPLES
+        bucket = idle_us.bit_length()
+        self.broken_share[bucket] += (float(broke) - self.broken_share[bucket]) / REUSE_AVERAGE_SAMPLES
 
     def close_oldest(self) -> bool:
         """Close the connection that has been idle for longest; returns whether there was one."""
