--- a/plovertrail/upstreams/connection.py
+++ b/plovertrail/upstreams/connection.py
@@ -99,7 +99,7 @@
         try:
             reader.feed(data)
         except httptools.HttpParserUpgrade as upgrade:
-            if self.attempt.handshake is not None and reader.switched:
+            if self.attempt.handshake is not None and reader.switched_protocols:
                 self._finish_upgrade(self.attempt.handshake, reader, data[upgrade.args[0] :])
                 return
             malformed = True
@@ -109,7 +109,7 @@
             self.closed = True  # what follows would be taken for the next response
         if reader.complete:
             self._finish_complete(reader)
-        elif malformed or reader.switched or reader.too_long:
+        elif malformed or reader.switched_protocols or reader.too_long:
             self.close()
             self._finish(Outcome.MALFORMED)
 
--- a/plovertrail/upstreams/response_reader.py
+++ b/plovertrail/upstreams/response_reader.py
@@ -46,7 +46,7 @@
         self.parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self.complete = False
         self.reusable = True  # the connection may carry another request after this response
-        self.switched = False  # the response was a 101 to a handshake
+        self.switched_protocols = False  # the response was a 101 to a handshake
         self.status = 0
         self.not_run = False
         self.headers: Headers = []
@@ -126,7 +126,7 @@
             return
         self.status = self.parser.get_status_code()
         if self.status == 101 and self.awaits_upgrade:
-            self.switched = True
+            self.switched_protocols = True
             return
         if self.status < 200:
             self.not_run = False
