--- a/plovertrail/dispatch/types.py
+++ b/plovertrail/dispatch/types.py
@@ -177,7 +177,7 @@
         """When the next connection may be made; 0: at once."""
 
     def reserve_retry_us(self, longest_us: int) -> int:
-        """Reserve a connect for a rejected client's retry, and return its time; 0: no need to wait for one.
+        """Reserve a connect for a rejected client's retry, and return its time; 0: no wait is needed.
 
         Each client gets a connect of its own, at most `longest_us` from now, as long as there are enough.
         """
