--- a/plovertrail/upstreams/__init__.py
+++ b/plovertrail/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to servers, and the attempts that they carry."""
+"""Connections to endpoints, and the attempts that they carry."""
