--- a/plovertrail/upstreams/attempt.py
+++ b/plovertrail/upstreams/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt over HTTP/1.1: the request bytes, and the callback for its result."""
+"""One attempt over HTTP/1.1: the request's bytes and the callback for the result."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 if TYPE_CHECKING:
     from plovertrail.upstreams.connection import Connection
 
-BODYLESS_METHODS = (b"GET", b"HEAD", b"OPTIONS", b"DELETE")  # no Content-Length is sent without a body
+BODYLESS_METHODS = (b"GET", b"HEAD", b"OPTIONS", b"DELETE")  # without a body they have no Content-Length
 
 
 def request_head(
     request: ProxyRequest, address: Address, timeout_us: int, upgrade: Headers | None = None
 ) -> bytes:
-    """The head of an attempt: the client's own, the time that is left, and what asks for a WebSocket."""
+    """The head of an attempt: the client's headers, the remaining time, and those of an upgrade."""
     host = request.host or b"%s:%d" % (address[0].encode(), address[1])
     lines = [b"%s %s HTTP/1.1\r\nHost: %s" % (request.method, request.target, host)]
     lines.extend([b"%s: %s" % header for header in request.headers])
@@ -39,26 +39,26 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt (dispatch.types.AttemptHandle): it has a connection, or waits until that is up."""
+    """One attempt (dispatch.types.AttemptHandle), on a connection that may still be connecting."""
 
-    data: bytes
+    data: bytes  # the request
     on_end: Callable[[TransportResult], None]
-    head_only: bool = False  # its response has no body
+    head_only: bool = False  # the response has no body (HEAD)
     handshake: WebSocketHandshake | None = None
     handshake_key: bytes = b""
     client_disconnected: Callable[[], bool] = never_disconnected
-    start_before_us: int = 0  # it may not begin later; 0: at any time
+    start_before_us: int = 0  # not to be sent at this time or later; 0: no limit
     connection: Connection | None = None
     written: bool = False
     cancelled: bool = False
 
     def may_begin(self) -> bool:
-        """Whether it is still of use, and harmless, now that its connection is up."""
+        """Whether it may still be sent once connected: in time, and its client has not disconnected."""
         too_late = self.start_before_us and clock_us() >= self.start_before_us
         return not too_late and not self.client_disconnected()
 
     def cancel(self) -> None:
-        """Report no end. A connection that has carried it is closed; one still coming up stays."""
+        """Cancel without a result. A connection that carried it is closed; one that is connecting is kept."""
         self.cancelled = True
         connection, self.connection = self.connection, None
         if connection is not None:
@@ -67,7 +67,7 @@
                 connection.close()
 
     def end(self, result: TransportResult) -> None:
-        """Report the result, and let go of the connection."""
+        """Report the result and release the connection."""
         self.connection = None
         self.on_end(result)
 
@@ -75,7 +75,7 @@
 def make_attempt(
     request: ProxyRequest, address: Address, times: AttemptTimes, on_end: Callable[[TransportResult], None]
 ) -> Attempt:
-    """An attempt at an address. A handshake may begin at any time, as it makes a connection of its own."""
+    """Create an attempt at an address. `start_within_us` does not apply to a WebSocket handshake."""
     handshake = request.handshake
     if handshake is None:
         return Attempt(
