--- a/plovertrail/upstreams/connection.py
+++ b/plovertrail/upstreams/connection.py
@@ -1,4 +1,4 @@
-"""A connection to an endpoint, which carries one attempt at a time."""
+"""A connection to an endpoint, used for one attempt at a time."""
 
 from __future__ import annotations
 
@@ -18,55 +18,55 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a connection asks of its pool."""
+    """What a connection needs of its pool."""
 
     @property
     def rules(self) -> ResponseRules:
         """Which responses are accepted."""
 
     def turn_is_stale(self) -> bool:
-        """Whether the process was paused in this turn of the loop."""
+        """Whether the process was paused during this iteration of the event loop."""
 
     def keep_idle(self, connection: Connection) -> None:
         """Keep a connection for later requests, or close it."""
 
     def record_reuse(self, idle_us: int, broke: bool) -> None:
-        """Record whether a connection that had been idle for so long broke on reuse."""
+        """Record whether a connection broke when it was reused after this idle time."""
 
     def add(self, connection: Connection) -> None:
-        """Count a connection from now on."""
+        """Add a connection to the pool."""
 
     def remove(self, connection: Connection) -> None:
-        """Count a connection no more."""
+        """Remove a connection from the pool."""
 
 
 class Connection(asyncio.Protocol):
-    """A connection to one endpoint; `pool` counts it from now on."""
+    """A connection to one endpoint; it adds itself to `pool`."""
 
     def __init__(self, pool: ConnectionOwner, endpoint_id: int, sock: socket.socket) -> None:
         self.pool = pool
         self.endpoint_id = endpoint_id
-        self.endpoint_removed = False  # it is not in the list any more, or has moved
+        self.endpoint_removed = False  # the endpoint is no longer listed, or has another address
         self.sock = sock
         self.transport: asyncio.Transport | None = None
         self.attempt: Attempt | None = None
-        self.reader: ResponseReader | None = None  # of the attempt that was sent
+        self.reader: ResponseReader | None = None  # reads the response to the attempt that was sent
         self.idle_since_us = 0
-        self.idle_us = 0  # for how long it was idle before the request that it carries
+        self.idle_us = 0  # how long it was idle before the current request
         self.closed = False
         self.unsent = False  # part of the request is still in the write buffer
         pool.add(self)
 
-    # What asyncio calls
+    # Callbacks of asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the attempt that waits for the connection if it may still begin, else end it unsent."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        transport.set_write_buffer_limits(high=0)  # so that we hear whether all has been written
+        transport.set_write_buffer_limits(high=0)  # pause_writing is called unless everything was written
         attempt = self.attempt
-        # An endpoint that drains gets nothing new, however long ago the attempt began; and a process that was
-        # paused in this turn doesn't know yet which endpoints drain.
+        # A removed or draining endpoint gets no new requests, even for attempts that began before. After a
+        # pause during this loop iteration it isn't known yet which endpoints are draining.
         if self.endpoint_removed or (attempt is not None and self.pool.turn_is_stale()):
             self.attempt = None
             self.close()
@@ -76,21 +76,21 @@
             self.pool.keep_idle(self)
         elif attempt.may_begin():
             self.send(attempt)
-        else:  # its connection may have taken seconds to come up
+        else:  # connecting may have taken seconds
             self.attempt = None
             self.pool.keep_idle(self)
             attempt.end(TransportResult(Outcome.NOT_SENT))
 
     def pause_writing(self) -> None:
-        """Part of the request is still in the write buffer: the endpoint can't have all of it."""
+        """Record that part of the request is still buffered: the endpoint can't have received all of it."""
         self.unsent = True
 
     def resume_writing(self) -> None:
-        """The write buffer is empty: the endpoint may have the whole request."""
+        """Record that the write buffer is empty: the endpoint may have received the whole request."""
         self.unsent = False
 
     def data_received(self, data: bytes) -> None:
-        """Read a part of the response; bytes that are not HTTP end the attempt as MALFORMED."""
+        """Parse a part of the response; invalid HTTP ends the attempt with MALFORMED."""
         reader = self.reader
         if self.attempt is None or reader is None:
             self.close()  # no request is in flight
@@ -103,10 +103,10 @@
                 self._finish_upgrade(self.attempt.handshake, reader, data[upgrade.args[0] :])
                 return
             malformed = True
-        except Exception:  # an error of ours in a callback is none of the parser's own kind
+        except Exception:  # an exception in one of our callbacks need not have a type of the parser's
             malformed = True
         if malformed or not reader.reusable:
-            self.closed = True  # what follows would be taken for the next response
+            self.closed = True  # further bytes would be parsed as the next response
         if reader.complete:
             self._finish_complete(reader)
         elif malformed or reader.switched_protocols or reader.too_long:
@@ -114,13 +114,13 @@
             self._finish(Outcome.MALFORMED)
 
     def eof_received(self) -> None:
-        """The end of the connection ends a response that has no length; a reset is no end."""
+        """Complete a response without a length, which ends with the stream (but not with a reset)."""
         self.closed = True
         if self.attempt is not None and self.reader is not None and self.reader.end_of_stream():
             self._finish_complete(self.reader)
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """End the attempt: CONNECT_FAILED if it was not written whole, else RESET, as it may have run."""
+        """End the attempt: CONNECT_FAILED if it was not fully written, else RESET, as it may have run."""
         self.closed = True
         if self.reader is not None:
             self.reader.release()
@@ -128,12 +128,12 @@
         if self.attempt is not None:
             self._finish(Outcome.CONNECT_FAILED if self.unsent else Outcome.RESET)
 
-    # What the pool and attempts call
+    # Called by the pool and by attempts
 
     def usable(self) -> bool:
-        """Whether an idle connection can carry a request.
+        """Whether an idle connection can be used for a request.
 
-        An end or stray bytes that have come but were not read yet would cost that request.
+        It peeks at the socket: an end of stream or stray bytes that are still unread would fail the request.
         """
         if self.closed or self.transport is None or self.transport.is_closing():
             return False
@@ -146,7 +146,7 @@
         return False
 
     def send(self, attempt: Attempt) -> None:
-        """Write an attempt's request; the connection has to be up and carry no other attempt."""
+        """Write an attempt's request; the connection has to be established and without another attempt."""
         assert self.transport is not None
         self.attempt = attempt
         attempt.connection = self
@@ -155,11 +155,11 @@
         if attempt.handshake is not None:
             attempt.handshake.attempt_sent()
         self.transport.write(attempt.data)
-        if self.transport.is_closing():  # the write failed: the connection had broken before
+        if self.transport.is_closing():  # the write failed, as the connection was already broken
             self.unsent = True
 
     def close(self) -> None:
-        """Abort the connection; the attempt that it carries is not ended by this."""
+        """Abort the connection; this does not end its attempt."""
         self.closed = True
         self.pool.remove(self)
         if self.transport is not None:
@@ -168,18 +168,18 @@
     # The end of an attempt
 
     def _finish_complete(self, reader: ResponseReader) -> None:
-        """End the attempt by its complete response."""
-        if self.closed or self.unsent:  # the rest of this request would be read as the next one
+        """End the attempt with its complete response."""
+        if self.closed or self.unsent:  # unsent bytes of this request would be read as part of the next one
             self.close()
         outcome = self.pool.rules.outcome(reader.status, reader.not_run)
         if self.attempt is not None and self.attempt.handshake is not None:
-            self.close()  # it was made for one WebSocket
+            self.close()  # connections for handshakes are not reused
             if 200 <= reader.status < 400:
-                outcome = Outcome.ERROR  # no WebSocket, and no rejection either: whether it ran isn't known
+                outcome = Outcome.ERROR  # neither a WebSocket nor a rejection: it may or may not have run
         self._finish(outcome)
 
     def _finish_upgrade(self, handshake: WebSocketHandshake, reader: ResponseReader, received: bytes) -> None:
-        """The endpoint has switched protocols: if its 101 is right, the connection leaves the pool."""
+        """Hand the connection over as a tunnel if the endpoint's 101 is valid, else end with MALFORMED."""
         attempt = self.attempt
         transport = self.transport
         assert attempt is not None
@@ -201,7 +201,7 @@
         attempt.end(TransportResult(Outcome.OK, 101, reader.headers, tunnel=tunnel))
 
     def _finish(self, outcome: Outcome) -> None:
-        """End the attempt and give the connection back to the pool, if it is still open."""
+        """End the attempt and return the connection to the pool, if it is still open."""
         attempt, self.attempt = self.attempt, None
         reader, self.reader = self.reader, None
         if self.idle_us > 0:
