--- a/plovertrail/upstreams/connection_pool.py
+++ b/plovertrail/upstreams/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections to the endpoints of one pool, and the attempts that they carry."""
+"""The connections to the endpoints of one pool, and the attempts on them."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 
 log = logging.getLogger(__name__)
 
-# The settings say when an endpoint closes an idle connection. It may do so while a request is on its way, and
-# a sidecar under a CPU limit may be paused for as long.
+# Idle connections are closed this long before the endpoints' configured timeout. Otherwise an endpoint may
+# close one while a request is in transit, and a sidecar under a CPU limit may be paused for about this long.
 IDLE_MARGIN_US = 300_000
 
 
 class TooManyConnectionsError(OSError):
-    """There may be no further connection, and none is idle."""
+    """The limit on connections is reached, and none is idle."""
 
 
 class UnreachableEndpoints:
-    """The endpoints that no attempt can reach now; a live view of a pool.
+    """The endpoints that an attempt can't reach now; a live view of a pool.
 
-    `needs_new_connection`: idle connections are of no use, as for a handshake.
+    `needs_new_connection`: idle connections can't be used, as for a WebSocket handshake.
     """
 
     def __init__(self, pool: ConnectionPool, needs_new_connection: bool) -> None:
@@ -54,7 +54,7 @@
 class ConnectionPool:
     """Connections to all endpoints of a list (dispatch.types.EndpointTransport).
 
-    `idle_us`: when endpoints close idle connections. `turn_is_stale`: see dispatch.Dispatcher.
+    `idle_us`: the endpoints' timeout for idle connections. `turn_is_stale`: see Dispatcher.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         self.rules = rules or ResponseRules()
         self.turn_is_stale = turn_is_stale
         self.limits = ConnectLimits(max_connections)
-        self.connections: dict[int, set[Connection]] = {}  # all there are, also those coming up
+        self.connections: dict[int, set[Connection]] = {}  # by endpoint, also those that are connecting
         self.count = 0
         self.idle = IdleConnections(self.loop, max(0, idle_us - IDLE_MARGIN_US))
         self.connects: set[asyncio.Task[None]] = set()
@@ -87,7 +87,7 @@
     ) -> Attempt:
         """Begin an attempt, on an idle connection or a new one.
 
-        Where there can be no connection, `on_end` is called only after this has returned.
+        If no connection can be made, `on_end` is still called only after this method has returned.
         """
         attempt = make_attempt(request, address, times, on_end)
         now_us = clock_us()
@@ -97,13 +97,14 @@
                 connection.send(attempt)
                 return attempt
         if not self.may_connect(endpoint_id):
-            # The load balancer knew, but several attempts may have been sent to one free place.
+            # The load balancer excludes unreachable endpoints, but several attempts may have been sent where
+            # only one more connection was allowed.
             self.loop.call_soon(end_unsent, attempt, Outcome.NOT_SENT)
             return attempt
         if self.limits.rate is not None:
             self.limits.rate.consume(now_us)
         try:
-            # Made before its connect begins, so that it is there when its endpoint is forgotten.
+            # Created before its connect begins, so that `forget` finds it if its endpoint is removed.
             connection = self._make(endpoint_id, attempt)
         except OSError:
             self.loop.call_soon(end_unsent, attempt, Outcome.CONNECT_FAILED)
@@ -114,8 +115,8 @@
         return attempt
 
     def _make(self, endpoint_id: int, attempt: Attempt) -> Connection:
-        """A connection that is to carry an attempt first; raises OSError if there may be no more."""
-        # Silent endpoints, with a connection for each attempt, would use up the descriptors.
+        """Create a connection for an attempt; raises OSError at the limit of connections or descriptors."""
+        # Without the limit, attempts at unresponsive endpoints would use up the file descriptors.
         if self.count >= self.limits.max_connections and not self.idle.close_oldest():
             raise TooManyConnectionsError("too many connections to endpoints")
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -127,8 +128,8 @@
         return connection
 
     async def _connect(self, connection: Connection, address: Address, attempt: Attempt) -> None:
-        """Bring a connection up in time; else its attempt ends with CONNECT_FAILED. Raises nothing."""
-        if attempt.cancelled:  # before this task's first step
+        """Connect within the timeout, else end the attempt with CONNECT_FAILED. Raises nothing."""
+        if attempt.cancelled:  # before this task ran for the first time
             connection.sock.close()
             self.remove(connection)
             return
@@ -137,7 +138,7 @@
                 await self.loop.sock_connect(connection.sock, address)
             await self.loop.create_connection(lambda: connection, sock=connection.sock)
         except Exception as error:
-            # Refused, unreachable, not up in time; or no address at all, which is no OSError.
+            # Refused, unreachable or timed out; or an invalid address, which is not always an OSError.
             if not isinstance(error, OSError):
                 log.warning("connect failed endpoint=%d error=%r", connection.endpoint_id, error)
             connection.attempt = None
@@ -149,48 +150,48 @@
     # Limits
 
     def configure(self, max_connections: int) -> None:
-        """Apply another bound; connections beyond it are closed as they become idle."""
+        """Apply a new limit of the operator; connections beyond it are closed as they become idle."""
         self.limits.configure(max_connections)
 
     def apply_limits(self, limits: InstanceLimits, start_fraction: float) -> None:
-        """Apply this instance's limits; connections beyond them are closed as they become idle.
+        """Apply this instance's share of the limits; connections beyond it are closed as they become idle.
 
-        The first connect comes after `first`, from 0 to 1, of the interval between two.
+        The first connect is allowed after the part `start_fraction` (0 to 1) of the interval between two.
         """
         self.limits.apply(limits, start_fraction)
 
     def process_paused(self, start_fraction: float) -> None:
-        """The process did nothing for a while; `first` as for `apply_limits`."""
+        """Restart the rate limit after a pause of the process; `start_fraction` as for `apply_limits`."""
         self.limits.process_paused(start_fraction)
 
     def may_connect(self, endpoint_id: int) -> bool:
-        """Whether a further connection to an endpoint may be made."""
+        """Whether one more connection to an endpoint may be made."""
         at_endpoint = len(self.connections.get(endpoint_id, ()))
         return self.limits.allow_connect(at_endpoint, self.count, bool(self.idle.by_endpoint))
 
     def unreachable(self, needs_new_connection: bool) -> Container[int]:
-        """The endpoints that can't be reached now; a live view."""
+        """The endpoints that an attempt can't reach now; a live view."""
         if not self.limits.are_fleet_wide:
             return frozenset()
         return UnreachableEndpoints(self, needs_new_connection)
 
     def next_connect_us(self) -> int:
-        """When a further connection may be made; 0 without a limit on the rate."""
+        """When the next connection may be made; 0 without a limit on the rate."""
         return self.limits.next_connect_us()
 
     def reserve_retry_us(self, longest_us: int) -> int:
-        """Reserve a connect for a rejected client's retry, and return its time; 0: none is needed."""
+        """Reserve a connect for a rejected client's retry, and return its time; 0: no wait is needed."""
         return self.limits.reserve_retry_us(longest_us)
 
     # Connections
 
     def add(self, connection: Connection) -> None:
-        """Count a connection from now on."""
+        """Add a connection to the pool."""
         self.connections.setdefault(connection.endpoint_id, set()).add(connection)
         self.count += 1
 
     def remove(self, connection: Connection) -> None:
-        """Count a connection no more; nothing happens if it isn't there."""
+        """Remove a connection from the pool, if it is in it."""
         self.idle.discard(connection)
         group = self.connections.get(connection.endpoint_id, set())
         if connection in group:
@@ -200,14 +201,14 @@
             self.connections.pop(connection.endpoint_id, None)
 
     def keep_idle(self, connection: Connection) -> None:
-        """Keep a connection for later requests; closes it if there are too many or none is to be kept."""
+        """Keep a connection for later requests; closes it if there are too many or none may be kept."""
         if self.count > self.limits.max_connections or not self.limits.instance.keep_idle:
             connection.close()
         else:
             self.idle.add(connection)
 
     def record_reuse(self, idle_us: int, broke: bool) -> None:
-        """Record whether a connection that had been idle for so long broke on reuse."""
+        """Record whether a connection broke when it was reused after this idle time."""
         self.idle.record_reuse(idle_us, broke)
 
     def close_idle(self, endpoint_id: int) -> None:
@@ -215,13 +216,13 @@
         self.idle.close_all(endpoint_id)
 
     def forget(self, endpoint_id: int) -> None:
-        """Close an endpoint's connections, those in use once their attempts have ended."""
+        """Close an endpoint's idle connections, and those in use once their attempts have ended."""
         self.close_idle(endpoint_id)
         for connection in self.connections.get(endpoint_id, set()):
             connection.endpoint_removed = True
 
 
 def end_unsent(attempt: Attempt, outcome: Outcome) -> None:
-    """End an attempt for which there was no connection, unless it was cancelled meanwhile."""
+    """End an attempt that got no connection, unless it has been cancelled meanwhile."""
     if not attempt.cancelled:
         attempt.end(TransportResult(outcome))
