--- a/plovertrail/upstreams/idle_connections.py
+++ b/plovertrail/upstreams/idle_connections.py
@@ -1,4 +1,4 @@
-"""Idle connections, and the statistics on how long they can be reused."""
+"""Idle connections, with statistics on the idle times after which reuse fails."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 from plovertrail.clock import clock_us
 from plovertrail.upstreams.connection import Connection
 
-REUSE_AVERAGE_SAMPLES = 16  # uses of connections that were idle for about as long
-MAX_BROKEN_SHARE = 0.15  # of them; a request lost costs about ten new connections
-BROKEN_SHARE_DECAY = 0.99  # for each one passed over, so that they are tried again
-MIN_SWEEP_INTERVAL_S = 0.1  # between two looks for connections to close
+REUSE_AVERAGE_SAMPLES = 16  # length of the moving average of reuses after a similar idle time
+MAX_BROKEN_SHARE = 0.15  # share of reuses that may break; a lost request costs about ten new connections
+BROKEN_SHARE_DECAY = 0.99  # applied for each connection that is not reused, so that reuse is tried again
+MIN_SWEEP_INTERVAL_S = 0.1  # between two searches for connections to close
 
 
 class IdleConnections:
-    """Idle connections by endpoint, the one that has been idle for longest first.
+    """Idle connections by endpoint, the one that has been idle longest first.
 
-    By endpoint and not by address, as an endpoint may come to the address of one that was removed. The one
-    that has been idle for longest is used first, as an end, or stray bytes, may still be on the way on one
-    that has just had its response. `keep_us`: for how long they are kept.
+    They are kept by endpoint and not by address, as a new endpoint may get the address of a removed one. The
+    one that has been idle longest is used first: on one that has just received its response, the end of the
+    stream or stray bytes may still be in transit. `max_idle_us`: for how long connections are kept.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, max_idle_us: int) -> None:
         self.loop = loop
         self.max_idle_us = max_idle_us
         self.by_endpoint: dict[int, list[Connection]] = {}
-        self.broken_share = [0.0] * 64  # of those that broke at their next request, by log2 of the idle time
+        self.broken_share = [0.0] * 64  # share of reuses that broke, by log2 of the idle time
         self.sweeper: asyncio.TimerHandle | None = None  # set while there are idle connections
 
     def add(self, connection: Connection) -> None:
-        """Keep a connection."""
+        """Add an idle connection."""
         connection.idle_since_us = clock_us()
         self.by_endpoint.setdefault(connection.endpoint_id, []).append(connection)
         if self.sweeper is None:
@@ -38,7 +38,7 @@
             )
 
     def discard(self, connection: Connection) -> None:
-        """Keep a connection no longer; nothing happens if it wasn't kept."""
+        """Remove a connection, if it is here; it stays open."""
         idle = self.by_endpoint.get(connection.endpoint_id, [])
         if connection in idle:
             idle.remove(connection)
@@ -46,7 +46,7 @@
                 del self.by_endpoint[connection.endpoint_id]
 
     def take(self, endpoint_id: int, now_us: int) -> Connection | None:
-        """A connection that can carry a request now; those that can't are closed."""
+        """Remove and return a connection that can be used for a request; closes those that can't."""
         while idle := self.by_endpoint.get(endpoint_id):
             connection = idle[0]
             idle_us = now_us - connection.idle_since_us
@@ -58,10 +58,10 @@
         return None
 
     def is_trusted(self, idle_us: int) -> bool:
-        """Whether connections that were idle for so long may be used.
+        """Whether connections that were idle for this long may be reused.
 
-        What lies between may drop idle connections sooner than the settings say, without a word. Each costs a
-        request, so those idle for as long as others that broke are not used.
+        A device on the path may silently drop idle connections earlier than the configured timeout. Reusing
+        one costs a request, so connections are not reused after idle times at which others broke.
         """
         bucket = idle_us.bit_length()
         if self.broken_share[bucket] > MAX_BROKEN_SHARE:
@@ -70,12 +70,12 @@
         return True
 
     def record_reuse(self, idle_us: int, broke: bool) -> None:
-        """Record whether a connection that had been idle for so long broke on reuse."""
+        """Record whether a connection broke when it was reused after this idle time."""
         bucket = idle_us.bit_length()
         self.broken_share[bucket] += (float(broke) - self.broken_share[bucket]) / REUSE_AVERAGE_SAMPLES
 
     def close_oldest(self) -> bool:
-        """Close the connection that has been idle for longest; returns whether there was one."""
+        """Close the connection that has been idle longest; returns whether there was one."""
         idle = [connection for group in self.by_endpoint.values() for connection in group]
         if not idle:
             return False
@@ -88,7 +88,7 @@
             connection.close()
 
     def _sweep(self) -> None:
-        """Close what endpoints are about to close."""
+        """Close connections that the endpoints are about to close."""
         self.sweeper = None
         oldest_us = clock_us() - self.max_idle_us
         for connections in list(self.by_endpoint.values()):
