--- a/plovertrail/upstreams/response_reader.py
+++ b/plovertrail/upstreams/response_reader.py
@@ -1,4 +1,4 @@
-"""Reads one HTTP/1.1 response within bounds, and classifies it."""
+"""Parses one HTTP/1.1 response, with limits on its size, and classifies it."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from plovertrail.dispatch.types import Headers
 
 MAX_HEAD_BYTES = 32 * 1024
-FRAMING_FACTOR = 4  # a response, its head and framing included, is at most so many times the longest body
+FRAMING_FACTOR = 4  # limit of a whole response, with head and framing, as a multiple of max_body_bytes
 
 
 class ResponseTooLongError(ValueError):
-    """A response with a longer body than is allowed."""
+    """The body of a response exceeds the limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseRules:
-    """Which responses are accepted, and which of these are errors."""
+    """Which responses are accepted, and which of them count as errors."""
 
     max_body_bytes: int = 64 * 1024
-    error_statuses: frozenset[int] | None = None  # None: all but 200
+    error_statuses: frozenset[int] | None = None  # None: every status but 200
 
     def outcome(self, status: int, not_run: bool) -> Outcome:
-        """What a complete response means; only the endpoint's own word tells that nothing has run."""
+        """The outcome of a complete response; REJECTED only if X-Not-Run says that nothing has run."""
         if status in (503, 504) and not_run:
             return Outcome.REJECTED
         good = status == 200 if self.error_statuses is None else status not in self.error_statuses
@@ -33,10 +33,10 @@
 
 
 class ResponseReader:
-    """The response to one request, fed as its bytes arrive. The parser calls the `on_` methods.
+    """Parses the response to one request as its bytes arrive. The parser calls the `on_` methods.
 
-    `head_only`: the response to HEAD, which has no body whatever its headers say. `awaits_upgrade`: a 101 is
-    the final response.
+    `head_only`: the request is a HEAD, so the response has no body, whatever its headers say.
+    `awaits_upgrade`: the request asks for an upgrade, so a 101 is the final response.
     """
 
     def __init__(self, rules: ResponseRules, head_only: bool, awaits_upgrade: bool) -> None:
@@ -46,23 +46,26 @@
         self.parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self.complete = False
         self.reusable = True  # the connection may carry another request after this response
-        self.switched_protocols = False  # the response was a 101 to a handshake
+        self.switched_protocols = False  # the response is a 101 to a handshake
         self.status = 0
-        self.not_run = False
+        self.not_run = False  # the endpoint sent X-Not-Run: 1
         self.headers: Headers = []
-        self.framed = False  # the head tells where the response ends
+        self.framed = False  # the head gives the length of the body, or it is chunked
         self.head_done = False
         self.body = bytearray()
         self.received = 0
 
     def feed(self, data: bytes) -> None:
-        """Read some bytes; raises httptools' errors, and ResponseTooLongError."""
+        """Parse more bytes; raises httptools' errors, and ResponseTooLongError."""
         assert self.parser is not None
         self.received += len(data)
         self.parser.feed_data(data)
 
     def end_of_stream(self) -> bool:
-        """The connection has ended; returns whether that ends a response without a length (RFC 9112, 6.3)."""
+        """Handle the end of the stream; returns whether it completes the response (RFC 9112, section 6.3).
+
+        It does so for a response without a length.
+        """
         if self.parser is None or not self.head_done or self.framed or self.complete:
             return False
         self.status = self.parser.get_status_code()
@@ -70,7 +73,7 @@
         return True
 
     def release(self) -> None:
-        """Let go of the parser: they hold each other, and would wait for a rare full garbage collection."""
+        """Drop the parser: the reference cycle with it would last until a rare full garbage collection."""
         self.parser = None
 
     @property
@@ -79,22 +82,23 @@
         most = FRAMING_FACTOR * self.rules.max_body_bytes if self.head_done else MAX_HEAD_BYTES
         return self.received > most
 
-    # What the parser calls
+    # Callbacks of the parser
 
     def on_message_begin(self) -> None:
-        """A response begins; after a second one to a request the connection is of no further use."""
+        """Handle the start of a response; after a second response the connection can't be reused."""
         if self.complete:
             self.reusable = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header of the head; raises ResponseTooLongError if it announces too long a body."""
+        """Collect a header; raises ResponseTooLongError if Content-Length exceeds the limit."""
         if self.complete or self.head_done:
-            return  # of a second response, or behind a chunked body
+            return  # a header of a second response, or a trailer after a chunked body
         lower = name.lower()
         if lower == b"content-length":
             self.framed = True
             if int(value) > self.rules.max_body_bytes and not self.head_only:
-                raise ResponseTooLongError("the response is too long")  # it may keep coming for hours
+                # Rejected before the body arrives, which could take hours.
+                raise ResponseTooLongError("the response is too long")
         elif lower == b"transfer-encoding":
             self.framed = True
         elif lower == b"x-not-run":
@@ -102,24 +106,24 @@
         self.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """The head is complete; the final response to HEAD is complete with it."""
+        """Handle the end of the head, which is also the end of a final response to HEAD."""
         self.head_done = True
         if self.head_only and self.parser is not None and self.parser.get_status_code() >= 200:
-            self.on_message_complete()  # the parser doesn't know the method, and waits for a body
+            self.on_message_complete()  # the parser doesn't know the request's method and expects a body
 
     def on_body(self, data: bytes) -> None:
-        """Collect a part of the body; raises ResponseTooLongError if it becomes too long."""
+        """Collect a part of the body; raises ResponseTooLongError if it exceeds the limit."""
         if not self.complete:
             self.body += data
             if len(self.body) > self.rules.max_body_bytes:
                 raise ResponseTooLongError("the response is too long")
         else:
-            self.reusable = False  # a body where none belongs would be read as the next response
+            self.reusable = False  # bytes after the response would be parsed as the next one
 
     def on_message_complete(self) -> None:
-        """The response is complete, or an interim one is, after which the final one is awaited.
+        """Handle the end of a response: a final one, or an interim one that a final one follows.
 
-        A 101 to a handshake is only noted here, and handled once the parser has raised.
+        A 101 to a handshake is only recorded here; `Connection` handles it when the parser raises.
         """
         assert self.parser is not None
         if self.complete:
