--- a/simulator/adapter.py
+++ b/simulator/adapter.py
@@ -28,14 +28,14 @@
         self.decoder = wire.Decoder()
         self.instances: dict[int, LoadBalancer] = {}
 
-    def batch(self, now_us: int, count: int, body: bytes) -> bytes:
+    def handle_batch(self, now_us: int, count: int, body: bytes) -> bytes:
         """Apply one batch of `count` event records and return the encoded reply with the actions.
 
         `now_us` is the time of the batch. An exception in a load balancer becomes an InternalError
         record. Raises WireError on a batch that does not follow the format.
         """
         records: list[bytes] = []
-        for instance, event in self.decoder.batch(body, count):
+        for instance, event in self.decoder.decode(body, count):
             if isinstance(event, wire.InstanceStarted):
                 settings = wire.parse_settings(event.options)
                 self.instances[instance] = LoadBalancer(settings, event.seed, now_us)
@@ -70,7 +70,7 @@
             body = read_exactly(source, size)
             if len(body) < size:
                 raise wire.WireError(f"truncated body: {len(body)} of {size} bytes")
-            answer = host.batch(now_us, count, body)
+            answer = host.handle_batch(now_us, count, body)
         except wire.WireError as error:
             raise wire.WireError(f"batch {number}: {error}") from error
         sink.write(answer)
--- a/simulator/wire.py
+++ b/simulator/wire.py
@@ -146,7 +146,7 @@
         self.data = b""
         self.position = 0
 
-    def batch(self, data: bytes, count: int) -> Iterator[tuple[int, Record]]:
+    def decode(self, data: bytes, count: int) -> Iterator[tuple[int, Record]]:
         """Yield the (instance, event) pairs of a batch's body in order; raises WireError."""
         self.data = data
         self.position = 0
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -112,7 +112,7 @@
 def test_documented_events_are_read(text: str, event: wire.Record) -> None:
     data = bytes.fromhex(text)
     count = 2 if text.startswith("6e") else 1
-    assert list(wire.Decoder().batch(data, count)) == [(3, event)]
+    assert list(wire.Decoder().decode(data, count)) == [(3, event)]
 
 
 @pytest.mark.parametrize(("text", "action"), ACTIONS)
@@ -122,7 +122,7 @@
 
 def test_the_documented_frames() -> None:
     assert serve(bytes.fromhex(EMPTY)) == bytes.fromhex("00000000 00000000")
-    events = list(wire.Decoder().batch(bytes.fromhex(THREE)[16:], 3))
+    events = list(wire.Decoder().decode(bytes.fromhex(THREE)[16:], 3))
     assert [(i, type(e).__name__) for i, e in events] == [
         (3, "RequestArrived"),
         (3, "TimerFired"),
@@ -162,7 +162,7 @@
     short = bytes.fromhex("6e 00000000 00000000")
     members = bytes.fromhex("50 0300 01 29000000 00000000")
     data = bytes.fromhex(LIST) + members + short + members
-    first, second = wire.Decoder().batch(data, 4)
+    first, second = wire.Decoder().decode(data, 4)
     assert isinstance(first[1], EndpointsUpdated)
     assert len(first[1].endpoints) == 2
     assert isinstance(second[1], EndpointsUpdated)
@@ -236,11 +236,11 @@
         start = [bytes.fromhex(LIST)]
         for i in instances:
             start += [power_on(instance=i, seed=i), struct.pack("<BHBII", 80, i, 2, 1, 0)]
-        host.batch(1_000_000, len(start), b"".join(start))
+        host.handle_batch(1_000_000, len(start), b"".join(start))
         for n in range(50):
             for i in instances:
                 record = struct.pack("<BHIBIQIBQ", 70, i, 100 * n + i, n % 3, 0, 0, 0, 0, 1_600_000 + n)
-                seen[i].append(host.batch(1_000_000 + n, 1, record))
+                seen[i].append(host.handle_batch(1_000_000 + n, 1, record))
         return seen
 
     together = day([1, 2, 3])
