--- a/simulator/wire.py
+++ b/simulator/wire.py
@@ -209,12 +209,12 @@
     return value
 
 
-def _started(frame: Decoder) -> Record:
+def _instance_started(frame: Decoder) -> Record:
     seed, size = frame.fields(_INSTANCE_STARTED)
     return InstanceStarted(seed, frame.take(size).decode())
 
 
-def _stopped(_frame: Decoder) -> Record:
+def _instance_stopped(_frame: Decoder) -> Record:
     return InstanceStopped()
 
 
@@ -275,13 +275,13 @@
     EventCode.ATTEMPT_ENDED: _attempt_ended,
     EventCode.STREAM_STARTED: _stream_started,
     EventCode.PEER_MESSAGE: _peer_message,
-    EventCode.INSTANCE_STOPPED: _stopped,
+    EventCode.INSTANCE_STOPPED: _instance_stopped,
     EventCode.TIMER_FIRED: lambda frame: TimerFired(frame.fields(_U32)[0]),
     EventCode.REQUEST_CANCELLED: lambda frame: RequestCancelled(frame.fields(_U32)[0]),
     EventCode.REQUEST_ARRIVED: _request_arrived,
     EventCode.ENDPOINTS_UPDATED: _endpoints_updated,
     EventCode.HEALTH_CHECK_ENDED: _health_check_ended,
-    EventCode.INSTANCE_STARTED: _started,
+    EventCode.INSTANCE_STARTED: _instance_started,
 }
 
 
