--- a/simulator/wire.py
+++ b/simulator/wire.py
@@ -197,12 +197,12 @@
         ):
             if not math.isfinite(weight):
                 raise WireError(f"upstream {endpoint_id} has a weight that is not a finite number")
-            status = _known(_STATES, state, "upstream condition")
+            status = _lookup(_STATES, state, "upstream condition")
             endpoints.append(Endpoint(endpoint_id, status, zone, kind, cell, weight, started_us))
         self.lists[number] = endpoints
 
 
-def _known(table: dict[int, V], code: int, what: str) -> V:
+def _lookup(table: dict[int, V], code: int, what: str) -> V:
     value = table.get(code)
     if value is None:
         raise WireError(f"unknown {what} {code}")
@@ -220,7 +220,7 @@
 
 def _endpoints_updated(frame: Decoder) -> Record:
     kind_code, version, number = frame.fields(_ENDPOINTS_UPDATED)
-    kind = _known(_LIST_KINDS, kind_code, "list kind")
+    kind = _lookup(_LIST_KINDS, kind_code, "list kind")
     if kind is ListKind.FAILED:
         return EndpointsUpdated(kind, [], version)
     if number not in frame.lists:
@@ -248,7 +248,7 @@
         request,
         attempt,
         endpoint_id,
-        _known(_OUTCOMES, outcome, "outcome"),
+        _lookup(_OUTCOMES, outcome, "outcome"),
         elapsed_us,
         bool(final),
         frame.floats(count),
@@ -262,7 +262,7 @@
 
 def _health_check_ended(frame: Decoder) -> Record:
     endpoint_id, outcome_code, elapsed_us, count = frame.fields(_HEALTH_CHECK_ENDED)
-    outcome = _known(_OUTCOMES, outcome_code, "outcome")
+    outcome = _lookup(_OUTCOMES, outcome_code, "outcome")
     return HealthCheckEnded(endpoint_id, outcome, elapsed_us, frame.floats(count))
 
 
