--- a/simulator/wire.py
+++ b/simulator/wire.py
@@ -104,7 +104,7 @@
     125: Outcome.CANCELLED,
     114: Outcome.NOT_SENT,
 }
-_STATES = {0: EndpointStatus.REMOVED, 1: EndpointStatus.READY, 2: EndpointStatus.DRAINING}
+_STATUSES = {0: EndpointStatus.REMOVED, 1: EndpointStatus.READY, 2: EndpointStatus.DRAINING}
 _LIST_KINDS = {0: ListKind.DELTA, 1: ListKind.FULL, 2: ListKind.CACHED, 3: ListKind.FAILED}
 _U32_MAX = 0xFFFFFFFF
 V = TypeVar("V")
@@ -197,7 +197,7 @@
         ):
             if not math.isfinite(weight):
                 raise WireError(f"upstream {endpoint_id} has a weight that is not a finite number")
-            status = _lookup(_STATES, state, "upstream condition")
+            status = _lookup(_STATUSES, state, "upstream condition")
             endpoints.append(Endpoint(endpoint_id, status, zone, kind, cell, weight, started_us))
         self.lists[number] = endpoints
 
