--- a/simulator/wire.py
+++ b/simulator/wire.py
@@ -305,7 +305,7 @@
 _error_header = _pack(ActionCode.INTERNAL_ERROR, "H")
 
 
-def _text(header: Callable[..., bytes], instance: int, text: str) -> bytes:
+def _text_record(header: Callable[..., bytes], instance: int, text: str) -> bytes:
     raw = text.encode()[:0xFFFF]
     return header(instance, len(raw)) + raw
 
@@ -321,8 +321,8 @@
     PollEndpoints: lambda i, _: _poll_endpoints(i),
     CloseIdle: lambda i, a: _close_idle(i, a.endpoint_id),
     SendToPeer: lambda i, a: _send_to_peer(i, _U32_MAX if a.to is None else a.to, len(a.payload)) + a.payload,
-    Log: lambda i, a: _text(_log_header, i, a.text),
-    InternalError: lambda i, a: _text(_error_header, i, a.text),
+    Log: lambda i, a: _text_record(_log_header, i, a.text),
+    InternalError: lambda i, a: _text_record(_error_header, i, a.text),
 }
 
 
