--- a/simulator/wire.py
+++ b/simulator/wire.py
@@ -285,24 +285,24 @@
 }
 
 
-def _pack(code: ActionCode, layout: str) -> Callable[..., bytes]:
+def _record_packer(code: ActionCode, layout: str) -> Callable[..., bytes]:
     """Return a writer of records with this code and these fields after the instance."""
     packer = struct.Struct("<BH" + layout)
     return lambda instance, *values: packer.pack(code, instance, *values)
 
 
-_send = _pack(ActionCode.SEND, "IIi")
-_reject = _pack(ActionCode.REJECT, "II")
-_fail = _pack(ActionCode.FAIL, "I")
-_cancel = _pack(ActionCode.CANCEL, "IB")
-_health_check = _pack(ActionCode.HEALTH_CHECK, "I")
-_set_timer = _pack(ActionCode.SET_TIMER, "QI")
-_subscribe = _pack(ActionCode.SUBSCRIBE, "B")
-_poll_endpoints = _pack(ActionCode.POLL_ENDPOINTS, "")
-_close_idle = _pack(ActionCode.CLOSE_IDLE, "I")
-_send_to_peer = _pack(ActionCode.SEND_TO_PEER, "IH")
-_log_header = _pack(ActionCode.LOG, "H")
-_error_header = _pack(ActionCode.INTERNAL_ERROR, "H")
+_send = _record_packer(ActionCode.SEND, "IIi")
+_reject = _record_packer(ActionCode.REJECT, "II")
+_fail = _record_packer(ActionCode.FAIL, "I")
+_cancel = _record_packer(ActionCode.CANCEL, "IB")
+_health_check = _record_packer(ActionCode.HEALTH_CHECK, "I")
+_set_timer = _record_packer(ActionCode.SET_TIMER, "QI")
+_subscribe = _record_packer(ActionCode.SUBSCRIBE, "B")
+_poll_endpoints = _record_packer(ActionCode.POLL_ENDPOINTS, "")
+_close_idle = _record_packer(ActionCode.CLOSE_IDLE, "I")
+_send_to_peer = _record_packer(ActionCode.SEND_TO_PEER, "IH")
+_log_header = _record_packer(ActionCode.LOG, "H")
+_error_header = _record_packer(ActionCode.INTERNAL_ERROR, "H")
 
 
 def _text_record(header: Callable[..., bytes], instance: int, text: str) -> bytes:
