--- a/simulator/wire.py
+++ b/simulator/wire.py
@@ -209,27 +209,27 @@
     return value
 
 
-def _instance_started(frame: Decoder) -> Record:
-    seed, size = frame.fields(_INSTANCE_STARTED)
-    return InstanceStarted(seed, frame.take(size).decode())
+def _instance_started(decoder: Decoder) -> Record:
+    seed, size = decoder.fields(_INSTANCE_STARTED)
+    return InstanceStarted(seed, decoder.take(size).decode())
 
 
 def _instance_stopped(_frame: Decoder) -> Record:
     return InstanceStopped()
 
 
-def _endpoints_updated(frame: Decoder) -> Record:
-    kind_code, version, number = frame.fields(_ENDPOINTS_UPDATED)
+def _endpoints_updated(decoder: Decoder) -> Record:
+    kind_code, version, number = decoder.fields(_ENDPOINTS_UPDATED)
     kind = _lookup(_LIST_KINDS, kind_code, "list kind")
     if kind is ListKind.FAILED:
         return EndpointsUpdated(kind, [], version)
-    if number not in frame.lists:
+    if number not in decoder.lists:
         raise WireError(f"upstream list {number} was never sent")
-    return EndpointsUpdated(kind, frame.lists[number], version)
+    return EndpointsUpdated(kind, decoder.lists[number], version)
 
 
-def _request_arrived(frame: Decoder) -> Record:
-    request, class_index, tenant, key, cost_us, flags, due_us = frame.fields(_REQUEST_ARRIVED)
+def _request_arrived(decoder: Decoder) -> Record:
+    request, class_index, tenant, key, cost_us, flags, due_us = decoder.fields(_REQUEST_ARRIVED)
     return RequestArrived(
         request,
         due_us,
@@ -242,8 +242,8 @@
     )
 
 
-def _attempt_ended(frame: Decoder) -> Record:
-    request, attempt, endpoint_id, outcome, elapsed_us, final, count = frame.fields(_ATTEMPT_ENDED)
+def _attempt_ended(decoder: Decoder) -> Record:
+    request, attempt, endpoint_id, outcome, elapsed_us, final, count = decoder.fields(_ATTEMPT_ENDED)
     return AttemptEnded(
         request,
         attempt,
@@ -251,24 +251,24 @@
         _lookup(_OUTCOMES, outcome, "outcome"),
         elapsed_us,
         bool(final),
-        frame.floats(count),
+        decoder.floats(count),
     )
 
 
-def _stream_started(frame: Decoder) -> Record:
-    request, attempt, elapsed_us, endpoint_id = frame.fields(_STREAM_STARTED)
+def _stream_started(decoder: Decoder) -> Record:
+    request, attempt, elapsed_us, endpoint_id = decoder.fields(_STREAM_STARTED)
     return StreamStarted(request, attempt, endpoint_id, elapsed_us)
 
 
-def _health_check_ended(frame: Decoder) -> Record:
-    endpoint_id, outcome_code, elapsed_us, count = frame.fields(_HEALTH_CHECK_ENDED)
+def _health_check_ended(decoder: Decoder) -> Record:
+    endpoint_id, outcome_code, elapsed_us, count = decoder.fields(_HEALTH_CHECK_ENDED)
     outcome = _lookup(_OUTCOMES, outcome_code, "outcome")
-    return HealthCheckEnded(endpoint_id, outcome, elapsed_us, frame.floats(count))
+    return HealthCheckEnded(endpoint_id, outcome, elapsed_us, decoder.floats(count))
 
 
-def _peer_message(frame: Decoder) -> Record:
-    sender, size = frame.fields(_PEER_MESSAGE)
-    return PeerMessage(sender, frame.take(size))
+def _peer_message(decoder: Decoder) -> Record:
+    sender, size = decoder.fields(_PEER_MESSAGE)
+    return PeerMessage(sender, decoder.take(size))
 
 
 _READERS: dict[int, Callable[[Decoder], Record]] = {
@@ -276,8 +276,8 @@
     EventCode.STREAM_STARTED: _stream_started,
     EventCode.PEER_MESSAGE: _peer_message,
     EventCode.INSTANCE_STOPPED: _instance_stopped,
-    EventCode.TIMER_FIRED: lambda frame: TimerFired(frame.fields(_U32)[0]),
-    EventCode.REQUEST_CANCELLED: lambda frame: RequestCancelled(frame.fields(_U32)[0]),
+    EventCode.TIMER_FIRED: lambda decoder: TimerFired(decoder.fields(_U32)[0]),
+    EventCode.REQUEST_CANCELLED: lambda decoder: RequestCancelled(decoder.fields(_U32)[0]),
     EventCode.REQUEST_ARRIVED: _request_arrived,
     EventCode.ENDPOINTS_UPDATED: _endpoints_updated,
     EventCode.HEALTH_CHECK_ENDED: _health_check_ended,
