--- a/simulator/wire.py
+++ b/simulator/wire.py
@@ -153,14 +153,14 @@
         for index in range(count):
             start = self.position
             try:
-                code = self.take(1)[0]
+                code = self.read_bytes(1)[0]
                 if code == EventCode.ENDPOINT_LIST:
                     self.read_list()
                     continue
                 reader = _READERS.get(code)
                 if reader is None:
                     raise WireError(f"unknown event code {code}")
-                instance = self.fields(_U16)[0]
+                instance = self.read_fields(_U16)[0]
                 event = reader(self)
             except (WireError, UnicodeDecodeError) as error:
                 raise WireError(f"record {index} at byte {start}: {error}") from error
@@ -168,7 +168,7 @@
         if self.position != len(data):
             raise WireError(f"{len(data) - self.position} bytes left over after {count} records")
 
-    def take(self, size: int) -> bytes:
+    def read_bytes(self, size: int) -> bytes:
         """Return the next `size` bytes; raises WireError if fewer are left."""
         end = self.position + size
         if end > len(self.data):
@@ -177,23 +177,23 @@
         self.position = end
         return piece
 
-    def fields(self, layout: struct.Struct) -> tuple[int, ...]:
+    def read_fields(self, layout: struct.Struct) -> tuple[int, ...]:
         """Return the next fields of a fixed layout; raises WireError if it is truncated."""
-        return layout.unpack(self.take(layout.size))
+        return layout.unpack(self.read_bytes(layout.size))
 
-    def floats(self, count: int) -> list[float]:
+    def read_floats(self, count: int) -> list[float]:
         """Return the next `count` 32-bit floats; raises WireError if one is not finite."""
-        values = list(struct.unpack(f"<{count}f", self.take(4 * count)))
+        values = list(struct.unpack(f"<{count}f", self.read_bytes(4 * count)))
         if not all(map(math.isfinite, values)):
             raise WireError("a load report value that is not a finite number")
         return values
 
     def read_list(self) -> None:
         """Read a list of endpoints and keep it under its number, for the events that refer to it."""
-        number, count = self.fields(_LIST_HEADER)
+        number, count = self.read_fields(_LIST_HEADER)
         endpoints = []
         for endpoint_id, zone, kind, cell, state, weight, started_us in _ENDPOINT.iter_unpack(
-            self.take(_ENDPOINT.size * count)
+            self.read_bytes(_ENDPOINT.size * count)
         ):
             if not math.isfinite(weight):
                 raise WireError(f"upstream {endpoint_id} has a weight that is not a finite number")
@@ -210,16 +210,16 @@
 
 
 def _instance_started(decoder: Decoder) -> Record:
-    seed, size = decoder.fields(_INSTANCE_STARTED)
-    return InstanceStarted(seed, decoder.take(size).decode())
+    seed, size = decoder.read_fields(_INSTANCE_STARTED)
+    return InstanceStarted(seed, decoder.read_bytes(size).decode())
 
 
-def _instance_stopped(_frame: Decoder) -> Record:
+def _instance_stopped(_decoder: Decoder) -> Record:
     return InstanceStopped()
 
 
 def _endpoints_updated(decoder: Decoder) -> Record:
-    kind_code, version, number = decoder.fields(_ENDPOINTS_UPDATED)
+    kind_code, version, number = decoder.read_fields(_ENDPOINTS_UPDATED)
     kind = _lookup(_LIST_KINDS, kind_code, "list kind")
     if kind is ListKind.FAILED:
         return EndpointsUpdated(kind, [], version)
@@ -229,7 +229,7 @@
 
 
 def _request_arrived(decoder: Decoder) -> Record:
-    request, class_index, tenant, key, cost_us, flags, due_us = decoder.fields(_REQUEST_ARRIVED)
+    request, class_index, tenant, key, cost_us, flags, due_us = decoder.read_fields(_REQUEST_ARRIVED)
     return RequestArrived(
         request,
         due_us,
@@ -243,7 +243,7 @@
 
 
 def _attempt_ended(decoder: Decoder) -> Record:
-    request, attempt, endpoint_id, outcome, elapsed_us, final, count = decoder.fields(_ATTEMPT_ENDED)
+    request, attempt, endpoint_id, outcome, elapsed_us, final, count = decoder.read_fields(_ATTEMPT_ENDED)
     return AttemptEnded(
         request,
         attempt,
@@ -251,24 +251,24 @@
         _lookup(_OUTCOMES, outcome, "outcome"),
         elapsed_us,
         bool(final),
-        decoder.floats(count),
+        decoder.read_floats(count),
     )
 
 
 def _stream_started(decoder: Decoder) -> Record:
-    request, attempt, elapsed_us, endpoint_id = decoder.fields(_STREAM_STARTED)
+    request, attempt, elapsed_us, endpoint_id = decoder.read_fields(_STREAM_STARTED)
     return StreamStarted(request, attempt, endpoint_id, elapsed_us)
 
 
 def _health_check_ended(decoder: Decoder) -> Record:
-    endpoint_id, outcome_code, elapsed_us, count = decoder.fields(_HEALTH_CHECK_ENDED)
+    endpoint_id, outcome_code, elapsed_us, count = decoder.read_fields(_HEALTH_CHECK_ENDED)
     outcome = _lookup(_OUTCOMES, outcome_code, "outcome")
-    return HealthCheckEnded(endpoint_id, outcome, elapsed_us, decoder.floats(count))
+    return HealthCheckEnded(endpoint_id, outcome, elapsed_us, decoder.read_floats(count))
 
 
 def _peer_message(decoder: Decoder) -> Record:
-    sender, size = decoder.fields(_PEER_MESSAGE)
-    return PeerMessage(sender, decoder.take(size))
+    sender, size = decoder.read_fields(_PEER_MESSAGE)
+    return PeerMessage(sender, decoder.read_bytes(size))
 
 
 _READERS: dict[int, Callable[[Decoder], Record]] = {
@@ -276,8 +276,8 @@
     EventCode.STREAM_STARTED: _stream_started,
     EventCode.PEER_MESSAGE: _peer_message,
     EventCode.INSTANCE_STOPPED: _instance_stopped,
-    EventCode.TIMER_FIRED: lambda decoder: TimerFired(decoder.fields(_U32)[0]),
-    EventCode.REQUEST_CANCELLED: lambda decoder: RequestCancelled(decoder.fields(_U32)[0]),
+    EventCode.TIMER_FIRED: lambda decoder: TimerFired(decoder.read_fields(_U32)[0]),
+    EventCode.REQUEST_CANCELLED: lambda decoder: RequestCancelled(decoder.read_fields(_U32)[0]),
     EventCode.REQUEST_ARRIVED: _request_arrived,
     EventCode.ENDPOINTS_UPDATED: _endpoints_updated,
     EventCode.HEALTH_CHECK_ENDED: _health_check_ended,
