--- a/simulator/__init__.py
+++ b/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire, and the program that answers it with the decisions."""
+"""The simulator's wire protocol, and the adapter that runs load balancers on it."""
