--- a/simulator/adapter.py
+++ b/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""Runs many load balancers on the simulator's wire: one reply for each batch of events."""
+"""Runs many load balancers over the simulator's wire protocol: one reply for each batch of events."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class InstanceHost:
-    """The running instances; they share nothing but the decoder's endpoint lists."""
+    """The running instances, which share only the decoder's endpoint lists."""
 
     def __init__(self) -> None:
         self.decoder = wire.Decoder()
@@ -31,8 +31,8 @@
     def handle_batch(self, now_us: int, count: int, body: bytes) -> bytes:
         """Apply one batch of `count` event records and return the encoded reply with the actions.
 
-        `now_us` is the time of the batch. An exception in a load balancer becomes an InternalError
-        record. Raises WireError on a batch that does not follow the format.
+        `now_us` is the time of the batch. An exception in a load balancer is reported by an InternalError
+        record. Raises WireError on a malformed batch.
         """
         records: list[bytes] = []
         for instance, event in self.decoder.decode(body, count):
@@ -49,14 +49,14 @@
                 try:
                     actions = self.instances[instance].handle(now_us, event)
                     records.extend([wire.encode(instance, action) for action in actions])
-                except Exception as error:  # a bug is reported on the wire, and the others go on
+                except Exception as error:  # reported in the reply; the other instances continue
                     text = f"{type(error).__name__}: {error}"
                     records.append(wire.encode(instance, wire.InternalError(text)))
         return wire.reply(records)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
+    """Reply to batches until the end of the input."""
     host = InstanceHost()
     number = 0
     while True:
@@ -70,16 +70,16 @@
             body = read_exactly(source, size)
             if len(body) < size:
                 raise wire.WireError(f"truncated body: {len(body)} of {size} bytes")
-            answer = host.handle_batch(now_us, count, body)
+            reply = host.handle_batch(now_us, count, body)
         except wire.WireError as error:
             raise wire.WireError(f"batch {number}: {error}") from error
-        sink.write(answer)
+        sink.write(reply)
         sink.flush()
         number += 1
 
 
 def main() -> int:
-    """Serve the wire on standard input and output, and return the exit code."""
+    """Serve the protocol on standard input and output, and return the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as error:
