--- a/simulator/wire.py
+++ b/simulator/wire.py
@@ -1,8 +1,8 @@
-"""The simulator's wire: frames to events, actions to frames, settings from text.
+"""The simulator's wire protocol: decodes frames into events, encodes actions, and parses settings.
 
-The wire's own names are translated here and nowhere else: upstream is endpoint, members is an endpoint list,
-verdict is outcome, ticket is request, refuse is reject, probe is health check, fetch is poll. `WireError`
-says in one line what is malformed and where.
+The protocol has names of its own, which are translated only here: an upstream is an endpoint, members are an
+endpoint list, a verdict is an outcome, a ticket is a request, refuse is reject, a probe is a health check and
+fetch is poll. The message of a `WireError` is one line that says what is malformed and where.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 class EventCode(enum.IntEnum):
-    """The code in front of an event's record."""
+    """The first byte of an event's record."""
 
     ATTEMPT_ENDED = 10
     STREAM_STARTED = 20
@@ -64,7 +64,7 @@
 
 
 class ActionCode(enum.IntEnum):
-    """The code in front of an action's record."""
+    """The first byte of an action's record."""
 
     POLL_ENDPOINTS = 10
     SEND = 20
@@ -111,12 +111,12 @@
 
 
 class WireError(Exception):
-    """A frame or a setting that cannot be read."""
+    """A frame or setting is malformed."""
 
 
 @dataclass(slots=True)
 class InstanceStarted:
-    """An instance starts without state."""
+    """Event: an instance starts, without any state from before."""
 
     seed: int
     options: str
@@ -124,7 +124,7 @@
 
 @dataclass(slots=True)
 class InstanceStopped:
-    """The instance has been killed."""
+    """Event: an instance was killed."""
 
 
 @dataclass(slots=True)
@@ -139,7 +139,7 @@
 
 
 class Decoder:
-    """Reads batches, and keeps the numbered endpoint lists that events refer to."""
+    """Decodes batches, and keeps the numbered endpoint lists that events refer to."""
 
     def __init__(self) -> None:
         self.lists: dict[int, list[Endpoint]] = {}
@@ -147,7 +147,7 @@
         self.position = 0
 
     def decode(self, data: bytes, count: int) -> Iterator[tuple[int, Record]]:
-        """Yield the (instance, event) pairs of a batch's body in order; raises WireError."""
+        """Yield the (instance, event) pairs of a batch in order; raises WireError."""
         self.data = data
         self.position = 0
         for index in range(count):
@@ -178,7 +178,7 @@
         return piece
 
     def read_fields(self, layout: struct.Struct) -> tuple[int, ...]:
-        """Return the next fields of a fixed layout; raises WireError if it is truncated."""
+        """Return the next fields of a fixed layout; raises WireError if the data is truncated."""
         return layout.unpack(self.read_bytes(layout.size))
 
     def read_floats(self, count: int) -> list[float]:
@@ -189,7 +189,7 @@
         return values
 
     def read_list(self) -> None:
-        """Read a list of endpoints and keep it under its number, for the events that refer to it."""
+        """Read an endpoint list and keep it by its number, for the events that refer to it."""
         number, count = self.read_fields(_LIST_HEADER)
         endpoints = []
         for endpoint_id, zone, kind, cell, state, weight, started_us in _ENDPOINT.iter_unpack(
@@ -286,7 +286,7 @@
 
 
 def _record_packer(code: ActionCode, layout: str) -> Callable[..., bytes]:
-    """Return a writer of records with this code and these fields after the instance."""
+    """Return a function that packs records with this code and, after the instance, these fields."""
     packer = struct.Struct("<BH" + layout)
     return lambda instance, *values: packer.pack(code, instance, *values)
 
