--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -84,7 +84,7 @@
     ("0a 0300", PollEndpoints()),
 ]
 
-EMPTY = "00000000 00000000 5a5c800000000000"
+EMPTY_BATCH = "00000000 00000000 5a5c800000000000"
 THREE = (
     "2f000000 03000000 5a5c800000000000"
     "46 0300 c4913a5d 00 00000000 640ad2557c3bf091 e02e0000 01 da05840000000000"
@@ -121,7 +121,7 @@
 
 
 def test_the_documented_frames() -> None:
-    assert serve(bytes.fromhex(EMPTY)) == bytes.fromhex("00000000 00000000")
+    assert serve(bytes.fromhex(EMPTY_BATCH)) == bytes.fromhex("00000000 00000000")
     events = list(wire.Decoder().decode(bytes.fromhex(THREE)[16:], 3))
     assert [(i, type(e).__name__) for i, e in events] == [
         (3, "RequestArrived"),
@@ -173,7 +173,7 @@
     ("data", "words"),
     [
         (bytes(7), "batch 0: truncated header: 7 of 16 bytes"),
-        (bytes.fromhex(EMPTY) + bytes.fromhex(THREE)[:30], "batch 1: truncated body"),
+        (bytes.fromhex(EMPTY_BATCH) + bytes.fromhex(THREE)[:30], "batch 1: truncated body"),
         (batch([b"\x07\x03\x00"]), "record 0 at byte 0: unknown event code 7"),
         (batch([b"\x32\x03\x00\x01"]), "record 0 at byte 0: truncated"),
         (struct.pack("<IIQ", 3, 0, 5) + b"abc", "3 bytes left over"),
