--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -38,7 +38,7 @@
 from simulator import adapter, wire
 from tests.simulator.options import OPTIONS
 
-LIST = (
+ENDPOINT_LIST = (
     "6e 00000000 02000000 074a1203 00 00 0000 01 0000803f 0000000000000000"
     " f211902c 01 00 0000 01 0000c03f 20145d0000000000"
 )
@@ -46,7 +46,7 @@
 
 EVENTS: list[tuple[str, wire.Record]] = [
     (
-        LIST + "50 0300 02 29000000 00000000",
+        ENDPOINT_LIST + "50 0300 02 29000000 00000000",
         EndpointsUpdated(
             ListKind.CACHED,
             [Endpoint(FIRST), Endpoint(SECOND, zone=1, weight=1.5, started_us=6100000)],
@@ -140,7 +140,7 @@
 
 
 def test_a_request_goes_through_the_adapter() -> None:
-    start = [instance_started(), bytes.fromhex(LIST), bytes.fromhex("50 0300 02 29000000 00000000")]
+    start = [instance_started(), bytes.fromhex(ENDPOINT_LIST), bytes.fromhex("50 0300 02 29000000 00000000")]
     arrival = bytes.fromhex(EVENTS[1][0])
     told = serve(batch(start) + batch([arrival]))
     size, count = struct.unpack_from("<II", told)
@@ -151,7 +151,7 @@
 
 def test_a_restart_in_one_batch_forgets_everything() -> None:
     members = bytes.fromhex("50 0300 02 29000000 00000000")
-    start = [instance_started(), bytes.fromhex(LIST), members]
+    start = [instance_started(), bytes.fromhex(ENDPOINT_LIST), members]
     again = [bytes.fromhex("28 0300"), instance_started(seed=10), members]
     late = bytes.fromhex(EVENTS[5][0])
     told = serve(batch(start) + batch([bytes.fromhex(EVENTS[1][0])]) + batch(again) + batch([late]))
@@ -161,7 +161,7 @@
 def test_a_list_number_is_resolved_in_event_order() -> None:
     short = bytes.fromhex("6e 00000000 00000000")
     members = bytes.fromhex("50 0300 01 29000000 00000000")
-    data = bytes.fromhex(LIST) + members + short + members
+    data = bytes.fromhex(ENDPOINT_LIST) + members + short + members
     first, second = wire.Decoder().decode(data, 4)
     assert isinstance(first[1], EndpointsUpdated)
     assert len(first[1].endpoints) == 2
@@ -242,7 +242,7 @@
     def day(instances: list[int]) -> dict[int, list[bytes]]:
         host = adapter.InstanceHost()
         seen: dict[int, list[bytes]] = {i: [] for i in instances}
-        start = [bytes.fromhex(LIST)]
+        start = [bytes.fromhex(ENDPOINT_LIST)]
         for i in instances:
             start += [instance_started(instance=i, seed=i), struct.pack("<BHBII", 80, i, 2, 1, 0)]
         host.handle_batch(1_000_000, len(start), b"".join(start))
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.deployed import DEPLOY, ROOT, build
-from tests.simulator.test_wire import EMPTY_BATCH, LIST, batch, instance_started
+from tests.simulator.test_wire import EMPTY_BATCH, ENDPOINT_LIST, batch, instance_started
 
 DECISIONS = ROOT / "plovertrail" / "decisions"
 MAX_LINES = 450
@@ -43,7 +43,7 @@
 
 def test_the_deployed_command_answers_and_ends_with_its_input(sim: str) -> None:
     members = bytes.fromhex("50 0300 02 29000000 00000000")
-    frames = bytes.fromhex(EMPTY_BATCH) + batch([instance_started(), bytes.fromhex(LIST), members])
+    frames = bytes.fromhex(EMPTY_BATCH) + batch([instance_started(), bytes.fromhex(ENDPOINT_LIST), members])
     done = start(sim, frames)
     assert (done.returncode, done.stderr) == (0, b"")
     assert done.stdout.startswith(bytes(8))
