--- a/tests/simulator/__init__.py
+++ b/tests/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the simulator's wire and adapter."""
+"""Tests of the simulator's wire protocol and adapter."""
