--- a/tests/simulator/options.py
+++ b/tests/simulator/options.py
@@ -1,4 +1,4 @@
-"""The start-up settings of one instance, as they stand on the wire."""
+"""The settings with which one instance starts, as text of the wire protocol."""
 
 OPTIONS = """\
 accounts.count=2
