--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -157,9 +157,8 @@
     output = serve(
         batch(start) + batch([bytes.fromhex(EVENTS[1][0])]) + batch(restart) + batch([late_outcome])
     )
-    assert output.endswith(
-        bytes(8)
-    )  # no actions: the new instance does not know the request of the late outcome
+    # An empty reply: the new instance does not know the request of the late outcome.
+    assert output.endswith(bytes(8))
 
 
 def test_a_list_number_refers_to_the_list_sent_last_before_the_event() -> None:
