--- a/tests/http1/test_requests.py
+++ b/tests/http1/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests off the wire: whole ones in their order, shapes that smuggle refused, everything bounded."""
+"""Parsing requests: complete ones in order, request smuggling rejected, and every size limited."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 GET = b"GET /x HTTP/1.1\r\n" + HOST + b"\r\n"
 
 
-def reader(*pieces: bytes, head: int = 2000, body: int = 1000) -> RequestReader:
-    made = RequestReader(head, body)
+def fed_reader(*pieces: bytes, head: int = 2000, body: int = 1000) -> RequestReader:
+    reader = RequestReader(head, body)
     for piece in pieces:
-        made.feed(piece)
-    return made
+        reader.feed(piece)
+    return reader
 
 
 def post(*lines: bytes, body: bytes = b"") -> bytes:
@@ -55,13 +55,13 @@
         b"POST / HTTP/1.0\r\n" + HOST + b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
     ],
 )
-def test_shapes_that_hide_a_request_are_refused(data: bytes) -> None:
-    read = reader(data + GET)
-    assert not read.messages
-    assert read.error is not None
-    assert read.error.status == 400
-    read.feed(GET)  # and what follows is never read
-    assert not read.messages
+def test_ambiguous_or_malformed_requests_are_rejected(data: bytes) -> None:
+    reader = fed_reader(data + GET)
+    assert not reader.messages
+    assert reader.error is not None
+    assert reader.error.status == 400
+    reader.feed(GET)  # bytes after the error are not reader
+    assert not reader.messages
 
 
 @pytest.mark.parametrize(
@@ -71,7 +71,7 @@
         (post(b"Content-Length: 99999999999999999999"), 400),
         (post(b"Transfer-Encoding: chunked", body=b"3e9\r\n" + b"x" * 1001), 413),
         (post(b"Transfer-Encoding: xchunked"), 501),
-        (post(b"Expect: the-moon"), 417),
+        (post(b"Expect: unknown"), 417),
         (b"GET /" + b"x" * 2000 + b" HTTP/1.1\r\n" + HOST + b"\r\n", 431),
         (b"GET / HTTP/1.1\r\nA: " + b"x" * 3000, 431),
         (post(*[b"A: b"] * (MAX_HEADERS + 1)), 431),
@@ -79,58 +79,58 @@
         (b"GET /\r\n\r\n", 505),
     ],
 )
-def test_bounds_and_what_is_not_spoken(data: bytes, status: int) -> None:
-    read = reader(data)
-    assert not read.messages
-    assert read.error is not None
-    assert read.error.status == status
+def test_limits_and_unsupported_features_are_rejected(data: bytes, status: int) -> None:
+    reader = fed_reader(data)
+    assert not reader.messages
+    assert reader.error is not None
+    assert reader.error.status == status
 
 
-def test_chunk_extensions_without_end_are_bounded() -> None:
-    read = reader(post(b"Transfer-Encoding: chunked", body=b"1;"))
+def test_endless_chunk_extensions_are_rejected() -> None:
+    reader = fed_reader(post(b"Transfer-Encoding: chunked", body=b"1;"))
     for _ in range(100):
-        read.feed(b"x" * 1000)
-    assert read.error is not None
-    assert not read.messages
+        reader.feed(b"x" * 1000)
+    assert reader.error is not None
+    assert not reader.messages
 
 
 def test_a_chunked_body_is_decoded_and_its_trailers_are_dropped() -> None:
-    read = reader(
-        post(b"Transfer-Encoding: chunked", body=b"3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nX-Evil: 1\r\n\r\n") + GET
+    reader = fed_reader(
+        post(b"Transfer-Encoding: chunked", body=b"3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nX-Late: 1\r\n\r\n") + GET
     )
-    first, second = read.messages
+    first, second = reader.messages
     assert first.body == b"abcde"
-    assert b"X-Evil" not in [name for name, _ in first.headers]
+    assert b"X-Late" not in [name for name, _ in first.headers]
     assert second.target == b"/x"
 
 
-def test_what_came_whole_ahead_of_an_error_is_kept() -> None:
-    read = reader(GET + b"garbage\r\n\r\n")
-    assert [message.target for message in read.messages] == [b"/x"]
-    assert read.error is not None
+def test_complete_requests_before_an_error_are_kept() -> None:
+    reader = fed_reader(GET + b"garbage\r\n\r\n")
+    assert [message.target for message in reader.messages] == [b"/x"]
+    assert reader.error is not None
 
 
-def test_more_pipelined_requests_than_may_wait_end_the_connection_cleanly() -> None:
-    read = reader(GET * 30)
-    assert len(read.messages) == MAX_PIPELINED_REQUESTS
-    assert read.error is None
-    assert [message.keep_alive for message in read.messages].count(False) == 1
-    assert not read.messages[-1].keep_alive
+def test_too_many_pipelined_requests_end_the_connection_after_the_last_accepted_one() -> None:
+    reader = fed_reader(GET * 30)
+    assert len(reader.messages) == MAX_PIPELINED_REQUESTS
+    assert reader.error is None
+    assert [message.keep_alive for message in reader.messages].count(False) == 1
+    assert not reader.messages[-1].keep_alive
 
 
-def test_an_offer_to_upgrade_is_ignored() -> None:
-    read = reader(b"GET /1 HTTP/1.1\r\n" + HOST + b"Connection: Upgrade\r\nUpgrade: h2c\r\n\r\n" + GET)
-    assert [(message.target, message.upgrade) for message in read.messages] == [(b"/1", True)]
-    assert bytes(read.unparsed) == GET
-    read.feed(GET)
-    read.ignore_upgrade()
-    assert [message.target for message in read.messages] == [b"/1", b"/x", b"/x"]
-    assert read.error is None
+def test_an_upgrade_stops_parsing_until_it_is_ignored() -> None:
+    reader = fed_reader(b"GET /1 HTTP/1.1\r\n" + HOST + b"Connection: Upgrade\r\nUpgrade: h2c\r\n\r\n" + GET)
+    assert [(message.target, message.upgrade) for message in reader.messages] == [(b"/1", True)]
+    assert bytes(reader.unparsed) == GET
+    reader.feed(GET)
+    reader.ignore_upgrade()
+    assert [message.target for message in reader.messages] == [b"/1", b"/x", b"/x"]
+    assert reader.error is None
 
 
 def test_versions_and_keep_alive() -> None:
-    kept = {
-        data: reader(data).messages[0].keep_alive
+    keep_alive = {
+        data: fed_reader(data).messages[0].keep_alive
         for data in (
             GET,
             b"GET / HTTP/1.0\r\n\r\n",
@@ -138,36 +138,36 @@
             b"GET / HTTP/1.1\r\n" + HOST + b"Connection: close\r\n\r\n",
         )
     }
-    assert list(kept.values()) == [True, False, True, False]
+    assert list(keep_alive.values()) == [True, False, True, False]
 
 
-def test_who_waits_for_leave_to_send_the_body() -> None:
+def test_expect_100_continue_is_reported_until_the_body_arrives() -> None:
     head = post(b"Expect: 100-continue", b"Content-Length: 3")
-    assert reader(head).expects_continue
-    assert not reader(head + b"a").expects_continue
-    assert not reader(head.replace(b"HTTP/1.1", b"HTTP/1.0")).expects_continue
+    assert fed_reader(head).expects_continue
+    assert not fed_reader(head + b"a").expects_continue
+    assert not fed_reader(head.replace(b"HTTP/1.1", b"HTTP/1.0")).expects_continue
 
 
 @given(st.data())
-def test_how_bytes_are_cut_changes_nothing(data: st.DataObject) -> None:
-    whole = (
+def test_the_split_of_the_bytes_into_reads_makes_no_difference(data: st.DataObject) -> None:
+    stream = (
         GET
         + post(b"Content-Length: 3", body=b"abc")
         + post(b"Transfer-Encoding: chunked", body=b"3\r\nabc\r\n0\r\n\r\n")
         + GET
     )
-    cuts = sorted(data.draw(st.lists(st.integers(0, len(whole)), max_size=10)))
-    pieces = [whole[a:b] for a, b in zip([0, *cuts], [*cuts, len(whole)], strict=True)]
-    assert list(reader(*pieces).messages) == list(reader(whole).messages)
+    cuts = sorted(data.draw(st.lists(st.integers(0, len(stream)), max_size=10)))
+    pieces = [stream[a:b] for a, b in zip([0, *cuts], [*cuts, len(stream)], strict=True)]
+    assert list(fed_reader(*pieces).messages) == list(fed_reader(stream).messages)
 
 
 @given(st.binary(max_size=300))
-def test_noise_never_raises(noise: bytes) -> None:
-    reader(noise, GET)
-    reader(b"POST / HTTP/1.1\r\n" + noise, GET)
+def test_arbitrary_bytes_never_raise(garbage: bytes) -> None:
+    fed_reader(garbage, GET)
+    fed_reader(b"POST / HTTP/1.1\r\n" + garbage, GET)
 
 
-def test_headers_of_the_connection_stay_behind() -> None:
+def test_hop_by_hop_headers_are_not_forwarded() -> None:
     headers = [
         (b"Connection", b"close, X-Own"),
         (b"X-Own", b"1"),
@@ -179,9 +179,9 @@
         (b"A", b"1"),
         (b"Set-Cookie", b"a"),
         (b"Set-Cookie", b"b"),
-        (b"X-Gone", b"1"),
+        (b"X-Dropped", b"1"),
     ]
-    assert end_to_end(headers, frozenset([b"x-gone"])) == [
+    assert end_to_end(headers, frozenset([b"x-dropped"])) == [
         (b"A", b"1"),
         (b"Set-Cookie", b"a"),
         (b"Set-Cookie", b"b"),
