--- a/tests/upstreams/__init__.py
+++ b/tests/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the connections to the servers."""
+"""Tests of connections to endpoints."""
