--- a/tests/dispatch/__init__.py
+++ b/tests/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of dispatch."""
+"""Tests of the dispatcher and its parts."""
