--- a/tests/dispatch/feed_recorder.py
+++ b/tests/dispatch/feed_recorder.py
@@ -1,4 +1,4 @@
-"""A dispatcher with one pool, and the endpoint lists that its load balancer is given."""
+"""A dispatcher with one pool that records the endpoint lists delivered to its load balancer."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FeedRecorder:
-    """A dispatcher with one pool, and the lists that its load balancer is given."""
+    """A dispatcher with one pool; `lists` holds the endpoint lists delivered to its load balancer."""
 
     def __init__(self) -> None:
         self.dispatcher = Dispatcher()
@@ -24,12 +24,12 @@
         self.lists: list[EndpointsUpdated] = []
         handle = self.pool.balancer.handle
 
-        def listen(now_us: int, event: Event) -> list[Action]:
+        def record(now_us: int, event: Event) -> list[Action]:
             if isinstance(event, EndpointsUpdated):
                 self.lists.append(event)
             return handle(now_us, event)
 
-        self.pool.balancer.handle = listen  # type: ignore[method-assign]
+        self.pool.balancer.handle = record  # type: ignore[method-assign]
 
     def update(self, kind: ListKind, entries: list[Endpoint]) -> None:
         self.dispatcher.pools.update_endpoints(
