--- a/tests/dispatch/test_endpoint_feed.py
+++ b/tests/dispatch/test_endpoint_feed.py
@@ -1,4 +1,4 @@
-"""Long lists are given to the load balancer in slices, and drains overtake them."""
+"""Long endpoint lists are delivered to the load balancer in slices, with drains and removals first."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.dispatch.feed_recorder import FeedRecorder, addresses_of
 
 
-def test_a_long_list_is_given_in_slices_and_drains_overtake_it() -> None:
+def test_a_long_list_is_delivered_in_slices_and_drains_come_first() -> None:
     async def test() -> None:
         recorder = FeedRecorder()
         entries = [Endpoint(number) for number in range(1, 1_101)]
@@ -19,7 +19,8 @@
         assert len(recorder.pool.balancer.endpoints) == SLICE_SIZE
         await asyncio.sleep(0)
         assert len(recorder.pool.balancer.endpoints) == 2 * SLICE_SIZE
-        # before the rest is given: one that is known drains, one that isn't yet goes, another changes
+        # Before the rest is delivered, a delivered endpoint drains, an undelivered one is removed and another
+        # undelivered one changes.
         recorder.update(
             ListKind.DELTA,
             [
@@ -31,19 +32,19 @@
         assert 1 not in recorder.pool.balancer.endpoints
         assert 1 not in recorder.pool.serving
         await recorder.settle()
-        servers = recorder.pool.balancer.endpoints
-        assert servers.keys() == set(range(2, 1_101)) - {1_000}
-        assert servers[1_001].listed.weight == 7.0
-        assert recorder.pool.serving == servers.keys() == recorder.pool.addresses.keys()
+        endpoints = recorder.pool.balancer.endpoints
+        assert endpoints.keys() == set(range(2, 1_101)) - {1_000}
+        assert endpoints[1_001].listed.weight == 7.0
+        assert recorder.pool.serving == endpoints.keys() == recorder.pool.addresses.keys()
         assert all(len(event.endpoints) <= SLICE_SIZE for event in recorder.lists)
-        assert all(server.fast_growth for server in servers.values() if server.listed.id != 1_001)
+        assert all(endpoint.fast_growth for endpoint in endpoints.values() if endpoint.listed.id != 1_001)
 
-        # a whole list without half of them: these go before anything else is given
+        # A full list without half of the endpoints: their removals are delivered before anything else.
         recorder.update(ListKind.FULL, entries[10:600])
         await asyncio.sleep(0)
-        gone = [entry for event in recorder.lists[-2:] for entry in event.endpoints]
-        assert len(gone) == 2 * SLICE_SIZE
-        assert {entry.state for entry in gone} == {EndpointStatus.REMOVED}
+        removals = [entry for event in recorder.lists[-2:] for entry in event.endpoints]
+        assert len(removals) == 2 * SLICE_SIZE
+        assert {entry.state for entry in removals} == {EndpointStatus.REMOVED}
         await recorder.settle()
         assert recorder.pool.serving == set(range(11, 601)) == recorder.pool.balancer.endpoints.keys()
         recorder.update(ListKind.FULL, entries[:3])
@@ -69,7 +70,7 @@
     run(test)
 
 
-def test_a_stalled_watch_between_two_slices_loses_no_endpoint() -> None:
+def test_a_failed_poll_or_watch_between_two_slices_loses_no_endpoint() -> None:
     async def test() -> None:
         recorder = FeedRecorder()
         recorder.update(ListKind.FULL, [Endpoint(number) for number in range(1, 1_001)])
@@ -90,10 +91,10 @@
         recorder.update(ListKind.CACHED, entries)
         assert not recorder.pool.serving
         await recorder.settle()
-        whole = EndpointSubset(5, 4)
-        whole.update(entries, addresses_of(entries))
-        assert recorder.pool.serving == whole.selected.keys() == recorder.pool.balancer.endpoints.keys()
-        drained = min(whole.selected)
+        expected = EndpointSubset(5, 4)
+        expected.update(entries, addresses_of(entries))
+        assert recorder.pool.serving == expected.selected.keys() == recorder.pool.balancer.endpoints.keys()
+        drained = min(expected.selected)
         recorder.update(ListKind.DELTA, [Endpoint(drained, EndpointStatus.DRAINING)])
         assert drained not in recorder.pool.serving
         assert len(recorder.pool.serving) == 4
