--- a/plovertrail/dispatch/dispatcher.py
+++ b/plovertrail/dispatch/dispatcher.py
@@ -57,7 +57,7 @@
 
 log = logging.getLogger(__name__)
 
-ANSWER_MARGIN_US = 10_000  # time between the last moment for a response and the client's deadline
+ANSWER_MARGIN_US = 10_000  # a response is due this long before the client's deadline, to arrive in time
 BACKSTOP_US = 5_000  # the dispatcher's own timer fires this long after the load balancer's deadline
 
 
--- a/plovertrail/dispatch/pool_sequence.py
+++ b/plovertrail/dispatch/pool_sequence.py
@@ -143,7 +143,7 @@
             self._wake_when_connectable(pool, request)
 
     def reject(self, pool: ServerPool, request_id: int, retry_after_us: int) -> None:
-        """Reject a request that a pool's queue is too full for, or that would wait or has waited too long."""
+        """Reject a request at a pool's queue: the queue is full, or the wait is too long or has expired."""
         after_us = retry_after_us if pool.settings.retry_after else 0
         self.pool_declined(pool, request_id, ProxyResponse(ResponseKind.REJECTED, after_us))
 
--- a/plovertrail/dispatch/queueing.py
+++ b/plovertrail/dispatch/queueing.py
@@ -32,7 +32,7 @@
         """Hand a request to the pool's load balancer."""
 
     def reject(self, pool: ServerPool, request_id: int, retry_after_us: int) -> None:
-        """Reject a request that the queue is too full for, or that would wait or has waited too long."""
+        """Reject a request at the queue: the queue is full, or the wait is too long or has expired."""
 
     def wake(self, pool: ServerPool) -> None:
         """Let the pool's load balancer act on the time that has passed."""
--- a/plovertrail/dispatch/server_pool.py
+++ b/plovertrail/dispatch/server_pool.py
@@ -90,7 +90,7 @@
         self.ring = Ring()
 
     def apply(self, event: EndpointsUpdated) -> None:
-        """Update the endpoints for new requests by an event that also goes to the load balancer."""
+        """Update which endpoints may get new requests, by an event that the load balancer gets too."""
         if event.kind in (ListKind.FULL, ListKind.CACHED) and not event.partial:
             for endpoint_id in self.addresses.keys() - {entry.id for entry in event.endpoints}:
                 self.forget(endpoint_id)
