--- a/plovertrail/listeners/http_listener.py
+++ b/plovertrail/listeners/http_listener.py
@@ -20,7 +20,7 @@
 )
 from plovertrail.generation import CurrentGeneration
 from plovertrail.hooks.chain import AnswerWithheldError, RequestRefusedError
-from plovertrail.http1.heads import Headers, answer_head, end_to_end
+from plovertrail.http1.heads import Headers, end_to_end, response_head
 from plovertrail.http1.requests import RequestMessage, RequestReader
 from plovertrail.listeners.client_connection import ClientConnection
 from plovertrail.listeners.connection_state import ConnectionState, ConnectionTimeouts
@@ -118,8 +118,8 @@
         if (self.reader.partial or self.received_bytes) and self.state is ConnectionState.IDLE:
             self.server.set_state(self, ConnectionState.READING)
             self.received_bytes = max(self.received_bytes, 1)
-        if self.reader.continue_wanted and self.transport is not None:
-            self.reader.continue_wanted = False
+        if self.reader.expects_continue and self.transport is not None:
+            self.reader.expects_continue = False
             self.transport.write(CONTINUE)
 
     def _take_next(self) -> bool:
@@ -127,7 +127,7 @@
         if self.reader.messages:
             self._take(self.reader.messages.popleft())
         elif self.reader.error is not None:
-            self._respond(error_response(self.reader.error.status, self.reader.error.why, close=True))
+            self._respond(error_response(self.reader.error.status, self.reader.error.reason, close=True))
         elif self.pending:
             data = bytes(self.pending)
             self.pending = bytearray()
@@ -157,7 +157,7 @@
             prepared = self.prepare(exchange)
             if isinstance(prepared, ProxyRequest) and exchange.handshake is None and exchange.message.upgrade:
                 exchange.message.upgrade = False  # to another protocol than WebSocket
-                self.reader.read_on()
+                self.reader.ignore_upgrade()
             return prepared
         except RequestRejectedError as error:
             allowed = ", ".join(sorted(error.allowed)).encode()
@@ -267,7 +267,9 @@
             and not response.close
             and not self.is_last_response()
         )
-        data = answer_head(response.status, response.headers, length, _connection_header(message, keep_alive))
+        data = response_head(
+            response.status, response.headers, length, _connection_header(message, keep_alive)
+        )
         if message is None or message.method != b"HEAD":
             data += response.body
         self.responses += 1
@@ -291,10 +293,10 @@
             return
         headers = [header for header in end_to_end(result.headers) if header[0].lower() not in OWN_HEADERS]
         headers += answer_headers(handshake.client_key, tunnel.subprotocol)
-        transport.write(answer_head(101, headers, None, b"Upgrade"))
-        received = bytes(self.reader.rest + self.pending)
+        transport.write(response_head(101, headers, None, b"Upgrade"))
+        received = bytes(self.reader.unparsed + self.pending)
         self.reader.release()
-        self.reader.rest = bytearray()
+        self.reader.unparsed = bytearray()
         self.pending = bytearray()
         exchange, self.exchange = self.exchange, None
         if exchange is not None:
--- a/simulator/wire.py
+++ b/simulator/wire.py
@@ -1,8 +1,8 @@
-"""The simulator's wire: frames to events, actions to frames, settings from text.
+"""The simulator's wire protocol: decodes frames into events, encodes actions, and parses settings.
 
-The wire's own names are translated here and nowhere else: upstream is endpoint, members is an endpoint list,
-verdict is outcome, ticket is request, refuse is reject, probe is health check, fetch is poll. `WireError`
-says in one line what is malformed and where.
+The protocol has names of its own, which are translated only here: an upstream is an endpoint, members are an
+endpoint list, a verdict is an outcome, a ticket is a request, refuse is reject, a probe is a health check and
+fetch is poll. The message of a `WireError` is one line that says what is malformed and where.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 class EventCode(enum.IntEnum):
-    """The code in front of an event's record."""
+    """The first byte of an event's record."""
 
     ATTEMPT_ENDED = 10
     STREAM_STARTED = 20
@@ -64,7 +64,7 @@
 
 
 class ActionCode(enum.IntEnum):
-    """The code in front of an action's record."""
+    """The first byte of an action's record."""
 
     POLL_ENDPOINTS = 10
     SEND = 20
@@ -104,19 +104,19 @@
     125: Outcome.CANCELLED,
     114: Outcome.NOT_SENT,
 }
-_STATES = {0: EndpointStatus.REMOVED, 1: EndpointStatus.READY, 2: EndpointStatus.DRAINING}
+_STATUSES = {0: EndpointStatus.REMOVED, 1: EndpointStatus.READY, 2: EndpointStatus.DRAINING}
 _LIST_KINDS = {0: ListKind.DELTA, 1: ListKind.FULL, 2: ListKind.CACHED, 3: ListKind.FAILED}
 _U32_MAX = 0xFFFFFFFF
 V = TypeVar("V")
 
 
 class WireError(Exception):
-    """A frame or a setting that cannot be read."""
+    """A frame or setting is malformed."""
 
 
 @dataclass(slots=True)
 class InstanceStarted:
-    """An instance starts without state."""
+    """Event: an instance starts, without any state from before."""
 
     seed: int
     options: str
@@ -124,7 +124,7 @@
 
 @dataclass(slots=True)
 class InstanceStopped:
-    """The instance has been killed."""
+    """Event: an instance was killed."""
 
 
 @dataclass(slots=True)
@@ -139,28 +139,28 @@
 
 
 class Decoder:
-    """Reads batches, and keeps the numbered endpoint lists that events refer to."""
+    """Decodes batches, and keeps the numbered endpoint lists that events refer to."""
 
     def __init__(self) -> None:
         self.lists: dict[int, list[Endpoint]] = {}
         self.data = b""
         self.position = 0
 
-    def batch(self, data: bytes, count: int) -> Iterator[tuple[int, Record]]:
-        """Yield the (instance, event) pairs of a batch's body in order; raises WireError."""
+    def decode(self, data: bytes, count: int) -> Iterator[tuple[int, Record]]:
+        """Yield the (instance, event) pairs of a batch in order; raises WireError."""
         self.data = data
         self.position = 0
         for index in range(count):
             start = self.position
             try:
-                code = self.take(1)[0]
+                code = self.read_bytes(1)[0]
                 if code == EventCode.ENDPOINT_LIST:
                     self.read_list()
                     continue
                 reader = _READERS.get(code)
                 if reader is None:
                     raise WireError(f"unknown event code {code}")
-                instance = self.fields(_U16)[0]
+                instance = self.read_fields(_U16)[0]
                 event = reader(self)
             except (WireError, UnicodeDecodeError) as error:
                 raise WireError(f"record {index} at byte {start}: {error}") from error
@@ -168,7 +168,7 @@
         if self.position != len(data):
             raise WireError(f"{len(data) - self.position} bytes left over after {count} records")
 
-    def take(self, size: int) -> bytes:
+    def read_bytes(self, size: int) -> bytes:
         """Return the next `size` bytes; raises WireError if fewer are left."""
         end = self.position + size
         if end > len(self.data):
@@ -177,59 +177,59 @@
         self.position = end
         return piece
 
-    def fields(self, layout: struct.Struct) -> tuple[int, ...]:
-        """Return the next fields of a fixed layout; raises WireError if it is truncated."""
-        return layout.unpack(self.take(layout.size))
+    def read_fields(self, layout: struct.Struct) -> tuple[int, ...]:
+        """Return the next fields of a fixed layout; raises WireError if the data is truncated."""
+        return layout.unpack(self.read_bytes(layout.size))
 
-    def floats(self, count: int) -> list[float]:
+    def read_floats(self, count: int) -> list[float]:
         """Return the next `count` 32-bit floats; raises WireError if one is not finite."""
-        values = list(struct.unpack(f"<{count}f", self.take(4 * count)))
+        values = list(struct.unpack(f"<{count}f", self.read_bytes(4 * count)))
         if not all(map(math.isfinite, values)):
             raise WireError("a load report value that is not a finite number")
         return values
 
     def read_list(self) -> None:
-        """Read a list of endpoints and keep it under its number, for the events that refer to it."""
-        number, count = self.fields(_LIST_HEADER)
+        """Read an endpoint list and keep it by its number, for the events that refer to it."""
+        number, count = self.read_fields(_LIST_HEADER)
         endpoints = []
         for endpoint_id, zone, kind, cell, state, weight, started_us in _ENDPOINT.iter_unpack(
-            self.take(_ENDPOINT.size * count)
+            self.read_bytes(_ENDPOINT.size * count)
         ):
             if not math.isfinite(weight):
                 raise WireError(f"upstream {endpoint_id} has a weight that is not a finite number")
-            status = _known(_STATES, state, "upstream condition")
+            status = _lookup(_STATUSES, state, "upstream condition")
             endpoints.append(Endpoint(endpoint_id, status, zone, kind, cell, weight, started_us))
         self.lists[number] = endpoints
 
 
-def _known(table: dict[int, V], code: int, what: str) -> V:
+def _lookup(table: dict[int, V], code: int, what: str) -> V:
     value = table.get(code)
     if value is None:
         raise WireError(f"unknown {what} {code}")
     return value
 
 
-def _started(frame: Decoder) -> Record:
-    seed, size = frame.fields(_INSTANCE_STARTED)
-    return InstanceStarted(seed, frame.take(size).decode())
+def _instance_started(decoder: Decoder) -> Record:
+    seed, size = decoder.read_fields(_INSTANCE_STARTED)
+    return InstanceStarted(seed, decoder.read_bytes(size).decode())
 
 
-def _stopped(_frame: Decoder) -> Record:
+def _instance_stopped(_decoder: Decoder) -> Record:
     return InstanceStopped()
 
 
-def _endpoints_updated(frame: Decoder) -> Record:
-    kind_code, version, number = frame.fields(_ENDPOINTS_UPDATED)
-    kind = _known(_LIST_KINDS, kind_code, "list kind")
+def _endpoints_updated(decoder: Decoder) -> Record:
+    kind_code, version, number = decoder.read_fields(_ENDPOINTS_UPDATED)
+    kind = _lookup(_LIST_KINDS, kind_code, "list kind")
     if kind is ListKind.FAILED:
         return EndpointsUpdated(kind, [], version)
-    if number not in frame.lists:
+    if number not in decoder.lists:
         raise WireError(f"upstream list {number} was never sent")
-    return EndpointsUpdated(kind, frame.lists[number], version)
+    return EndpointsUpdated(kind, decoder.lists[number], version)
 
 
-def _request_arrived(frame: Decoder) -> Record:
-    request, class_index, tenant, key, cost_us, flags, due_us = frame.fields(_REQUEST_ARRIVED)
+def _request_arrived(decoder: Decoder) -> Record:
+    request, class_index, tenant, key, cost_us, flags, due_us = decoder.read_fields(_REQUEST_ARRIVED)
     return RequestArrived(
         request,
         due_us,
@@ -242,70 +242,70 @@
     )
 
 
-def _attempt_ended(frame: Decoder) -> Record:
-    request, attempt, endpoint_id, outcome, elapsed_us, final, count = frame.fields(_ATTEMPT_ENDED)
+def _attempt_ended(decoder: Decoder) -> Record:
+    request, attempt, endpoint_id, outcome, elapsed_us, final, count = decoder.read_fields(_ATTEMPT_ENDED)
     return AttemptEnded(
         request,
         attempt,
         endpoint_id,
-        _known(_OUTCOMES, outcome, "outcome"),
+        _lookup(_OUTCOMES, outcome, "outcome"),
         elapsed_us,
         bool(final),
-        frame.floats(count),
+        decoder.read_floats(count),
     )
 
 
-def _stream_started(frame: Decoder) -> Record:
-    request, attempt, elapsed_us, endpoint_id = frame.fields(_STREAM_STARTED)
+def _stream_started(decoder: Decoder) -> Record:
+    request, attempt, elapsed_us, endpoint_id = decoder.read_fields(_STREAM_STARTED)
     return StreamStarted(request, attempt, endpoint_id, elapsed_us)
 
 
-def _health_check_ended(frame: Decoder) -> Record:
-    endpoint_id, outcome_code, elapsed_us, count = frame.fields(_HEALTH_CHECK_ENDED)
-    outcome = _known(_OUTCOMES, outcome_code, "outcome")
-    return HealthCheckEnded(endpoint_id, outcome, elapsed_us, frame.floats(count))
+def _health_check_ended(decoder: Decoder) -> Record:
+    endpoint_id, outcome_code, elapsed_us, count = decoder.read_fields(_HEALTH_CHECK_ENDED)
+    outcome = _lookup(_OUTCOMES, outcome_code, "outcome")
+    return HealthCheckEnded(endpoint_id, outcome, elapsed_us, decoder.read_floats(count))
 
 
-def _peer_message(frame: Decoder) -> Record:
-    sender, size = frame.fields(_PEER_MESSAGE)
-    return PeerMessage(sender, frame.take(size))
+def _peer_message(decoder: Decoder) -> Record:
+    sender, size = decoder.read_fields(_PEER_MESSAGE)
+    return PeerMessage(sender, decoder.read_bytes(size))
 
 
 _READERS: dict[int, Callable[[Decoder], Record]] = {
     EventCode.ATTEMPT_ENDED: _attempt_ended,
     EventCode.STREAM_STARTED: _stream_started,
     EventCode.PEER_MESSAGE: _peer_message,
-    EventCode.INSTANCE_STOPPED: _stopped,
-    EventCode.TIMER_FIRED: lambda frame: TimerFired(frame.fields(_U32)[0]),
-    EventCode.REQUEST_CANCELLED: lambda frame: RequestCancelled(frame.fields(_U32)[0]),
+    EventCode.INSTANCE_STOPPED: _instance_stopped,
+    EventCode.TIMER_FIRED: lambda decoder: TimerFired(decoder.read_fields(_U32)[0]),
+    EventCode.REQUEST_CANCELLED: lambda decoder: RequestCancelled(decoder.read_fields(_U32)[0]),
     EventCode.REQUEST_ARRIVED: _request_arrived,
     EventCode.ENDPOINTS_UPDATED: _endpoints_updated,
     EventCode.HEALTH_CHECK_ENDED: _health_check_ended,
-    EventCode.INSTANCE_STARTED: _started,
+    EventCode.INSTANCE_STARTED: _instance_started,
 }
 
 
-def _pack(code: ActionCode, layout: str) -> Callable[..., bytes]:
-    """Return a writer of records with this code and these fields after the instance."""
+def _record_packer(code: ActionCode, layout: str) -> Callable[..., bytes]:
+    """Return a function that packs records with this code and, after the instance, these fields."""
     packer = struct.Struct("<BH" + layout)
     return lambda instance, *values: packer.pack(code, instance, *values)
 
 
-_send = _pack(ActionCode.SEND, "IIi")
-_reject = _pack(ActionCode.REJECT, "II")
-_fail = _pack(ActionCode.FAIL, "I")
-_cancel = _pack(ActionCode.CANCEL, "IB")
-_health_check = _pack(ActionCode.HEALTH_CHECK, "I")
-_set_timer = _pack(ActionCode.SET_TIMER, "QI")
-_subscribe = _pack(ActionCode.SUBSCRIBE, "B")
-_poll_endpoints = _pack(ActionCode.POLL_ENDPOINTS, "")
-_close_idle = _pack(ActionCode.CLOSE_IDLE, "I")
-_send_to_peer = _pack(ActionCode.SEND_TO_PEER, "IH")
-_log_header = _pack(ActionCode.LOG, "H")
-_error_header = _pack(ActionCode.INTERNAL_ERROR, "H")
+_send = _record_packer(ActionCode.SEND, "IIi")
+_reject = _record_packer(ActionCode.REJECT, "II")
+_fail = _record_packer(ActionCode.FAIL, "I")
+_cancel = _record_packer(ActionCode.CANCEL, "IB")
+_health_check = _record_packer(ActionCode.HEALTH_CHECK, "I")
+_set_timer = _record_packer(ActionCode.SET_TIMER, "QI")
+_subscribe = _record_packer(ActionCode.SUBSCRIBE, "B")
+_poll_endpoints = _record_packer(ActionCode.POLL_ENDPOINTS, "")
+_close_idle = _record_packer(ActionCode.CLOSE_IDLE, "I")
+_send_to_peer = _record_packer(ActionCode.SEND_TO_PEER, "IH")
+_log_header = _record_packer(ActionCode.LOG, "H")
+_error_header = _record_packer(ActionCode.INTERNAL_ERROR, "H")
 
 
-def _text(header: Callable[..., bytes], instance: int, text: str) -> bytes:
+def _text_record(header: Callable[..., bytes], instance: int, text: str) -> bytes:
     raw = text.encode()[:0xFFFF]
     return header(instance, len(raw)) + raw
 
@@ -321,8 +321,8 @@
     PollEndpoints: lambda i, _: _poll_endpoints(i),
     CloseIdle: lambda i, a: _close_idle(i, a.endpoint_id),
     SendToPeer: lambda i, a: _send_to_peer(i, _U32_MAX if a.to is None else a.to, len(a.payload)) + a.payload,
-    Log: lambda i, a: _text(_log_header, i, a.text),
-    InternalError: lambda i, a: _text(_error_header, i, a.text),
+    Log: lambda i, a: _text_record(_log_header, i, a.text),
+    InternalError: lambda i, a: _text_record(_error_header, i, a.text),
 }
 
 
