--- a/plovertrail/decisions/endpoint_list.py
+++ b/plovertrail/decisions/endpoint_list.py
@@ -17,7 +17,7 @@
 from plovertrail.decisions.flap_damping import Flap, hold_us
 
 Address = tuple[str, int]
-KnownElsewhere = Mapping[tuple[str, Address], int]  # start times of the endpoints of other pools
+StartTimes = Mapping[tuple[str, Address], int]  # start times of the endpoints of other pools
 
 MAX_FLAPS = 10_000  # endpoints whose removals are remembered; the oldest go first
 REMOVED_KEPT_US = 120_000_000  # for so long a removed endpoint stays in the state
@@ -139,7 +139,7 @@
     """What a list is merged with."""
 
     order: Sequence[str] = ()  # all sources, the one that wins first; lists of others are dropped
-    elsewhere: KnownElsewhere | None = None  # endpoints of other pools don't warm up again in this one
+    elsewhere: StartTimes | None = None  # endpoints of other pools don't warm up again in this one
 
 
 def list_problems(state: EndpointListState, listed: EndpointList, guards: Guards) -> tuple[str, ...]:
@@ -300,7 +300,7 @@
         self.members[name] = EndpointMember(member.endpoint_id, listed, started_us)
         self.changes.append(EndpointChange(kind, self.members[name]))
 
-    def join(self, name: str, listed: ListedEndpoint, elsewhere: KnownElsewhere) -> None:
+    def join(self, name: str, listed: ListedEndpoint, elsewhere: StartTimes) -> None:
         """Add a member, or hold its join back if it flaps."""
         state = self.state
         flap = self.flaps.get(name)
@@ -335,7 +335,7 @@
         return ListStep(state, changes, make_report(state, self.now_us, changes))
 
 
-def _settle(state: EndpointListState, now_us: int, guards: Guards, elsewhere: KnownElsewhere) -> ListStep:
+def _settle(state: EndpointListState, now_us: int, guards: Guards, elsewhere: StartTimes) -> ListStep:
     """Bring the members to what the sources list."""
     wanted = merge_lists(state.layers, state.drained_by_operator, guards.allow_shared_addresses)
     settlement = _Settlement(state, now_us, guards)
--- a/plovertrail/endpoint_registry.py
+++ b/plovertrail/endpoint_registry.py
@@ -19,10 +19,10 @@
     EndpointListState,
     EndpointMember,
     Guards,
-    KnownElsewhere,
     ListContext,
     ListedEndpoint,
     ListStep,
+    StartTimes,
 )
 from plovertrail.decisions.events import Endpoint, EndpointStatus, EndpointsUpdated, ListKind
 from plovertrail.decisions.list_versions import SourceKey
@@ -44,7 +44,7 @@
 class RegistryOwner(Protocol):
     """What a registry asks and tells the owner of all pools."""
 
-    def endpoints_of_other_pools(self, pool: str) -> KnownElsewhere:
+    def endpoints_of_other_pools(self, pool: str) -> StartTimes:
         """Return the start times (us) of the endpoints of all other pools, by id and address."""
 
     def endpoints_changed(self, pool: str) -> None:
