--- a/plovertrail/decisions/endpoint_list.py
+++ b/plovertrail/decisions/endpoint_list.py
@@ -139,7 +139,7 @@
     """What a list is merged with."""
 
     order: Sequence[str] = ()  # all sources, the one that wins first; lists of others are dropped
-    elsewhere: StartTimes | None = None  # endpoints of other pools don't warm up again in this one
+    other_pools: StartTimes | None = None  # endpoints of other pools don't warm up again in this one
 
 
 def list_problems(state: EndpointListState, listed: EndpointList, guards: Guards) -> tuple[str, ...]:
@@ -237,7 +237,7 @@
             return ListStep(state, (), make_report(state, now_us))
         state = _with_layer(state, listed, context.order)
     # Not `or {}`: whether the mapping is empty may take a look at all pools.
-    return _settle(state, now_us, guards, {} if context.elsewhere is None else context.elsewhere)
+    return _settle(state, now_us, guards, {} if context.other_pools is None else context.other_pools)
 
 
 def _with_layer(state: EndpointListState, listed: EndpointList, order: Sequence[str]) -> EndpointListState:
@@ -300,7 +300,7 @@
         self.members[name] = EndpointMember(member.endpoint_id, listed, started_us)
         self.changes.append(EndpointChange(kind, self.members[name]))
 
-    def join(self, name: str, listed: ListedEndpoint, elsewhere: StartTimes) -> None:
+    def join(self, name: str, listed: ListedEndpoint, other_pools: StartTimes) -> None:
         """Add a member, or hold its join back if it flaps."""
         state = self.state
         flap = self.flaps.get(name)
@@ -311,7 +311,7 @@
             return
         started_us = self.now_us if state.started else 0
         if flap is None:
-            started_us = elsewhere.get((name, listed.address), started_us)
+            started_us = other_pools.get((name, listed.address), started_us)
         if listed.started_us is not None:
             started_us = listed.started_us
         self.last_endpoint_id += 1
@@ -335,7 +335,7 @@
         return ListStep(state, changes, make_report(state, self.now_us, changes))
 
 
-def _settle(state: EndpointListState, now_us: int, guards: Guards, elsewhere: StartTimes) -> ListStep:
+def _settle(state: EndpointListState, now_us: int, guards: Guards, other_pools: StartTimes) -> ListStep:
     """Bring the members to what the sources list."""
     wanted = merge_lists(state.layers, state.drained_by_operator, guards.allow_shared_addresses)
     settlement = _Settlement(state, now_us, guards)
@@ -348,7 +348,7 @@
         if member_before is not None and member_before.listed.address == listed.address:
             settlement.keep(name, member_before, listed)
         else:
-            settlement.join(name, listed, elsewhere)
+            settlement.join(name, listed, other_pools)
     return settlement.step()
 
 
--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -182,8 +182,8 @@
 
 
 def test_a_server_that_another_pool_knows_is_no_newcomer() -> None:
-    elsewhere = {("s3", entry(3).address): 7}
-    state = take(begun(1, 2), listed(1, 2, 3, 4), elsewhere=elsewhere)[0]
+    other_pools = {("s3", entry(3).address): 7}
+    state = take(begun(1, 2), listed(1, 2, 3, 4), other_pools=other_pools)[0]
     assert (state.members["s3"].started_us, state.members["s4"].started_us) == (7, 10 * S)
 
 
