--- a/plovertrail/decisions/endpoint_list.py
+++ b/plovertrail/decisions/endpoint_list.py
@@ -261,7 +261,7 @@
     return _settle(replace(state, drained_by_operator=drained), now_us, guards, {})
 
 
-class _Settlement:
+class _Reconciliation:
     """One step from the members as they are to what the sources list."""
 
     def __init__(self, state: EndpointListState, now_us: int, guards: Guards) -> None:
@@ -338,7 +338,7 @@
 def _settle(state: EndpointListState, now_us: int, guards: Guards, other_pools: StartTimes) -> ListStep:
     """Bring the members to what the sources list."""
     wanted = merge_lists(state.layers, state.drained_by_operator, guards.allow_shared_addresses)
-    settlement = _Settlement(state, now_us, guards)
+    settlement = _Reconciliation(state, now_us, guards)
     for name, member in state.members.items():
         listed = wanted.get(name)
         if listed is None or listed.address != member.listed.address:
