--- a/plovertrail/decisions/endpoint_list.py
+++ b/plovertrail/decisions/endpoint_list.py
@@ -338,18 +338,18 @@
 def _settle(state: EndpointListState, now_us: int, guards: Guards, other_pools: StartTimes) -> ListStep:
     """Bring the members to what the sources list."""
     wanted = merge_lists(state.layers, state.drained_by_operator, guards.allow_shared_addresses)
-    settlement = _Reconciliation(state, now_us, guards)
+    reconciliation = _Reconciliation(state, now_us, guards)
     for name, member in state.members.items():
         listed = wanted.get(name)
         if listed is None or listed.address != member.listed.address:
-            settlement.remove(name, member)
+            reconciliation.remove(name, member)
     for name, listed in wanted.items():
         member_before = state.members.get(name)
         if member_before is not None and member_before.listed.address == listed.address:
-            settlement.keep(name, member_before, listed)
+            reconciliation.keep(name, member_before, listed)
         else:
-            settlement.join(name, listed, other_pools)
-    return settlement.step()
+            reconciliation.join(name, listed, other_pools)
+    return reconciliation.step()
 
 
 def make_report(
