--- a/plovertrail/decisions/endpoint_list.py
+++ b/plovertrail/decisions/endpoint_list.py
@@ -237,7 +237,7 @@
             return ListStep(state, (), make_report(state, now_us))
         state = _with_layer(state, listed, context.order)
     # Not `or {}`: whether the mapping is empty may take a look at all pools.
-    return _settle(state, now_us, guards, {} if context.other_pools is None else context.other_pools)
+    return _reconcile(state, now_us, guards, {} if context.other_pools is None else context.other_pools)
 
 
 def _with_layer(state: EndpointListState, listed: EndpointList, order: Sequence[str]) -> EndpointListState:
@@ -258,7 +258,7 @@
 ) -> ListStep:
     """Drain an endpoint by the operator's command, or end that; it holds for the id, listed or not."""
     drained = state.drained_by_operator | {name} if drain else state.drained_by_operator - {name}
-    return _settle(replace(state, drained_by_operator=drained), now_us, guards, {})
+    return _reconcile(replace(state, drained_by_operator=drained), now_us, guards, {})
 
 
 class _Reconciliation:
@@ -335,7 +335,7 @@
         return ListStep(state, changes, make_report(state, self.now_us, changes))
 
 
-def _settle(state: EndpointListState, now_us: int, guards: Guards, other_pools: StartTimes) -> ListStep:
+def _reconcile(state: EndpointListState, now_us: int, guards: Guards, other_pools: StartTimes) -> ListStep:
     """Bring the members to what the sources list."""
     wanted = merge_lists(state.layers, state.drained_by_operator, guards.allow_shared_addresses)
     reconciliation = _Reconciliation(state, now_us, guards)
