--- a/plovertrail/decisions/endpoint_list.py
+++ b/plovertrail/decisions/endpoint_list.py
@@ -20,7 +20,7 @@
 StartTimes = Mapping[tuple[str, Address], int]  # start times of the endpoints of other pools
 
 MAX_FLAPS = 10_000  # endpoints whose removals are remembered; the oldest go first
-REMOVED_KEPT_US = 120_000_000  # for so long a removed endpoint stays in the state
+REMOVED_RETENTION_US = 120_000_000  # for so long a removed endpoint stays in the state
 MAX_REPORTED = 5  # names or problems in one line of a report
 
 
@@ -272,7 +272,7 @@
         self.removed = {
             endpoint_id: (member, since_us)
             for endpoint_id, (member, since_us) in state.removed.items()
-            if since_us > now_us - REMOVED_KEPT_US
+            if since_us > now_us - REMOVED_RETENTION_US
         }
         self.flaps = dict(state.flaps)
         self.held_joins: dict[str, int] = {}
