--- a/plovertrail/decisions/endpoint_list.py
+++ b/plovertrail/decisions/endpoint_list.py
@@ -357,7 +357,7 @@
 ) -> ListReport:
     """Report a state, and the changes that led to it, for operators."""
     problems = [
-        f"the list of {source} is refused, the last good one stays: {'; '.join(_shortened(found))}"
+        f"the list of {source} is refused, the last good one stays: {'; '.join(_truncated(found))}"
         for source, found in state.rejected_lists.items()
     ]
     held_joins = state.held_joins
@@ -365,16 +365,16 @@
         longest_s = (max(held_joins.values()) - now_us) / 1e6
         problems.append(
             f"{len(held_joins)} servers come and go, and are held back for up to {longest_s:.0f} s: "
-            f"{', '.join(_shortened(tuple(held_joins)))}"
+            f"{', '.join(_truncated(tuple(held_joins)))}"
         )
     names: dict[ChangeKind, list[str]] = {}
     for change in changes:
         names.setdefault(change.kind, []).append(change.member.listed.id)
-    notices = [f"{', '.join(_shortened(tuple(each)))}: {kind.value}" for kind, each in names.items()]
+    notices = [f"{', '.join(_truncated(tuple(each)))}: {kind.value}" for kind, each in names.items()]
     return ListReport(tuple(problems), tuple(notices))
 
 
-def _shortened(words: tuple[str, ...]) -> tuple[str, ...]:
+def _truncated(words: tuple[str, ...]) -> tuple[str, ...]:
     """Shorten a list of words: of 10,000 bad endpoints the log would get one line of a megabyte."""
     if len(words) <= MAX_REPORTED:
         return words
