--- a/plovertrail/decisions/endpoint_list.py
+++ b/plovertrail/decisions/endpoint_list.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field, replace
 from typing import NamedTuple
 
-from plovertrail.decisions.flap_damping import Flap, hold_us
+from plovertrail.decisions.flap_damping import RemovalCount, hold_us
 
 Address = tuple[str, int]
 StartTimes = Mapping[tuple[str, Address], int]  # start times of the endpoints of other pools
@@ -94,7 +94,7 @@
     drained_by_operator: frozenset[str] = frozenset()
     members: Mapping[str, EndpointMember] = field(default_factory=dict)
     removed: Mapping[int, tuple[EndpointMember, int]] = field(default_factory=dict)  # by id, since when
-    flaps: Mapping[str, Flap] = field(default_factory=dict)
+    flaps: Mapping[str, RemovalCount] = field(default_factory=dict)
     held_joins: Mapping[str, int] = field(default_factory=dict)  # until when each is held back
     rejected_lists: Mapping[str, tuple[str, ...]] = field(default_factory=dict)  # problems by source
     last_endpoint_id: int = 0
@@ -285,7 +285,7 @@
         if self.guards.damping:
             flap = self.flaps.pop(name, None)  # and put in again as the newest
             earlier = flap.removals_at(self.now_us) if flap is not None else 0.0
-            self.flaps[name] = Flap(1.0 + earlier, self.now_us)
+            self.flaps[name] = RemovalCount(1.0 + earlier, self.now_us)
         self.changes.append(EndpointChange(ChangeKind.LEAVE, member))
 
     def keep(self, name: str, member: EndpointMember, listed: ListedEndpoint) -> None:
--- a/plovertrail/decisions/flap_damping.py
+++ b/plovertrail/decisions/flap_damping.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Flap:
+class RemovalCount:
     """How often an endpoint was removed of late; the count decays."""
 
     removals: float
@@ -23,7 +23,7 @@
         return self.removals * math.exp2((self.updated_us - now_us) / FLAP_HALF_LIFE_US)
 
 
-def hold_us(flap: Flap | None, now_us: int) -> int:
+def hold_us(flap: RemovalCount | None, now_us: int) -> int:
     """Compute for how long a join is held back after the removals of late."""
     removals = flap.removals_at(now_us) if flap is not None else 0.0
     if removals <= FREE_REMOVALS:
