--- a/plovertrail/decisions/endpoint_list.py
+++ b/plovertrail/decisions/endpoint_list.py
@@ -94,7 +94,7 @@
     drained_by_operator: frozenset[str] = frozenset()
     members: Mapping[str, EndpointMember] = field(default_factory=dict)
     removed: Mapping[int, tuple[EndpointMember, int]] = field(default_factory=dict)  # by id, since when
-    flaps: Mapping[str, RemovalCount] = field(default_factory=dict)
+    removal_counts: Mapping[str, RemovalCount] = field(default_factory=dict)
     held_joins: Mapping[str, int] = field(default_factory=dict)  # until when each is held back
     rejected_lists: Mapping[str, tuple[str, ...]] = field(default_factory=dict)  # problems by source
     last_endpoint_id: int = 0
@@ -274,7 +274,7 @@
             for endpoint_id, (member, since_us) in state.removed.items()
             if since_us > now_us - REMOVED_RETENTION_US
         }
-        self.flaps = dict(state.flaps)
+        self.removal_counts = dict(state.removal_counts)
         self.held_joins: dict[str, int] = {}
         self.last_endpoint_id = state.last_endpoint_id
         self.changes: list[EndpointChange] = []
@@ -283,9 +283,9 @@
         """Remove a member that is listed no more, or at another address."""
         self.removed[member.endpoint_id] = member, self.now_us
         if self.guards.damping:
-            flap = self.flaps.pop(name, None)  # and put in again as the newest
+            flap = self.removal_counts.pop(name, None)  # and put in again as the newest
             earlier = flap.removals_at(self.now_us) if flap is not None else 0.0
-            self.flaps[name] = RemovalCount(1.0 + earlier, self.now_us)
+            self.removal_counts[name] = RemovalCount(1.0 + earlier, self.now_us)
         self.changes.append(EndpointChange(ChangeKind.LEAVE, member))
 
     def keep(self, name: str, member: EndpointMember, listed: ListedEndpoint) -> None:
@@ -303,7 +303,7 @@
     def join(self, name: str, listed: ListedEndpoint, other_pools: StartTimes) -> None:
         """Add a member, or hold its join back if it flaps."""
         state = self.state
-        flap = self.flaps.get(name)
+        flap = self.removal_counts.get(name)
         held_us = hold_us(flap, self.now_us) if self.guards.damping and state.started else 0
         until_us = state.held_joins.get(name, self.now_us + held_us)
         if until_us > self.now_us:
@@ -320,14 +320,14 @@
 
     def step(self) -> ListStep:
         """Return the step that was made."""
-        while len(self.flaps) > MAX_FLAPS:
-            del self.flaps[next(iter(self.flaps))]
+        while len(self.removal_counts) > MAX_FLAPS:
+            del self.removal_counts[next(iter(self.removal_counts))]
         changes = tuple(self.changes)
         state = replace(
             self.state,
             members=self.members,
             removed=self.removed,
-            flaps=self.flaps,
+            removal_counts=self.removal_counts,
             held_joins=self.held_joins,
             last_endpoint_id=self.last_endpoint_id,
             generation=self.state.generation + bool(changes),
--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -227,7 +227,7 @@
         entries = tuple(ListedEndpoint(f"s{n}", (f"10.0.{n >> 8}.{n & 255}", 80)) for n in numbers)
         state = apply_list(state, EndpointList("file", entries), lot * 300 * S, guards)[0]
         state = apply_list(state, EndpointList("file", ()), lot * 300 * S, guards)[0]
-    assert len(state.flaps) <= MAX_FLAPS
+    assert len(state.removal_counts) <= MAX_FLAPS
     assert len(state.removed) <= 4000
 
 
@@ -319,6 +319,6 @@
 @given(st.lists(entries, max_size=12))
 def test_a_state_is_never_changed_in_place(rows: list[ListedEndpoint]) -> None:
     state = begun(1, 2, 3)
-    before = dict(state.members), state.layers, dict(state.flaps), dict(state.removed)
+    before = dict(state.members), state.layers, dict(state.removal_counts), dict(state.removed)
     take(state, EndpointList("file", tuple(rows)))
-    assert before == (dict(state.members), state.layers, dict(state.flaps), dict(state.removed))
+    assert before == (dict(state.members), state.layers, dict(state.removal_counts), dict(state.removed))
