--- a/plovertrail/decisions/endpoint_list.py
+++ b/plovertrail/decisions/endpoint_list.py
@@ -283,8 +283,8 @@
         """Remove a member that is listed no more, or at another address."""
         self.removed[member.endpoint_id] = member, self.now_us
         if self.guards.damping:
-            flap = self.removal_counts.pop(name, None)  # and put in again as the newest
-            earlier = flap.removals_at(self.now_us) if flap is not None else 0.0
+            removal_count = self.removal_counts.pop(name, None)  # and put in again as the newest
+            earlier = removal_count.removals_at(self.now_us) if removal_count is not None else 0.0
             self.removal_counts[name] = RemovalCount(1.0 + earlier, self.now_us)
         self.changes.append(EndpointChange(ChangeKind.LEAVE, member))
 
@@ -303,14 +303,14 @@
     def join(self, name: str, listed: ListedEndpoint, other_pools: StartTimes) -> None:
         """Add a member, or hold its join back if it flaps."""
         state = self.state
-        flap = self.removal_counts.get(name)
-        held_us = hold_us(flap, self.now_us) if self.guards.damping and state.started else 0
+        removal_count = self.removal_counts.get(name)
+        held_us = hold_us(removal_count, self.now_us) if self.guards.damping and state.started else 0
         until_us = state.held_joins.get(name, self.now_us + held_us)
         if until_us > self.now_us:
             self.held_joins[name] = until_us
             return
         started_us = self.now_us if state.started else 0
-        if flap is None:
+        if removal_count is None:
             started_us = other_pools.get((name, listed.address), started_us)
         if listed.started_us is not None:
             started_us = listed.started_us
--- a/plovertrail/decisions/flap_damping.py
+++ b/plovertrail/decisions/flap_damping.py
@@ -23,9 +23,9 @@
         return self.removals * math.exp2((self.updated_us - now_us) / FLAP_HALF_LIFE_US)
 
 
-def hold_us(flap: RemovalCount | None, now_us: int) -> int:
+def hold_us(removal_count: RemovalCount | None, now_us: int) -> int:
     """Compute for how long a join is held back after the removals of late."""
-    removals = flap.removals_at(now_us) if flap is not None else 0.0
+    removals = removal_count.removals_at(now_us) if removal_count is not None else 0.0
     if removals <= FREE_REMOVALS:
         return 0
     return min(LONGEST_HOLD_US, int(FIRST_HOLD_US * math.exp2(removals - FREE_REMOVALS)))
