--- a/plovertrail/decisions/endpoint_list.py
+++ b/plovertrail/decisions/endpoint_list.py
@@ -19,7 +19,7 @@
 Address = tuple[str, int]
 StartTimes = Mapping[tuple[str, Address], int]  # start times of the endpoints of other pools
 
-MAX_FLAPS = 10_000  # endpoints whose removals are remembered; the oldest go first
+MAX_REMOVAL_COUNTS = 10_000  # endpoints whose removals are remembered; the oldest go first
 REMOVED_RETENTION_US = 120_000_000  # for so long a removed endpoint stays in the state
 MAX_REPORTED = 5  # names or problems in one line of a report
 
@@ -320,7 +320,7 @@
 
     def step(self) -> ListStep:
         """Return the step that was made."""
-        while len(self.removal_counts) > MAX_FLAPS:
+        while len(self.removal_counts) > MAX_REMOVAL_COUNTS:
             del self.removal_counts[next(iter(self.removal_counts))]
         changes = tuple(self.changes)
         state = replace(
--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -11,7 +11,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from plovertrail.decisions.endpoint_list import (
-    MAX_FLAPS,
+    MAX_REMOVAL_COUNTS,
     ChangeKind,
     EndpointList,
     EndpointListState,
@@ -227,7 +227,7 @@
         entries = tuple(ListedEndpoint(f"s{n}", (f"10.0.{n >> 8}.{n & 255}", 80)) for n in numbers)
         state = apply_list(state, EndpointList("file", entries), lot * 300 * S, guards)[0]
         state = apply_list(state, EndpointList("file", ()), lot * 300 * S, guards)[0]
-    assert len(state.removal_counts) <= MAX_FLAPS
+    assert len(state.removal_counts) <= MAX_REMOVAL_COUNTS
     assert len(state.removed) <= 4000
 
 
