--- a/plovertrail/decisions/endpoint_list.py
+++ b/plovertrail/decisions/endpoint_list.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field, replace
 from typing import NamedTuple
 
-from plovertrail.decisions.flap_damping import RemovalCount, hold_us
+from plovertrail.decisions.flap_damping import RemovalCount, hold_down_us
 
 Address = tuple[str, int]
 StartTimes = Mapping[tuple[str, Address], int]  # start times of the endpoints of other pools
@@ -304,7 +304,7 @@
         """Add a member, or hold its join back if it flaps."""
         state = self.state
         removal_count = self.removal_counts.get(name)
-        held_us = hold_us(removal_count, self.now_us) if self.guards.damping and state.started else 0
+        held_us = hold_down_us(removal_count, self.now_us) if self.guards.damping and state.started else 0
         until_us = state.held_joins.get(name, self.now_us + held_us)
         if until_us > self.now_us:
             self.held_joins[name] = until_us
--- a/plovertrail/decisions/flap_damping.py
+++ b/plovertrail/decisions/flap_damping.py
@@ -23,7 +23,7 @@
         return self.removals * math.exp2((self.updated_us - now_us) / FLAP_HALF_LIFE_US)
 
 
-def hold_us(removal_count: RemovalCount | None, now_us: int) -> int:
+def hold_down_us(removal_count: RemovalCount | None, now_us: int) -> int:
     """Compute for how long a join is held back after the removals of late."""
     removals = removal_count.removals_at(now_us) if removal_count is not None else 0.0
     if removals <= FREE_REMOVALS:
