--- a/plovertrail/decisions/flap_damping.py
+++ b/plovertrail/decisions/flap_damping.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-FLAP_HALF_LIFE_US = 60_000_000
+REMOVAL_HALF_LIFE_US = 60_000_000
 FREE_REMOVALS = 2.0  # within about a minute, after which a join is held back
 INITIAL_HOLD_DOWN_US = 2_000_000  # doubles with each further removal
 LONGEST_HOLD_US = 60_000_000
@@ -19,8 +19,8 @@
     updated_us: int
 
     def removals_at(self, now_us: int) -> float:
-        """Compute the count at `now_us`, halved for each FLAP_HALF_LIFE_US."""
-        return self.removals * math.exp2((self.updated_us - now_us) / FLAP_HALF_LIFE_US)
+        """Compute the count at `now_us`, halved for each REMOVAL_HALF_LIFE_US."""
+        return self.removals * math.exp2((self.updated_us - now_us) / REMOVAL_HALF_LIFE_US)
 
 
 def hold_down_us(removal_count: RemovalCount | None, now_us: int) -> int:
