--- a/plovertrail/decisions/flap_damping.py
+++ b/plovertrail/decisions/flap_damping.py
@@ -8,7 +8,7 @@
 REMOVAL_HALF_LIFE_US = 60_000_000
 FREE_REMOVALS = 2.0  # within about a minute, after which a join is held back
 INITIAL_HOLD_DOWN_US = 2_000_000  # doubles with each further removal
-LONGEST_HOLD_US = 60_000_000
+MAX_HOLD_DOWN_US = 60_000_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,4 +28,4 @@
     removals = removal_count.removals_at(now_us) if removal_count is not None else 0.0
     if removals <= FREE_REMOVALS:
         return 0
-    return min(LONGEST_HOLD_US, int(INITIAL_HOLD_DOWN_US * math.exp2(removals - FREE_REMOVALS)))
+    return min(MAX_HOLD_DOWN_US, int(INITIAL_HOLD_DOWN_US * math.exp2(removals - FREE_REMOVALS)))
--- a/plovertrail/store/endpoint_list_records.py
+++ b/plovertrail/store/endpoint_list_records.py
@@ -14,7 +14,7 @@
     ListedEndpoint,
     apply_list,
 )
-from plovertrail.decisions.flap_damping import LONGEST_HOLD_US
+from plovertrail.decisions.flap_damping import MAX_HOLD_DOWN_US
 from plovertrail.store.errors import InvalidRecordsError
 from plovertrail.store.records import ENDPOINT, JOIN_HELD, POOL, REMOVED, STARTED, Key, Record
 
@@ -149,7 +149,7 @@
         elif kind == STARTED:
             self.started_us[key[2]] = min(now_us, int(value) - clock_offset_us)
         elif kind == JOIN_HELD:
-            self.held_until_us[key[2]] = min(now_us + LONGEST_HOLD_US, int(value) - clock_offset_us)
+            self.held_until_us[key[2]] = min(now_us + MAX_HOLD_DOWN_US, int(value) - clock_offset_us)
         elif kind == REMOVED:
             name, endpoint, since_us = value
             since_us = min(now_us, int(since_us) - clock_offset_us)
--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -24,7 +24,7 @@
     next_join_us,
     set_drained_by_operator,
 )
-from plovertrail.decisions.flap_damping import LONGEST_HOLD_US
+from plovertrail.decisions.flap_damping import MAX_HOLD_DOWN_US
 
 GUARDS = Guards(zones=frozenset(("", "a", "b")))
 S = 1_000_000
@@ -197,7 +197,7 @@
         due_us = next_join_us(state)
         if due_us is not None:
             assert any("come and go" in text for text in report.problems)
-            assert now_us + S < due_us <= now_us + S + LONGEST_HOLD_US
+            assert now_us + S < due_us <= now_us + S + MAX_HOLD_DOWN_US
             assert take(state, None, due_us - 1)[1] == ()
             state, changes, _ = take(state, None, due_us)
             assert [change.kind for change in changes] == [ChangeKind.JOIN]
