--- a/plovertrail/decisions/endpoint_list.py
+++ b/plovertrail/decisions/endpoint_list.py
@@ -1,9 +1,9 @@
-"""The endpoints of one pool: what sources list becomes one atomic step, or nothing.
+"""Applies the endpoint lists of one pool's sources atomically.
 
-An `EndpointList` is the complete list of one source. `apply_list` checks it, merges the lists of all sources,
-and tells which endpoints join, leave, drain or change. States are immutable values: a reader on another
-thread sees one or the other, never a mixture. A removal or a drain is never held back once its list is
-accepted; joins of flapping endpoints are.
+An `EndpointList` is the complete list of one source. `apply_list` validates it, merges the lists of all
+sources and returns which endpoints join, leave, drain or change. A list that fails validation changes
+nothing. States are immutable, so a reader on another thread sees the state before a step or after it.
+Removals and drains take effect as soon as their list is accepted; joins of flapping endpoints are delayed.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from plovertrail.decisions.flap_damping import RemovalCount, hold_down_us
 
 Address = tuple[str, int]
-StartTimes = Mapping[tuple[str, Address], int]  # start times of the endpoints of other pools
+StartTimes = Mapping[tuple[str, Address], int]  # by an endpoint's listed id and address
 
-MAX_REMOVAL_COUNTS = 10_000  # endpoints whose removals are remembered; the oldest go first
-REMOVED_RETENTION_US = 120_000_000  # for so long a removed endpoint stays in the state
+MAX_REMOVAL_COUNTS = 10_000  # the oldest are dropped first
+REMOVED_RETENTION_US = 120_000_000  # how long a removed endpoint stays in the state
 MAX_REPORTED = 5  # names or problems in one line of a report
 
 
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    """What a source says of one endpoint."""
+    """One endpoint as a source lists it."""
 
     id: str
     address: Address
@@ -35,31 +35,31 @@
     weight: float = 1.0
     drain: bool = False
     model: str = ""
-    started_us: int | None = None  # when it last started, 0 = long ago; None: the source doesn't know
+    started_us: int | None = None  # when it last started; 0 = long ago, None = unknown to the source
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """The complete list of one source; `version` 0 = it has none."""
+    """The complete list of one source; `version` is 0 if the list has no version."""
 
     source: str
     endpoints: tuple[ListedEndpoint, ...]
     version: int = 0
-    by_operator: bool = False  # written by hand into the operator's file: what it drops was meant
+    by_operator: bool = False  # from the operator's file: removals are intentional and not checked
 
 
 @dataclass(frozen=True, slots=True)
 class Guards:
-    """What a list must keep to; docs/membership.md has the reasons of the defaults."""
+    """Validation rules for lists; docs/membership.md gives the reasons for the defaults."""
 
     allow_empty: bool = False
-    max_dropped_fraction: float = 0.5  # of the endpoints, that one list may drop or move
-    min_checked_size: int = 4  # of a list, below which that fraction says nothing
+    max_dropped_fraction: float = 0.5  # of the endpoints, that one list may remove or move
+    min_checked_size: int = 4  # max_dropped_fraction doesn't apply to shorter lists
     allow_older_version: bool = False
     max_weight: float = 1000.0
-    zones: frozenset[str] = frozenset()  # empty: any
-    damping: bool = True  # hold back joins of flapping endpoints
-    allow_shared_addresses: bool = False  # for a while, as one endpoint takes another's place
+    zones: frozenset[str] = frozenset()  # allowed zones; empty: any
+    damping: bool = True  # delay joins of flapping endpoints
+    allow_shared_addresses: bool = False  # as happens briefly while one endpoint replaces another
 
 
 UNGUARDED = Guards(
@@ -68,40 +68,40 @@
     max_weight=math.inf,
     damping=False,
     allow_shared_addresses=True,
-)  # for a source that is known to be right, as the platform's
+)  # for trusted sources, such as the platform
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointMember:
     """An endpoint in use.
 
-    An id is never used again, so that nothing learnt of an endpoint, and no connection to it, passes to one
-    that comes after it.
+    An endpoint id is never reused, so that no statistics and no connections of an endpoint pass to its
+    successor.
     """
 
     endpoint_id: int
-    listed: ListedEndpoint  # `drain` as all sources together have it
+    listed: ListedEndpoint  # `drain` is set if any source or the operator drains it
     started_us: int  # 0 = long ago
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListState:
-    """All that is known of a pool's endpoints."""
+    """The state of a pool's endpoints."""
 
-    generation: int = 0
-    started: bool = False  # set by the owner once the first lists are in: endpoints added later warm up
-    layers: tuple[EndpointList, ...] = ()  # the last good list of each source, the one that wins first
+    generation: int = 0  # counts the steps that changed a member
+    started: bool = False  # set by the owner after the first lists: endpoints added later warm up
+    layers: tuple[EndpointList, ...] = ()  # the last accepted list of each source, highest precedence first
     drained_by_operator: frozenset[str] = frozenset()
     members: Mapping[str, EndpointMember] = field(default_factory=dict)
-    removed: Mapping[int, tuple[EndpointMember, int]] = field(default_factory=dict)  # by id, since when
+    removed: Mapping[int, tuple[EndpointMember, int]] = field(default_factory=dict)  # with the removal time
     removal_counts: Mapping[str, RemovalCount] = field(default_factory=dict)
-    held_joins: Mapping[str, int] = field(default_factory=dict)  # until when each is held back
+    held_joins: Mapping[str, int] = field(default_factory=dict)  # delayed joins, with the time they are due
     rejected_lists: Mapping[str, tuple[str, ...]] = field(default_factory=dict)  # problems by source
     last_endpoint_id: int = 0
 
 
 class ChangeKind(enum.Enum):
-    """What happened to an endpoint; the values are logged."""
+    """What changed for an endpoint; the values are logged."""
 
     JOIN = "joins"
     LEAVE = "leaves"
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointChange:
-    """One endpoint's change in a step, with the member after the change; when it leaves, before it."""
+    """One endpoint's change in a step; `member` is as it is after the change, or was before it left."""
 
     kind: ChangeKind
     member: EndpointMember
@@ -120,14 +120,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ListReport:
-    """What operators should see: `problems` as long as they persist, `notices` once."""
+    """Messages for operators: `problems` are repeated while they persist, `notices` appear once."""
 
     problems: tuple[str, ...] = ()
     notices: tuple[str, ...] = ()
 
 
 class ListStep(NamedTuple):
-    """The result of a step: the new state, and what led to it."""
+    """The result of a step: the new state, the changes to members, and the report."""
 
     state: EndpointListState
     changes: tuple[EndpointChange, ...]
@@ -136,14 +136,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ListContext:
-    """What a list is merged with."""
+    """What applying a list depends on, besides the state."""
 
-    order: Sequence[str] = ()  # all sources, the one that wins first; lists of others are dropped
-    other_pools: StartTimes | None = None  # endpoints of other pools don't warm up again in this one
+    order: Sequence[str] = ()  # all sources, highest precedence first; lists of other sources are dropped
+    other_pools: StartTimes | None = None  # an endpoint known from another pool doesn't warm up again
 
 
 def list_problems(state: EndpointListState, listed: EndpointList, guards: Guards) -> tuple[str, ...]:
-    """Find all that is wrong with a list; it is accepted only if nothing is."""
+    """Return all validation errors of a list; it is accepted only if there are none."""
     problems = _endpoint_problems(listed, guards)
     if not listed.by_operator:
         problems += _change_problems(state, listed, guards)
@@ -151,7 +151,7 @@
 
 
 def _endpoint_problems(listed: EndpointList, guards: Guards) -> list[str]:
-    """Find what is wrong with the endpoints of a list."""
+    """Return the validation errors of a list's endpoints."""
     problems: list[str] = []
     ids: set[str] = set()
     addresses: dict[Address, str] = {}
@@ -163,7 +163,7 @@
         if not (math.isfinite(endpoint.weight) and 0 < endpoint.weight <= guards.max_weight):
             problems.append(
                 f'"{endpoint.id}" has a weight of {endpoint.weight}: '
-                f"expected more than 0, at most {guards.max_weight:g}"
+                f"must be greater than 0 and at most {guards.max_weight:g}"
             )
         if guards.zones and endpoint.zone not in guards.zones:
             problems.append(f'"{endpoint.id}" is in the unknown zone "{endpoint.zone}"')
@@ -173,7 +173,7 @@
 
 
 def _change_problems(state: EndpointListState, listed: EndpointList, guards: Guards) -> list[str]:
-    """Find what is wrong with a list beside the source's last one."""
+    """Return the validation errors of a list in comparison with the last accepted list of its source."""
     problems: list[str] = []
     if not listed.endpoints and not guards.allow_empty:
         problems.append("the list is empty")
@@ -197,10 +197,11 @@
 def merge_lists(
     layers: Iterable[EndpointList], drained_by_operator: frozenset[str], allow_shared_addresses: bool = False
 ) -> dict[str, ListedEndpoint]:
-    """Merge the lists of all sources into one endpoint for each id.
+    """Merge the lists of all sources, highest precedence first, into one endpoint for each id.
 
-    It is that of the first source that lists it, but drains if any source or the operator says so. An address
-    that an earlier source has under another id belongs to that one, unless sharing is allowed.
+    The first source that lists an id defines the endpoint, but it drains if any source or the operator
+    drains it. An endpoint with the address of one listed earlier under another id is omitted, unless shared
+    addresses are allowed.
     """
     merged: dict[str, ListedEndpoint] = {}
     owners: dict[Address, str] = {}
@@ -227,7 +228,7 @@
     guards: Guards,
     context: ListContext | None = None,
 ) -> ListStep:
-    """Make one step with a new list, or without one when a join that was held back is due."""
+    """Apply a new list, or None to make the delayed joins that are due."""
     context = context or ListContext()
     if listed is not None:
         problems = list_problems(state, listed, guards)
@@ -236,12 +237,12 @@
             state = replace(state, rejected_lists=rejected)
             return ListStep(state, (), make_report(state, now_us))
         state = _with_layer(state, listed, context.order)
-    # Not `or {}`: whether the mapping is empty may take a look at all pools.
+    # Not `or {}`: testing whether this mapping is empty may scan all pools.
     return _reconcile(state, now_us, guards, {} if context.other_pools is None else context.other_pools)
 
 
 def _with_layer(state: EndpointListState, listed: EndpointList, order: Sequence[str]) -> EndpointListState:
-    """Put the list of one source in place of its last one."""
+    """Replace the last list of a source."""
     layers = {layer.source: layer for layer in state.layers} | {listed.source: listed}
     names = order or tuple(layers)
     rejected = {
@@ -256,13 +257,13 @@
 def set_drained_by_operator(
     state: EndpointListState, name: str, drain: bool, now_us: int, guards: Guards
 ) -> ListStep:
-    """Drain an endpoint by the operator's command, or end that; it holds for the id, listed or not."""
+    """Set or clear the operator's drain of an endpoint id, whether or not the id is listed."""
     drained = state.drained_by_operator | {name} if drain else state.drained_by_operator - {name}
     return _reconcile(replace(state, drained_by_operator=drained), now_us, guards, {})
 
 
 class _Reconciliation:
-    """One step from the members as they are to what the sources list."""
+    """One step that brings the members in line with the merged lists."""
 
     def __init__(self, state: EndpointListState, now_us: int, guards: Guards) -> None:
         self.state = state
@@ -280,16 +281,16 @@
         self.changes: list[EndpointChange] = []
 
     def remove(self, name: str, member: EndpointMember) -> None:
-        """Remove a member that is listed no more, or at another address."""
+        """Remove a member that is no longer listed, or is listed at another address."""
         self.removed[member.endpoint_id] = member, self.now_us
         if self.guards.damping:
-            removal_count = self.removal_counts.pop(name, None)  # and put in again as the newest
+            removal_count = self.removal_counts.pop(name, None)  # reinserted below as the newest
             earlier = removal_count.removals_at(self.now_us) if removal_count is not None else 0.0
             self.removal_counts[name] = RemovalCount(1.0 + earlier, self.now_us)
         self.changes.append(EndpointChange(ChangeKind.LEAVE, member))
 
     def keep(self, name: str, member: EndpointMember, listed: ListedEndpoint) -> None:
-        """Keep a member, with what is listed of it now."""
+        """Keep a member, and update it if its listing has changed."""
         if member.listed == listed:
             self.members[name] = member
             return
@@ -301,7 +302,7 @@
         self.changes.append(EndpointChange(kind, self.members[name]))
 
     def join(self, name: str, listed: ListedEndpoint, other_pools: StartTimes) -> None:
-        """Add a member, or hold its join back if it flaps."""
+        """Add a member, or delay its join if it flaps."""
         state = self.state
         removal_count = self.removal_counts.get(name)
         held_us = hold_down_us(removal_count, self.now_us) if self.guards.damping and state.started else 0
@@ -319,7 +320,7 @@
         self.changes.append(EndpointChange(ChangeKind.JOIN, self.members[name]))
 
     def step(self) -> ListStep:
-        """Return the step that was made."""
+        """Return the result of the step."""
         while len(self.removal_counts) > MAX_REMOVAL_COUNTS:
             del self.removal_counts[next(iter(self.removal_counts))]
         changes = tuple(self.changes)
@@ -336,7 +337,7 @@
 
 
 def _reconcile(state: EndpointListState, now_us: int, guards: Guards, other_pools: StartTimes) -> ListStep:
-    """Bring the members to what the sources list."""
+    """Bring the members in line with the merged lists."""
     wanted = merge_lists(state.layers, state.drained_by_operator, guards.allow_shared_addresses)
     reconciliation = _Reconciliation(state, now_us, guards)
     for name, member in state.members.items():
@@ -355,16 +356,16 @@
 def make_report(
     state: EndpointListState, now_us: int, changes: tuple[EndpointChange, ...] = ()
 ) -> ListReport:
-    """Report a state, and the changes that led to it, for operators."""
+    """Report a state and the changes that led to it to operators."""
     problems = [
-        f"the list of {source} is refused, the last good one stays: {'; '.join(_truncated(found))}"
+        f"the list of {source} was refused, its last good list stays in use: {'; '.join(_truncated(found))}"
         for source, found in state.rejected_lists.items()
     ]
     held_joins = state.held_joins
     if held_joins:
         longest_s = (max(held_joins.values()) - now_us) / 1e6
         problems.append(
-            f"{len(held_joins)} servers come and go, and are held back for up to {longest_s:.0f} s: "
+            f"{len(held_joins)} servers come and go, their joins are delayed by up to {longest_s:.0f} s: "
             f"{', '.join(_truncated(tuple(held_joins)))}"
         )
     names: dict[ChangeKind, list[str]] = {}
@@ -375,12 +376,12 @@
 
 
 def _truncated(words: tuple[str, ...]) -> tuple[str, ...]:
-    """Shorten a list of words: of 10,000 bad endpoints the log would get one line of a megabyte."""
+    """Truncate a list: 10,000 bad endpoints would otherwise make a log line of a megabyte."""
     if len(words) <= MAX_REPORTED:
         return words
     return (*words[:MAX_REPORTED], f"and {len(words) - MAX_REPORTED} more")
 
 
 def next_join_us(state: EndpointListState) -> int | None:
-    """Return when the next join that is held back is due; None: none is."""
+    """Return when the next delayed join is due; None if there is none."""
     return min(state.held_joins.values(), default=None)
--- a/plovertrail/decisions/flap_damping.py
+++ b/plovertrail/decisions/flap_damping.py
@@ -1,4 +1,4 @@
-"""How long the join of an endpoint is held back that was removed again and again."""
+"""Flap damping: how long the join of an endpoint is delayed that was removed repeatedly."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from dataclasses import dataclass
 
 REMOVAL_HALF_LIFE_US = 60_000_000
-FREE_REMOVALS = 2.0  # within about a minute, after which a join is held back
+FREE_REMOVALS = 2.0  # recent removals, after decay, up to which a join is not delayed
 INITIAL_HOLD_DOWN_US = 2_000_000  # doubles with each further removal
 MAX_HOLD_DOWN_US = 60_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class RemovalCount:
-    """How often an endpoint was removed of late; the count decays."""
+    """The number of an endpoint's recent removals; it decays exponentially."""
 
     removals: float
     updated_us: int
@@ -24,7 +24,7 @@
 
 
 def hold_down_us(removal_count: RemovalCount | None, now_us: int) -> int:
-    """Compute for how long a join is held back after the removals of late."""
+    """Compute how long a join is delayed after recent removals."""
     removals = removal_count.removals_at(now_us) if removal_count is not None else 0.0
     if removals <= FREE_REMOVALS:
         return 0
