--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -38,7 +38,7 @@
     return EndpointList(source, tuple(entry(number) for number in numbers), version)
 
 
-def take(
+def apply_to(
     state: EndpointListState, candidate: EndpointList | None, now_us: int = 10 * S, **more: object
 ) -> ListStep:
     return apply_list(state, candidate, now_us, GUARDS, ListContext(**more))  # type: ignore[arg-type]
@@ -46,7 +46,7 @@
 
 def begun(*numbers: int) -> EndpointListState:
     """These servers from the start on."""
-    return replace(take(EndpointListState(), listed(*numbers))[0], started=True)
+    return replace(apply_to(EndpointListState(), listed(*numbers))[0], started=True)
 
 
 def kinds(step: ListStep) -> list[tuple[str, str]]:
@@ -56,7 +56,7 @@
 def test_a_list_is_one_step_of_joins_leaves_moves_and_changes() -> None:
     state = begun(1, 2, 3, 4, 5)
     moved = replace(entry(3), address=("10.0.0.9", 1))
-    step = take(
+    step = apply_to(
         state,
         EndpointList(
             "file", (entry(1), replace(entry(2), weight=2.0), moved, entry(4, drain=True), entry(6))
@@ -79,7 +79,7 @@
     assert len(set(numbers)) == 5
     assert after.members["s3"].endpoint_id not in {m.endpoint_id for m in state.members.values()}
     assert {member.listed.id for member, _ in after.removed.values()} == {"s3", "s5"}
-    assert take(after, EndpointList("file", after.layers[0].endpoints))[1] == ()
+    assert apply_to(after, EndpointList("file", after.layers[0].endpoints))[1] == ()
 
 
 @pytest.mark.parametrize(
@@ -105,20 +105,20 @@
 def test_a_list_that_breaks_a_guard_changes_nothing_and_is_told_while_it_lasts(
     candidate: EndpointList, told: str
 ) -> None:
-    state = take(begun(1, 2, 3, 4), listed(1, 2, 3, 4, version=7))[0]
-    after, changes, report = take(state, candidate)
+    state = apply_to(begun(1, 2, 3, 4), listed(1, 2, 3, 4, version=7))[0]
+    after, changes, report = apply_to(state, candidate)
     assert changes == ()
     assert after.members == state.members
     assert after.layers == state.layers
     assert any(told in text for text in report.problems)
-    after, _, report = take(after, listed(5, 6, source="other"))  # another source still works
+    after, _, report = apply_to(after, listed(5, 6, source="other"))  # another source still works
     assert any(told in text for text in report.problems)
     assert len(after.members) == 6
-    assert take(after, listed(1, 2, 3, 4, version=7))[2].problems == ()  # and a good list ends it
+    assert apply_to(after, listed(1, 2, 3, 4, version=7))[2].problems == ()  # and a good list ends it
 
 
 def test_guards_can_be_lifted() -> None:
-    state = take(begun(1, 2, 3, 4), listed(1, 2, 3, 4, version=7))[0]
+    state = apply_to(begun(1, 2, 3, 4), listed(1, 2, 3, 4, version=7))[0]
     for guards, candidate in (
         (Guards(allow_empty=True), listed(version=8)),
         (Guards(max_dropped_fraction=1.0), listed(9, version=8)),
@@ -133,31 +133,31 @@
 def test_an_operators_own_list_may_drop_what_it_will() -> None:
     state = begun(1, 2, 3, 4)
     inline = EndpointList("file", (), by_operator=True)
-    assert [kind for _, kind in kinds(take(state, inline))] == ["leaves"] * 4
+    assert [kind for _, kind in kinds(apply_to(state, inline))] == ["leaves"] * 4
 
 
 def test_a_drain_from_any_source_wins_over_a_join_from_any_other() -> None:
     base, over = listed(1, 2, source="base"), EndpointList("over", (entry(1, weight=5.0), entry(3)))
     order = ("over", "base")
-    state = take(EndpointListState(), base, order=order)[0]
-    state = take(state, over, order=order)[0]
+    state = apply_to(EndpointListState(), base, order=order)[0]
+    state = apply_to(state, over, order=order)[0]
     assert state.members["s1"].listed.weight == 5.0  # the first source that lists it
-    state, changes, _ = take(state, EndpointList("base", (entry(1, drain=True), entry(2))), order=order)
+    state, changes, _ = apply_to(state, EndpointList("base", (entry(1, drain=True), entry(2))), order=order)
     assert state.members["s1"].listed.drain
     assert [change.kind for change in changes] == [ChangeKind.DRAIN]
-    state, changes, _ = take(state, EndpointList("base", base.endpoints), order=order)
+    state, changes, _ = apply_to(state, EndpointList("base", base.endpoints), order=order)
     assert [change.kind for change in changes] == [ChangeKind.UNDRAIN]
     state, changes, _ = set_drained_by_operator(state, "s2", True, 0, GUARDS)
     assert [change.kind for change in changes] == [ChangeKind.DRAIN]
     for candidate in (base, over):
-        state = take(state, candidate, order=order)[0]
+        state = apply_to(state, candidate, order=order)[0]
         assert state.members["s2"].listed.drain
     assert not set_drained_by_operator(state, "s2", False, 0, GUARDS)[0].members["s2"].listed.drain
 
 
 def test_lists_of_sources_that_are_named_no_more_are_dropped() -> None:
-    state = take(begun(1, 2), listed(3, 4, source="other"), order=("file", "other"))[0]
-    state = take(state, listed(3, source="other"), order=("other",))[0]
+    state = apply_to(begun(1, 2), listed(3, 4, source="other"), order=("file", "other"))[0]
+    state = apply_to(state, listed(3, source="other"), order=("other",))[0]
     assert set(state.members) == {"s3"}
 
 
@@ -169,52 +169,52 @@
 def test_a_server_that_comes_back_is_another_one_and_cold() -> None:
     state = begun(1, 2)
     old = state.members["s1"]
-    state = take(state, listed(2))[0]
-    state, changes, _ = take(state, listed(1, 2), 11 * S)
+    state = apply_to(state, listed(2))[0]
+    state, changes, _ = apply_to(state, listed(1, 2), 11 * S)
     back = state.members["s1"]
     assert back.endpoint_id != old.endpoint_id
     assert back.started_us == 11 * S
-    state = take(state, listed(2), 12 * S)[0]
+    state = apply_to(state, listed(2), 12 * S)[0]
     twin = EndpointList("file", (replace(entry(1), id="new"), entry(2)))
-    state = take(state, twin, 13 * S)[0]
+    state = apply_to(state, twin, 13 * S)[0]
     assert state.members["new"].endpoint_id not in (old.endpoint_id, back.endpoint_id)
     assert state.members["new"].started_us == 13 * S
 
 
 def test_a_server_that_another_pool_knows_is_no_newcomer() -> None:
     other_pools = {("s3", entry(3).address): 7}
-    state = take(begun(1, 2), listed(1, 2, 3, 4), other_pools=other_pools)[0]
+    state = apply_to(begun(1, 2), listed(1, 2, 3, 4), other_pools=other_pools)[0]
     assert (state.members["s3"].started_us, state.members["s4"].started_us) == (7, 10 * S)
 
 
 def test_flapping_delays_joins_and_never_a_leave() -> None:
     state, now_us, joins = begun(1, 2), 10 * S, []
     for _ in range(8):
-        state, changes, _ = take(state, listed(2), now_us)
+        state, changes, _ = apply_to(state, listed(2), now_us)
         assert "s1" not in state.members  # at once
-        state, changes, report = take(state, listed(1, 2), now_us + S)
+        state, changes, report = apply_to(state, listed(1, 2), now_us + S)
         joins.append("s1" in state.members)
         due_us = next_join_us(state)
         if due_us is not None:
             assert any("come and go" in text for text in report.problems)
             assert now_us + S < due_us <= now_us + S + MAX_HOLD_DOWN_US
-            assert take(state, None, due_us - 1)[1] == ()
-            state, changes, _ = take(state, None, due_us)
+            assert apply_to(state, None, due_us - 1)[1] == ()
+            state, changes, _ = apply_to(state, None, due_us)
             assert [change.kind for change in changes] == [ChangeKind.JOIN]
             now_us = due_us
         now_us += 2 * S
     assert joins[:2] == [True, True]
     assert not any(joins[3:])
-    assert "s1" in take(take(state, listed(2), now_us)[0], listed(1, 2), now_us + 3600 * S)[0].members
+    assert "s1" in apply_to(apply_to(state, listed(2), now_us)[0], listed(1, 2), now_us + 3600 * S)[0].members
 
 
 def test_a_held_join_that_leaves_again_is_forgotten() -> None:
     state, now_us = begun(1, 2), 10 * S
     for _ in range(4):
-        state = take(state, listed(2), now_us)[0]
-        state = take(state, listed(1, 2), now_us)[0]
+        state = apply_to(state, listed(2), now_us)[0]
+        state = apply_to(state, listed(1, 2), now_us)[0]
     assert state.held_joins
-    state = take(state, listed(2), now_us)[0]
+    state = apply_to(state, listed(2), now_us)[0]
     assert not state.held_joins
     assert next_join_us(state) is None
 
@@ -320,5 +320,5 @@
 def test_a_state_is_never_changed_in_place(rows: list[ListedEndpoint]) -> None:
     state = begun(1, 2, 3)
     before = dict(state.members), state.layers, dict(state.removal_counts), dict(state.removed)
-    take(state, EndpointList("file", tuple(rows)))
+    apply_to(state, EndpointList("file", tuple(rows)))
     assert before == (dict(state.members), state.layers, dict(state.removal_counts), dict(state.removed))
