--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -44,7 +44,7 @@
     return apply_list(state, candidate, now_us, GUARDS, ListContext(**more))  # type: ignore[arg-type]
 
 
-def begun(*numbers: int) -> EndpointListState:
+def started_state(*numbers: int) -> EndpointListState:
     """These servers from the start on."""
     return replace(apply_to(EndpointListState(), listed(*numbers))[0], started=True)
 
@@ -54,7 +54,7 @@
 
 
 def test_a_list_is_one_step_of_joins_leaves_moves_and_changes() -> None:
-    state = begun(1, 2, 3, 4, 5)
+    state = started_state(1, 2, 3, 4, 5)
     moved = replace(entry(3), address=("10.0.0.9", 1))
     step = apply_to(
         state,
@@ -105,7 +105,7 @@
 def test_a_list_that_breaks_a_guard_changes_nothing_and_is_told_while_it_lasts(
     candidate: EndpointList, told: str
 ) -> None:
-    state = apply_to(begun(1, 2, 3, 4), listed(1, 2, 3, 4, version=7))[0]
+    state = apply_to(started_state(1, 2, 3, 4), listed(1, 2, 3, 4, version=7))[0]
     after, changes, report = apply_to(state, candidate)
     assert changes == ()
     assert after.members == state.members
@@ -118,7 +118,7 @@
 
 
 def test_guards_can_be_lifted() -> None:
-    state = apply_to(begun(1, 2, 3, 4), listed(1, 2, 3, 4, version=7))[0]
+    state = apply_to(started_state(1, 2, 3, 4), listed(1, 2, 3, 4, version=7))[0]
     for guards, candidate in (
         (Guards(allow_empty=True), listed(version=8)),
         (Guards(max_dropped_fraction=1.0), listed(9, version=8)),
@@ -131,7 +131,7 @@
 
 
 def test_an_operators_own_list_may_drop_what_it_will() -> None:
-    state = begun(1, 2, 3, 4)
+    state = started_state(1, 2, 3, 4)
     inline = EndpointList("file", (), by_operator=True)
     assert [kind for _, kind in kinds(apply_to(state, inline))] == ["leaves"] * 4
 
@@ -156,7 +156,7 @@
 
 
 def test_lists_of_sources_that_are_named_no_more_are_dropped() -> None:
-    state = apply_to(begun(1, 2), listed(3, 4, source="other"), order=("file", "other"))[0]
+    state = apply_to(started_state(1, 2), listed(3, 4, source="other"), order=("file", "other"))[0]
     state = apply_to(state, listed(3, source="other"), order=("other",))[0]
     assert set(state.members) == {"s3"}
 
@@ -167,7 +167,7 @@
 
 
 def test_a_server_that_comes_back_is_another_one_and_cold() -> None:
-    state = begun(1, 2)
+    state = started_state(1, 2)
     old = state.members["s1"]
     state = apply_to(state, listed(2))[0]
     state, changes, _ = apply_to(state, listed(1, 2), 11 * S)
@@ -183,12 +183,12 @@
 
 def test_a_server_that_another_pool_knows_is_no_newcomer() -> None:
     other_pools = {("s3", entry(3).address): 7}
-    state = apply_to(begun(1, 2), listed(1, 2, 3, 4), other_pools=other_pools)[0]
+    state = apply_to(started_state(1, 2), listed(1, 2, 3, 4), other_pools=other_pools)[0]
     assert (state.members["s3"].started_us, state.members["s4"].started_us) == (7, 10 * S)
 
 
 def test_flapping_delays_joins_and_never_a_leave() -> None:
-    state, now_us, joins = begun(1, 2), 10 * S, []
+    state, now_us, joins = started_state(1, 2), 10 * S, []
     for _ in range(8):
         state, changes, _ = apply_to(state, listed(2), now_us)
         assert "s1" not in state.members  # at once
@@ -209,7 +209,7 @@
 
 
 def test_a_held_join_that_leaves_again_is_forgotten() -> None:
-    state, now_us = begun(1, 2), 10 * S
+    state, now_us = started_state(1, 2), 10 * S
     for _ in range(4):
         state = apply_to(state, listed(2), now_us)[0]
         state = apply_to(state, listed(1, 2), now_us)[0]
@@ -318,7 +318,7 @@
 
 @given(st.lists(entries, max_size=12))
 def test_a_state_is_never_changed_in_place(rows: list[ListedEndpoint]) -> None:
-    state = begun(1, 2, 3)
+    state = started_state(1, 2, 3)
     before = dict(state.members), state.layers, dict(state.removal_counts), dict(state.removed)
     apply_to(state, EndpointList("file", tuple(rows)))
     assert before == (dict(state.members), state.layers, dict(state.removal_counts), dict(state.removed))
