--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -30,12 +30,12 @@
 S = 1_000_000
 
 
-def entry(number: int, **more: object) -> ListedEndpoint:
+def endpoint(number: int, **more: object) -> ListedEndpoint:
     return ListedEndpoint(f"s{number}", ("10.0.0.1", 1000 + number), **more)  # type: ignore[arg-type]
 
 
 def listed(*numbers: int, source: str = "file", version: int = 0) -> EndpointList:
-    return EndpointList(source, tuple(entry(number) for number in numbers), version)
+    return EndpointList(source, tuple(endpoint(number) for number in numbers), version)
 
 
 def apply_to(
@@ -55,11 +55,12 @@
 
 def test_a_list_is_one_step_of_joins_leaves_moves_and_changes() -> None:
     state = started_state(1, 2, 3, 4, 5)
-    moved = replace(entry(3), address=("10.0.0.9", 1))
+    moved = replace(endpoint(3), address=("10.0.0.9", 1))
     step = apply_to(
         state,
         EndpointList(
-            "file", (entry(1), replace(entry(2), weight=2.0), moved, entry(4, drain=True), entry(6))
+            "file",
+            (endpoint(1), replace(endpoint(2), weight=2.0), moved, endpoint(4, drain=True), endpoint(6)),
         ),
     )
     assert kinds(step) == [
@@ -89,16 +90,21 @@
         (listed(1), "it drops or moves 3 of 4 servers at once"),
         (listed(1, 2, 3, 3), 'two servers are called "s3"'),
         (
-            EndpointList("file", (*listed(1, 2, 3).endpoints, replace(entry(4), address=entry(1).address))),
+            EndpointList(
+                "file", (*listed(1, 2, 3).endpoints, replace(endpoint(4), address=endpoint(1).address))
+            ),
             "has the address of",
         ),
-        (EndpointList("file", (*listed(1, 2, 3).endpoints, entry(4, weight=0.0))), "has a weight of 0.0"),
+        (EndpointList("file", (*listed(1, 2, 3).endpoints, endpoint(4, weight=0.0))), "has a weight of 0.0"),
         (
-            EndpointList("file", (*listed(1, 2, 3).endpoints, entry(4, weight=math.nan))),
+            EndpointList("file", (*listed(1, 2, 3).endpoints, endpoint(4, weight=math.nan))),
             "has a weight of nan",
         ),
-        (EndpointList("file", (*listed(1, 2, 3).endpoints, entry(4, weight=1e9))), "at most 1000"),
-        (EndpointList("file", (*listed(1, 2, 3).endpoints, entry(4, zone="z"))), 'in the unknown zone "z"'),
+        (EndpointList("file", (*listed(1, 2, 3).endpoints, endpoint(4, weight=1e9))), "at most 1000"),
+        (
+            EndpointList("file", (*listed(1, 2, 3).endpoints, endpoint(4, zone="z"))),
+            'in the unknown zone "z"',
+        ),
         (listed(1, 2, 3, 4, version=6), "its version 6 goes backwards, from 7"),
     ],
 )
@@ -124,7 +130,10 @@
         (Guards(max_dropped_fraction=1.0), listed(9, version=8)),
         (Guards(min_checked_size=5), listed(9, version=8)),
         (Guards(allow_older_version=True), listed(1, 2, 3, 4, version=6)),
-        (Guards(max_weight=1e6), EndpointList("file", (*listed(1, 2, 3).endpoints, entry(4, weight=1e5)), 8)),
+        (
+            Guards(max_weight=1e6),
+            EndpointList("file", (*listed(1, 2, 3).endpoints, endpoint(4, weight=1e5)), 8),
+        ),
     ):
         assert apply_list(state, candidate, 0, guards)[0].rejected_lists == {}
         assert apply_list(state, candidate, 0, GUARDS)[0].rejected_lists
@@ -137,12 +146,14 @@
 
 
 def test_a_drain_from_any_source_wins_over_a_join_from_any_other() -> None:
-    base, over = listed(1, 2, source="base"), EndpointList("over", (entry(1, weight=5.0), entry(3)))
+    base, over = listed(1, 2, source="base"), EndpointList("over", (endpoint(1, weight=5.0), endpoint(3)))
     order = ("over", "base")
     state = apply_to(EndpointListState(), base, order=order)[0]
     state = apply_to(state, over, order=order)[0]
     assert state.members["s1"].listed.weight == 5.0  # the first source that lists it
-    state, changes, _ = apply_to(state, EndpointList("base", (entry(1, drain=True), entry(2))), order=order)
+    state, changes, _ = apply_to(
+        state, EndpointList("base", (endpoint(1, drain=True), endpoint(2))), order=order
+    )
     assert state.members["s1"].listed.drain
     assert [change.kind for change in changes] == [ChangeKind.DRAIN]
     state, changes, _ = apply_to(state, EndpointList("base", base.endpoints), order=order)
@@ -162,7 +173,7 @@
 
 
 def test_an_address_under_two_ids_is_one_server() -> None:
-    found = merge_lists([listed(1), EndpointList("b", (replace(entry(1), id="twin"),))], frozenset())
+    found = merge_lists([listed(1), EndpointList("b", (replace(endpoint(1), id="twin"),))], frozenset())
     assert set(found) == {"s1"}
 
 
@@ -175,14 +186,14 @@
     assert back.endpoint_id != old.endpoint_id
     assert back.started_us == 11 * S
     state = apply_to(state, listed(2), 12 * S)[0]
-    twin = EndpointList("file", (replace(entry(1), id="new"), entry(2)))
+    twin = EndpointList("file", (replace(endpoint(1), id="new"), endpoint(2)))
     state = apply_to(state, twin, 13 * S)[0]
     assert state.members["new"].endpoint_id not in (old.endpoint_id, back.endpoint_id)
     assert state.members["new"].started_us == 13 * S
 
 
 def test_a_server_that_another_pool_knows_is_no_newcomer() -> None:
-    other_pools = {("s3", entry(3).address): 7}
+    other_pools = {("s3", endpoint(3).address): 7}
     state = apply_to(started_state(1, 2), listed(1, 2, 3, 4), other_pools=other_pools)[0]
     assert (state.members["s3"].started_us, state.members["s4"].started_us) == (7, 10 * S)
 
