--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -49,7 +49,7 @@
     return replace(apply_to(EndpointListState(), listed(*numbers))[0], started=True)
 
 
-def kinds(step: ListStep) -> list[tuple[str, str]]:
+def change_kinds(step: ListStep) -> list[tuple[str, str]]:
     return [(change.member.listed.id, change.kind.value) for change in step[1]]
 
 
@@ -63,7 +63,7 @@
             (endpoint(1), replace(endpoint(2), weight=2.0), moved, endpoint(4, drain=True), endpoint(6)),
         ),
     )
-    assert kinds(step) == [
+    assert change_kinds(step) == [
         ("s3", "leaves"),
         ("s5", "leaves"),
         ("s2", "changes"),
@@ -142,7 +142,7 @@
 def test_an_operators_own_list_may_drop_what_it_will() -> None:
     state = started_state(1, 2, 3, 4)
     inline = EndpointList("file", (), by_operator=True)
-    assert [kind for _, kind in kinds(apply_to(state, inline))] == ["leaves"] * 4
+    assert [kind for _, kind in change_kinds(apply_to(state, inline))] == ["leaves"] * 4
 
 
 def test_a_drain_from_any_source_wins_over_a_join_from_any_other() -> None:
