--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -27,7 +27,7 @@
 from plovertrail.decisions.flap_damping import MAX_HOLD_DOWN_US
 
 GUARDS = Guards(zones=frozenset(("", "a", "b")))
-S = 1_000_000
+SECOND = 1_000_000
 
 
 def endpoint(number: int, **more: object) -> ListedEndpoint:
@@ -39,7 +39,7 @@
 
 
 def apply_to(
-    state: EndpointListState, candidate: EndpointList | None, now_us: int = 10 * S, **more: object
+    state: EndpointListState, candidate: EndpointList | None, now_us: int = 10 * SECOND, **more: object
 ) -> ListStep:
     return apply_list(state, candidate, now_us, GUARDS, ListContext(**more))  # type: ignore[arg-type]
 
@@ -75,7 +75,9 @@
     assert after.generation == state.generation + 1
     assert after.members["s1"] is state.members["s1"]
     assert after.members["s1"].started_us == 0
-    assert after.members["s3"].started_us == after.members["s6"].started_us == 10 * S  # cold from then on
+    assert (
+        after.members["s3"].started_us == after.members["s6"].started_us == 10 * SECOND
+    )  # cold from then on
     numbers = [member.endpoint_id for member in after.members.values()]
     assert len(set(numbers)) == 5
     assert after.members["s3"].endpoint_id not in {m.endpoint_id for m in state.members.values()}
@@ -181,46 +183,49 @@
     state = started_state(1, 2)
     old = state.members["s1"]
     state = apply_to(state, listed(2))[0]
-    state, changes, _ = apply_to(state, listed(1, 2), 11 * S)
+    state, changes, _ = apply_to(state, listed(1, 2), 11 * SECOND)
     back = state.members["s1"]
     assert back.endpoint_id != old.endpoint_id
-    assert back.started_us == 11 * S
-    state = apply_to(state, listed(2), 12 * S)[0]
+    assert back.started_us == 11 * SECOND
+    state = apply_to(state, listed(2), 12 * SECOND)[0]
     twin = EndpointList("file", (replace(endpoint(1), id="new"), endpoint(2)))
-    state = apply_to(state, twin, 13 * S)[0]
+    state = apply_to(state, twin, 13 * SECOND)[0]
     assert state.members["new"].endpoint_id not in (old.endpoint_id, back.endpoint_id)
-    assert state.members["new"].started_us == 13 * S
+    assert state.members["new"].started_us == 13 * SECOND
 
 
 def test_a_server_that_another_pool_knows_is_no_newcomer() -> None:
     other_pools = {("s3", endpoint(3).address): 7}
     state = apply_to(started_state(1, 2), listed(1, 2, 3, 4), other_pools=other_pools)[0]
-    assert (state.members["s3"].started_us, state.members["s4"].started_us) == (7, 10 * S)
+    assert (state.members["s3"].started_us, state.members["s4"].started_us) == (7, 10 * SECOND)
 
 
 def test_flapping_delays_joins_and_never_a_leave() -> None:
-    state, now_us, joins = started_state(1, 2), 10 * S, []
+    state, now_us, joins = started_state(1, 2), 10 * SECOND, []
     for _ in range(8):
         state, changes, _ = apply_to(state, listed(2), now_us)
         assert "s1" not in state.members  # at once
-        state, changes, report = apply_to(state, listed(1, 2), now_us + S)
+        state, changes, report = apply_to(state, listed(1, 2), now_us + SECOND)
         joins.append("s1" in state.members)
         due_us = next_join_us(state)
         if due_us is not None:
             assert any("come and go" in text for text in report.problems)
-            assert now_us + S < due_us <= now_us + S + MAX_HOLD_DOWN_US
+            assert now_us + SECOND < due_us <= now_us + SECOND + MAX_HOLD_DOWN_US
             assert apply_to(state, None, due_us - 1)[1] == ()
             state, changes, _ = apply_to(state, None, due_us)
             assert [change.kind for change in changes] == [ChangeKind.JOIN]
             now_us = due_us
-        now_us += 2 * S
+        now_us += 2 * SECOND
     assert joins[:2] == [True, True]
     assert not any(joins[3:])
-    assert "s1" in apply_to(apply_to(state, listed(2), now_us)[0], listed(1, 2), now_us + 3600 * S)[0].members
+    assert (
+        "s1"
+        in apply_to(apply_to(state, listed(2), now_us)[0], listed(1, 2), now_us + 3600 * SECOND)[0].members
+    )
 
 
 def test_a_held_join_that_leaves_again_is_forgotten() -> None:
-    state, now_us = started_state(1, 2), 10 * S
+    state, now_us = started_state(1, 2), 10 * SECOND
     for _ in range(4):
         state = apply_to(state, listed(2), now_us)[0]
         state = apply_to(state, listed(1, 2), now_us)[0]
@@ -236,8 +241,8 @@
     for lot in range(4):
         numbers = range(lot * 4000, lot * 4000 + 4000)
         entries = tuple(ListedEndpoint(f"s{n}", (f"10.0.{n >> 8}.{n & 255}", 80)) for n in numbers)
-        state = apply_list(state, EndpointList("file", entries), lot * 300 * S, guards)[0]
-        state = apply_list(state, EndpointList("file", ()), lot * 300 * S, guards)[0]
+        state = apply_list(state, EndpointList("file", entries), lot * 300 * SECOND, guards)[0]
+        state = apply_list(state, EndpointList("file", ()), lot * 300 * SECOND, guards)[0]
     assert len(state.removal_counts) <= MAX_REMOVAL_COUNTS
     assert len(state.removed) <= 4000
 
@@ -258,7 +263,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.state = replace(EndpointListState(), started=True)
-        self.now_us = S
+        self.now_us = SECOND
         self.good: dict[str, EndpointList] = {}
         self.hand: set[str] = set()
         self.used: set[int] = set()
@@ -295,7 +300,7 @@
         (self.hand.add if drain else self.hand.discard)(f"s{ident}")
         self.follow(set_drained_by_operator(self.state, f"s{ident}", drain, self.now_us, GUARDS))
 
-    @rule(by_us=st.integers(1, 90 * S))
+    @rule(by_us=st.integers(1, 90 * SECOND))
     def time_passes(self, by_us: int) -> None:
         self.now_us += by_us
         self.follow(apply_list(self.state, None, self.now_us, GUARDS, ListContext(("a", "b"))))
