--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -240,14 +240,14 @@
     guards = Guards(allow_empty=True, max_dropped_fraction=1.0)
     for lot in range(4):
         numbers = range(lot * 4000, lot * 4000 + 4000)
-        entries = tuple(ListedEndpoint(f"s{n}", (f"10.0.{n >> 8}.{n & 255}", 80)) for n in numbers)
-        state = apply_list(state, EndpointList("file", entries), lot * 300 * SECOND, guards)[0]
+        endpoints = tuple(ListedEndpoint(f"s{n}", (f"10.0.{n >> 8}.{n & 255}", 80)) for n in numbers)
+        state = apply_list(state, EndpointList("file", endpoints), lot * 300 * SECOND, guards)[0]
         state = apply_list(state, EndpointList("file", ()), lot * 300 * SECOND, guards)[0]
     assert len(state.removal_counts) <= MAX_REMOVAL_COUNTS
     assert len(state.removed) <= 4000
 
 
-entries = st.builds(
+endpoints = st.builds(
     lambda n, port, zone, weight, drain: ListedEndpoint(f"s{n}", ("10.0.0.1", port), zone, "", weight, drain),
     st.integers(0, 7),
     st.integers(1, 9),
@@ -284,7 +284,7 @@
                 self.ready[number] = change.member.listed
         assert bool(changes) == (self.state.generation > before.generation)
 
-    @rule(source=st.sampled_from(["a", "b"]), rows=st.lists(entries, max_size=6), version=st.integers(0, 3))
+    @rule(source=st.sampled_from(["a", "b"]), rows=st.lists(endpoints, max_size=6), version=st.integers(0, 3))
     def a_list(self, source: str, rows: list[ListedEndpoint], version: int) -> None:
         candidate = EndpointList(source, tuple(rows), version)
         step = apply_list(self.state, candidate, self.now_us, GUARDS, ListContext(("a", "b")))
@@ -332,7 +332,7 @@
 TestLists.settings = settings(max_examples=150, stateful_step_count=30, deadline=None, derandomize=True)
 
 
-@given(st.lists(entries, max_size=12))
+@given(st.lists(endpoints, max_size=12))
 def test_a_state_is_never_changed_in_place(rows: list[ListedEndpoint]) -> None:
     state = started_state(1, 2, 3)
     before = dict(state.members), state.layers, dict(state.removal_counts), dict(state.removed)
