--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Lists of servers as transactions: in full or not at all, guards, drains that win, damping, a model."""
+"""Endpoint lists: atomic steps, validation, precedence of drains, flap damping, and a model-based test."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def started_state(*numbers: int) -> EndpointListState:
-    """These servers from the start on."""
+    """Return the state after a start with these endpoints."""
     return replace(apply_to(EndpointListState(), listed(*numbers))[0], started=True)
 
 
@@ -53,7 +53,7 @@
     return [(change.member.listed.id, change.kind.value) for change in step[1]]
 
 
-def test_a_list_is_one_step_of_joins_leaves_moves_and_changes() -> None:
+def test_a_list_is_applied_in_one_step() -> None:
     state = started_state(1, 2, 3, 4, 5)
     moved = replace(endpoint(3), address=("10.0.0.9", 1))
     step = apply_to(
@@ -75,9 +75,7 @@
     assert after.generation == state.generation + 1
     assert after.members["s1"] is state.members["s1"]
     assert after.members["s1"].started_us == 0
-    assert (
-        after.members["s3"].started_us == after.members["s6"].started_us == 10 * SECOND
-    )  # cold from then on
+    assert after.members["s3"].started_us == after.members["s6"].started_us == 10 * SECOND  # both warm up
     numbers = [member.endpoint_id for member in after.members.values()]
     assert len(set(numbers)) == 5
     assert after.members["s3"].endpoint_id not in {m.endpoint_id for m in state.members.values()}
@@ -86,7 +84,7 @@
 
 
 @pytest.mark.parametrize(
-    ("candidate", "told"),
+    ("candidate", "message"),
     [
         (EndpointList("file", ()), "the list is empty"),
         (listed(1), "it drops or moves 3 of 4 servers at once"),
@@ -110,22 +108,22 @@
         (listed(1, 2, 3, 4, version=6), "its version 6 goes backwards, from 7"),
     ],
 )
-def test_a_list_that_breaks_a_guard_changes_nothing_and_is_told_while_it_lasts(
-    candidate: EndpointList, told: str
+def test_a_rejected_list_changes_nothing_and_is_reported_until_a_valid_one_follows(
+    candidate: EndpointList, message: str
 ) -> None:
     state = apply_to(started_state(1, 2, 3, 4), listed(1, 2, 3, 4, version=7))[0]
     after, changes, report = apply_to(state, candidate)
     assert changes == ()
     assert after.members == state.members
     assert after.layers == state.layers
-    assert any(told in text for text in report.problems)
-    after, _, report = apply_to(after, listed(5, 6, source="other"))  # another source still works
-    assert any(told in text for text in report.problems)
+    assert any(message in text for text in report.problems)
+    after, _, report = apply_to(after, listed(5, 6, source="other"))  # other sources are unaffected
+    assert any(message in text for text in report.problems)
     assert len(after.members) == 6
-    assert apply_to(after, listed(1, 2, 3, 4, version=7))[2].problems == ()  # and a good list ends it
+    assert apply_to(after, listed(1, 2, 3, 4, version=7))[2].problems == ()  # a valid list clears the problem
 
 
-def test_guards_can_be_lifted() -> None:
+def test_guards_can_be_relaxed() -> None:
     state = apply_to(started_state(1, 2, 3, 4), listed(1, 2, 3, 4, version=7))[0]
     for guards, candidate in (
         (Guards(allow_empty=True), listed(version=8)),
@@ -141,18 +139,18 @@
         assert apply_list(state, candidate, 0, GUARDS)[0].rejected_lists
 
 
-def test_an_operators_own_list_may_drop_what_it_will() -> None:
+def test_an_operators_list_may_remove_all_endpoints() -> None:
     state = started_state(1, 2, 3, 4)
     inline = EndpointList("file", (), by_operator=True)
     assert [kind for _, kind in change_kinds(apply_to(state, inline))] == ["leaves"] * 4
 
 
-def test_a_drain_from_any_source_wins_over_a_join_from_any_other() -> None:
+def test_an_endpoint_drains_if_any_source_or_the_operator_drains_it() -> None:
     base, over = listed(1, 2, source="base"), EndpointList("over", (endpoint(1, weight=5.0), endpoint(3)))
     order = ("over", "base")
     state = apply_to(EndpointListState(), base, order=order)[0]
     state = apply_to(state, over, order=order)[0]
-    assert state.members["s1"].listed.weight == 5.0  # the first source that lists it
+    assert state.members["s1"].listed.weight == 5.0  # the first source in the order defines it
     state, changes, _ = apply_to(
         state, EndpointList("base", (endpoint(1, drain=True), endpoint(2))), order=order
     )
@@ -168,18 +166,18 @@
     assert not set_drained_by_operator(state, "s2", False, 0, GUARDS)[0].members["s2"].listed.drain
 
 
-def test_lists_of_sources_that_are_named_no_more_are_dropped() -> None:
+def test_lists_of_sources_outside_the_order_are_dropped() -> None:
     state = apply_to(started_state(1, 2), listed(3, 4, source="other"), order=("file", "other"))[0]
     state = apply_to(state, listed(3, source="other"), order=("other",))[0]
     assert set(state.members) == {"s3"}
 
 
-def test_an_address_under_two_ids_is_one_server() -> None:
-    found = merge_lists([listed(1), EndpointList("b", (replace(endpoint(1), id="twin"),))], frozenset())
+def test_an_address_under_two_ids_belongs_to_the_first_source() -> None:
+    found = merge_lists([listed(1), EndpointList("b", (replace(endpoint(1), id="other"),))], frozenset())
     assert set(found) == {"s1"}
 
 
-def test_a_server_that_comes_back_is_another_one_and_cold() -> None:
+def test_an_endpoint_that_returns_gets_a_new_id_and_warms_up() -> None:
     state = started_state(1, 2)
     old = state.members["s1"]
     state = apply_to(state, listed(2))[0]
@@ -188,23 +186,23 @@
     assert back.endpoint_id != old.endpoint_id
     assert back.started_us == 11 * SECOND
     state = apply_to(state, listed(2), 12 * SECOND)[0]
-    twin = EndpointList("file", (replace(endpoint(1), id="new"), endpoint(2)))
-    state = apply_to(state, twin, 13 * SECOND)[0]
+    replacement = EndpointList("file", (replace(endpoint(1), id="new"), endpoint(2)))
+    state = apply_to(state, replacement, 13 * SECOND)[0]
     assert state.members["new"].endpoint_id not in (old.endpoint_id, back.endpoint_id)
     assert state.members["new"].started_us == 13 * SECOND
 
 
-def test_a_server_that_another_pool_knows_is_no_newcomer() -> None:
+def test_an_endpoint_known_from_another_pool_keeps_its_start_time() -> None:
     other_pools = {("s3", endpoint(3).address): 7}
     state = apply_to(started_state(1, 2), listed(1, 2, 3, 4), other_pools=other_pools)[0]
     assert (state.members["s3"].started_us, state.members["s4"].started_us) == (7, 10 * SECOND)
 
 
-def test_flapping_delays_joins_and_never_a_leave() -> None:
+def test_flapping_delays_joins_but_never_a_leave() -> None:
     state, now_us, joins = started_state(1, 2), 10 * SECOND, []
     for _ in range(8):
         state, changes, _ = apply_to(state, listed(2), now_us)
-        assert "s1" not in state.members  # at once
+        assert "s1" not in state.members  # removed without delay
         state, changes, report = apply_to(state, listed(1, 2), now_us + SECOND)
         joins.append("s1" in state.members)
         due_us = next_join_us(state)
@@ -224,7 +222,7 @@
     )
 
 
-def test_a_held_join_that_leaves_again_is_forgotten() -> None:
+def test_a_delayed_join_is_cancelled_when_the_endpoint_leaves_again() -> None:
     state, now_us = started_state(1, 2), 10 * SECOND
     for _ in range(4):
         state = apply_to(state, listed(2), now_us)[0]
@@ -235,14 +233,14 @@
     assert next_join_us(state) is None
 
 
-def test_what_is_remembered_of_servers_that_have_gone_is_bounded() -> None:
+def test_records_of_removed_endpoints_are_bounded() -> None:
     state = replace(EndpointListState(), started=True)
     guards = Guards(allow_empty=True, max_dropped_fraction=1.0)
-    for lot in range(4):
-        numbers = range(lot * 4000, lot * 4000 + 4000)
+    for batch in range(4):
+        numbers = range(batch * 4000, batch * 4000 + 4000)
         endpoints = tuple(ListedEndpoint(f"s{n}", (f"10.0.{n >> 8}.{n & 255}", 80)) for n in numbers)
-        state = apply_list(state, EndpointList("file", endpoints), lot * 300 * SECOND, guards)[0]
-        state = apply_list(state, EndpointList("file", ()), lot * 300 * SECOND, guards)[0]
+        state = apply_list(state, EndpointList("file", endpoints), batch * 300 * SECOND, guards)[0]
+        state = apply_list(state, EndpointList("file", ()), batch * 300 * SECOND, guards)[0]
     assert len(state.removal_counts) <= MAX_REMOVAL_COUNTS
     assert len(state.removed) <= 4000
 
@@ -257,20 +255,20 @@
 )
 
 
-class Lists(RuleBasedStateMachine):
-    """Random lists of two sources, hand drains and time, against a model that keeps whole lists only."""
+class EndpointListMachine(RuleBasedStateMachine):
+    """Random lists of two sources, operator drains and time, checked against a model of accepted lists."""
 
     def __init__(self) -> None:
         super().__init__()
         self.state = replace(EndpointListState(), started=True)
         self.now_us = SECOND
-        self.good: dict[str, EndpointList] = {}
-        self.hand: set[str] = set()
+        self.accepted_lists: dict[str, EndpointList] = {}
+        self.drained_by_operator: set[str] = set()
         self.used: set[int] = set()
-        self.ready: dict[int, ListedEndpoint] = {}  # as whoever follows the changes sees it
+        self.followed: dict[int, ListedEndpoint] = {}  # the members, rebuilt from the changes
 
     def follow(self, step: ListStep) -> None:
-        before = self.state
+        previous = self.state
         self.state, changes, _ = step
         for change in changes:
             number = change.member.endpoint_id
@@ -279,10 +277,10 @@
                 assert change.member.started_us == self.now_us
                 self.used.add(number)
             if change.kind is ChangeKind.LEAVE:
-                del self.ready[number]
+                del self.followed[number]
             else:
-                self.ready[number] = change.member.listed
-        assert bool(changes) == (self.state.generation > before.generation)
+                self.followed[number] = change.member.listed
+        assert bool(changes) == (self.state.generation > previous.generation)
 
     @rule(source=st.sampled_from(["a", "b"]), rows=st.lists(endpoints, max_size=6), version=st.integers(0, 3))
     def a_list(self, source: str, rows: list[ListedEndpoint], version: int) -> None:
@@ -292,13 +290,13 @@
             assert step[1] == ()
             assert step[0].members == self.state.members
         else:
-            self.good[source] = candidate
+            self.accepted_lists[source] = candidate
         self.follow(step)
 
-    @rule(ident=st.integers(0, 7), drain=st.booleans())
-    def by_hand(self, ident: int, drain: bool) -> None:
-        (self.hand.add if drain else self.hand.discard)(f"s{ident}")
-        self.follow(set_drained_by_operator(self.state, f"s{ident}", drain, self.now_us, GUARDS))
+    @rule(number=st.integers(0, 7), drain=st.booleans())
+    def operator_drain(self, number: int, drain: bool) -> None:
+        (self.drained_by_operator.add if drain else self.drained_by_operator.discard)(f"s{number}")
+        self.follow(set_drained_by_operator(self.state, f"s{number}", drain, self.now_us, GUARDS))
 
     @rule(by_us=st.integers(1, 90 * SECOND))
     def time_passes(self, by_us: int) -> None:
@@ -306,35 +304,38 @@
         self.follow(apply_list(self.state, None, self.now_us, GUARDS, ListContext(("a", "b"))))
 
     @invariant()
-    def the_members_are_what_whole_good_lists_say(self) -> None:
+    def members_match_the_merged_accepted_lists(self) -> None:
         wanted = merge_lists(
-            [self.good[name] for name in ("a", "b") if name in self.good], frozenset(self.hand)
+            [self.accepted_lists[name] for name in ("a", "b") if name in self.accepted_lists],
+            frozenset(self.drained_by_operator),
         )
         assert set(self.state.members) | set(self.state.held_joins) == set(wanted)
         assert not set(self.state.members) & set(self.state.held_joins)
-        for ident, member in self.state.members.items():
-            assert member.listed == wanted[ident]
+        for listed_id, member in self.state.members.items():
+            assert member.listed == wanted[listed_id]
             assert 0 < member.listed.weight < math.inf
             assert member.listed.zone in GUARDS.zones
-        assert {member.endpoint_id: member.listed for member in self.state.members.values()} == self.ready
+        assert {member.endpoint_id: member.listed for member in self.state.members.values()} == self.followed
         addresses = [member.listed.address for member in self.state.members.values()]
         assert len(addresses) == len(set(addresses))
 
     @invariant()
-    def whoever_drains_drains(self) -> None:
-        draining = self.hand | {
-            row.id for layer in self.good.values() for row in layer.endpoints if row.drain
+    def no_drain_is_lost(self) -> None:
+        draining = self.drained_by_operator | {
+            row.id for layer in self.accepted_lists.values() for row in layer.endpoints if row.drain
         }
-        assert all(self.state.members[ident].listed.drain for ident in draining & set(self.state.members))
+        assert all(self.state.members[each].listed.drain for each in draining & set(self.state.members))
 
 
-TestLists = Lists.TestCase
-TestLists.settings = settings(max_examples=150, stateful_step_count=30, deadline=None, derandomize=True)
+TestEndpointLists = EndpointListMachine.TestCase
+TestEndpointLists.settings = settings(
+    max_examples=150, stateful_step_count=30, deadline=None, derandomize=True
+)
 
 
 @given(st.lists(endpoints, max_size=12))
 def test_a_state_is_never_changed_in_place(rows: list[ListedEndpoint]) -> None:
     state = started_state(1, 2, 3)
-    before = dict(state.members), state.layers, dict(state.removal_counts), dict(state.removed)
+    previous = dict(state.members), state.layers, dict(state.removal_counts), dict(state.removed)
     apply_to(state, EndpointList("file", tuple(rows)))
-    assert before == (dict(state.members), state.layers, dict(state.removal_counts), dict(state.removed))
+    assert previous == (dict(state.members), state.layers, dict(state.removal_counts), dict(state.removed))
