--- a/plovertrail/decisions/list_versions.py
+++ b/plovertrail/decisions/list_versions.py
@@ -80,18 +80,18 @@
         self, version: int, digest: str, endpoint_count: int, changed: bool, now_us: int
     ) -> bool:
         """Note good content; returns whether subscribers have to be told."""
-        is_news = changed or self.state is not ReadState.GOOD or self.digest != digest
+        must_notify = changed or self.state is not ReadState.GOOD or self.digest != digest
         self.version = version
         self.digest = digest
         self.endpoint_count = endpoint_count
         self.rejection = ""
-        return self._read_ended(ReadState.GOOD, is_news, now_us)
+        return self._read_ended(ReadState.GOOD, must_notify, now_us)
 
     def list_rejected(self, problem: str, now_us: int) -> bool:
         """Note content that can't be used; returns whether subscribers have to be told."""
-        is_news = self.state is not ReadState.REFUSED or self.rejection != problem
+        must_notify = self.state is not ReadState.REFUSED or self.rejection != problem
         self.rejection = problem
-        return self._read_ended(ReadState.REFUSED, is_news, now_us)
+        return self._read_ended(ReadState.REFUSED, must_notify, now_us)
 
     def not_settled(self, now_us: int) -> None:
         """Note that it still changes: what was told last stays, unless that was a hang or nothing."""
@@ -103,22 +103,22 @@
     def read_hangs(self, tried: bool, now_us: int) -> bool:
         """Note that a read hangs, or can't begin; returns whether subscribers have to be told."""
         state = ReadState.HUNG if tried else ReadState.UNTRIED
-        is_news = self.state is not state
+        must_notify = self.state is not state
         self.state = state
         if self.hung_since_us is None:
             self.hung_since_us = now_us
-        self._count_news(is_news, now_us)
-        return is_news
+        self._count_news(must_notify, now_us)
+        return must_notify
 
-    def _read_ended(self, state: ReadState, is_news: bool, now_us: int) -> bool:
+    def _read_ended(self, state: ReadState, must_notify: bool, now_us: int) -> bool:
         self.state = state
         self.read_us = now_us
         self.hung_since_us = None
-        self._count_news(is_news, now_us)
-        return is_news
+        self._count_news(must_notify, now_us)
+        return must_notify
 
-    def _count_news(self, is_news: bool, now_us: int) -> None:
-        if is_news:
+    def _count_news(self, must_notify: bool, now_us: int) -> None:
+        if must_notify:
             self.generation += 1
             self.changed_us = now_us
 
