--- a/plovertrail/decisions/list_versions.py
+++ b/plovertrail/decisions/list_versions.py
@@ -107,17 +107,17 @@
         self.state = state
         if self.hung_since_us is None:
             self.hung_since_us = now_us
-        self._count_news(must_notify, now_us)
+        self._count_change(must_notify, now_us)
         return must_notify
 
     def _read_ended(self, state: ReadState, must_notify: bool, now_us: int) -> bool:
         self.state = state
         self.read_us = now_us
         self.hung_since_us = None
-        self._count_news(must_notify, now_us)
+        self._count_change(must_notify, now_us)
         return must_notify
 
-    def _count_news(self, must_notify: bool, now_us: int) -> None:
+    def _count_change(self, must_notify: bool, now_us: int) -> None:
         if must_notify:
             self.generation += 1
             self.changed_us = now_us
