--- a/plovertrail/sources/quick_looks.py
+++ b/plovertrail/sources/quick_looks.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable, Collection
 
-from plovertrail.decisions.list_versions import QUICK_LOOK_US, SourceKey
+from plovertrail.decisions.list_versions import RECHECK_INTERVAL_US, SourceKey
 from plovertrail.sources.subscriptions import Followed
 
 
@@ -42,7 +42,7 @@
 
     def _arm(self) -> None:
         if self.sources and self.timer is None and not self.closed:
-            self.timer = self.loop.call_later(QUICK_LOOK_US / 1e6, self._look)
+            self.timer = self.loop.call_later(RECHECK_INTERVAL_US / 1e6, self._look)
 
     def close(self) -> None:
         """Read nothing more."""
