--- a/plovertrail/decisions/list_versions.py
+++ b/plovertrail/decisions/list_versions.py
@@ -13,7 +13,7 @@
 
 SCAN_PERIOD_US = 1_000_000  # between two safety scans, as long as they are cheap
 SCAN_CPU_FRACTION = 0.01  # of one core, for the safety scans
-LATEST_DRAIN_US = 2_000_000  # in which a drain in a file must be seen without any notification
+MAX_DRAIN_DETECTION_US = 2_000_000  # in which a drain in a file must be seen without any notification
 RECHECK_INTERVAL_US = 200_000  # between two reads of a file that was changed a moment ago, or has not settled
 
 
@@ -145,7 +145,7 @@
     @property
     def too_slow(self) -> bool:
         """Whether a drain may be seen too late where notifications fail."""
-        return self.detection_us + RECHECK_INTERVAL_US > LATEST_DRAIN_US
+        return self.detection_us + RECHECK_INTERVAL_US > MAX_DRAIN_DETECTION_US
 
 
 @dataclass(slots=True)
--- a/tests/decisions/test_list_versions.py
+++ b/tests/decisions/test_list_versions.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from plovertrail.decisions.list_versions import (
-    LATEST_DRAIN_US,
+    MAX_DRAIN_DETECTION_US,
     SCAN_PERIOD_US,
     InForce,
     ReadState,
@@ -70,7 +70,7 @@
     schedule.scan_ended(100_000, 120_000)  # 10,000 files
     assert schedule.period_us == 10_000_000
     assert schedule.too_slow
-    assert schedule.detection_us == 10_120_000 > LATEST_DRAIN_US
+    assert schedule.detection_us == 10_120_000 > MAX_DRAIN_DETECTION_US
     schedule.scan_ended(2_000, 1_500_000)  # a disk that is slow costs no core, and is late all the same
     assert schedule.period_us == SCAN_PERIOD_US
     assert schedule.too_slow
