--- a/tests/decisions/test_list_versions.py
+++ b/tests/decisions/test_list_versions.py
@@ -1,4 +1,4 @@
-"""What is known of each file: when subscribers are told, how often files are looked at, what is in force."""
+"""Versions of sources: when subscribers are notified, how often files are scanned, the digest in force."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 )
 
 
-def test_subscribers_are_told_of_what_is_new_and_of_nothing_else() -> None:
+def test_subscribers_are_notified_of_changes_only() -> None:
     version = SourceVersion(SourceKey("/a"))
     assert version.list_accepted(1, "d1", 9, True, 10)
     assert version.generation == 1
@@ -28,11 +28,11 @@
     assert version.list_rejected("empty", 50)
     assert version.generation == 3
     assert version.digest == "d1"
-    assert version.list_accepted(1, "d1", 9, False, 60)  # good again, though the same as before
+    assert version.list_accepted(1, "d1", 9, False, 60)  # accepted again, with the same content
     assert (version.generation, version.problem) == (4, "")
 
 
-def test_a_hang_is_told_once_and_its_end_as_well() -> None:
+def test_a_hang_and_its_end_are_each_reported_once() -> None:
     version = SourceVersion(SourceKey("/a"))
     version.list_accepted(0, "d", 1, True, 10)
     assert version.read_hangs(False, 20)
@@ -50,7 +50,7 @@
     assert version.generation == 4
 
 
-def test_what_does_not_settle_keeps_what_was_told_last() -> None:
+def test_content_that_does_not_settle_keeps_the_last_reported_state() -> None:
     version = SourceVersion(SourceKey("/a"))
     version.not_settled(5)
     assert (version.state, version.generation) == (ReadState.UNSETTLED, 0)
@@ -59,7 +59,7 @@
     assert (version.state, version.generation) == (ReadState.GOOD, 1)
 
 
-def test_scans_that_cost_more_than_their_share_of_a_core_come_less_often_and_that_is_loud() -> None:
+def test_scans_over_their_cpu_budget_run_less_often_and_count_as_too_slow() -> None:
     schedule = ScanSchedule()
     schedule.scan_ended(2_000, 4_000)  # 200 files
     assert schedule.period_us == SCAN_PERIOD_US
@@ -71,14 +71,14 @@
     assert schedule.period_us == 10_000_000
     assert schedule.too_slow
     assert schedule.detection_us == 10_120_000 > MAX_DRAIN_DETECTION_US
-    schedule.scan_ended(2_000, 1_500_000)  # a disk that is slow costs no core, and is late all the same
+    schedule.scan_ended(2_000, 1_500_000)  # a slow disk: little CPU time, but a late detection
     assert schedule.period_us == SCAN_PERIOD_US
     assert schedule.too_slow
     schedule.scan_ended(2_000, 4_000)
     assert not schedule.too_slow
 
 
-def test_the_digest_of_all_in_force_is_the_same_in_any_order_and_tells_each_part() -> None:
+def test_the_digest_in_force_is_independent_of_order_and_covers_each_part() -> None:
     one, other = InForce(), InForce()
     parts = [("p", SourceKey("/a"), "1"), ("q", SourceKey("/a"), "1"), ("p", SourceKey("/b"), "2")]
     for part in parts:
@@ -93,7 +93,7 @@
     one.use_configuration("s")
     assert one.generation == 4  # nothing has changed
     digests = {one.digest()}
-    one.accept("q", SourceKey("/a"), "3")  # one pool has taken what the other refuses
+    one.accept("q", SourceKey("/a"), "3")  # one pool has accepted what the other rejects
     digests.add(one.digest())
     one.use_configuration("t")
     digests.add(one.digest())
