--- a/plovertrail/decisions/fair_queue.py
+++ b/plovertrail/decisions/fair_queue.py
@@ -226,7 +226,7 @@
         return victim
 
     def _evict(self, tenant: TenantQueue) -> Rejected:
-        queued = tenant.cheapest_waiting()
+        queued = tenant.eviction_candidate()
         self._dequeue(queued.request_id)
         return self._reject(queued.request_id, tenant, queued.client)
 
--- a/plovertrail/decisions/fair_queue_tenants.py
+++ b/plovertrail/decisions/fair_queue_tenants.py
@@ -139,7 +139,7 @@
         """Return the work that waits, and that of further requests, divided by the weight."""
         return (self.waiting + extra_requests) * self.mean_work_us / max(self.weight, MIN_WEIGHT)
 
-    def cheapest_waiting(self) -> QueuedRequest:
+    def eviction_candidate(self) -> QueuedRequest:
         """Return the request to evict first: the last of those with the least priority weight."""
         entries = [entry for queue in self.backlogged.values() for entry in queue.heap if entry[2].waiting]
         return max(entries, key=lambda entry: (not entry[2].reserved, entry[:2]))[2]
