--- a/plovertrail/decisions/fair_queue.py
+++ b/plovertrail/decisions/fair_queue.py
@@ -195,9 +195,9 @@
             return 0
         total_weight = sum(each.weight for each in self.active.values() if each is not tenant) + tenant.weight
         pool_rate = max(1, len(self.in_flight)) / tenant.mean_work_us
-        rate_of_part = pool_rate * (tenant.weight / total_weight if total_weight > 0.0 else 1.0)
+        fair_rate = pool_rate * (tenant.weight / total_weight if total_weight > 0.0 else 1.0)
         # slots that other tenants leave unused show in the recent rate
-        rate = min(max(tenant.rate_at(self.now_us), rate_of_part), pool_rate)
+        rate = min(max(tenant.rate_at(self.now_us), fair_rate), pool_rate)
         return int(min(requests / rate, MAX_WAIT_ESTIMATE_US)) if rate > 0.0 else MAX_WAIT_ESTIMATE_US
 
     # Steps
