--- a/plovertrail/decisions/fair_queue.py
+++ b/plovertrail/decisions/fair_queue.py
@@ -308,16 +308,16 @@
         # no slot is left within the longest Retry-After: spread over its end
         return Rejected(request_id, int(longest_us * (1.0 - RETRY_JITTER * self.rng())))
 
-    def _merge_into_unlisted(self, removed: TenantQueue) -> None:
+    def _merge_into_unlisted(self, removed_tenant: TenantQueue) -> None:
         """Move the requests of a tenant that is no longer listed to the unlisted tenants."""
         unlisted = self.tenants[UNLISTED]
-        self.backlogged.pop(removed.name, None)
-        self.active.pop(removed.name, None)
+        self.backlogged.pop(removed_tenant.name, None)
+        self.active.pop(removed_tenant.name, None)
         for request_id, (queue, charged_us) in self.in_flight.items():
-            if queue.tenant is removed:
+            if queue.tenant is removed_tenant:
                 self.in_flight[request_id] = unlisted.queues[queue.index], charged_us
                 unlisted.in_flight += 1
                 self.active[UNLISTED] = unlisted
-        for queued in [each for each in self.waiting.values() if each.queue.tenant is removed]:
+        for queued in [each for each in self.waiting.values() if each.queue.tenant is removed_tenant]:
             queued.queue = unlisted.queues[queued.queue.index]
             self._enqueue(queued)
