--- a/fakes/fair_queue_model.py
+++ b/fakes/fair_queue_model.py
@@ -75,7 +75,7 @@
                 for number in range(load.clients):
                     self._think(load, f"{load.name}-{number}")
             else:
-                self._next_of(load)
+                self._schedule_arrival(load)
 
     def call_later(self, after_us: float, callback: Callable[[], None]) -> None:
         """Call `callback` after `after_us` on the model's clock."""
@@ -89,12 +89,12 @@
             lambda: self._retry(load, load.name, client, False),
         )
 
-    def _next_of(self, load: Load) -> None:
+    def _schedule_arrival(self, load: Load) -> None:
         if load.per_s > 0:
             self.call_later(self.rng.expovariate(load.per_s / 1e6), lambda: self._arrive(load))
 
     def _arrive(self, load: Load) -> None:
-        self._next_of(load)
+        self._schedule_arrival(load)
         tenant = f"{load.name}{self.rng.random()}" if load.random_names else load.name
         self.send(load, tenant, f"{load.name}-{self.rng.randrange(load.clients)}", False)
 
--- a/tests/decisions/test_fair_queue.py
+++ b/tests/decisions/test_fair_queue.py
@@ -109,7 +109,7 @@
     assert use(model) >= 0.97
     late = Load("b", 2000.0, clients=99)
     model.loads.append(late)
-    model._next_of(late)
+    model._schedule_arrival(late)
     model.run(1)
     model.reset_totals()
     model.run(8)
