--- a/fakes/fair_queue_model.py
+++ b/fakes/fair_queue_model.py
@@ -73,7 +73,7 @@
         for load in loads:
             if load.closed_loop:
                 for number in range(load.clients):
-                    self._think(load, f"{load.name}-{number}")
+                    self._send_after_think_time(load, f"{load.name}-{number}")
             else:
                 self._schedule_arrival(load)
 
@@ -82,7 +82,7 @@
         self.number += 1
         heapq.heappush(self.timers, (self.now_us + int(after_us), self.number, callback))
 
-    def _think(self, load: Load, client: str) -> None:
+    def _send_after_think_time(self, load: Load, client: str) -> None:
         """A client of a closed loop sends again after a pause."""
         self.call_later(
             self.rng.expovariate(load.per_s / load.clients / 1e6),
@@ -136,7 +136,7 @@
     def _end(self, request_id: int, took_us: int) -> None:
         load, _, client, _ = self.requests.pop(request_id)
         if load.closed_loop:
-            self._think(load, client)
+            self._send_after_think_time(load, client)
         self.busy -= 1
         self.answers[request_id] += 1
         self.totals[load.name].served += 1
