--- a/fakes/fair_queue_model.py
+++ b/fakes/fair_queue_model.py
@@ -69,7 +69,7 @@
         self.timers: list[tuple[int, int, Callable[[], None]]] = []
         self.number = 0
         self.requests: dict[int, tuple[Load, str, str, bool]] = {}
-        self.answers: Counter[int] = Counter()  # to each request; must be one
+        self.responses: Counter[int] = Counter()  # to each request; must be one
         for load in loads:
             if load.closed_loop:
                 for number in range(load.clients):
@@ -138,7 +138,7 @@
         if load.closed_loop:
             self._send_after_think_time(load, client)
         self.busy -= 1
-        self.answers[request_id] += 1
+        self.responses[request_id] += 1
         self.totals[load.name].served += 1
         self.totals[load.name].work_us += took_us
         if self.fair:
@@ -147,7 +147,7 @@
 
     def _reject(self, request_id: int, after_us: int) -> None:
         load, tenant, client, is_retry = self.requests.pop(request_id)
-        self.answers[request_id] += 1
+        self.responses[request_id] += 1
         self.totals[load.name].rejected += 1
         if load.closed_loop or (load.honours_retry_after and not is_retry):
             self.call_later(after_us, lambda: self._retry(load, tenant, client, True))
--- a/tests/decisions/test_fair_queue.py
+++ b/tests/decisions/test_fair_queue.py
@@ -50,7 +50,7 @@
     model.run(2)
     model.reset_totals()
     model.run(seconds)
-    assert set(model.answers.values()) == {1}  # one answer each
+    assert set(model.responses.values()) == {1}  # one answer each
     return model
 
 
@@ -151,7 +151,7 @@
     assert work["a"] / (work["a"] + work["b"]) == pytest.approx(0.75, abs=0.03)
     model.queue.configure(FairQueueSettings((("a", 1.0),)))  # b is listed no more
     model.run(2)
-    assert set(model.answers.values()) == {1}
+    assert set(model.responses.values()) == {1}
     assert set(model.queue.tenants) == {"a", ""}
     assert model.queue.tenants[""].in_flight > 0
 
