--- a/fakes/fair_queue_model.py
+++ b/fakes/fair_queue_model.py
@@ -117,10 +117,10 @@
             self.now_us,
             self.busy < self.slots,
         ):
-            self._carry_out(action)
+            self._apply_action(action)
         return request_id
 
-    def _carry_out(self, action: Admitted | Rejected) -> None:
+    def _apply_action(self, action: Admitted | Rejected) -> None:
         if isinstance(action, Admitted):
             self._start(action.request_id)
         else:
@@ -173,7 +173,7 @@
             if expiry_us is not None and expiry_us <= at_us:
                 self.now_us = max(self.now_us, expiry_us)
                 for action in self.queue.expired(self.now_us):
-                    self._carry_out(action)
+                    self._apply_action(action)
                 continue
             self.now_us = max(self.now_us, at_us)
             if at_us >= ends_us:
