--- a/plovertrail/decisions/fair_queue.py
+++ b/plovertrail/decisions/fair_queue.py
@@ -3,9 +3,8 @@
 Start-time fair queueing in two levels (Goyal, Vin and Cheng, "Start-Time Fair Queueing: A Scheduling
 Algorithm for Integrated Services Packet Switching Networks", IEEE/ACM Trans. Networking 5, 1997): tenants
 by weight, and within a tenant clients alike, hashed into a fixed number of queues (McKenney, "Stochastic
-Fairness Queueing", INFOCOM 1990). What is shared is the measured time for which slots are held: a request
-is charged the mean of its tenant's recent requests when it is admitted, and the difference when it has
-ended.
+Fairness Queueing", INFOCOM 1990). The shared resource is slot time: a request is charged the mean slot time
+of its tenant's recent requests on admission, and the difference to its measured slot time when it ends.
 
 Times are whole microseconds on the process's own monotonic clock.
 """
@@ -26,23 +25,23 @@
 )
 from plovertrail.decisions.retry_reservations import RetryReservations
 
-RETRY_JITTER = 0.25  # of the time that one request takes, or of the longest Retry-After
-RETRY_SPACING = (
-    0.9  # with the mean of the jitter just over 1, so that retries are no faster than slots free up
-)
+RETRY_JITTER = 0.25  # of the estimated time per request, or of the longest Retry-After
+# Of the estimated time per request. With the mean jitter the sum is just over 1, so that retries arrive no
+# faster than slots are freed.
+RETRY_SPACING = 0.9
 MIN_RETRY_AFTER_US = 50_000
 MAX_WAIT_ESTIMATE_US = 3_600_000_000
-UNLISTED = ""  # the name under which all tenants that are not listed stand
+UNLISTED = ""  # the name shared by all tenants that are not listed
 
 
 @dataclass(frozen=True, slots=True)
 class FairQueueSettings:
-    """What the operator allows a pool's fair queue."""
+    """The configuration of a pool's fair queue."""
 
     weights: tuple[tuple[str, float], ...] = ()  # of the listed tenants
     default_weight: float = 1.0  # of all others together
     max_waiting: int = 256  # requests
-    max_wait_us: int = 200_000  # clients that were told to retry now may wait for half of their time
+    max_wait_us: int = 200_000  # clients with a retry reservation may wait for half of their remaining time
     max_retry_after_us: int = 2_000_000
 
 
@@ -54,19 +53,19 @@
     tenant: str
     client: str
     priority_weight: float
-    due_us: int  # when its client stops waiting
+    due_us: int  # its deadline, at which its client stops waiting
 
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """A request that goes on to the pool's slots now."""
+    """A request is admitted to a slot now."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """A request that is rejected now, and when its client should retry."""
+    """A request is rejected now; its client should retry after `retry_after_us`."""
 
     request_id: int
     retry_after_us: int
@@ -76,7 +75,7 @@
 
 
 class FairQueue:
-    """The requests that wait for the slots of one pool. `rng` returns numbers from 0 to 1."""
+    """The queue of requests that wait for slots of one pool. `rng` returns numbers from 0 to 1."""
 
     def __init__(self, settings: FairQueueSettings, now_us: int, rng: Callable[[], float]) -> None:
         self.hash_client = ClientHasher(rng())
@@ -85,16 +84,16 @@
         self.virtual_time = 0.0
         self.sequence = 0
         self.waiting: dict[int, QueuedRequest] = {}
-        self.in_flight: dict[int, tuple[ClientQueue, float]] = {}  # with the work that was charged
-        self.expirations: list[tuple[int, int]] = []  # (time, request id); a heap
+        self.in_flight: dict[int, tuple[ClientQueue, float]] = {}  # with the slot time charged
+        self.expirations: list[tuple[int, int]] = []  # heap of (time, request id)
         self.reservations = RetryReservations()
         self.tenants: dict[str, TenantQueue] = {}
-        self.backlogged: dict[str, TenantQueue] = {}  # those with requests that wait
-        self.active: dict[str, TenantQueue] = {}  # those with requests that wait or are in flight
+        self.backlogged: dict[str, TenantQueue] = {}  # those with waiting requests
+        self.active: dict[str, TenantQueue] = {}  # those with requests waiting or in flight
         self.configure(settings)
 
     def configure(self, settings: FairQueueSettings) -> None:
-        """Put other weights and bounds into force; waiting requests and past usage are retained."""
+        """Apply other settings; waiting requests and past usage are retained."""
         previous, self.tenants = self.tenants, {}
         self.settings = settings
         for name, weight in (*settings.weights, (UNLISTED, settings.default_weight)):
@@ -107,7 +106,7 @@
     # Events
 
     def arrived(self, request: FairQueueRequest, now_us: int, slot_available: bool) -> list[FairQueueAction]:
-        """Admit, queue or reject a request, or evict another one in its place."""
+        """Admit, queue or reject a request; a full queue may evict another one in its place."""
         self._advance(now_us)
         tenant = self.tenants.get(request.tenant) or self.tenants[UNLISTED]
         client = self.hash_client(request.tenant, request.client)
@@ -117,7 +116,7 @@
             tenant.count_wait(0)
             return [Admitted(request.request_id)]
         expires_us = self._expiration_us(request, tenant, reserved)
-        # clients that were told to retry now go before the others
+        # clients with a retry reservation are served before the others
         ahead = tenant.reserved_waiting if reserved else tenant.waiting
         if self.now_us + self.estimated_wait_us(tenant, ahead) > expires_us:
             return [self._reject(request.request_id, tenant, client)]
@@ -137,7 +136,7 @@
         return actions
 
     def ended(self, request_id: int, work_us: int, now_us: int) -> None:
-        """An admitted request is over, after holding slots for `work_us` in all."""
+        """An admitted request has ended; it has held slots for `work_us` in total."""
         self._advance(now_us)
         entry = self.in_flight.pop(request_id, None)
         if entry is None:
@@ -150,16 +149,16 @@
         queue.start_tag += work_us - charged_us
 
     def cancelled(self, request_id: int, now_us: int) -> None:
-        """The client of a request has left."""
+        """The client of a request has disconnected."""
         self._advance(now_us)
         self._dequeue(request_id)
 
     def next(self, now_us: int) -> Admitted | None:
-        """Admit the request that a free slot goes to; None if none waits."""
+        """Admit the request that gets the next free slot; return None if none waits."""
         self._advance(now_us)
         if not self.waiting:
             return None
-        # a tenant of no weight gets what no other tenant wants
+        # a tenant of weight 0 is served only when no other tenant waits
         tenant = min(self.backlogged.values(), key=lambda each: (each.weight <= 0.0, each.start_tag))
         queue = tenant.next_queue()
         queued = queue.first()
@@ -169,7 +168,7 @@
         return Admitted(queued.request_id)
 
     def expired(self, now_us: int) -> list[Rejected]:
-        """Reject the requests that have waited for as long as they may."""
+        """Reject the requests whose maximum wait is over."""
         self._advance(now_us)
         actions = []
         while self.expirations and self.expirations[0][0] <= self.now_us:
@@ -186,37 +185,37 @@
         return self.expirations[0][0] if self.expirations else None
 
     def estimated_wait_us(self, tenant: TenantQueue, requests: int) -> int:
-        """Return how long it takes until so many requests of a tenant have been admitted.
+        """Estimate how long it takes to admit this many requests of a tenant.
 
-        The estimate goes by the tenant's part of the slots and by its recent rate, but by no more than all
-        slots in flight: right after a loss of endpoints these are fewer, and the recent rate is too high.
+        The estimated rate is the tenant's fair share or its recent rate, whichever is higher, but at most the
+        rate of the slots in use: right after endpoints are lost, the recent rate is too high.
         """
         if not requests:
             return 0
         total_weight = sum(each.weight for each in self.active.values() if each is not tenant) + tenant.weight
         pool_rate = max(1, len(self.in_flight)) / tenant.mean_work_us
         fair_rate = pool_rate * (tenant.weight / total_weight if total_weight > 0.0 else 1.0)
-        # slots that other tenants leave unused show in the recent rate
+        # the recent rate includes slots that other tenants leave unused
         rate = min(max(tenant.rate_at(self.now_us), fair_rate), pool_rate)
         return int(min(requests / rate, MAX_WAIT_ESTIMATE_US)) if rate > 0.0 else MAX_WAIT_ESTIMATE_US
 
-    # Steps
+    # Internals
 
     def _advance(self, now_us: int) -> None:
-        """Move the clock, but never back: all waiting requests would wait for that much longer."""
+        """Advance the clock; a step back is ignored, as it would extend the wait of all waiting requests."""
         self.now_us = max(now_us, self.now_us)
 
     def _expiration_us(self, request: FairQueueRequest, tenant: TenantQueue, reserved: bool) -> int:
         max_wait_us = self.settings.max_wait_us
         if reserved:
-            # Retry-After is in whole seconds, so clients that were rejected together retry together
+            # Retry-After has whole seconds, so clients rejected together may return together and wait longer
             max_wait_us = max(max_wait_us, (request.due_us - self.now_us) // 2)
         return min(self.now_us + max_wait_us, request.due_us - int(tenant.mean_work_us))
 
     def _tenant_to_evict(
         self, tenant: TenantQueue, request: FairQueueRequest, reserved: bool
     ) -> TenantQueue | None:
-        """Return the tenant with the largest backlog; None if `request` is the one that has to go."""
+        """Return the tenant with the largest backlog; None if `request` itself must be rejected."""
         victim = max(
             (*self.backlogged.values(), tenant), key=lambda each: each.backlog_us(int(each is tenant))
         )
@@ -235,7 +234,7 @@
         tenant = queue.tenant
         self.sequence += 1
         if not tenant.waiting:
-            # what it did not use while it was idle must not count in its favour
+            # an idle tenant earns no credit
             tenant.start_tag = max(tenant.start_tag, self.virtual_time)
             self.backlogged[tenant.name] = tenant
             self.active[tenant.name] = tenant
@@ -250,7 +249,7 @@
     def _schedule_expiration(self, queued: QueuedRequest) -> None:
         heapq.heappush(self.expirations, (queued.expires_us, queued.request_id))
         if len(self.expirations) > 2 * len(self.waiting) + MAX_STALE_ENTRIES:
-            # entries of requests that were admitted early would pile up
+            # otherwise stale entries of requests that have left the queue would accumulate
             self.expirations = sorted((each.expires_us, each.request_id) for each in self.waiting.values())
 
     def _dequeue(self, request_id: int) -> None:
@@ -278,7 +277,7 @@
             self.active.pop(tenant.name, None)
 
     def _admit(self, request_id: int, queue: ClientQueue) -> None:
-        """Charge a request the mean work of its tenant."""
+        """Admit a request, and charge it the mean slot time of its tenant."""
         tenant = queue.tenant
         start = max(tenant.start_tag, self.virtual_time)
         if tenant.weight > 0.0:
@@ -291,9 +290,9 @@
         self.in_flight[request_id] = queue, tenant.mean_work_us
 
     def _reject(self, request_id: int, tenant: TenantQueue, client: int) -> Rejected:
-        """Reject a request with a time of its own to retry, after all that its tenant has reserved.
+        """Reject a request, and reserve a retry time for its client after the tenant's other reservations.
 
-        With one time told to all, the rejected clients would retry together.
+        With the same Retry-After for all, rejected clients would retry at the same time.
         """
         tenant.rejected += 1
         longest_us = self.settings.max_retry_after_us
@@ -305,11 +304,11 @@
             tenant.reserved_until_us = retry_us
             self.reservations.add(client, retry_us)
             return Rejected(request_id, retry_us - self.now_us)
-        # no slot is left within the longest Retry-After: spread over its end
+        # nothing is left to reserve within the longest Retry-After: spread retries over its last part
         return Rejected(request_id, int(longest_us * (1.0 - RETRY_JITTER * self.rng())))
 
     def _merge_into_unlisted(self, removed_tenant: TenantQueue) -> None:
-        """Move the requests of a tenant that is no longer listed to the unlisted tenants."""
+        """Move the requests of a tenant that is no longer listed to the queue of unlisted tenants."""
         unlisted = self.tenants[UNLISTED]
         self.backlogged.pop(removed_tenant.name, None)
         self.active.pop(removed_tenant.name, None)
--- a/plovertrail/decisions/fair_queue_tenants.py
+++ b/plovertrail/decisions/fair_queue_tenants.py
@@ -1,4 +1,4 @@
-"""The queues of one tenant, and what a fair queue knows of the tenant.
+"""The client queues of one tenant, and the tenant's state in the fair queue.
 
 Times are whole microseconds on the process's own monotonic clock; tags and virtual times are those of
 start-time fair queueing.
@@ -11,24 +11,24 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-QUEUES_PER_TENANT = 16  # clients of a listed tenant that hash to one queue share it
-QUEUES_OF_UNLISTED = 64  # of all tenants that are not listed, by tenant and client
-RESERVED_INDEX = -1  # the queue of clients that were told to retry now
+QUEUES_PER_TENANT = 16  # of a listed tenant; its clients are hashed to them
+QUEUES_OF_UNLISTED = 64  # of all unlisted tenants together; tenant and client are hashed
+RESERVED_INDEX = -1  # the queue of clients with a retry reservation
 WORK_SMOOTHING_REQUESTS = 16
-INITIAL_WORK_US = 20_000  # until a request has ended
+INITIAL_WORK_US = 20_000  # the mean before any request has ended
 RATE_TIME_CONSTANT_US = 1_000_000
-MAX_STALE_ENTRIES = 8  # entries of requests that have left, in a heap, beside as many as wait there
-MIN_WEIGHT = 1e-9  # keeps the backlog of a tenant of no weight finite
+MAX_STALE_ENTRIES = 8  # entries of dequeued requests that a heap may hold beyond the number that wait
+MIN_WEIGHT = 1e-9  # keeps the backlog of a tenant of weight 0 finite
 
 
 class ClientHasher:
-    """Hashes clients with a salt, so that no client can choose whose queue it shares.
+    """Hashes clients with a salt, so that no client can choose which other clients share its queue.
 
     `seed` is a random number from 0 to 1.
     """
 
     def __init__(self, seed: float) -> None:
-        from hashlib import blake2b  # late, because few pools have a fair queue and the start must stay short
+        from hashlib import blake2b  # imported late to keep startup short; few pools have a fair queue
 
         self._hash = blake2b
         self._salt = int(seed * 2**53).to_bytes(8)
@@ -49,13 +49,13 @@
     queued_us: int
     queue: ClientQueue
     client: int  # the hash of its client
-    reserved: bool  # its client was told to retry now
+    reserved: bool  # its client has a retry reservation for this time
     waiting: bool = True
 
 
 @dataclass(slots=True)
 class ClientQueue:
-    """Requests of some clients of a tenant, by priority weight, then in the order of their arrival."""
+    """Waiting requests of the clients that hash to this queue, by priority weight, then by arrival."""
 
     tenant: TenantQueue
     index: int
@@ -64,21 +64,21 @@
     heap: list[tuple[float, int, QueuedRequest]] = field(default_factory=list)
 
     def push(self, request: QueuedRequest, sequence: int) -> None:
-        """Add a request; entries of requests that have left are dropped once they are many."""
+        """Add a request; stale entries are removed first when there are too many."""
         if len(self.heap) > 2 * self.waiting + MAX_STALE_ENTRIES:
             self.heap = sorted(entry for entry in self.heap if entry[2].waiting)
         heapq.heappush(self.heap, (-request.priority_weight, sequence, request))
         self.waiting += 1
 
     def first(self) -> QueuedRequest:
-        """Return the request that goes next."""
+        """Return the request to admit next."""
         while not self.heap[0][2].waiting:
             heapq.heappop(self.heap)
         return self.heap[0][2]
 
 
 class TenantQueue:
-    """A listed tenant, or (with no name) all the others together."""
+    """The queues and statistics of a listed tenant or, with an empty name, of all unlisted tenants."""
 
     __slots__ = (
         "name",
@@ -105,19 +105,19 @@
         self.name = name
         self.weight = weight
         self.start_tag = start_tag
-        self.virtual_time = 0.0  # among its own queues
+        self.virtual_time = 0.0  # of the scheduling among its own queues
         count = QUEUES_PER_TENANT if name else QUEUES_OF_UNLISTED
         self.queues = [ClientQueue(self, index) for index in (*range(count), RESERVED_INDEX)]
-        self.backlogged: dict[int, ClientQueue] = {}  # those with requests that wait, by index
+        self.backlogged: dict[int, ClientQueue] = {}  # those with waiting requests, by index
         self.waiting = 0
-        self.reserved_waiting = 0  # of these, those whose clients were told to retry now
-        self.waiting_weights: Counter[float] = Counter()  # how many wait by priority weight
+        self.reserved_waiting = 0  # of these, requests of clients with a retry reservation
+        self.waiting_weights: Counter[float] = Counter()  # waiting requests by priority weight
         self.mean_work_us: float = INITIAL_WORK_US
-        self.reserved_until_us = 0  # its slots until then are reserved for clients that were told to retry
-        self.admission_rate = 0.0  # requests a microsecond, as of `rate_updated_us`
+        self.reserved_until_us = 0  # its latest retry reservation
+        self.admission_rate = 0.0  # requests per microsecond, as of `rate_updated_us`
         self.rate_updated_us = 0
         self.in_flight = 0
-        # totals and means for the status
+        # totals and means for status output
         self.admitted = 0
         self.rejected = 0
         self.total_work_us = 0
@@ -128,40 +128,44 @@
         return self.queues[client % (len(self.queues) - 1)]
 
     def next_queue(self) -> ClientQueue:
-        """Return the queue that goes next.
+        """Return the queue to serve next.
 
-        Clients that were told to retry now go first: taken in turn with the others, they would retry in vain.
+        Clients with a retry reservation are served first. In turn with the others, many would be rejected
+        again although they retried at the time they were given.
         """
         reserved = self.backlogged.get(RESERVED_INDEX)
         return reserved or min(self.backlogged.values(), key=lambda queue: queue.start_tag)
 
     def backlog_us(self, extra_requests: int) -> float:
-        """Return the work that waits, and that of further requests, divided by the weight."""
+        """Return the expected slot time of waiting and `extra_requests` requests, divided by the weight."""
         return (self.waiting + extra_requests) * self.mean_work_us / max(self.weight, MIN_WEIGHT)
 
     def eviction_candidate(self) -> QueuedRequest:
-        """Return the request to evict first: the last of those with the least priority weight."""
+        """Return the request to evict first: the latest of those with the lowest priority weight.
+
+        Requests of clients with a retry reservation are evicted last.
+        """
         entries = [entry for queue in self.backlogged.values() for entry in queue.heap if entry[2].waiting]
         return max(entries, key=lambda entry: (not entry[2].reserved, entry[:2]))[2]
 
     def rate_at(self, now_us: int) -> float:
-        """Return the recent rate of admissions, in requests a microsecond."""
+        """Return the recent admission rate, in requests per microsecond."""
         return self.admission_rate * math.exp((self.rate_updated_us - now_us) / RATE_TIME_CONSTANT_US)
 
     def count_admission(self, now_us: int) -> None:
-        """A request has been admitted."""
+        """Count a request that has been admitted."""
         self.admission_rate = self.rate_at(now_us) + 1.0 / RATE_TIME_CONSTANT_US
         self.rate_updated_us = now_us
         self.in_flight += 1
         self.admitted += 1
 
     def count_wait(self, waited_us: int) -> None:
-        """A request has been admitted after it waited for this long."""
+        """Include the wait of an admitted request in the mean."""
         self.mean_wait_us += (waited_us - self.mean_wait_us) / WORK_SMOOTHING_REQUESTS
 
     def count_end(self, work_us: int) -> None:
-        """An admitted request has ended after holding slots for `work_us` in all."""
+        """Count a request that has ended after holding slots for `work_us` in total."""
         self.in_flight -= 1
         self.total_work_us += work_us
-        if work_us > 0:  # one that was rejected in the end says nothing of the work
+        if work_us > 0:  # a request that was rejected after all says nothing about slot time
             self.mean_work_us += (work_us - self.mean_work_us) / WORK_SMOOTHING_REQUESTS
