--- a/fakes/fair_queue_model.py
+++ b/fakes/fair_queue_model.py
@@ -1,4 +1,4 @@
-"""A pool's fair queue on a virtual clock: tenants that send, slots that serve, clients that retry."""
+"""Simulates a pool's fair queue on a virtual clock, with tenants, slots and clients that retry."""
 
 from __future__ import annotations
 
@@ -22,37 +22,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """The requests of one tenant's clients."""
+    """The load that the clients of one tenant generate."""
 
     name: str
-    per_s: float
-    work_us: float = 20_000.0  # the mean; uniform from 0.5 to 1.5 times it
+    per_s: float  # requests of all clients together
+    work_us: float = 20_000.0  # mean slot time, uniformly distributed from 0.5 to 1.5 times this
     clients: int = 20
     priority_weight: float = 1.0
-    honours_retry_after: bool = False  # they retry once, at the time that they were told
-    retry_interval_us: int = 0  # they retry this long after each rejection; 0 = never
-    random_names: bool = False  # another name on every request
-    closed_loop: bool = (
-        False  # each client has one request at a time and retries as told; `per_s` of all served
-    )
+    honours_retry_after: bool = False  # clients retry once, after Retry-After
+    retry_interval_us: int = 0  # clients retry this long after each rejection; 0 = never
+    random_names: bool = False  # a different tenant name on every request
+    # Each client has one request at a time and always honours Retry-After; `per_s` gives the think time.
+    closed_loop: bool = False
 
 
 @dataclass(slots=True)
 class TenantTotals:
-    """What became of the requests of one tenant."""
+    """Totals of the requests of one tenant."""
 
     requests: int = 0
     served: int = 0
     work_us: int = 0
     retried: int = 0
-    retries_admitted: int = 0  # of those
+    retries_admitted: int = 0
     rejected: int = 0
 
 
 class FairQueueModel:
     """One fair queue in front of `slots` slots.
 
-    Without `fair`, slots go by arrival, as in a pool without a queue.
+    Without `fair`, a request gets a free slot or is rejected, as in a pool without a queue.
     """
 
     def __init__(
@@ -69,7 +68,7 @@
         self.timers: list[tuple[int, int, Callable[[], None]]] = []
         self.number = 0
         self.requests: dict[int, tuple[Load, str, str, bool]] = {}
-        self.responses: Counter[int] = Counter()  # to each request; must be one
+        self.responses: Counter[int] = Counter()  # by request id; each must be 1
         for load in loads:
             if load.closed_loop:
                 for number in range(load.clients):
@@ -83,7 +82,7 @@
         heapq.heappush(self.timers, (self.now_us + int(after_us), self.number, callback))
 
     def _send_after_think_time(self, load: Load, client: str) -> None:
-        """A client of a closed loop sends again after a pause."""
+        """Have a closed-loop client send its next request after an exponential think time."""
         self.call_later(
             self.rng.expovariate(load.per_s / load.clients / 1e6),
             lambda: self._retry(load, load.name, client, False),
@@ -165,7 +164,7 @@
             self._start(admitted.request_id)
 
     def run(self, seconds: float) -> None:
-        """Run for this long."""
+        """Run for this many seconds on the virtual clock."""
         ends_us = self.now_us + int(seconds * 1e6)
         while True:
             expiry_us = self.queue.next_expiration_us()
@@ -181,5 +180,5 @@
             heapq.heappop(self.timers)[2]()
 
     def reset_totals(self) -> None:
-        """Count from here on."""
+        """Reset the totals to zero."""
         self.totals = {name: TenantTotals() for name in self.totals}
--- a/tests/decisions/test_fair_queue.py
+++ b/tests/decisions/test_fair_queue.py
@@ -28,7 +28,7 @@
 from plovertrail.decisions.retry_reservations import MAX_RESERVATIONS
 from plovertrail.decisions.settings import RequestClass, Settings
 
-SMALL = [Load(f"small{number}", 25.0) for number in range(10)]  # 5 slots of work together
+SMALL = [Load(f"small{number}", 25.0) for number in range(10)]  # together they need 5 slots
 SECOND = 1_000_000
 
 
@@ -50,23 +50,23 @@
     model.run(2)
     model.reset_totals()
     model.run(seconds)
-    assert set(model.responses.values()) == {1}  # one answer each
+    assert set(model.responses.values()) == {1}  # exactly one response per request
     return model
 
 
-def service(model: FairQueueModel, prefix: str) -> list[float]:
+def served_fractions(model: FairQueueModel, prefix: str) -> list[float]:
     return [
         totals.served / totals.requests for name, totals in model.totals.items() if name.startswith(prefix)
     ]
 
 
-def use(model: FairQueueModel, seconds: float = 8) -> float:
+def utilization(model: FairQueueModel, seconds: float = 8) -> float:
     return sum(totals.work_us for totals in model.totals.values()) / (model.slots * seconds * SECOND)
 
 
 FLOODS = {
-    "ten times what there is": Load("flood", 5000.0, clients=500),
-    "at ninety percent": Load("flood", 2250.0, clients=500),
+    "ten times the capacity": Load("flood", 5000.0, clients=500),
+    "ninety percent of all requests": Load("flood", 2250.0, clients=500),
     "a new name on every request": Load("x", 5000.0, clients=500, random_names=True),
     "expensive requests": Load("flood", 100.0, work_us=1_000_000.0, clients=100),
     "clients that retry at once": Load("flood", 300.0, clients=300, retry_interval_us=20_000),
@@ -75,19 +75,19 @@
 
 
 @pytest.mark.parametrize("name", FLOODS)
-def test_small_tenants_keep_their_service_beside_a_flood(name: str) -> None:
-    """They ask for half of what there is; without the queue the flood takes nine tenths of it."""
+def test_small_tenants_are_served_during_a_flood(name: str) -> None:
+    """The small tenants need half of the slots; without the queue the flood takes nine tenths of them."""
     loads = [*SMALL, FLOODS[name]]
     fair, plain = run_model(loads), run_model(loads, fair=False)
-    # a slot is held for a second by a expensive request, which nobody can take back
+    # an expensive request holds its slot for a second and can't be preempted
     expensive = name == "expensive requests"
     least = 0.75 if expensive else 0.95
-    assert min(service(fair, "small")) >= least > max(service(plain, "small"))
-    # work is counted where it ends: of requests of a second, part of what began before or ends later
-    assert use(fair) >= (0.93 if expensive else 0.97) * min(1.0, use(plain))
+    assert min(served_fractions(fair, "small")) >= least > max(served_fractions(plain, "small"))
+    # slot time is counted when a request ends: requests of a second overlap the ends of the measurement
+    assert utilization(fair) >= (0.93 if expensive else 0.97) * min(1.0, utilization(plain))
 
 
-def test_weights_hold_while_all_tenants_are_backlogged() -> None:
+def test_backlogged_tenants_share_slots_by_weight() -> None:
     loads = [Load("a", 1000.0, clients=99), Load("b", 1000.0, clients=99), Load("c", 1000.0, clients=99)]
     queue_settings = FairQueueSettings((("a", 1.0), ("b", 2.0), ("c", 5.0)))
     model = run_model(loads, queue_settings=queue_settings)
@@ -95,18 +95,18 @@
     assert [round(each / sum(work), 2) for each in work] == pytest.approx([0.125, 0.25, 0.625], abs=0.02)
 
 
-def test_work_is_shared_and_not_requests() -> None:
-    loads = [Load("cheap", 3000.0, work_us=5_000.0, clients=99), Load("dear", 500.0, 100_000.0, clients=99)]
+def test_slot_time_is_shared_rather_than_requests() -> None:
+    loads = [Load("cheap", 3000.0, work_us=5_000.0, clients=99), Load("costly", 500.0, 100_000.0, clients=99)]
     model = run_model(loads)
-    cheap, dear = model.totals["cheap"], model.totals["dear"]
-    assert cheap.work_us / (cheap.work_us + dear.work_us) == pytest.approx(0.5, abs=0.03)
-    assert cheap.served > 15 * dear.served
+    cheap, costly = model.totals["cheap"], model.totals["costly"]
+    assert cheap.work_us / (cheap.work_us + costly.work_us) == pytest.approx(0.5, abs=0.03)
+    assert cheap.served > 15 * costly.served
 
 
-def test_a_single_tenant_may_use_all_slots_and_owes_nothing_later() -> None:
+def test_a_lone_tenant_may_use_all_slots_without_a_later_debt() -> None:
     alone = Load("a", 2000.0, clients=99)
     model = run_model([alone, Load("b", 0.0)])
-    assert use(model) >= 0.97
+    assert utilization(model) >= 0.97
     late = Load("b", 2000.0, clients=99)
     model.loads.append(late)
     model._schedule_arrival(late)
@@ -117,17 +117,17 @@
     assert parts == pytest.approx([0.5, 0.5], abs=0.03)
 
 
-def test_a_tenant_of_no_weight_gets_what_no_other_wants() -> None:
+def test_a_tenant_of_weight_zero_gets_unused_slots_only() -> None:
     queue_settings = FairQueueSettings((("none", 0.0), ("some", 1.0)))
     loads = [Load("none", 1000.0, clients=99), Load("some", 100.0, clients=99)]
     model = run_model(loads, queue_settings=queue_settings)
-    assert service(model, "some")[0] >= 0.98
+    assert served_fractions(model, "some")[0] >= 0.98
     assert model.totals["none"].work_us > 0.6 * model.slots * 8 * SECOND
     crowded = run_model([loads[0], Load("some", 1000.0, clients=99)], queue_settings=queue_settings)
     assert crowded.totals["none"].work_us < 0.02 * model.slots * 8 * SECOND
 
 
-def test_a_thousand_tenants_with_one_request_each_are_served_as_one() -> None:
+def test_a_thousand_unlisted_tenants_share_one_tenant_queue() -> None:
     queue = FairQueue(
         FairQueueSettings(max_waiting=2000, max_wait_us=60 * SECOND), 0, random.Random(1).random
     )
@@ -138,7 +138,7 @@
     assert {each.request_id for each in found[:-1] if each} == set(range(1000))
 
 
-def test_changed_weights_lose_no_request_and_hold_from_then_on() -> None:
+def test_changed_weights_take_effect_and_lose_no_request() -> None:
     loads = [Load("a", 1000.0, clients=99), Load("b", 1000.0, clients=99)]
     model = run_model(loads)
     before = set(model.queue.waiting)
@@ -149,14 +149,14 @@
     model.run(8)
     work = {name: model.totals[name].work_us for name in "ab"}
     assert work["a"] / (work["a"] + work["b"]) == pytest.approx(0.75, abs=0.03)
-    model.queue.configure(FairQueueSettings((("a", 1.0),)))  # b is listed no more
+    model.queue.configure(FairQueueSettings((("a", 1.0),)))  # b is no longer listed
     model.run(2)
     assert set(model.responses.values()) == {1}
     assert set(model.queue.tenants) == {"a", ""}
     assert model.queue.tenants[""].in_flight > 0
 
 
-def test_random_names_names_create_no_state() -> None:
+def test_random_tenant_names_create_no_state() -> None:
     queue = FairQueue(FairQueueSettings(max_waiting=50), 0, random.Random(1).random)
     for number in range(20_000):
         queue.arrived(
@@ -180,13 +180,13 @@
 
 
 def test_clients_that_honour_retry_after_are_admitted() -> None:
-    """A closed loop of clients that do as told: four in five who come back at the time find a place."""
+    """In a closed loop of clients that honour Retry-After, at least four in five retries are admitted."""
     flood = Load("flood", 3000.0, clients=1000, closed_loop=True)
     model = run_model([*SMALL, flood], seconds=15)
     totals = model.totals["flood"]
     assert totals.retried > 500
     assert totals.retries_admitted >= 0.8 * totals.retried
-    assert min(service(model, "small")) >= 0.95
+    assert min(served_fractions(model, "small")) >= 0.95
 
 
 def test_rejected_clients_get_different_times_within_the_longest_retry_after() -> None:
@@ -202,35 +202,39 @@
     assert max(retries) <= 2 * SECOND
     assert min(retries) >= 50_000
     steps = [after - before for before, after in zip(retries, retries[1:], strict=False)][:50]
-    assert all(step >= 15_000 for step in steps)  # about one request's time at the speed of one slot
+    assert all(step >= 15_000 for step in steps)  # about the time of one request on one slot
 
 
-def test_the_next_estimate_follows_a_loss_of_slots() -> None:
+def test_the_wait_estimate_follows_a_loss_of_slots() -> None:
     model = run_model([Load("a", 2000.0, clients=99), Load("b", 2000.0, clients=99)], slots=20)
     tenant = model.queue.tenants["a"]
     before = model.queue.estimated_wait_us(tenant, 10)
     model.slots = 5
     model.run(0.2)
-    assert model.queue.estimated_wait_us(tenant, 10) >= 1.8 * before  # by no more than all slots do
+    assert (
+        model.queue.estimated_wait_us(tenant, 10) >= 1.8 * before
+    )  # the estimate is capped by the slots in use
     model.run(4)
     assert model.queue.estimated_wait_us(tenant, 10) == pytest.approx(4 * before, rel=0.3)
 
 
-def test_a_wait_counts_against_the_deadline_and_ends_in_time() -> None:
+def test_a_wait_ends_in_time_for_the_deadline() -> None:
     queue = FairQueue(listed("a", max_wait_us=500_000), 0, random.Random(1).random)
     queue.tenants["a"].mean_work_us = 1_000.0
-    assert not queue.arrived(FairQueueRequest(1, "a", "c", 1.0, 100_000), 0, False)  # its own time is shorter
+    assert not queue.arrived(
+        FairQueueRequest(1, "a", "c", 1.0, 100_000), 0, False
+    )  # its deadline is before max_wait_us
     assert not queue.arrived(FairQueueRequest(2, "a", "c", 1.0, 9 * SECOND), 0, False)
     assert queue.next_expiration_us() == 99_000
     assert [each.request_id for each in queue.expired(99_000)] == [1]
     assert [each.request_id for each in queue.expired(500_000)] == [2]
     assert queue.next_expiration_us() is None
     assert not queue.waiting
-    # one that can't be served in time any more is rejected at once
+    # a request that can no longer be served in time is rejected at once
     assert isinstance(queue.arrived(FairQueueRequest(3, "a", "c", 1.0, 500_500), 500_000, False)[0], Rejected)
 
 
-def test_a_cancelled_request_waits_no_more() -> None:
+def test_a_cancelled_request_is_not_admitted() -> None:
     queue = FairQueue(listed("a"), 0, random.Random(1).random)
     for request_id in (1, 2):
         queue.arrived(FairQueueRequest(request_id, "a", "c", 1.0, SECOND), 0, False)
@@ -273,9 +277,9 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.sampled_from([0.5, 1.0, 2.0]), min_size=2, max_size=5), st.integers(0, 2**16))
-def test_no_backlogged_tenant_falls_behind_by_more_than_stated(weights: list[float], seed: int) -> None:
-    """While both wait, the work let through of two tenants differs, by weight, by no more than one request of
-    each, beside what is charged too little: here charges are exact."""
+def test_backlogged_tenants_stay_within_the_fairness_bound(weights: list[float], seed: int) -> None:
+    """The admitted slot time of two backlogged tenants, divided by weight, differs by at most one request of
+    each. Charges that are too low would add to the difference; in this test they are exact."""
     rng = random.Random(seed)
     queue_settings = FairQueueSettings(
         tuple((str(n), weight) for n, weight in enumerate(weights)),
@@ -307,7 +311,7 @@
                 assert abs(charged_work[one] - charged_work[other]) <= bound + 1e-6
 
 
-def test_work_beyond_the_charge_is_charged_at_the_end() -> None:
+def test_the_difference_to_the_charge_is_charged_at_the_end() -> None:
     queue = FairQueue(FairQueueSettings((("a", 2.0),)), 0, random.Random(1).random)
     tenant = queue.tenants["a"]
     charge = tenant.mean_work_us
@@ -318,18 +322,18 @@
         assert tenant.start_tag - before == pytest.approx(work_us / 2.0)
 
 
-def test_slots_open_for_requests_in_a_fair_queue() -> None:
-    """The load balancer opens slots only in a shortage; a fair queue hides the shortage from it."""
+def test_requests_in_a_fair_queue_open_slots() -> None:
+    """The load balancer opens slots only in a shortage, which a fair queue would otherwise hide from it."""
 
-    def window(asked: bool) -> float:
+    def limit_after_load(saturate: bool) -> float:
         kinds = [RequestClass("read", 300_000, 1_500_000)]
         balancer = LoadBalancer(Settings(kinds, max_attempts=3), 1, SECOND)
         balancer.handle(SECOND, EndpointsUpdated(ListKind.FULL, [Endpoint(7)]))
         now_us = 2 * SECOND
         for request_id in range(1, 60):
-            assert balancer.has_capacity(now_us) or asked
+            assert balancer.has_capacity(now_us) or saturate
             balancer.handle(now_us, RequestArrived(request_id, now_us + SECOND))
-            if asked:
+            if saturate:
                 while balancer.has_capacity(now_us):  # until all slots are taken
                     request_id += 1000
                     balancer.handle(now_us, RequestArrived(request_id, now_us + SECOND))
@@ -338,4 +342,4 @@
                 balancer.handle(now_us, AttemptEnded(request, 0, 7, Outcome.OK, 20_000, True))
         return balancer.endpoints[7].concurrency_limit
 
-    assert window(False) == 1.0 < 2.0 < window(True)
+    assert limit_after_load(False) == 1.0 < 2.0 < limit_after_load(True)
