--- a/plovertrail/decisions/rate_limits.py
+++ b/plovertrail/decisions/rate_limits.py
@@ -197,7 +197,7 @@
         state = self.keys.pop(key, None)
         if state is None:
             shared = self.shared_keys[key % SHARED_KEYS]
-            if not self._make_place():
+            if not self._make_room():
                 self.counted_as_shared += 1
                 return shared
             # a key that leaves a shared entry must not get a whole burst once more
@@ -302,7 +302,7 @@
             parts.append(client)
         return parts
 
-    def _make_place(self) -> bool:
+    def _make_room(self) -> bool:
         """Evict idle keys from a full table; return whether one more key finds a place.
 
         A few more than one are evicted, so that a table that a reload made smaller shrinks. Keys in use
