--- a/plovertrail/decisions/rate_limits.py
+++ b/plovertrail/decisions/rate_limits.py
@@ -26,7 +26,7 @@
 INITIAL_DURATION_US = 50_000  # until a request has ended
 MIN_RETRY_AFTER_US = 50_000
 RETRY_JITTER = 0.25  # of the longest Retry-After
-ROUNDING_US = 0.5  # by which a sum of intervals may be off
+ROUNDING_TOLERANCE_US = 0.5  # by which a sum of intervals may be off
 
 
 class KeyedBy(enum.Enum):
@@ -214,7 +214,7 @@
             early_us = (
                 key.theoretical_arrival_us - (allowance.burst - 1) * allowance.interval_us - self.now_us
             )
-            if early_us > ROUNDING_US:
+            if early_us > ROUNDING_TOLERANCE_US:
                 return math.ceil(early_us), True
         if allowance.concurrent and key.total_concurrent >= allowance.concurrent:
             return max(MIN_RETRY_AFTER_US, int(self.mean_duration_us / allowance.concurrent)), False
