--- a/plovertrail/decisions/rate_limits.py
+++ b/plovertrail/decisions/rate_limits.py
@@ -1,9 +1,9 @@
 """Rate and concurrency limits by client, tenant or both.
 
 The rate limit is the generic cell rate algorithm in its virtual scheduling form (ITU-T I.371). Each key has
-one theoretical arrival time, so a key that has been idle for long enough is in the state of a new one and
-can be forgotten without loss. Keys are stored by a salted hash in a table of a fixed size. Once the table
-is full of keys in use, further keys share a few entries, which limits them more and never less.
+one theoretical arrival time, so a key that has been idle long enough is in the same state as a new one and
+can be evicted without loss. Keys are stored by a salted hash in a table of fixed size. When the table is
+full of keys in use, further keys share a few entries, which makes their limit stricter, never looser.
 
 Times are microseconds on the process's own monotonic clock.
 """
@@ -20,17 +20,17 @@
 if TYPE_CHECKING:
     from plovertrail.decisions.shared_counters import SharedCounters
 
-SHARED_KEYS = 64  # entries for the keys that find no place in the table
-EVICTION_CANDIDATES = 4  # entries that are checked for an idle one when a new key meets a full table
+SHARED_KEYS = 64  # shared entries for keys that don't fit into the table
+EVICTION_CANDIDATES = 4  # entries checked for idle ones when a new key finds the table full
 DURATION_SMOOTHING_REQUESTS = 16
-INITIAL_DURATION_US = 50_000  # until a request has ended
+INITIAL_DURATION_US = 50_000  # the mean before any request has ended
 MIN_RETRY_AFTER_US = 50_000
 RETRY_JITTER = 0.25  # of the longest Retry-After
-ROUNDING_TOLERANCE_US = 0.5  # by which a sum of intervals may be off
+ROUNDING_TOLERANCE_US = 0.5  # rounding error of a sum of intervals
 
 
 class KeyedBy(enum.Enum):
-    """Whose requests count together."""
+    """Which requests are counted under one key."""
 
     CLIENT = "client"
     TENANT = "tenant"
@@ -40,10 +40,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Allowance:
-    """What one key is allowed. 0 = unlimited."""
+    """The rate and concurrency allowed for one key. 0 = unlimited."""
 
     rate_per_s: float = 0.0
-    burst: float = 1  # requests that may come at one moment; a fraction where it is one instance's part
+    burst: float = 1  # requests that may arrive at once; may be fractional for one instance's share
     concurrent: int = 0
 
     @property
@@ -54,34 +54,34 @@
 
 @dataclass(frozen=True, slots=True)
 class RateLimiterSettings:
-    """One limit of the operator's file."""
+    """The configuration of one limit."""
 
     name: str
     keyed_by: KeyedBy
     allowance: Allowance
-    tenants: tuple[tuple[str, Allowance], ...] = ()  # those with an allowance of their own
-    listed: frozenset[str] = frozenset()  # tenants that the file names
-    unlisted_have_keys: bool = False  # tenants that are not listed have a key each; else one together
+    tenants: tuple[tuple[str, Allowance], ...] = ()  # tenants with their own allowance
+    listed: frozenset[str] = frozenset()  # tenants named in the configuration
+    unlisted_have_keys: bool = False  # each unlisted tenant has its own key; otherwise they share one
     max_keys: int = 4_096
     max_retry_after_us: int = 10_000_000
-    send_headers: bool = True  # a rejection names the limit
-    fleet_wide: bool = False  # the rate is for all instances together
+    send_headers: bool = True  # rejections carry the RateLimit headers
+    fleet_wide: bool = False  # the rate applies to all instances together
 
 
 @dataclass(slots=True)
 class KeyState:
-    """What a limiter knows of one key."""
+    """The state of one key."""
 
-    theoretical_arrival_us: float = 0.0  # when all that it has used is paid for
+    theoretical_arrival_us: float = 0.0  # if not in the future, the whole burst is available
     concurrent: int = 0
-    reserved_retry_us: float = 0.0  # the latest time at which one of its clients was told to retry
-    # the shared entry that may have counted its requests before; None once it counts none
+    reserved_retry_us: float = 0.0  # the latest retry time given to one of its clients
+    # the shared entry that may still count earlier requests of this key; None once it counts none
     shared: KeyState | None = None
-    interval_us: float = 0.0  # in which `theoretical_arrival_us` is expressed, where it changes
+    interval_us: float = 0.0  # the interval on which `theoretical_arrival_us` is based, if it can change
 
     @property
     def total_concurrent(self) -> int:
-        """Requests in flight, with those that a shared entry has admitted."""
+        """Requests in flight, including those counted by a shared entry."""
         if self.shared is None:
             return self.concurrent
         if not self.shared.concurrent:
@@ -92,25 +92,25 @@
 
 @dataclass(frozen=True, slots=True)
 class RateLimiterState:
-    """What outlives a restart; the keys are hashes under the salt."""
+    """The state kept over a restart; keys are hashes made with the salt."""
 
     salt: bytes
-    theoretical_arrivals_us: Mapping[int, float]  # by key, of those that lie in the future
+    theoretical_arrivals_us: Mapping[int, float]  # by key, only those in the future
 
 
 @dataclass(frozen=True, slots=True)
 class LimitExceeded:
-    """A request that a limit rejects."""
+    """The rejection of a request by a limit."""
 
     limiter: RateLimiterSettings
     allowance: Allowance
-    by_rate: bool  # else by the concurrent requests
+    by_rate: bool  # otherwise by concurrency
     retry_after_us: int
 
 
 @dataclass(slots=True)
 class Permit:
-    """A request that a limiter has admitted and that has not ended."""
+    """A request that a limiter has admitted and that has not ended yet."""
 
     limiter: RateLimiter
     key: KeyState
@@ -119,20 +119,20 @@
 
 @dataclass(frozen=True, slots=True)
 class _Check:
-    """How one limiter sees a request."""
+    """The result of checking a request against one limiter."""
 
     limiter: RateLimiter
     key: KeyState
-    allowance: Allowance  # of this instance
-    wait_us: int  # until the request would be admitted; 0 = it is
+    allowance: Allowance  # this instance's share
+    wait_us: int  # until the request would be admitted; 0 = now
     by_rate: bool
 
 
 class RateLimiter:
-    """One limit over all its keys. `rng` returns numbers from 0 to 1."""
+    """One limit with the states of its keys. `rng` returns numbers from 0 to 1."""
 
     def __init__(self, settings: RateLimiterSettings, rng: Callable[[], float]) -> None:
-        from hashlib import blake2b  # late, because few routes have a limit and the start must stay short
+        from hashlib import blake2b  # imported late to keep startup short; few routes have a limit
 
         self.hash = blake2b
         self.salt = int(rng() * 2**53).to_bytes(8)
@@ -141,16 +141,16 @@
         self.keys: dict[int, KeyState] = {}  # by hash, the most recently used last
         self.shared_keys = [KeyState() for _ in range(SHARED_KEYS)]
         self.mean_duration_us = float(INITIAL_DURATION_US)  # of one request
-        # totals for the status
+        # totals for status output
         self.admitted = 0
         self.rejected_by_rate = 0
         self.rejected_by_concurrency = 0
-        self.counted_as_shared = 0  # requests of keys that found no place in the table
-        self.counts: SharedCounters | None = None  # of all instances, where the limit is for them together
+        self.counted_as_shared = 0  # requests counted under a shared entry
+        self.counts: SharedCounters | None = None  # counts of all instances, if the limit is fleet-wide
         self.configure(settings)
 
     def configure(self, settings: RateLimiterSettings) -> None:
-        """Put other settings into force; what keys have used still counts."""
+        """Apply other settings; past usage of keys still counts."""
         self.settings = settings
         self.tenants = dict(settings.tenants)
 
@@ -164,9 +164,10 @@
         return found
 
     def restore(self, state: RateLimiterState, now_us: int) -> None:
-        """Begin with what keys had used before a restart; no effect after the first request.
+        """Restore the usage of keys before a restart; no effect after the first request.
 
-        After a change of the system's clock a key could owe a day, so none owes more than the largest burst.
+        Usage is capped at the largest burst: after a step of the system clock a key could otherwise stay
+        blocked for a day.
         """
         if self.keys or self.admitted or not state.salt:
             return
@@ -186,13 +187,13 @@
         return self.tenants.get(tenant, self.settings.allowance)
 
     def fleet_key(self, tenant: str, client: str) -> int:
-        """Return a request's key as all instances have it."""
+        """Return a request's key in the counts that instances share."""
         from plovertrail.decisions.counter_rows import key_of
 
         return key_of("limiter", self.settings.name, *self._key_names(tenant, client))
 
     def key_state(self, tenant: str, client: str) -> KeyState:
-        """Return the state of a request's key; a new key takes the place of an idle one."""
+        """Return the state of a request's key, adding it to the table or using a shared entry."""
         key = self._hash_key(tenant, client)
         state = self.keys.pop(key, None)
         if state is None:
@@ -200,16 +201,13 @@
             if not self._make_room():
                 self.counted_as_shared += 1
                 return shared
-            # a key that leaves a shared entry must not get a whole burst once more
+            # a key that leaves a shared entry must not get a second burst
             state = KeyState(shared.theoretical_arrival_us, shared=shared)
         self.keys[key] = state
         return state
 
     def wait_us(self, key: KeyState, allowance: Allowance) -> tuple[int, bool]:
-        """Return how long a key's next request has to wait, and whether because of its rate.
-
-        0 = not at all.
-        """
+        """Return how long a key's next request must wait (0 = not at all), and whether due to its rate."""
         if allowance.rate_per_s > 0.0:
             early_us = (
                 key.theoretical_arrival_us - (allowance.burst - 1) * allowance.interval_us - self.now_us
@@ -221,7 +219,7 @@
         return 0, True
 
     def check(self, tenant: str, client: str) -> _Check:
-        """Return how this limiter sees a request, which is not counted yet."""
+        """Check a request against this limiter without counting it."""
         allowance = self.allowance_of(tenant)
         key = self.key_state(tenant, client)
         if self.counts is not None:
@@ -238,10 +236,10 @@
         return Permit(self, key, self.now_us)
 
     def reject(self, check: _Check, allowance: Allowance) -> LimitExceeded:
-        """Reject a request that is over `allowance`, of which `check` has this instance's part.
+        """Reject a request that exceeds `allowance`; `check` has this instance's share of it.
 
-        Each client is told a time of its own: with the same time told to all, they would retry together and
-        all but one in vain.
+        Each rejected client gets a different retry time. With the same time for all, they would retry
+        together and all but one would be rejected again.
         """
         key = check.key
         if check.by_rate:
@@ -255,30 +253,30 @@
         if retry_us <= self.now_us + longest_us:
             key.reserved_retry_us = retry_us
             retry_after_us = retry_us - self.now_us
-        else:  # nothing is left within the longest Retry-After: spread over its end
+        else:  # nothing is left to reserve within the longest Retry-After: spread retries over its last part
             retry_after_us = longest_us * (1.0 - RETRY_JITTER * self.rng())
         return LimitExceeded(self.settings, allowance, check.by_rate, int(retry_after_us))
 
     def ended(self, permit: Permit, now_us: int) -> None:
-        """An admitted request has been answered, and none of its attempts is in flight."""
+        """An admitted request has its response, and none of its attempts is in flight."""
         self.advance(now_us)
         permit.key.concurrent -= 1
         duration_us = self.now_us - permit.admitted_us
         self.mean_duration_us += (duration_us - self.mean_duration_us) / DURATION_SMOOTHING_REQUESTS
 
     def advance(self, now_us: int) -> None:
-        """Move the clock, but never back: a request would seem to have taken less than no time."""
+        """Advance the clock; a step back is ignored, as it would make durations negative."""
         self.now_us = max(now_us, self.now_us)
 
     def _instance_allowance(
         self, counts: SharedCounters, allowance: Allowance, key: KeyState, fleet_key: int
     ) -> Allowance:
-        """Return this instance's part of an allowance for all instances together."""
+        """Return this instance's share of a fleet-wide allowance."""
         if not allowance.rate_per_s:
             return allowance
         counted_key = counts.add(fleet_key, self.now_us)
         rate_part, burst_part = counts.shares_of(counted_key, allowance.burst, self.now_us)
-        # what the key owes was counted in intervals as they were; in longer ones its burst would come back
+        # rescale past usage to the new interval; otherwise a longer interval would restore part of the burst
         interval_us = 1e6 / (allowance.rate_per_s * rate_part)
         if key.interval_us and key.theoretical_arrival_us > self.now_us:
             owed_us = key.theoretical_arrival_us - self.now_us
@@ -288,7 +286,7 @@
         return Allowance(allowance.rate_per_s * rate_part, burst, allowance.concurrent)
 
     def _hash_key(self, tenant: str, client: str) -> int:
-        """Return a key's hash; it is salted, so that no client can choose whose entry it shares."""
+        """Return a key's hash; it is salted so that clients can't choose which shared entry they get."""
         name = "\0".join(self._key_names(tenant, client)).encode("utf-8", "surrogateescape")
         return int.from_bytes(self.hash(name, digest_size=8, key=self.salt).digest())
 
@@ -303,10 +301,10 @@
         return parts
 
     def _make_room(self) -> bool:
-        """Evict idle keys from a full table; return whether one more key finds a place.
+        """Evict idle keys from a full table; return whether there is room for one more key.
 
-        A few more than one are evicted, so that a table that a reload made smaller shrinks. Keys in use
-        move to the end, so that others are checked next time.
+        Several candidates are checked each time, so that a table shrinks after `max_keys` was lowered. Keys
+        in use move to the end, so that others are checked next time.
         """
         if len(self.keys) >= self.settings.max_keys:
             for key in list(islice(self.keys, EVICTION_CANDIDATES)):
@@ -320,9 +318,9 @@
 def admit(
     limiters: Sequence[RateLimiter], tenant: str, client: str, now_us: int
 ) -> list[Permit] | LimitExceeded:
-    """Admit a request by all of its limiters, or by none.
+    """Admit a request if all of its limiters admit it.
 
-    Of the limiters that reject it, the one with the longest wait is returned; the others do not count it.
+    Otherwise the rejection with the longest wait is returned, and no other limiter counts the request.
     """
     checks = []
     for limiter in limiters:
@@ -335,7 +333,7 @@
 
 
 def policy_header(exceeded: LimitExceeded) -> str:
-    """Return the limit as a `RateLimit-Policy` field (draft-ietf-httpapi-ratelimit-headers).
+    """Return the value of the `RateLimit-Policy` field (draft-ietf-httpapi-ratelimit-headers).
 
     The field has the limit's name, its quota, and the window in seconds or the unit.
     """
@@ -347,5 +345,5 @@
 
 
 def limit_header(exceeded: LimitExceeded) -> str:
-    """Return what is left of the limit as a `RateLimit` field: nothing, for this many seconds."""
+    """Return the value of the `RateLimit` field: nothing remains for this many seconds."""
     return f'"{exceeded.limiter.name}";r=0;t={-(-exceeded.retry_after_us // 1_000_000)}'
