--- a/tests/decisions/test_rate_limits.py
+++ b/tests/decisions/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""Rate and concurrency limits on a virtual clock: what is admitted, Retry-After, and bounded memory."""
+"""Rate and concurrency limits on a virtual clock: admission, Retry-After and bounded memory."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def admits(limiter: RateLimiter, now_us: int, client: str = "c", tenant: str = "") -> bool:
-    """Whether a request is admitted; it ends at the same moment."""
+    """Send a request that ends at once; return whether it was admitted."""
     result = send(limiter, now_us, client, tenant)
     if isinstance(result, Permit):
         limiter.ended(result, now_us)
@@ -52,7 +52,7 @@
     limiter = make_limiter(rate=10.0, burst=5)
     assert [admits(limiter, 0) for _ in range(6)] == [True] * 5 + [False]
     result = [admits(limiter, now) for now in range(1, 2 * SECOND, 10_000)]
-    assert sum(result) == 19  # one each tenth of a second; the last one's comes at 2 s
+    assert sum(result) == 19  # one every 100 ms; the twentieth would be due at 2 s
     assert admits(limiter, 10 * SECOND)
     assert sum(admits(limiter, 10 * SECOND) for _ in range(9)) == 4
 
@@ -80,7 +80,7 @@
 
 
 def test_rejected_clients_that_honour_retry_after_are_admitted() -> None:
-    """Twenty clients of one tenant, each with a time of its own."""
+    """Twenty clients of one tenant each get a different retry time."""
     limiter = make_limiter(rate=10.0, by=KeyedBy.TENANT)
     assert admits(limiter, 0)
     retry_after = []
@@ -95,7 +95,7 @@
     assert all(admits(limiter, when) for when in retry_after)
 
 
-def test_retry_after_stays_within_the_longest() -> None:
+def test_retry_after_stays_within_its_maximum() -> None:
     limiter = make_limiter(rate=1.0, max_retry_after_us=3 * SECOND)
     assert admits(limiter, 0)
     retry_after = [
@@ -107,7 +107,7 @@
     assert min(retry_after[5:]) >= 2 * SECOND
 
 
-def test_all_limits_admit_a_request_or_none_counts_it() -> None:
+def test_a_request_is_counted_only_if_all_limits_admit_it() -> None:
     tight, wide = make_limiter(rate=1.0), make_limiter(rate=100.0, burst=100, concurrent=50)
     assert not isinstance(admit([wide, tight], "", "c", 0), LimitExceeded)
     for _ in range(200):
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize(
-    ("by", "apart"),
+    ("by", "key_numbers"),
     [
         (KeyedBy.CLIENT, {("a", "1"): 0, ("b", "1"): 0, ("a", "2"): 1, ("x", "2"): 1}),
         (KeyedBy.TENANT, {("a", "1"): 0, ("a", "2"): 0, ("b", "1"): 1, ("x", "1"): 2, ("y", "2"): 2}),
@@ -140,22 +140,22 @@
         (KeyedBy.ALL, {("a", "1"): 0, ("b", "2"): 0, ("x", ""): 0}),
     ],
 )
-def test_whose_requests_count_together(by: KeyedBy, apart: dict[tuple[str, str], int]) -> None:
+def test_requests_are_keyed_as_configured(by: KeyedBy, key_numbers: dict[tuple[str, str], int]) -> None:
     limiter = make_limiter(rate=1.0, by=by, listed=frozenset("ab"))
-    entries = {pair: id(limiter.key_state(*pair)) for pair in apart}
-    for one, its in entries.items():
-        for other, others in entries.items():
-            assert (its == others) == (apart[one] == apart[other]), (one, other)
+    states = {pair: id(limiter.key_state(*pair)) for pair in key_numbers}
+    for one, state in states.items():
+        for other, other_state in states.items():
+            assert (state == other_state) == (key_numbers[one] == key_numbers[other]), (one, other)
 
 
-def test_tenants_that_are_not_listed_may_have_a_key_each() -> None:
+def test_unlisted_tenants_may_have_separate_keys() -> None:
     limiter = make_limiter(rate=1.0, by=KeyedBy.TENANT, unlisted_have_keys=True)
     assert admits(limiter, 0, tenant="x")
     assert admits(limiter, 0, tenant="y")
     assert not admits(limiter, 0, tenant="x")
 
 
-def test_a_tenant_may_have_an_allowance_of_its_own() -> None:
+def test_a_tenant_may_have_its_own_allowance() -> None:
     limiter = make_limiter(
         rate=1.0, by=KeyedBy.TENANT, listed=frozenset("ab"), tenants=(("a", Allowance(50.0, 30)),)
     )
@@ -163,8 +163,8 @@
     assert sum(admits(limiter, 0, tenant="b") for _ in range(99)) == 1
 
 
-def test_random_names_neither_grow_the_table_nor_loosen_a_limit() -> None:
-    """A thousand new clients a second, and one that is over its limit all the time."""
+def test_random_client_names_neither_grow_the_table_nor_loosen_limits() -> None:
+    """A thousand new clients per second, and one client that always exceeds its limit."""
     limiter = make_limiter(rate=1.0, burst=2, max_keys=100)
     busy_admitted = 0
     for number in range(20_000):
@@ -200,7 +200,7 @@
     limiter = make_limiter(rate=1.0, burst=5, concurrent=9, max_keys=1)
     blocker = send(limiter, 0, "blocker")
     assert isinstance(blocker, Permit)
-    in_flight = [send(limiter, 0, "late") for _ in range(6)]  # shared
+    in_flight = [send(limiter, 0, "late") for _ in range(6)]  # counted under a shared entry
     assert [type(each) for each in in_flight] == [Permit] * 5 + [LimitExceeded]
     assert limiter.counted_as_shared == 6
     limiter.ended(blocker, 0)
@@ -209,7 +209,7 @@
     assert admits(limiter, SECOND, "late")
     assert limiter.counted_as_shared == 7
     assert not admits(limiter, SECOND, "late")
-    assert limiter.key_state("", "late").total_concurrent == 5  # those out count on
+    assert limiter.key_state("", "late").total_concurrent == 5  # requests in flight still count
     for each in in_flight[:5]:
         assert isinstance(each, Permit)
         limiter.ended(each, 2 * SECOND)
@@ -221,7 +221,7 @@
     for number in range(50):
         admits(limiter, 0, f"c{number}")
     limiter.configure(RateLimiterSettings("it", KeyedBy.CLIENT, Allowance(2.0, 1), max_keys=5))
-    assert not admits(limiter, 0, "c3")  # what it has had still counts
+    assert not admits(limiter, 0, "c3")  # past usage still counts
     for number in range(50):
         admits(limiter, 9 * SECOND + number, f"new{number}")
     assert len(limiter.keys) <= 5
@@ -263,9 +263,9 @@
 def test_no_key_exceeds_its_limit(
     events: list[tuple[int, int, bool]], rate: float, burst: int, concurrent: int, max_keys: int
 ) -> None:
-    """In no interval more than burst and rate, never more in flight, whatever the size of the table.
+    """Rate, burst and concurrency hold in every interval, for any size of the table.
 
-    With a place for each key, no key is rejected because of the others.
+    If the table has room for all keys, no key is rejected because of the others.
     """
     limiter = make_limiter(rate, burst, concurrent, max_keys=max_keys)
     alone = {key: make_limiter(rate, burst, concurrent) for key in range(9)}
@@ -288,13 +288,13 @@
             admitted_us[key].append(now_us)
             assert len(in_flight_pairs[key]) <= concurrent
             for number, since_us in enumerate(admitted_us[key]):
-                most = burst + rate * (now_us - since_us) / SECOND
-                assert len(admitted_us[key]) - number <= most + 1e-3
+                allowed = burst + rate * (now_us - since_us) / SECOND
+                assert len(admitted_us[key]) - number <= allowed + 1e-3
     assert len(limiter.keys) <= max_keys
 
 
 def limiters_of_a_fleet(size: int, rate: float, burst: int) -> list[tuple[RateLimiter, SharedCounters]]:
-    """The limiters of a fleet that counts together, each with its counts."""
+    """Return the limiters of a fleet with a fleet-wide limit, each with its counts."""
     result = []
     for number in range(size):
         limiter = make_limiter(rate=rate, burst=burst, by=KeyedBy.ALL, fleet_wide=True)
@@ -314,18 +314,18 @@
                 other.merge(message, now_us)
 
 
-def test_an_instance_part_that_shrinks_brings_no_burst_back() -> None:
+def test_a_shrinking_instance_share_restores_no_burst() -> None:
     fleet = limiters_of_a_fleet(3, rate=0.01, burst=6)
     admitted = [sum(admits(limiter, number * 1_000) for limiter, _ in fleet) for number in range(4)]
     exchange(fleet, 1, 5_000)
-    assert sum(admitted) == 6  # two each
-    for number in range(10, 400):  # the others are known now, and the part of each falls to a third
+    assert sum(admitted) == 6  # two per instance
+    for number in range(10, 400):  # the peers' counts are known now, and each share falls to a third
         assert not any(admits(limiter, number * 1_000) for limiter, _ in fleet)
 
 
 @pytest.mark.parametrize("loads", [(1, 1, 1, 1), (13, 3, 2, 2), (20, 0, 0, 0)])
-def test_a_fleet_wide_rate_holds_however_the_load_is_spread(loads: tuple[int, ...]) -> None:
-    """Four instances get 400 a second where 100 are allowed, and exchange counts ten times a second."""
+def test_a_fleet_wide_rate_holds_for_any_distribution_of_load(loads: tuple[int, ...]) -> None:
+    """Four instances get 400 requests/s where 100 are allowed, and exchange counts ten times a second."""
     fleet, rng, admitted = limiters_of_a_fleet(4, rate=100.0, burst=8), random.Random(5), [0, 0, 0, 0]
     for tick in range(12_000):  # 30 s
         now_us = tick * 2_500
@@ -335,27 +335,27 @@
         if tick % 40 == 0:
             exchange(fleet, tick + 1, now_us)
     assert 0.93 < sum(admitted) / 2_500 < 1.07
-    for number, load in enumerate(loads):  # each its part by what it is asked for
+    for number, load in enumerate(loads):  # the share of each instance follows its load
         assert abs(admitted[number] / sum(admitted) - load / sum(loads)) < 0.06
 
 
-def test_instances_that_start_together_stay_within_the_limit_before_they_exchange_counts() -> None:
+def test_instances_that_start_together_stay_within_the_limit_without_counts() -> None:
     fleet = limiters_of_a_fleet(20, rate=100.0, burst=100)
     admitted = 0
-    for tick in range(2_000):  # 2 s, a request a millisecond
+    for tick in range(2_000):  # 2 s at one request per millisecond
         admitted += admits(fleet[tick % 20][0], tick * 1_000)
-    assert 150 < admitted <= 2 * 100 + 100  # the rate, and one burst for all
+    assert 150 < admitted <= 2 * 100 + 100  # the rate and one burst for all instances
 
 
-def test_a_restored_limit_owes_no_more_than_a_burst() -> None:
+def test_restored_usage_is_at_most_one_burst() -> None:
     before = make_limiter(rate=1.0, burst=4)
     assert [admits(before, 10 * SECOND, client) for client in ("a", "a", "a", "b")] == [True] * 4
     state = RateLimiterState(before.salt, before.pending_arrivals(list(before.keys), 10 * SECOND))
     after = make_limiter(rate=1.0, burst=4)
-    after.restore(state, 11 * SECOND)  # a second has paid for one
+    after.restore(state, 11 * SECOND)  # after one second, one request is available again
     assert [admits(after, 11 * SECOND, "a") for _ in range(3)] == [True, True, False]
     assert [admits(after, 11 * SECOND, "b") for _ in range(5)] == [True] * 4 + [False]
-    # by a clock that was set back by a day it would owe for a day
+    # a clock set back by a day would otherwise block the key for a day
     late = make_limiter(rate=1.0, burst=4)
     late.restore(
         RateLimiterState(
