--- a/plovertrail/decisions/subsetting.py
+++ b/plovertrail/decisions/subsetting.py
@@ -1,9 +1,9 @@
-"""The subset of a pool's endpoints that one instance uses.
+"""Selects the subset of a pool's endpoints that one instance uses.
 
-Each instance takes the endpoints that rank first for its own number: rendezvous hashing (Thaler and
-Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", IEEE/ACM Trans. Networking 6, 1998), by weight
-(Schindelhauer and Schomaker, "Weighted Distributed Hash Tables", SPAA 2005). How many instances use an
-endpoint is then random, and decisions/fleet_limits.py leaves room for that.
+Each instance uses the endpoints that rank first for its own number, by weighted rendezvous hashing (Thaler
+and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", IEEE/ACM Trans. Networking 6, 1998;
+Schindelhauer and Schomaker, "Weighted Distributed Hash Tables", SPAA 2005). The number of instances that use
+an endpoint is therefore random; decisions/fleet_limits.py allows for the variation.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 from plovertrail.decisions.fleet_limits import uniform_hash
 from plovertrail.decisions.settings import RequestClass
 
-WIDEN_INTERVAL_US = 250_000  # the effect of one widening must show before the next
-NARROW_DELAY_US = 10_000_000  # without a request that found no slot
-MAX_CHANGES = 250  # endpoints added or removed in one step: a load balancer takes about 10 us for each
+WIDEN_INTERVAL_US = 250_000  # minimum time between two widenings, for the first one to take effect
+NARROW_DELAY_US = 10_000_000  # time without a request that found no slot
+MAX_CHANGES = 250  # endpoints added or removed in one step; a load balancer takes about 10 us for each
 Address = tuple[str, int]
 
 
 def dedup_scope_of(classes: Iterable[RequestClass]) -> str:
-    """Return by which scope endpoints are selected together: "zone", "cell" or "" for each by itself.
+    """Return the scope whose endpoints are selected together: "zone", "cell", or "" for single endpoints.
 
-    A deduplicated request that may have run may be retried within its scope only. With a part of the scope
-    selected, the retry would have no endpoint to go to.
+    A deduplicated request that may have run may only be retried within its scope. If the subset had only a
+    part of the scope, the retry could find no endpoint.
     """
     scopes = {kind.dedup_scope for kind in classes if kind.effect == "deduplicated"}
     if "zone" in scopes:
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, order=True, slots=True)
 class _Rank:
-    """The order in which units are selected; the lowest comes first."""
+    """The rank of a unit; the unit with the lowest rank is selected first."""
 
     outside_home_zone: bool
     score: float
@@ -53,11 +53,11 @@
 
 
 class EndpointSubset:
-    """Selects the endpoints of a pool that one instance uses.
+    """The endpoints of a pool that one instance uses.
 
-    It selects whole units, the best ranked first, until enough of their endpoints are ready. It takes
-    endpoint lists in and returns how its own list changes. An endpoint that a better ranked one has
-    replaced stays until it has no open requests; a drain or a removal is passed on at once.
+    Whole units are selected, the best ranked first, until enough of their endpoints are ready. The methods
+    take changes of the pool's list and return the resulting changes of the subset. An endpoint that a better
+    ranked one has replaced stays until it has no open requests; a drain or a removal is passed on at once.
     """
 
     def __init__(
@@ -66,24 +66,22 @@
         self.instance = instance
         self.target_size = target_size
         self.dedup_scope = dedup_scope
-        self.home_zone = home_zone  # its endpoints are selected first; None: all zones alike
-        self.current_size = target_size  # ready endpoints wanted now; more than the target in a shortage
+        self.home_zone = home_zone  # its endpoints are selected first; None: zones don't matter
+        self.current_size = target_size  # ready endpoints wanted now; above the target in a shortage
         self.last_shortage_us = 0
         self.last_resize_us = 0
         self.units: dict[str, _Unit] = {}
         self.ranking: list[_Rank] = []
         self.endpoints: dict[int, Endpoint] = {}
-        self.unit_names: dict[int, str] = {}  # by endpoint
-        self.selected: dict[int, Endpoint] = {}  # as last returned
-
-    # Endpoint lists in, changes of the own list out
+        self.unit_names: dict[int, str] = {}  # by endpoint id
+        self.selected: dict[int, Endpoint] = {}  # the subset, as returned to the caller
 
     def update(
         self, endpoints: Iterable[Endpoint], addresses: Mapping[int, Address], add_missing: bool = True
     ) -> list[Endpoint]:
-        """Take in changed endpoints; return what changes in the own list.
+        """Apply changed endpoints; return the changes of the subset.
 
-        Without `add_missing` no endpoint joins yet, because more of the same list follows.
+        Without `add_missing` no endpoint joins the subset yet, because more of the same list follows.
         """
         changes: list[Endpoint] = []
         for endpoint in endpoints:
@@ -101,7 +99,7 @@
     def replace(
         self, endpoint_ids: Set[int], endpoints: Iterable[Endpoint], addresses: Mapping[int, Address]
     ) -> list[Endpoint]:
-        """Take in a complete list; return what changes in the own list. What it does not name is removed."""
+        """Apply a complete list, removing endpoints not in it; return the changes of the subset."""
         removed = [
             Endpoint(endpoint_id, EndpointStatus.REMOVED)
             for endpoint_id in self.endpoints.keys() - endpoint_ids
@@ -109,7 +107,7 @@
         return self.update([*removed, *endpoints], addresses)
 
     def widen(self, now_us: int) -> list[Endpoint]:
-        """A request found no free slot: use twice as many endpoints, if there are; return those that join."""
+        """Double the subset after a request found no free slot; return the endpoints that join."""
         self.last_shortage_us = now_us
         if self.current_size >= len(self.endpoints) or now_us < self.last_resize_us + WIDEN_INTERVAL_US:
             return []
@@ -118,7 +116,7 @@
         return self._add_missing()
 
     def narrow(self, now_us: int, busy: Set[int]) -> list[Endpoint]:
-        """Drop half of what was added once no shortage was seen for a while; return what changes.
+        """Halve a widened subset some time after the last shortage; return the changes of the subset.
 
         Units with `busy` endpoints stay, because their requests may have to be retried there.
         """
@@ -137,10 +135,8 @@
             del self.selected[endpoint.id]
         return removed + self._add_missing()
 
-    # Units and their ranks
-
     def _wanted_units(self) -> dict[str, None]:
-        """Return the names of the units to use, the best ranked first."""
+        """Return the names of the units to select, the best ranked first."""
         names: dict[str, None] = {}
         ready = 0
         for rank in self.ranking:
@@ -154,11 +150,11 @@
         return names
 
     def _add_missing(self) -> list[Endpoint]:
-        """Select the endpoints that are wanted and not selected yet; return them."""
+        """Select wanted endpoints that are not selected yet; return them."""
         added: list[Endpoint] = []
         for name in self._wanted_units():
             if len(added) >= MAX_CHANGES:
-                break  # the next call goes on
+                break  # the next call continues
             for endpoint_id, endpoint in self.units[name].endpoints.items():
                 if endpoint_id not in self.selected and endpoint.state is EndpointStatus.READY:
                     self.selected[endpoint_id] = endpoint
@@ -168,7 +164,7 @@
     def _unit_name(self, endpoint: Endpoint, address: Address) -> str:
         if self.dedup_scope:
             return str(endpoint.zone if self.dedup_scope == "zone" else endpoint.cell)
-        return f"{address[0]}:{address[1]}"  # the same at each start, unlike endpoint ids
+        return f"{address[0]}:{address[1]}"  # unlike endpoint ids, stable over restarts
 
     def _insert(self, endpoint: Endpoint, address: Address) -> None:
         name = self._unit_name(endpoint, address)
@@ -194,7 +190,7 @@
             del self.units[unit.rank.name]
 
     def _insert_rank(self, unit: _Unit) -> None:
-        """Rank a unit by weight: its probability to come first is in proportion to it."""
+        """Insert a unit by its rank; its probability of ranking first is proportional to its weight."""
         name = unit.rank.name
         weight = sum(endpoint.weight for endpoint in unit.endpoints.values())
         outside = self.home_zone is not None and all(
