--- a/tests/decisions/test_subsetting.py
+++ b/tests/decisions/test_subsetting.py
@@ -1,4 +1,4 @@
-"""The subset of a pool's endpoints that one instance uses."""
+"""Selection of the subset of a pool's endpoints that one instance uses."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
     assert returned[1].state is READY
 
 
-def test_a_complete_subset_that_drains_is_replaced() -> None:
+def test_a_subset_whose_endpoints_all_drain_is_replaced() -> None:
     entries = endpoints(10)
     subset = subset_of(1, 3, entries)
     ids_before = set(subset.selected)
@@ -101,15 +101,15 @@
     assert not subset.units
 
 
-def test_a_dedup_scope_is_selected_complete_even_if_larger_than_the_subset() -> None:
+def test_a_dedup_scope_is_selected_completely_even_if_larger_than_the_subset() -> None:
     entries = endpoints(40)
     for instance in range(50):
         for kind in ("cell", "zone"):
             subset = subset_of(instance, 3, entries, kind)
             for number in subset.selected:
-                mine = getattr(subset.endpoints[number], kind)
-                whole = {entry.id for entry in entries if getattr(entry, kind) == mine}
-                assert whole <= subset.selected.keys()
+                scope_id = getattr(subset.endpoints[number], kind)
+                members = {entry.id for entry in entries if getattr(entry, kind) == scope_id}
+                assert members <= subset.selected.keys()
     assert dedup_scope_of([RequestClass("a", 1, 1)]) == ""
     keyed = RequestClass("k", 1, 1, effect="deduplicated", dedup_scope="cell")
     assert dedup_scope_of([keyed]) == "cell"
@@ -134,7 +134,7 @@
     base = set(subset.selected)
     assert len(subset.widen(1_000_000)) == 3
     assert base < subset.selected.keys()
-    assert subset.widen(1_000_001) == [], "not twice at once"
+    assert subset.widen(1_000_001) == [], "widened twice within the interval"
     subset.widen(2_000_000)
     subset.widen(3_000_000)
     assert len(subset.selected) == 20
@@ -170,27 +170,27 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(STEP, max_size=40), st.sampled_from(["", "cell", "zone"]), st.integers(0, 100))
-def test_the_subset_is_what_was_returned_and_never_empty_without_need(
+def test_the_subset_matches_the_returned_changes_and_has_enough_ready_endpoints(
     steps: list[tuple[str, int]], scope: str, instance: int
 ) -> None:
     subset = EndpointSubset(instance, 3, scope)
     returned: dict[int, Endpoint] = {}
     listed: dict[int, Endpoint] = {}
-    where = {number: ("127.0.0.1", 1000 + number) for number in range(12)}
+    address_by_id = {number: ("127.0.0.1", 1000 + number) for number in range(12)}
     now_us = 0
-    for what, number in steps:
+    for step, number in steps:
         now_us += 3_000_000
         entry = Endpoint(number, READY, zone=number % 3, cell=number // 2)
         changes: list[Endpoint] = []
-        if what in ("ready", "drain", "removed"):
-            entry.state = {"ready": READY, "drain": DRAINING, "removed": REMOVED}[what]
+        if step in ("ready", "drain", "removed"):
+            entry.state = {"ready": READY, "drain": DRAINING, "removed": REMOVED}[step]
             listed[number] = entry
-            changes = subset.update([entry], where)
-        elif what == "complete":
+            changes = subset.update([entry], address_by_id)
+        elif step == "complete":
             entries = [Endpoint(n, READY, zone=n % 3, cell=n // 2) for n in range(number)]
             listed = {e.id: e for e in entries}
-            changes = subset.replace(listed.keys(), entries, where)
-        elif what == "shortage":
+            changes = subset.replace(listed.keys(), entries, address_by_id)
+        elif step == "shortage":
             changes = subset.widen(now_us)
         else:
             changes = subset.narrow(now_us, {number})
@@ -198,12 +198,14 @@
             if change.state is READY:
                 returned[change.id] = change
             else:
-                assert returned.pop(change.id).id == change.id, "removed, and was never there"
+                assert returned.pop(change.id).id == change.id, (
+                    "removed an endpoint that was not in the subset"
+                )
         ready = {n for n, e in listed.items() if e.state is READY}
         assert returned.keys() == subset.selected.keys()
         assert returned.keys() <= ready
         assert len(returned) >= min(3, len(ready))
-        if scope:  # a unit with one endpoint selected is selected complete
+        if scope:  # units are selected completely
             for n in returned:
                 scope_members = {m for m in ready if getattr(listed[m], scope) == getattr(listed[n], scope)}
                 wanted = subset.unit_names[n] in subset._wanted_units()
