--- a/tests/decisions/test_fleet_limits.py
+++ b/tests/decisions/test_fleet_limits.py
@@ -20,13 +20,13 @@
 
 def test_usable_mean_leaves_room_for_random_spread() -> None:
     rng = random.Random(5)
-    for bound, places in ((100, 20), (400, 500)):
-        mean = usable_mean(bound, places)
+    for bound, bins in ((100, 20), (400, 500)):
+        mean = usable_mean(bound, bins)
         # 5,000 instances choose places at random, each with the chance that gives this mean
         over = 0
         for _ in range(20):
             counts = Counter(
-                place for place in range(places) for _ in range(_binomial(rng, 5_000, mean / 5_000))
+                place for place in range(bins) for _ in range(_binomial(rng, 5_000, mean / 5_000))
             )
             over += any(count > bound for count in counts.values())
         assert over == 0
