--- a/plovertrail/decisions/fleet_limits.py
+++ b/plovertrail/decisions/fleet_limits.py
@@ -43,14 +43,14 @@
     connect_interval_us: int = 0  # between two connects, to any endpoints
 
 
-def usable_mean(bound: float, bins: int, lot: int = 1) -> float:
+def usable_mean(bound: float, bins: int, batch_size: int = 1) -> float:
     """Return the highest mean for which a count stays within `bound` at each of `places` places.
 
     The count comes in independent lots (Poisson). The highest of n normal values lies about sqrt(2 ln n)
     standard deviations above the mean.
     """
     deviations = SPREAD_DEVIATIONS + math.sqrt(2.0 * math.log(max(1, bins)))
-    spread = deviations * math.sqrt(lot)
+    spread = deviations * math.sqrt(batch_size)
     return ((math.sqrt(spread * spread + 4.0 * bound) - spread) / 2.0) ** 2
 
 
--- a/tests/decisions/test_fleet_limits.py
+++ b/tests/decisions/test_fleet_limits.py
@@ -31,7 +31,7 @@
             over += any(count > bound for count in counts.values())
         assert over == 0
         assert mean > 0.5 * bound
-    assert usable_mean(100, 20, lot=4) < usable_mean(100, 20) < usable_mean(1_000, 20)
+    assert usable_mean(100, 20, batch_size=4) < usable_mean(100, 20) < usable_mean(1_000, 20)
 
 
 def _binomial(rng: random.Random, count: int, chance: float) -> int:
