--- a/plovertrail/decisions/fleet_limits.py
+++ b/plovertrail/decisions/fleet_limits.py
@@ -83,11 +83,11 @@
         return 0, 0, True
     subset_size = min(limits.subset_size or endpoints, endpoints)
     for per_endpoint in range(1, MAX_CONNECTIONS_PER_ENDPOINT + 1):
-        part = usable_mean(limits.connections, endpoints, per_endpoint) * endpoints / fleet.size
-        if part < subset_size * (per_endpoint + 1):
+        share = usable_mean(limits.connections, endpoints, per_endpoint) * endpoints / fleet.size
+        if share < subset_size * (per_endpoint + 1):
             break
     # the same instances round up at each start
-    rounded = int(part + uniform_hash(fleet.number, "connections"))
+    rounded = int(share + uniform_hash(fleet.number, "connections"))
     return max(1, rounded), per_endpoint, rounded >= 1
 
 
