--- a/plovertrail/decisions/fleet_limits.py
+++ b/plovertrail/decisions/fleet_limits.py
@@ -1,8 +1,7 @@
-"""What one of many instances may hold, so that all together stay within the capacity of each endpoint.
+"""Per-instance limits with which a whole fleet stays within the capacity of each endpoint.
 
-The instances do not talk to each other: each derives its own limits from the size of the fleet, and leaves
-room for the random spread of the others' choices. docs/large-fleets.md derives the bound and states its
-error.
+The instances don't communicate: each derives its limits from the size of the fleet, with a margin for the
+random variation of the other instances' choices. docs/large-fleets.md derives the bound and states its error.
 """
 
 from __future__ import annotations
@@ -10,15 +9,14 @@
 import math
 from dataclasses import dataclass
 
-SPREAD_DEVIATIONS = (
-    3.0  # standard deviations above the highest count that is expected: one chance in a thousand
-)
+# Standard deviations above the expected highest count; it is exceeded with a probability of about 0.001.
+SPREAD_DEVIATIONS = 3.0
 MAX_CONNECTIONS_PER_ENDPOINT = 64  # of one instance
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """The instances that share the endpoints, and the number of this one among them."""
+    """The size of the fleet that shares the endpoints, and the number of this instance in it."""
 
     size: int = 1
     number: int = 0
@@ -26,21 +24,21 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetLimits:
-    """What one endpoint supports from all instances together. 0 = unlimited."""
+    """Limits of one endpoint for all instances together. 0 = unlimited."""
 
-    subset_size: int = 0  # endpoints that one instance needs
+    subset_size: int = 0  # endpoints that one instance uses
     connections: int = 0
     connects_per_s: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceLimits:
-    """What one instance may hold of a pool. 0 = unlimited."""
+    """Limits of one instance in a pool. 0 = unlimited."""
 
     connections: int = 0  # to all endpoints together
     connections_per_endpoint: int = 0
     keep_idle: bool = True  # False: connections are closed after each request
-    connect_interval_us: int = 0  # between two connects, to any endpoints
+    connect_interval_us: int = 0  # between two connects, over all endpoints
 
 
 def usable_mean(bound: float, bins: int, batch_size: int = 1) -> float:
@@ -55,18 +53,18 @@
 
 
 def uniform_hash(instance: int, name: str) -> float:
-    """Return a number between 0 and 1 that is always the same for an instance and a name."""
-    import hashlib  # late, because the platform's program has no fleet and would load it at each start
+    """Return a deterministic hash of an instance and a name, between 0 and 1."""
+    import hashlib  # imported late: the platform's program has no fleet and needn't load it at startup
 
     digest = hashlib.blake2b(f"{instance} {name}".encode(), digest_size=8).digest()
     return (int.from_bytes(digest) + 0.5) / 2.0**64
 
 
 def instance_limits(fleet: Fleet, limits: FleetLimits, endpoints: int) -> InstanceLimits:
-    """Return one instance's part of what `endpoints` endpoints support.
+    """Return one instance's share of the limits of `endpoints` endpoints.
 
-    Where the part is 2.5 connections, half of the instances have two and the others three. Where it is less
-    than one, the others keep no idle connection and open one for each request.
+    With a share of 2.5 connections, half of the instances get two and the others three. With a share below
+    one, some instances keep no idle connection and open one for each request.
     """
     if endpoints <= 0:
         return InstanceLimits()
@@ -78,7 +76,7 @@
 
 
 def _connection_limits(fleet: Fleet, limits: FleetLimits, endpoints: int) -> tuple[int, int, bool]:
-    """Return the connections in all, those to one endpoint, and whether idle ones are kept."""
+    """Return the connections in total and per endpoint, and whether idle ones are kept."""
     if not limits.connections:
         return 0, 0, True
     subset_size = min(limits.subset_size or endpoints, endpoints)
@@ -86,18 +84,18 @@
         share = usable_mean(limits.connections, endpoints, per_endpoint) * endpoints / fleet.size
         if share < subset_size * (per_endpoint + 1):
             break
-    # the same instances round up at each start
+    # deterministic, so that the same instances round up after a restart
     rounded = int(share + uniform_hash(fleet.number, "connections"))
     return max(1, rounded), per_endpoint, rounded >= 1
 
 
 def poll_spread_us(instances: int, polls_per_s: float) -> int:
-    """Return the span over which all instances spread their polls of the endpoint list at random."""
+    """Return the period over which all instances randomly spread their polls of the endpoint list."""
     return int(1e6 * instances / usable_mean(polls_per_s, 1))
 
 
 def oversubscribed(fleet: Fleet, limits: FleetLimits, endpoints: int) -> str:
-    """Return what no instance's restraint can keep within the limits; empty if there is nothing."""
+    """Return why per-instance limits can't keep the fleet within its limits; empty if they can."""
     if not limits.connections or endpoints <= 0:
         return ""
     if fleet.size <= usable_mean(limits.connections, endpoints) * endpoints:
