--- a/plovertrail/decisions/fleet_limits.py
+++ b/plovertrail/decisions/fleet_limits.py
@@ -42,10 +42,10 @@
 
 
 def usable_mean(bound: float, bins: int, batch_size: int = 1) -> float:
-    """Return the highest mean for which a count stays within `bound` at each of `places` places.
+    """Return the highest mean count per bin for which the count of each of `bins` bins stays within `bound`.
 
-    The count comes in independent lots (Poisson). The highest of n normal values lies about sqrt(2 ln n)
-    standard deviations above the mean.
+    Counts are Poisson-distributed, in independent batches of `batch_size`. The highest of n normal values
+    lies about sqrt(2 ln n) standard deviations above the mean.
     """
     deviations = SPREAD_DEVIATIONS + math.sqrt(2.0 * math.log(max(1, bins)))
     spread = deviations * math.sqrt(batch_size)
--- a/tests/decisions/test_fleet_limits.py
+++ b/tests/decisions/test_fleet_limits.py
@@ -1,4 +1,4 @@
-"""The limits of one instance of a fleet, and what those of all instances add up to."""
+"""Limits of one instance of a fleet, and their sum over all instances."""
 
 from __future__ import annotations
 
@@ -22,11 +22,13 @@
     rng = random.Random(5)
     for bound, bins in ((100, 20), (400, 500)):
         mean = usable_mean(bound, bins)
-        # 5,000 instances choose places at random, each with the chance that gives this mean
+        # 5,000 instances choose bins at random, with the probability that gives this mean
         over = 0
         for _ in range(20):
             counts = Counter(
-                place for place in range(bins) for _ in range(_binomial(rng, 5_000, mean / 5_000))
+                bin_index
+                for bin_index in range(bins)
+                for _ in range(binomial_sample(rng, 5_000, mean / 5_000))
             )
             over += any(count > bound for count in counts.values())
         assert over == 0
@@ -34,8 +36,8 @@
     assert usable_mean(100, 20, batch_size=4) < usable_mean(100, 20) < usable_mean(1_000, 20)
 
 
-def _binomial(rng: random.Random, count: int, chance: float) -> int:
-    return max(0, round(rng.gauss(count * chance, (count * chance * (1 - chance)) ** 0.5)))
+def binomial_sample(rng: random.Random, count: int, probability: float) -> int:
+    return max(0, round(rng.gauss(count * probability, (count * probability * (1 - probability)) ** 0.5)))
 
 
 @pytest.mark.parametrize("size", [1, 5, 100, 500, 5_000, 100_000])
@@ -49,35 +51,42 @@
         and 1 <= limits_of_one.connections_per_endpoint <= MAX_CONNECTIONS_PER_ENDPOINT
         for limits_of_one in each
     )
-    kept = (
+    idle_connections = (
         sum(limits_of_one.connections for limits_of_one in each if limits_of_one.keep_idle)
         * size
         / len(numbers)
     )
-    assert kept <= 400 * count
+    assert idle_connections <= 400 * count
     assert bool(oversubscribed(Fleet(size), limits, count)) == any(
         not limits_of_one.keep_idle for limits_of_one in each
     )
     assert max(each, key=lambda limits_of_one: limits_of_one.connections).connections <= 1 + min(
         limits_of_one.connections for limits_of_one in each
-    ), "shares are equal but for the fraction"
+    ), "shares are equal up to rounding"
     assert size / (each[0].connect_interval_us / 1e6) / count <= 100.0
 
 
-def test_without_limits_or_endpoints_nothing_is_limited() -> None:
+def test_instances_are_unlimited_without_limits_or_endpoints() -> None:
     assert instance_limits(Fleet(1000), FleetLimits(), 20) == InstanceLimits()
     assert instance_limits(Fleet(1000), FleetLimits(connections=10), 0) == InstanceLimits()
     assert not oversubscribed(Fleet(1000), FleetLimits(), 20)
 
 
-@pytest.mark.parametrize(("stated", "true"), [(500, 5_000), (50_000, 5_000)])
-def test_a_fleet_size_wrong_by_ten_times_changes_limits_by_ten_times_at_most(stated: int, true: int) -> None:
+@pytest.mark.parametrize(("configured_size", "true_size"), [(500, 5_000), (50_000, 5_000)])
+def test_a_fleet_size_off_by_a_factor_of_ten_changes_limits_by_ten_at_most(
+    configured_size: int, true_size: int
+) -> None:
     limits = FleetLimits(subset_size=4, connections=2_000, connects_per_s=100.0)
-    right, wrong = instance_limits(Fleet(true), limits, 20), instance_limits(Fleet(stated), limits, 20)
-    assert true / wrong.connect_interval_us <= 10.01 * true / right.connect_interval_us
-    if stated < true:  # the harm: up to ten times the bound, where all instances use all that they have
-        assert right.connections < wrong.connections <= 10.0 * 20 * 2_000 / true
-    else:  # the harm: dials ten times as rare, and few keep a connection
-        kept = sum(instance_limits(Fleet(stated, number), limits, 20).keep_idle for number in range(1_000))
-        assert 500 < kept < 900
+    right, wrong = (
+        instance_limits(Fleet(true_size), limits, 20),
+        instance_limits(Fleet(configured_size), limits, 20),
+    )
+    assert true_size / wrong.connect_interval_us <= 10.01 * true_size / right.connect_interval_us
+    if configured_size < true_size:  # up to ten times the bound if all instances use their limits fully
+        assert right.connections < wrong.connections <= 10.0 * 20 * 2_000 / true_size
+    else:  # connects are ten times rarer, and not all instances keep a connection
+        keeping_idle = sum(
+            instance_limits(Fleet(configured_size, number), limits, 20).keep_idle for number in range(1_000)
+        )
+        assert 500 < keeping_idle < 900
         assert wrong.connect_interval_us > 9 * right.connect_interval_us
