--- a/plovertrail/decisions/startup_admission.py
+++ b/plovertrail/decisions/startup_admission.py
@@ -16,7 +16,7 @@
 
 from plovertrail.decisions.events import Outcome
 
-CALM_PERIOD_US = 5_000_000  # with no late response: the load is too low to tell anything, or to do harm
+ON_TIME_PERIOD_US = 5_000_000  # with no late response: the load is too low to tell anything, or to do harm
 MIN_LIMIT = 2.0  # with one, many requests that come at random would find another one in their way
 IN_TIME_FRACTION = 0.5  # of the latency objective: where concurrency limits settle, responses take less
 LATE_OUTCOMES = (Outcome.TIMEOUT, Outcome.REJECTED)
@@ -57,7 +57,7 @@
             return True
         if not self.endpoints:
             return True  # no endpoint is known yet, and nothing can be sent
-        if self.limit >= self.endpoints or now_us - self.last_late_us >= CALM_PERIOD_US:
+        if self.limit >= self.endpoints or now_us - self.last_late_us >= ON_TIME_PERIOD_US:
             self.finished = True
             return True
         if in_flight < int(self.limit):
--- a/tests/decisions/test_startup_admission.py
+++ b/tests/decisions/test_startup_admission.py
@@ -8,7 +8,7 @@
 import pytest
 
 from plovertrail.decisions.events import Outcome
-from plovertrail.decisions.startup_admission import CALM_PERIOD_US, MAX_RETRY_AFTER_US, StartupAdmission
+from plovertrail.decisions.startup_admission import MAX_RETRY_AFTER_US, ON_TIME_PERIOD_US, StartupAdmission
 
 OBJECTIVE_US = 300_000
 
@@ -78,11 +78,11 @@
 
 def test_time_alone_ends_it_only_without_late_responses() -> None:
     calm, choked = started(24, 8), started(24, 8)
-    respond(choked, Outcome.TIMEOUT, OBJECTIVE_US, CALM_PERIOD_US - 1)
-    assert not calm.admits(2, CALM_PERIOD_US - 1)
-    assert calm.admits(2, CALM_PERIOD_US)
-    assert not choked.admits(2, CALM_PERIOD_US)
-    assert not choked.admits(2, 2 * CALM_PERIOD_US - 2)
+    respond(choked, Outcome.TIMEOUT, OBJECTIVE_US, ON_TIME_PERIOD_US - 1)
+    assert not calm.admits(2, ON_TIME_PERIOD_US - 1)
+    assert calm.admits(2, ON_TIME_PERIOD_US)
+    assert not choked.admits(2, ON_TIME_PERIOD_US)
+    assert not choked.admits(2, 2 * ON_TIME_PERIOD_US - 2)
 
 
 def test_a_growing_endpoint_list_never_lowers_the_limit() -> None:
