--- a/plovertrail/decisions/startup_admission.py
+++ b/plovertrail/decisions/startup_admission.py
@@ -1,13 +1,13 @@
-"""How many requests an instance admits at once after a start, beside all others that started with it.
+"""Limits the concurrent requests of an instance that starts at the same time as the rest of its fleet.
 
-Each load balancer alone opens one slot at each endpoint: N instances that start at one moment would have N
-requests at each endpoint, whatever its capacity. So an instance of a fleet begins with its part of one
-request at each endpoint, and with two at least. Each response in time admits one more, so that the limit
-doubles with each round, and each late response or rejection takes one back (slow start: Jacobson,
-"Congestion Avoidance and Control", SIGCOMM 1988, by success instead of time).
+Each load balancer starts with one slot per endpoint, so N instances that start together would send N requests
+to each endpoint, whatever its capacity. An instance of a fleet therefore starts with its share of one request
+per endpoint, but at least two requests. Each response in time raises the limit by one, which doubles it per
+round trip; each late response or rejection lowers it by one (slow start: Jacobson, "Congestion Avoidance and
+Control", SIGCOMM 1988, driven by successful responses).
 
-It ends once the limit reaches the number of endpoints, as from there on the load balancer's concurrency
-limits rise by the same evidence, or after a period with no late response.
+The limit is lifted when it reaches the number of endpoints, because from then on the load balancer's own
+concurrency limits grow in the same way, or after a period without late responses.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 
 from plovertrail.decisions.events import Outcome
 
-ON_TIME_PERIOD_US = 5_000_000  # with no late response: the load is too low to tell anything, or to do harm
-MIN_LIMIT = 2.0  # with one, many requests that come at random would find another one in their way
-IN_TIME_FRACTION = 0.5  # of the latency objective: where concurrency limits settle, responses take less
+ON_TIME_PERIOD_US = 5_000_000  # without a late response, the load is too low to do harm
+MIN_LIMIT = 2.0  # with 1, random arrivals would often be rejected because another request is in flight
+IN_TIME_FRACTION = 0.5  # of the latency objective; below it at the point where concurrency limits settle
 LATE_OUTCOMES = (Outcome.TIMEOUT, Outcome.REJECTED)
-# Rejected clients retry at random within this. Retry-After has whole seconds, so it is several of them.
+# Rejected clients retry at random within this time; several seconds, because Retry-After has whole seconds.
 MAX_RETRY_AFTER_US = 3_000_000
 
 
 class StartupAdmission:
     """Limits the requests in flight of one instance after its start.
 
-    `instances` is the size of the fleet. An instance that is alone is never limited: it would admit one
-    request for each endpoint, as its load balancer does.
+    `instances` is the size of the fleet. A single instance is never limited: its share would be one request
+    per endpoint, which is where its load balancer starts anyway.
     """
 
     def __init__(self, instances: int, now_us: int, random: Callable[[], float]) -> None:
@@ -37,14 +37,14 @@
         self.endpoints = 0
         self.limit = MIN_LIMIT  # requests in flight
         self.min_limit = MIN_LIMIT
-        self.last_late_us = now_us  # when a response was last late, or this began
+        self.last_late_us = now_us  # time of the last late response, initially the start
         self.finished = instances <= 1
         self.rejected = 0
 
     def endpoints_changed(self, endpoints: int) -> None:
-        """Note how many endpoints are in use here.
+        """Update the number of endpoints that this instance uses.
 
-        Where the part of each instance is not a whole number, some have one more, by chance.
+        If an instance's share is not a whole number, it is rounded up or down at random.
         """
         if not self.finished and endpoints != self.endpoints:
             self.endpoints = endpoints
@@ -52,11 +52,11 @@
             self.limit = max(self.limit, self.min_limit)
 
     def admits(self, in_flight: int, now_us: int) -> bool:
-        """Whether a request is admitted beside so many that are in flight."""
+        """Whether a request is admitted with `in_flight` others in flight."""
         if self.finished:
             return True
         if not self.endpoints:
-            return True  # no endpoint is known yet, and nothing can be sent
+            return True  # no endpoint is known yet, so nothing can be sent
         if self.limit >= self.endpoints or now_us - self.last_late_us >= ON_TIME_PERIOD_US:
             self.finished = True
             return True
@@ -66,7 +66,7 @@
         return False
 
     def attempt_ended(self, outcome: Outcome, elapsed_us: int, objective_us: int, now_us: int) -> None:
-        """Move the limit by an attempt's outcome; faults that come at once tell nothing of the load."""
+        """Adjust the limit by an attempt's outcome; immediate failures say nothing about the load."""
         if self.finished:
             return
         if outcome in LATE_OUTCOMES or (
@@ -78,5 +78,5 @@
             self.limit += 1.0
 
     def retry_after_us(self) -> int:
-        """Draw when a rejected client should retry: spread, or all of them would return at one moment."""
+        """Return a random retry time for a rejected client, so that clients don't all return together."""
         return 1 + int(MAX_RETRY_AFTER_US * self.random())
