--- a/plovertrail/decisions/failover.py
+++ b/plovertrail/decisions/failover.py
@@ -1,4 +1,4 @@
-"""Failover between pools: a route's pools are tried in order, each once, within common bounds."""
+"""Failover between pools: a route's pools are tried in order, each once, with common limits."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
     """The progress of one request through its pools."""
 
     due_us: int
-    pools_tried: int = 0  # also those that were passed over
+    pools_tried: int = 0  # including pools that were skipped
     attempts: int = 0  # over all pools
     in_flight: int = 0  # attempts that have not ended
     may_have_run: bool = False
 
     def attempt_began(self) -> None:
-        """One more attempt is in flight."""
+        """Count an attempt that is now in flight."""
         self.attempts += 1
         self.in_flight += 1
 
     def attempt_ended(self, outcome: Outcome) -> None:
-        """An attempt has ended; after one that may have run no other pool is tried (rule 2)."""
+        """Count an attempt's end; after one that may have run, no other pool is tried (rule 2)."""
         self.in_flight -= 1
         self.may_have_run |= outcome not in NEVER_RAN
 
@@ -38,10 +38,10 @@
     retry_budget: RetryBudget,
     now_us: int,
 ) -> int | None:
-    """The number of the next pool to try, None if the request ends here.
+    """Return the number of the next pool to try; None if there is none.
 
-    `serving` says which pools have an endpoint. A request that goes on from pool to pool multiplies the load
-    just when endpoints reject it, so attempts and retries are counted over all pools together.
+    `serving` tells which pools have an endpoint. Failover multiplies the load just when endpoints reject
+    requests, so attempts and retries are counted over all pools together.
     """
     if failover.may_have_run or failover.in_flight or now_us >= failover.due_us:
         return None
@@ -51,10 +51,10 @@
 
 
 def attempts_left(failover: FailoverState, serving: Sequence[bool], number: int, max_attempts: int) -> int:
-    """How many attempts a pool may make: those left of the first pool's, less one for each later pool.
+    """Return how many attempts a pool may make: the remaining ones, less one for each later serving pool.
 
-    A pool whose endpoints all reject would otherwise use up the attempts, and a healthy one get none. Each
-    pool has one at least.
+    Otherwise a pool whose endpoints all reject would use up the attempts and a healthy pool would get none.
+    Each pool has at least one attempt. `max_attempts` is the first pool's.
     """
     left = max_attempts - failover.attempts
     behind = sum(1 for serves in serving[number + 1 :] if serves)
