--- a/benchmarks/planted_fault_list.py
+++ b/benchmarks/planted_fault_list.py
@@ -179,7 +179,7 @@
     Fault(
         "a pool leaves no attempt to those behind it",
         FAILOVER,
-        "return left - max(0, min(behind, left - 1))",
+        "return left - max(0, min(later_pools, left - 1))",
         "return left",
     ),
     Fault(
--- a/plovertrail/decisions/failover.py
+++ b/plovertrail/decisions/failover.py
@@ -57,5 +57,5 @@
     Each pool has at least one attempt. `max_attempts` is the first pool's.
     """
     left = max_attempts - failover.attempts
-    behind = sum(1 for serves in serving[number + 1 :] if serves)
-    return left - max(0, min(behind, left - 1))
+    later_pools = sum(1 for serves in serving[number + 1 :] if serves)
+    return left - max(0, min(later_pools, left - 1))
