--- a/plovertrail/decisions/recovery.py
+++ b/plovertrail/decisions/recovery.py
@@ -21,7 +21,7 @@
 
     STARTING = "starting"  # nothing has been read yet
     CATCHING_UP = "catching up"  # what it knows may be outdated: nothing is sent
-    IN_PART = "serving in part"  # it sends by what it has; a source has failed
+    PARTIAL = "serving in part"  # it sends by what it has; a source has failed
     FULL = "full"
 
 
@@ -70,7 +70,7 @@
     @property
     def may_send(self) -> bool:
         """Whether what is known may be acted on."""
-        return self.phase in (Phase.IN_PART, Phase.FULL)
+        return self.phase in (Phase.PARTIAL, Phase.FULL)
 
     def process_paused(
         self, paused_us: int, sources: Iterable[str], now_us: int, starting: bool = False
@@ -121,7 +121,7 @@
             if self.phase is Phase.FULL:
                 self.recovering_since_us = now_us
                 self.reason = "a source has no endpoint list"
-            self._enter(Phase.IN_PART, now_us)
+            self._enter(Phase.PARTIAL, now_us)
         else:
             if self.phase is not Phase.FULL:
                 self.last_recovery_us = now_us - self.recovering_since_us
