--- a/plovertrail/decisions/recovery.py
+++ b/plovertrail/decisions/recovery.py
@@ -94,7 +94,7 @@
         }
         self.pending_sources &= followed
         if self.phase is not Phase.CATCHING_UP:
-            self._settle(now_us)
+            self._update_phase(now_us)
 
     def source_read(self, source: str, problem: str, now_us: int) -> None:
         """Note that a source was read; `problem`: why it gave no list, empty if it did."""
@@ -104,7 +104,7 @@
         else:
             self.failed_sources.pop(source, None)
         if self.may_send:
-            self._settle(now_us)
+            self._update_phase(now_us)
 
     def end_catch_up(self, now_us: int) -> None:
         """Serve by what has been read; what has not counts as failed.
@@ -114,9 +114,9 @@
         for source in self.pending_sources:
             self.failed_sources.setdefault(source, "it could not be read again in time")
         self.pending_sources = set()
-        self._settle(now_us)
+        self._update_phase(now_us)
 
-    def _settle(self, now_us: int) -> None:
+    def _update_phase(self, now_us: int) -> None:
         if self.failed_sources:
             if self.phase is Phase.FULL:
                 self.recovering_since_us = now_us
