--- a/plovertrail/decisions/warm_state.py
+++ b/plovertrail/decisions/warm_state.py
@@ -1,7 +1,7 @@
-"""What a load balancer learnt about its endpoints, over a restart: histories that fade by their age.
+"""Endpoint statistics of a load balancer that are restored after a restart, decayed by their age.
 
-A bad history is restored as it was, and fades. A good one counts for half: all instances may restart at one
-moment, and the endpoints that they come back to may behave differently by then.
+A bad history is restored as it was before decay. Of a raised concurrency limit only half is restored: all
+instances may restart together, and endpoints may behave differently by then.
 """
 
 from __future__ import annotations
@@ -14,20 +14,20 @@
 from plovertrail.decisions.load_balancing.endpoint_state import EndpointState
 from plovertrail.decisions.load_balancing.response_tracking import EXCLUDE_AFTER
 
-HALF_LIFE_US = 30_000_000  # a history should not outlive the outage that it tells of by much
-MAX_AGE_US = 600_000_000  # less than a millionth would be left of anything older
-RESTORED_GROWTH = 0.5  # fraction of a limit above one: a restart of all instances must not raise their sum
-UNINFORMATIVE = 0.05  # a value that differs by less from an unknown endpoint's tells nothing
+HALF_LIFE_US = 30_000_000  # a history should not last much longer than the outage that it records
+MAX_AGE_US = 600_000_000  # less than a millionth would be left of an older history
+RESTORED_GROWTH = 0.5  # of a limit above one: restarting all instances must not raise the sum of their limits
+UNINFORMATIVE = 0.05  # a value that differs by less from that of an unknown endpoint is insignificant
 
-EndpointKey = tuple[str, str]  # name and address: what an endpoint is known by over restarts
+EndpointKey = tuple[str, str]  # name and address, which identify an endpoint across restarts
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointHistory:
-    """What one instance learnt about one endpoint; values by class are in the order of the settings."""
+    """One instance's statistics of one endpoint; values by class are in the order of the settings."""
 
-    concurrency_limit: float  # slots; below 1 it cools down between sends
-    relative_latency: float  # its response times over those of the others
+    concurrency_limit: float  # slots; below 1 there is a pause between sends
+    relative_latency: float  # ratio of its response times to those of the others
     fault_rate: float  # 0 to 1
     failure_penalty: float  # 0 to 1
     no_response_rate: tuple[float, ...]  # 0 to 1, by class
@@ -35,7 +35,7 @@
 
     @property
     def is_uninformative(self) -> bool:
-        """Whether it says no more than that the endpoint is not known."""
+        """Whether it hardly differs from the initial state of an unknown endpoint."""
         return (
             abs(self.concurrency_limit - 1.0) < UNINFORMATIVE
             and abs(self.relative_latency - 1.0) < UNINFORMATIVE
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolHistory:
-    """The histories of a pool's endpoints, and the mean latency of each class."""
+    """The histories of a pool's endpoints, and the mean latency of each request class."""
 
     recorded_at_us: int
     endpoints: Mapping[EndpointKey, EndpointHistory] = field(default_factory=dict)
@@ -56,9 +56,10 @@
 
 
 def history_of(balancer: LoadBalancer, endpoint: EndpointState) -> EndpointHistory | None:
-    """Record what is worth restoring of an endpoint; None: nothing.
+    """Return the history of an endpoint; None if it has none worth restoring.
 
-    While an endpoint warms up it has no history: it is judged by little work, and will behave differently.
+    An endpoint that is warming up has no history: its statistics are based on few requests, and it will
+    behave differently when warm.
     """
     if balancer.table.warm_up_fraction(endpoint, balancer.now_us) < 1.0:
         return None
@@ -74,7 +75,7 @@
 
 
 def mean_latencies(balancer: LoadBalancer) -> dict[str, float]:
-    """Record the mean latency of each class, in microseconds."""
+    """Return the mean latency of each request class, in microseconds."""
     return {
         kind.name: round(mean_us)
         for kind, mean_us in zip(balancer.settings.classes, balancer.latencies.mean_us, strict=True)
@@ -82,9 +83,9 @@
 
 
 def _remaining_fraction(age_us: int) -> float | None:
-    """Compute what is left of a history of this age; None: nothing.
+    """Return the decay factor for a history of this age; None if it must be ignored.
 
-    A negative age is that of a history from the future, after a clock was set: it is not known.
+    A negative age means that the clock was set back, so the real age is unknown.
     """
     if not 0 <= age_us < MAX_AGE_US:
         return None
@@ -92,7 +93,7 @@
 
 
 def decayed(history: EndpointHistory, age_us: int) -> EndpointHistory | None:
-    """Compute what a history of this age still says; None: nothing."""
+    """Return a history decayed by its age; None if it must be ignored."""
     remaining = _remaining_fraction(age_us)
     if remaining is None:
         return None
@@ -104,7 +105,7 @@
         fault_rate=history.fault_rate * remaining,
         failure_penalty=history.failure_penalty * remaining,
         no_response_rate=tuple(rate * remaining for rate in history.no_response_rate),
-        # An endpoint restored as excluded would stay so, as nothing is sent there that could end it.
+        # An endpoint restored as excluded would get no requests, so nothing could end its exclusion.
         consecutive_no_response=tuple(
             min(EXCLUDE_AFTER - 1, int(count * remaining)) for count in history.consecutive_no_response
         ),
@@ -114,9 +115,9 @@
 def restore_endpoint(
     balancer: LoadBalancer, endpoint: EndpointState, history: EndpointHistory, age_us: int
 ) -> bool:
-    """Apply a history to an endpoint that has just been listed; returns whether it was of use.
+    """Apply a history to an endpoint that has just been listed; return whether it was applied.
 
-    A history with another number of classes than the settings have is ignored.
+    A history with a different number of request classes than the settings is ignored.
     """
     restored = decayed(history, age_us)
     class_count = len(balancer.settings.classes)
@@ -137,7 +138,7 @@
 
 
 def restore_mean_latencies(balancer: LoadBalancer, history: PoolHistory, now_us: int) -> None:
-    """Begin with the mean latencies of each class as they were, fading towards the initial estimate."""
+    """Restore the mean latency of each class, decayed towards the initial estimate."""
     remaining = _remaining_fraction(now_us - history.recorded_at_us)
     if remaining is None:
         return
@@ -151,7 +152,7 @@
 def collect_histories(
     balancer: LoadBalancer, endpoints: Iterable[tuple[int, EndpointKey]]
 ) -> dict[EndpointKey, EndpointHistory]:
-    """Record the histories of some endpoints, given by their ids and by what they are known by."""
+    """Return the histories of the given endpoints, each given by its id and key."""
     histories: dict[EndpointKey, EndpointHistory] = {}
     for endpoint_id, key in endpoints:
         endpoint = balancer.endpoints.get(endpoint_id)
