--- a/tests/decisions/test_warm_state.py
+++ b/tests/decisions/test_warm_state.py
@@ -1,4 +1,4 @@
-"""Histories over a restart: bad ones fade, good ones count for half, warming endpoints have none."""
+"""Histories over a restart: decay, half of good ones restored, none for endpoints that warm up."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 
 
 def balancer_with(histories: dict[int, EndpointHistory], age_us: int = 0, seed: int = 1) -> LoadBalancer:
-    """Make a load balancer that has just listed eight endpoints and has histories of some."""
+    """Return a load balancer with eight newly listed endpoints, some of them with histories."""
     balancer = LoadBalancer(settings(hedging=False), seed, START_US)
     classes = len(balancer.settings.classes)
 
-    def fit(history: EndpointHistory) -> EndpointHistory:
+    def adapt_classes(history: EndpointHistory) -> EndpointHistory:
         return replace(
             history,
             no_response_rate=(*history.no_response_rate, *[0.0] * classes)[:classes],
@@ -40,9 +40,9 @@
         )
 
     balancer.restore_endpoints_with(
-        lambda server: (
-            server.listed.id in histories
-            and restore_endpoint(balancer, server, fit(histories[server.listed.id]), age_us)
+        lambda endpoint: (
+            endpoint.listed.id in histories
+            and restore_endpoint(balancer, endpoint, adapt_classes(histories[endpoint.listed.id]), age_us)
         )
     )
     balancer.handle(START_US, EndpointsUpdated(ListKind.CACHED, ready_endpoints(8)))
@@ -50,16 +50,16 @@
 
 
 @pytest.mark.parametrize("age_us", [0, HALF_LIFE_US, 4 * HALF_LIFE_US])
-def test_a_history_fades_by_its_age_and_a_good_one_counts_for_half_at_once(age_us: int) -> None:
-    left = 2.0 ** (-age_us / HALF_LIFE_US)
+def test_a_history_decays_with_age_and_half_of_a_good_one_is_restored(age_us: int) -> None:
+    remaining = 2.0 ** (-age_us / HALF_LIFE_US)
     good, bad = decayed(GOOD, age_us), decayed(BAD, age_us)
     assert good is not None
     assert bad is not None
-    assert good.concurrency_limit == pytest.approx(1.0 + 4.0 * 0.5 * left)
-    assert good.relative_latency == pytest.approx(1.0 - 0.5 * left)
-    assert bad.concurrency_limit == pytest.approx(1.0 - 0.9 * left)
-    assert bad.failure_penalty == pytest.approx(0.6 * left)
-    assert max(bad.consecutive_no_response) < EXCLUDE_AFTER  # nothing would ever end it
+    assert good.concurrency_limit == pytest.approx(1.0 + 4.0 * 0.5 * remaining)
+    assert good.relative_latency == pytest.approx(1.0 - 0.5 * remaining)
+    assert bad.concurrency_limit == pytest.approx(1.0 - 0.9 * remaining)
+    assert bad.failure_penalty == pytest.approx(0.6 * remaining)
+    assert max(bad.consecutive_no_response) < EXCLUDE_AFTER  # nothing could end the exclusion
 
 
 @pytest.mark.parametrize("age_us", [-1, MAX_AGE_US, 7 * 86_400 * 1_000_000])
@@ -70,8 +70,8 @@
     assert not balancer.penalties.decay_at_us
 
 
-def test_a_failing_endpoint_gets_less_from_a_restarted_fleet_than_an_unknown_one() -> None:
-    """Two hundred instances begin at one moment, each with eight requests."""
+def test_a_restarted_fleet_sends_less_to_a_failing_endpoint_than_to_unknown_ones() -> None:
+    """Two hundred instances start together, each with eight requests."""
     sent = dict.fromkeys(range(100, 108), 0)
     for seed in range(200):
         balancer = balancer_with({100: BAD, 101: GOOD}, 1_000_000, seed)
@@ -85,10 +85,10 @@
     assert sum(sent.values()) == 1_600
 
 
-def test_a_warming_endpoint_and_an_ordinary_one_have_no_history() -> None:
+def test_endpoints_that_warm_up_or_are_unremarkable_have_no_history() -> None:
     balancer = balancer_with({100: BAD, 101: GOOD})
-    cold = Endpoint(200, started_us=START_US - 1)
-    balancer.handle(START_US, EndpointsUpdated(ListKind.DELTA, [cold]))
+    warming = Endpoint(200, started_us=START_US - 1)
+    balancer.handle(START_US, EndpointsUpdated(ListKind.DELTA, [warming]))
     balancer.endpoints[200].concurrency_limit = 0.1
     assert history_of(balancer, balancer.endpoints[200]) is None
     assert history_of(balancer, balancer.endpoints[102]) is None
@@ -105,10 +105,12 @@
     assert balancer.endpoints[100].concurrency_limit == 1.0
 
 
-def test_mean_latencies_are_restored_and_fade_to_the_estimate() -> None:
+def test_mean_latencies_are_restored_with_decay_to_the_estimate() -> None:
     name = settings().classes[0].name
-    for age_us, part in ((0, 1.0), (HALF_LIFE_US, 0.5), (MAX_AGE_US, 0.0), (-5, 0.0)):
+    for age_us, remaining in ((0, 1.0), (HALF_LIFE_US, 0.5), (MAX_AGE_US, 0.0), (-5, 0.0)):
         balancer = balancer_with({})
-        guess_us = balancer.latencies.mean_us[0]
-        restore_mean_latencies(balancer, PoolHistory(START_US - age_us, {}, {name: 2 * guess_us}), START_US)
-        assert balancer.latencies.mean_us[0] == pytest.approx(guess_us * (1 + part))
+        estimate_us = balancer.latencies.mean_us[0]
+        restore_mean_latencies(
+            balancer, PoolHistory(START_US - age_us, {}, {name: 2 * estimate_us}), START_US
+        )
+        assert balancer.latencies.mean_us[0] == pytest.approx(estimate_us * (1 + remaining))
