--- a/plovertrail/decisions/background.py
+++ b/plovertrail/decisions/background.py
@@ -1,9 +1,9 @@
-"""Schedules background tasks on an event loop: by priority, within a budget, and with a bound on delays.
+"""Schedules background tasks on an event loop by priority, within a time budget and with bounded delays.
 
-A task runs in slices, each within one turn of the loop. The time of a slice is paid back by waiting: a task
-never has more than its fraction of the loop's time, and all tasks together never more than theirs. A task
-that has waited for its longest delay goes before all that have not, whatever the budget or the load: one
-slice at a time with a pause between. Times are in microseconds.
+A task runs in slices, each within one iteration of the loop. After a slice a task waits, so that it never
+uses more than its fraction of the loop's time; all tasks together are limited in the same way. A task that
+has waited for its maximum delay is overdue: it runs before all others, regardless of budget and load, one
+slice at a time with a pause between slices. Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -12,41 +12,41 @@
 from dataclasses import dataclass
 
 TOTAL_LOOP_FRACTION = 0.05  # of the loop's time, for all tasks together
-MAX_BALANCE_US = 20_000  # of that time, saved up while there is little to do
-BUSY_LAG_US = 5_000  # a turn that comes later than this: requests wait as well, so tasks are put off
-BUSY_INTERVAL_US = 50_000  # until the next check then
-OVERDUE_PAUSE_US = 2_000  # between two slices of overdue tasks, so that requests have their turns
+MAX_BALANCE_US = 20_000  # unused budget that can be saved
+BUSY_LAG_US = 5_000  # with a longer lag requests are waiting too, so tasks are postponed
+BUSY_INTERVAL_US = 50_000  # until the next check if tasks are postponed
+OVERDUE_PAUSE_US = 2_000  # between two slices of overdue tasks, so that requests are processed
 
 
 class Priority(enum.IntEnum):
-    """Which of all due tasks goes first."""
+    """The priority of a task; the lowest value runs first."""
 
-    LISTS = 0  # where requests may go
-    PEERS = 1  # what other instances should know
-    STATE = 2  # what should outlive the process
-    REPORTS = 3  # what people read
+    LISTS = 0  # endpoint lists
+    PEERS = 1  # exchange with other instances
+    STATE = 2  # state stored for the next start
+    REPORTS = 3  # output for operators
 
 
 @dataclass(frozen=True, slots=True)
 class BackgroundTask:
-    """One task that is run again and again."""
+    """A periodic task."""
 
     name: str
     priority: Priority
-    interval_us: int  # from the end of a run to when the next one is due
-    max_delay_us: int  # a run begins, and goes on, at the latest so long after it is due
-    loop_fraction: float  # of the loop's time, at most, unless it is overdue
+    interval_us: int  # from the end of a run until the next one is due
+    max_delay_us: int  # maximum wait of a due slice; after it the task is overdue
+    loop_fraction: float  # maximum fraction of the loop's time, unless the task is overdue
 
 
 @dataclass(slots=True)
 class TaskState:
-    """The progress of a task, and what it has used since it was added."""
+    """The progress of a task, and its statistics since it was added."""
 
     task: BackgroundTask
     due_us: int
-    running: bool = False  # a run has begun and is not over
-    not_before_us: int = 0  # its fraction of the loop allows no slice earlier
-    waiting_since_us: int = 0  # the end of its last slice, or when it became due
+    running: bool = False  # a run has begun and not ended
+    not_before_us: int = 0  # earliest time of the next slice by the task's fraction of the loop
+    waiting_since_us: int = 0  # the end of its last slice, or the time it became due
     runs: int = 0
     slices: int = 0
     failures: int = 0
@@ -55,11 +55,11 @@
     longest_wait_us: int = 0  # of a slice
 
     def is_overdue(self, now_us: int) -> bool:
-        """Whether the task has waited for its longest delay."""
+        """Whether the task has waited for its maximum delay."""
         return now_us - max(self.due_us, self.waiting_since_us) >= self.task.max_delay_us
 
     def slice_ended(self, took_us: int, run_ended: bool, failed: bool, now_us: int) -> None:
-        """Account for a slice, and for the run if that ended with it."""
+        """Account for a slice, and for the run if it ended with this slice."""
         waited_us = now_us - took_us - max(self.due_us, self.waiting_since_us)
         self.longest_wait_us = max(self.longest_wait_us, waited_us)
         self.slices += 1
@@ -76,18 +76,18 @@
 
 
 class BackgroundScheduler:
-    """All background tasks of one event loop."""
+    """The background tasks of one event loop."""
 
     def __init__(self, now_us: int, loop_fraction: float = TOTAL_LOOP_FRACTION) -> None:
         self.loop_fraction = loop_fraction
-        self.balance_us = float(MAX_BALANCE_US)  # of the loop's time; below 0 nothing runs but overdue tasks
+        self.balance_us = float(MAX_BALANCE_US)  # unused budget; at 0 or below only overdue tasks run
         self.refilled_us = now_us
         self.paused_until_us = now_us
         self.tasks: dict[str, TaskState] = {}
         self.started_us = now_us
 
     def add(self, task: BackgroundTask, now_us: int, first_us: int = 0) -> None:
-        """Add a task whose first run is due after `first_us`; one of the same name is updated."""
+        """Add a task whose first run is due after `first_us`; a task of the same name is updated."""
         state = self.tasks.get(task.name)
         if state is not None:
             state.task = task
@@ -97,7 +97,7 @@
             self.tasks[task.name] = TaskState(task, due_us, waiting_since_us=due_us)
 
     def remove(self, name: str) -> None:
-        """Remove a task by its name; nothing happens if there is none."""
+        """Remove a task by its name, if there is one."""
         self.tasks.pop(name, None)
 
     def make_due(self, name: str, now_us: int) -> None:
@@ -108,7 +108,7 @@
             state.waiting_since_us = now_us
 
     def next_task(self, now_us: int, lag_us: int = 0) -> str | None:
-        """Choose the task whose next slice runs now, if one does; `lag_us`: how late this turn came."""
+        """Return the task whose next slice should run now, if any; `lag_us` is the loop's current lag."""
         self._refill(now_us)
         due = [state for state in self.tasks.values() if state.due_us <= now_us]
         overdue = [state for state in due if state.is_overdue(now_us)]
@@ -126,7 +126,7 @@
     def slice_ended(
         self, name: str, took_us: int, run_ended: bool, now_us: int, failed: bool = False
     ) -> None:
-        """Account for a slice of a task, which may have been removed meanwhile."""
+        """Account for a slice of a task, which may have been removed in the meantime."""
         self._refill(now_us)
         self.balance_us -= took_us
         self.paused_until_us = now_us + OVERDUE_PAUSE_US
@@ -135,7 +135,7 @@
             state.slice_ended(took_us, run_ended, failed, now_us)
 
     def next_check_us(self, now_us: int, lag_us: int = 0) -> int | None:
-        """Compute when to ask for the next slice; None: there is no task."""
+        """Return when to call `next_task` next; None if there are no tasks."""
         if not self.tasks:
             return None
         self._refill(now_us)
@@ -143,7 +143,7 @@
         return max(earliest_us, now_us)
 
     def _next_slice_us(self, state: TaskState, now_us: int, lag_us: int) -> int:
-        """Compute when the next slice of a task may run."""
+        """Return when the next slice of a task may run."""
         at_us = max(state.due_us, state.not_before_us)
         if self.balance_us <= 0.0:
             at_us = max(at_us, now_us + 1 + int(-self.balance_us / self.loop_fraction))
