--- a/plovertrail/decisions/pacing.py
+++ b/plovertrail/decisions/pacing.py
@@ -1,7 +1,7 @@
-"""When one instance acts among many that start, resume or reconfigure at one moment.
+"""Spreads the actions of instances that start, resume or reload their configuration at the same time.
 
-Instances that know their rank in the list of instances spread evenly by it, no two at one moment. Those that
-don't spread at random.
+Instances that know their rank in the list of instances spread evenly by it, no two at the same time. The
+others spread at random.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceRank:
-    """The rank of an instance among all; a `rank` of None is not known."""
+    """The rank of an instance among all instances; a `rank` of None is unknown."""
 
     rank: int | None = None
     size: int = 1
 
     def delay_fraction(self, draw: float) -> float:
-        """Compute after which part of a span, from 0 to 1, this instance acts.
+        """Return this instance's delay as a fraction of a period, from 0 to 1.
 
-        `draw` is a random number from 0 to 1. It moves the instance within the part that falls to its rank:
-        by rank alone, two whose lists differ or who share a name would act at the same moment each time.
+        `draw` is a random number from 0 to 1 that places the instance within the slice of its rank. By rank
+        alone, two instances with different lists or with the same name would always act at the same time.
         """
         if self.rank is None:
             return draw
@@ -29,9 +29,9 @@
 
 
 def rank_of(name: str, names: Sequence[str]) -> InstanceRank:
-    """Find the rank of an instance among those that a list names, in whatever order.
+    """Return the rank of an instance among the listed names; the order of the list doesn't matter.
 
-    An instance that is not in the list has no rank.
+    An instance that is not listed has no rank.
     """
     sorted_names = sorted(set(names))
     size = max(1, len(sorted_names))
--- a/plovertrail/decisions/retry_reservations.py
+++ b/plovertrail/decisions/retry_reservations.py
@@ -1,4 +1,4 @@
-"""The times at which rejected clients were told to retry.
+"""Reservations of retry times for rejected clients.
 
 Times are whole microseconds on the process's own monotonic clock.
 """
@@ -8,29 +8,30 @@
 from collections import deque
 
 MAX_RESERVATIONS = 4_096
-EARLY_ARRIVAL_US = 500_000  # a client this long before its time counts as on time,
-LATE_ARRIVAL_US = 2_000_000  # and so does one this long after it
+# A retry that is early or late by no more than this can claim its reservation.
+EARLY_ARRIVAL_US = 500_000
+LATE_ARRIVAL_US = 2_000_000
 
 
 class RetryReservations:
-    """Remembers which clients were told to retry when, up to MAX_RESERVATIONS of them."""
+    """Retry times given to rejected clients, at most MAX_RESERVATIONS of them."""
 
     def __init__(self) -> None:
-        self.by_client: dict[int, tuple[int, ...]] = {}  # times, by the hash of the client
-        self.in_order: deque[tuple[int, int]] = deque()  # (time, hash of the client), as they were reserved
+        self.by_client: dict[int, tuple[int, ...]] = {}  # times by client hash
+        self.in_order: deque[tuple[int, int]] = deque()  # (time, client hash), in the order of reservation
 
     @property
     def full(self) -> bool:
-        """Whether no further reservation can be remembered."""
+        """Whether no further reservation can be stored."""
         return len(self.in_order) >= MAX_RESERVATIONS
 
     def add(self, client: int, at_us: int) -> None:
-        """Remember that a client was told to retry at a time."""
+        """Reserve a retry time for a client."""
         self.by_client[client] = (*self.by_client.get(client, ()), at_us)
         self.in_order.append((at_us, client))
 
     def claim(self, client: int, now_us: int) -> bool:
-        """Return whether a client retries when it was told to; each reservation can be claimed once."""
+        """Claim a client's reservation for this time, once; return whether it has one."""
         while self.in_order and self.in_order[0][0] + LATE_ARRIVAL_US < now_us:
             self._expire_first()
         times = self.by_client.get(client)
@@ -42,7 +43,7 @@
     def _expire_first(self) -> None:
         at_us, client = self.in_order.popleft()
         times = self.by_client.get(client)
-        if times is not None and times[0] == at_us:  # it was not claimed
+        if times is not None and times[0] == at_us:  # it is unclaimed
             self._remove_first_of(client)
 
     def _remove_first_of(self, client: int) -> None:
--- a/plovertrail/decisions/state_inventory.py
+++ b/plovertrail/decisions/state_inventory.py
@@ -1,4 +1,4 @@
-"""What becomes of each kind of state over a restart or a pause, as text for operators."""
+"""An inventory for operators of the kinds of state, and what happens to each on a restart or a pause."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StateKind:
-    """One kind of state, and what becomes of it over a restart or a pause."""
+    """One kind of state, and what happens to it on a restart or a pause."""
 
     name: str
     restored_from: str  # after a restart
-    max_age: str  # up to which it is still used
-    while_missing: str  # what is decided without it, on the safe side
-    stored: bool = False  # whether restoring it takes a state file
-    feature: str = ""  # the part of a configuration that has it; empty: all have
+    max_age: str  # beyond which it is not used
+    while_missing: str  # the safe behaviour without it
+    stored: bool = False  # whether a state file is needed to restore it
+    feature: str = ""  # the feature of a configuration that has this state; empty: every configuration
 
 
 STATE_KINDS = (
@@ -101,7 +101,7 @@
 
 
 def state_kinds(features: Container[str], state_file: bool) -> tuple[StateKind, ...]:
-    """List the kinds of state of a configuration that has these features, with a state file or without."""
+    """Return the kinds of state of a configuration with these features, with or without a state file."""
     return tuple(
         replace(kind, restored_from=NOT_STORED) if kind.stored and not state_file else kind
         for kind in STATE_KINDS
