--- a/plovertrail/decisions/endpoint_list.py
+++ b/plovertrail/decisions/endpoint_list.py
@@ -358,14 +358,14 @@
 ) -> ListReport:
     """Report a state and the changes that led to it to operators."""
     problems = [
-        f"the list of {source} was refused, its last good list stays in use: {'; '.join(_truncated(found))}"
+        f"the list of {source} is refused, the last good one stays: {'; '.join(_truncated(found))}"
         for source, found in state.rejected_lists.items()
     ]
     held_joins = state.held_joins
     if held_joins:
         longest_s = (max(held_joins.values()) - now_us) / 1e6
         problems.append(
-            f"{len(held_joins)} servers come and go, their joins are delayed by up to {longest_s:.0f} s: "
+            f"{len(held_joins)} servers come and go, and are held back for up to {longest_s:.0f} s: "
             f"{', '.join(_truncated(tuple(held_joins)))}"
         )
     names: dict[ChangeKind, list[str]] = {}
