--- a/plovertrail/decisions/endpoint_list.py
+++ b/plovertrail/decisions/endpoint_list.py
@@ -319,7 +319,7 @@
         self.members[name] = EndpointMember(self.last_endpoint_id, listed, started_us)
         self.changes.append(EndpointChange(ChangeKind.JOIN, self.members[name]))
 
-    def step(self) -> ListStep:
+    def result(self) -> ListStep:
         """Return the result of the step."""
         while len(self.removal_counts) > MAX_REMOVAL_COUNTS:
             del self.removal_counts[next(iter(self.removal_counts))]
@@ -350,7 +350,7 @@
             reconciliation.keep(name, member_before, listed)
         else:
             reconciliation.join(name, listed, other_pools)
-    return reconciliation.step()
+    return reconciliation.result()
 
 
 def make_report(
