--- a/plovertrail/decisions/retry_reservations.py
+++ b/plovertrail/decisions/retry_reservations.py
@@ -9,7 +9,7 @@
 
 MAX_RESERVATIONS = 4_096
 # A retry that is early or late by no more than this can claim its reservation.
-EARLY_ARRIVAL_US = 500_000
+EARLY_TOLERANCE_US = 500_000
 LATE_ARRIVAL_US = 2_000_000
 
 
@@ -35,7 +35,7 @@
         while self.in_order and self.in_order[0][0] + LATE_ARRIVAL_US < now_us:
             self._expire_first()
         times = self.by_client.get(client)
-        if times is None or now_us < times[0] - EARLY_ARRIVAL_US:
+        if times is None or now_us < times[0] - EARLY_TOLERANCE_US:
             return False
         self._remove_first_of(client)
         return True
