--- a/plovertrail/decisions/retry_reservations.py
+++ b/plovertrail/decisions/retry_reservations.py
@@ -10,7 +10,7 @@
 MAX_RESERVATIONS = 4_096
 # A retry that is early or late by no more than this can claim its reservation.
 EARLY_TOLERANCE_US = 500_000
-LATE_ARRIVAL_US = 2_000_000
+LATE_TOLERANCE_US = 2_000_000
 
 
 class RetryReservations:
@@ -32,7 +32,7 @@
 
     def claim(self, client: int, now_us: int) -> bool:
         """Claim a client's reservation for this time, once; return whether it has one."""
-        while self.in_order and self.in_order[0][0] + LATE_ARRIVAL_US < now_us:
+        while self.in_order and self.in_order[0][0] + LATE_TOLERANCE_US < now_us:
             self._expire_first()
         times = self.by_client.get(client)
         if times is None or now_us < times[0] - EARLY_TOLERANCE_US:
