--- a/plovertrail/decisions/warm_state.py
+++ b/plovertrail/decisions/warm_state.py
@@ -17,7 +17,9 @@
 HALF_LIFE_US = 30_000_000  # a history should not last much longer than the outage that it records
 MAX_AGE_US = 600_000_000  # less than a millionth would be left of an older history
 RESTORED_GROWTH = 0.5  # of a limit above one: restarting all instances must not raise the sum of their limits
-UNINFORMATIVE = 0.05  # a value that differs by less from that of an unknown endpoint is insignificant
+INSIGNIFICANT_DIFFERENCE = (
+    0.05  # a value that differs by less from that of an unknown endpoint is insignificant
+)
 
 EndpointKey = tuple[str, str]  # name and address, which identify an endpoint across restarts
 
@@ -37,11 +39,11 @@
     def is_uninformative(self) -> bool:
         """Whether it hardly differs from the initial state of an unknown endpoint."""
         return (
-            abs(self.concurrency_limit - 1.0) < UNINFORMATIVE
-            and abs(self.relative_latency - 1.0) < UNINFORMATIVE
-            and self.fault_rate < UNINFORMATIVE
-            and self.failure_penalty < UNINFORMATIVE
-            and all(rate < UNINFORMATIVE for rate in self.no_response_rate)
+            abs(self.concurrency_limit - 1.0) < INSIGNIFICANT_DIFFERENCE
+            and abs(self.relative_latency - 1.0) < INSIGNIFICANT_DIFFERENCE
+            and self.fault_rate < INSIGNIFICANT_DIFFERENCE
+            and self.failure_penalty < INSIGNIFICANT_DIFFERENCE
+            and all(rate < INSIGNIFICANT_DIFFERENCE for rate in self.no_response_rate)
             and not any(self.consecutive_no_response)
         )
 
