--- a/plovertrail/decisions/list_versions.py
+++ b/plovertrail/decisions/list_versions.py
@@ -153,7 +153,7 @@
 
 
 @dataclass(slots=True)
-class InForce:
+class AcceptedContent:
     """The content that subscribers have accepted.
 
     Its digest is the same in all processes that have accepted the same content.
--- a/plovertrail/sources/list_reader.py
+++ b/plovertrail/sources/list_reader.py
@@ -16,7 +16,7 @@
 from typing import Any, TypeVar
 
 from plovertrail.decisions.list_versions import (
-    InForce,
+    AcceptedContent,
     ReadState,
     SourceKey,
     SourceVersion,
@@ -48,7 +48,7 @@
         self.sources = SourceTable()
         self.workers = ReadWorkers(self._read_on_thread, time.monotonic)
         self.notifications = FolderNotifications(self._notified_on_thread) if notifications else None
-        self.in_force = InForce()
+        self.in_force = AcceptedContent()
         self.scan = SafetyScan(self.loop, self.sources.all, self._submit)
         self.watchdog = HangWatchdog(self.loop, self.workers, self._source_hangs)
         self.deliveries = DeliveryQueue(self.loop)
--- a/plovertrail/sources/subscriptions.py
+++ b/plovertrail/sources/subscriptions.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from plovertrail.decisions.endpoint_list import EndpointList
-from plovertrail.decisions.list_versions import InForce, SourceKey, SourceVersion
+from plovertrail.decisions.list_versions import AcceptedContent, SourceKey, SourceVersion
 from plovertrail.sources.read_workers import ReadJob
 
 OnList = Callable[[EndpointList], Awaitable[str]]  # returns why the list is rejected, or an empty text
@@ -18,7 +18,7 @@
 class Reader(Protocol):
     """What subscriptions need of the reader of files."""
 
-    in_force: InForce
+    in_force: AcceptedContent
 
     def queue_delivery(self, subscription: Subscription) -> None:
         """Deliver to a subscriber in its turn."""
--- a/tests/decisions/test_list_versions.py
+++ b/tests/decisions/test_list_versions.py
@@ -5,7 +5,7 @@
 from plovertrail.decisions.list_versions import (
     MAX_DRAIN_DETECTION_US,
     SCAN_PERIOD_US,
-    InForce,
+    AcceptedContent,
     ReadState,
     ScanSchedule,
     SourceKey,
@@ -79,7 +79,7 @@
 
 
 def test_the_digest_in_force_is_independent_of_order_and_covers_each_part() -> None:
-    one, other = InForce(), InForce()
+    one, other = AcceptedContent(), AcceptedContent()
     parts = [("p", SourceKey("/a"), "1"), ("q", SourceKey("/a"), "1"), ("p", SourceKey("/b"), "2")]
     for part in parts:
         one.accept(*part)
