--- a/fakes/fair_queue_model.py
+++ b/fakes/fair_queue_model.py
@@ -1,4 +1,4 @@
-"""A pool's fair queue on a virtual clock: tenants that send, slots that serve, clients that retry."""
+"""Simulates a pool's fair queue on a virtual clock, with tenants, slots and clients that retry."""
 
 from __future__ import annotations
 
@@ -22,37 +22,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """The requests of one tenant's clients."""
+    """The load that the clients of one tenant generate."""
 
     name: str
-    per_s: float
-    work_us: float = 20_000.0  # the mean; uniform from 0.5 to 1.5 times it
+    per_s: float  # requests of all clients together
+    work_us: float = 20_000.0  # mean slot time, uniformly distributed from 0.5 to 1.5 times this
     clients: int = 20
     priority_weight: float = 1.0
-    honours_retry_after: bool = False  # they retry once, at the time that they were told
-    retry_interval_us: int = 0  # they retry this long after each rejection; 0 = never
-    random_names: bool = False  # another name on every request
-    closed_loop: bool = (
-        False  # each client has one request at a time and retries as told; `per_s` of all served
-    )
+    honours_retry_after: bool = False  # clients retry once, after Retry-After
+    retry_interval_us: int = 0  # clients retry this long after each rejection; 0 = never
+    random_names: bool = False  # a different tenant name on every request
+    # Each client has one request at a time and always honours Retry-After; `per_s` gives the think time.
+    closed_loop: bool = False
 
 
 @dataclass(slots=True)
 class TenantTotals:
-    """What became of the requests of one tenant."""
+    """Totals of the requests of one tenant."""
 
     requests: int = 0
     served: int = 0
     work_us: int = 0
     retried: int = 0
-    retries_admitted: int = 0  # of those
+    retries_admitted: int = 0
     rejected: int = 0
 
 
 class FairQueueModel:
     """One fair queue in front of `slots` slots.
 
-    Without `fair`, slots go by arrival, as in a pool without a queue.
+    Without `fair`, a request gets a free slot or is rejected, as in a pool without a queue.
     """
 
     def __init__(
@@ -69,32 +68,32 @@
         self.timers: list[tuple[int, int, Callable[[], None]]] = []
         self.number = 0
         self.requests: dict[int, tuple[Load, str, str, bool]] = {}
-        self.answers: Counter[int] = Counter()  # to each request; must be one
+        self.responses: Counter[int] = Counter()  # by request id; each must be 1
         for load in loads:
             if load.closed_loop:
                 for number in range(load.clients):
-                    self._think(load, f"{load.name}-{number}")
+                    self._send_after_think_time(load, f"{load.name}-{number}")
             else:
-                self._next_of(load)
+                self._schedule_arrival(load)
 
     def call_later(self, after_us: float, callback: Callable[[], None]) -> None:
         """Call `callback` after `after_us` on the model's clock."""
         self.number += 1
         heapq.heappush(self.timers, (self.now_us + int(after_us), self.number, callback))
 
-    def _think(self, load: Load, client: str) -> None:
-        """A client of a closed loop sends again after a pause."""
+    def _send_after_think_time(self, load: Load, client: str) -> None:
+        """Have a closed-loop client send its next request after an exponential think time."""
         self.call_later(
             self.rng.expovariate(load.per_s / load.clients / 1e6),
             lambda: self._retry(load, load.name, client, False),
         )
 
-    def _next_of(self, load: Load) -> None:
+    def _schedule_arrival(self, load: Load) -> None:
         if load.per_s > 0:
             self.call_later(self.rng.expovariate(load.per_s / 1e6), lambda: self._arrive(load))
 
     def _arrive(self, load: Load) -> None:
-        self._next_of(load)
+        self._schedule_arrival(load)
         tenant = f"{load.name}{self.rng.random()}" if load.random_names else load.name
         self.send(load, tenant, f"{load.name}-{self.rng.randrange(load.clients)}", False)
 
@@ -117,10 +116,10 @@
             self.now_us,
             self.busy < self.slots,
         ):
-            self._carry_out(action)
+            self._apply_action(action)
         return request_id
 
-    def _carry_out(self, action: Admitted | Rejected) -> None:
+    def _apply_action(self, action: Admitted | Rejected) -> None:
         if isinstance(action, Admitted):
             self._start(action.request_id)
         else:
@@ -136,9 +135,9 @@
     def _end(self, request_id: int, took_us: int) -> None:
         load, _, client, _ = self.requests.pop(request_id)
         if load.closed_loop:
-            self._think(load, client)
+            self._send_after_think_time(load, client)
         self.busy -= 1
-        self.answers[request_id] += 1
+        self.responses[request_id] += 1
         self.totals[load.name].served += 1
         self.totals[load.name].work_us += took_us
         if self.fair:
@@ -147,7 +146,7 @@
 
     def _reject(self, request_id: int, after_us: int) -> None:
         load, tenant, client, is_retry = self.requests.pop(request_id)
-        self.answers[request_id] += 1
+        self.responses[request_id] += 1
         self.totals[load.name].rejected += 1
         if load.closed_loop or (load.honours_retry_after and not is_retry):
             self.call_later(after_us, lambda: self._retry(load, tenant, client, True))
@@ -165,7 +164,7 @@
             self._start(admitted.request_id)
 
     def run(self, seconds: float) -> None:
-        """Run for this long."""
+        """Run for this many seconds on the virtual clock."""
         ends_us = self.now_us + int(seconds * 1e6)
         while True:
             expiry_us = self.queue.next_expiration_us()
@@ -173,7 +172,7 @@
             if expiry_us is not None and expiry_us <= at_us:
                 self.now_us = max(self.now_us, expiry_us)
                 for action in self.queue.expired(self.now_us):
-                    self._carry_out(action)
+                    self._apply_action(action)
                 continue
             self.now_us = max(self.now_us, at_us)
             if at_us >= ends_us:
@@ -181,5 +180,5 @@
             heapq.heappop(self.timers)[2]()
 
     def reset_totals(self) -> None:
-        """Count from here on."""
+        """Reset the totals to zero."""
         self.totals = {name: TenantTotals() for name in self.totals}
