--- a/fakes/lease_checker.py
+++ b/fakes/lease_checker.py
@@ -22,7 +22,7 @@
 
 from plovertrail.decisions.leases import (
     Acceptor,
-    InstanceLife,
+    InstanceIncarnation,
     LeaseAnswer,
     LeaseClaim,
     LeaseHolder,
@@ -52,7 +52,7 @@
     one: int
     others: tuple[int, ...]
     messages: tuple[Message, ...]
-    life: int  # of the one, when they were sent
+    incarnation: int  # of the one, when they were sent
 
 
 @dataclass
@@ -63,7 +63,7 @@
     now: int = 10_000
     acceptors: list[Acceptor] = field(default_factory=list)
     holders: list[LeaseHolder] = field(default_factory=list)
-    lives: list[int] = field(default_factory=list)
+    incarnations: list[int] = field(default_factory=list)
     under_way: list[Bundle] = field(default_factory=list)
     effects: list[tuple[int, int]] = field(default_factory=list)  # permits in use, from and till when truly
     tickets: list[tuple[int, Ticket, tuple[int, int]]] = field(default_factory=list)
@@ -125,9 +125,9 @@
         self.holder = holder
         self.acceptor = acceptor
 
-    def new_holder(self, one: int, life: int) -> LeaseHolder:
+    def new_holder(self, one: int, incarnation: int) -> LeaseHolder:
         """A holder for a new process of an instance; `life` counts its processes."""
-        return self.holder(self.rules, InstanceLife(NAMES[one], life), [NAMES])
+        return self.holder(self.rules, InstanceIncarnation(NAMES[one], incarnation), [NAMES])
 
     def begin(self) -> World:
         """The state that the search begins from."""
@@ -136,7 +136,7 @@
             # they have been there for long: no acceptor is in doubt any more
             world.acceptors.append(self.acceptor(self.rules, world.clock(one) - 10 * self.rules.lease_us))
             world.holders.append(self.new_holder(one, 1))
-            world.lives.append(1)
+            world.incarnations.append(1)
         return world
 
     # Steps
@@ -177,9 +177,9 @@
     def _restarts(self, one: int) -> Callable[[World], None]:
         def step(world: World) -> None:
             world.restarts += 1
-            world.lives[one] += 1
+            world.incarnations[one] += 1
             world.acceptors[one] = self.acceptor(self.rules, world.clock(one))
-            world.holders[one] = self.new_holder(one, world.lives[one])
+            world.holders[one] = self.new_holder(one, world.incarnations[one])
             world.tickets = [each for each in world.tickets if each[0] != one]
 
         return step
@@ -220,7 +220,7 @@
     def step(world: World) -> None:
         world.claims += 1
         claim = world.holders[one].claim(0, world.clock(one))
-        world.under_way.append(Bundle("claims", one, others, (claim,), world.lives[one]))
+        world.under_way.append(Bundle("claims", one, others, (claim,), world.incarnations[one]))
         _arrives(len(world.under_way) - 1, again)(world)
 
     return step
@@ -251,7 +251,7 @@
     def step(world: World) -> None:
         release = world.holders[one].release(0, world.clock(one))
         if release is not None:
-            world.under_way.append(Bundle("releases", one, (0, 1, 2), (release,), world.lives[one]))
+            world.under_way.append(Bundle("releases", one, (0, 1, 2), (release,), world.incarnations[one]))
 
     return step
 
@@ -260,7 +260,7 @@
     def step(world: World) -> None:
         world.asks += 1
         ask = world.holders[one].ask(NAMES[other], 1, world.clock(one))
-        world.under_way.append(Bundle("asks", one, (other,), (ask,), world.lives[one]))
+        world.under_way.append(Bundle("asks", one, (other,), (ask,), world.incarnations[one]))
 
     return step
 
@@ -270,7 +270,7 @@
         found = world.holders[one].give_back(number, world.clock(one))
         if found is not None:
             lender = NAMES.index(found[0])
-            world.under_way.append(Bundle("returns", one, (lender,), (found[1],), world.lives[one]))
+            world.under_way.append(Bundle("returns", one, (lender,), (found[1],), world.incarnations[one]))
 
     return step
 
@@ -288,8 +288,8 @@
             world.repeats += 1
         else:
             del world.under_way[place]
-        who = InstanceLife(NAMES[bundle.one], bundle.life)
-        alive = world.lives[bundle.one] == bundle.life
+        who = InstanceIncarnation(NAMES[bundle.one], bundle.incarnation)
+        alive = world.incarnations[bundle.one] == bundle.incarnation
         back: list[Message] = []
         for other, message in zip(bundle.others, itertools.cycle(bundle.messages), strict=False):
             now = world.clock(other)
@@ -308,7 +308,7 @@
                 world.holders[bundle.one].loan_answered(message, NAMES[other], world.clock(bundle.one))
         if back:
             kind = "grants" if isinstance(back[0], LeaseAnswer) else "loans"
-            world.under_way.append(Bundle(kind, bundle.one, bundle.others, tuple(back), bundle.life))
+            world.under_way.append(Bundle(kind, bundle.one, bundle.others, tuple(back), bundle.incarnation))
 
     return step
 
--- a/fakes/lease_model.py
+++ b/fakes/lease_model.py
@@ -13,7 +13,7 @@
 from plovertrail.decisions.lease_planner import LeasePlanner, Out
 from plovertrail.decisions.leases import (
     Acceptor,
-    InstanceLife,
+    InstanceIncarnation,
     LeaseClaim,
     LeaseRelease,
     LeaseRules,
@@ -52,7 +52,7 @@
         self.name = f"i{number}"
         # within what the rules allow for
         self.speed = 1.0 + model.plan.rules.drift * (2.0 * model.rng.random() - 1.0) * 0.99
-        self.life = 0
+        self.incarnation = 0
         self.up = self.awake = True
         self.waiting: list[Callable[[], None]] = []  # that came while it stood still
         self.sent = 0
@@ -64,40 +64,40 @@
 
     def start(self) -> None:
         """Start a new process, which remembers nothing."""
-        self.life += 1
+        self.incarnation += 1
         self.up = True
         rules, model = self.model.plan.rules, self.model
         self.acceptor = Acceptor(rules, self.now())
         self.planner = LeasePlanner(
             BUDGET,
             rules,
-            InstanceLife(self.name, self.life),
+            InstanceIncarnation(self.name, self.incarnation),
             [model.acceptors],
             model.names,
             random.Random(model.rng.random()),
             self.now(),
         )
-        model.clock.after(1, self.look, self.life)
+        model.clock.after(1, self.look, self.incarnation)
 
-    def look(self, life: int) -> None:
+    def look(self, incarnation: int) -> None:
         """Its timer."""
-        if life != self.life or not self.up:
+        if incarnation != self.incarnation or not self.up:
             return
         if not self.awake:
-            self.waiting.append(lambda: self.look(life))
+            self.waiting.append(lambda: self.look(incarnation))
             return
         self.send(self.planner.tick(self.now()))
         wait_us = max(1_000, self.planner.next_us - self.now())
-        self.model.clock.after(int(wait_us / self.speed) + 1, self.look, life)
+        self.model.clock.after(int(wait_us / self.speed) + 1, self.look, incarnation)
 
     def send(self, out: Iterable[Out]) -> None:
         """Send messages over the model's network."""
-        who = InstanceLife(self.name, self.life)
+        who = InstanceIncarnation(self.name, self.incarnation)
         for each in out:
             self.sent += 1
             self.model.deliver(self, self.model.by_name[each.to], each.message, who)
 
-    def came(self, message: Message, who: InstanceLife, sender: Member) -> None:
+    def came(self, message: Message, who: InstanceIncarnation, sender: Member) -> None:
         """A message has come; a stopped process finds it when it wakes, one that was killed never does."""
         if not self.up:
             return
@@ -108,7 +108,7 @@
         if isinstance(message, LeaseClaim):
             self.sent += 1
             answer = self.acceptor.claimed(message, who, now)
-            self.model.deliver(self, sender, answer, InstanceLife(self.name, self.life))
+            self.model.deliver(self, sender, answer, InstanceIncarnation(self.name, self.incarnation))
         elif isinstance(message, LeaseRelease):
             self.acceptor.released(message, who)
         else:
@@ -145,7 +145,7 @@
         """The names of all members, in their order."""
         return self.all_names
 
-    def deliver(self, sender: Member, receiver: Member, message: Message, who: InstanceLife) -> None:
+    def deliver(self, sender: Member, receiver: Member, message: Message, who: InstanceIncarnation) -> None:
         """Bring a message to its receiver after a delay; it may be lost, and crosses no split."""
         apart = self.parts.get(sender.number, 0) != self.parts.get(receiver.number, 0)
         if apart or (sender is not receiver and self.rng.random() < self.plan.loss):
@@ -196,7 +196,7 @@
         self.let_in += 1
         self.in_use += 1
         self.worst = max(self.worst, self.in_use)
-        self.clock.after(took, self._ended, member, member.life, ticket)
+        self.clock.after(took, self._ended, member, member.incarnation, ticket)
 
     def _over(self, what: str, number: int) -> None:
         if what == "ideal":
@@ -204,9 +204,9 @@
         else:
             self.fixed_in_use[number] -= 1
 
-    def _ended(self, member: Member, life: int, ticket: Ticket) -> None:
+    def _ended(self, member: Member, incarnation: int, ticket: Ticket) -> None:
         self.in_use -= 1
-        if member.life == life and member.up:
+        if member.incarnation == incarnation and member.up:
             member.planner.holder.done(ticket)
 
     # Faults
@@ -215,7 +215,7 @@
         """Kill the processes of these members."""
         for number in numbers:
             self.members[number].up = False
-            self.members[number].life += 1
+            self.members[number].incarnation += 1
 
     def start(self, numbers: Iterable[int]) -> None:
         """Start processes of these members."""
--- a/tests/decisions/test_lease_planner.py
+++ b/tests/decisions/test_lease_planner.py
@@ -12,7 +12,7 @@
 
 from fakes.lease_model import Model, Plan
 from plovertrail.decisions.lease_planner import LeasePlanner
-from plovertrail.decisions.leases import InstanceLife, LeaseAnswer, LeaseRules, LoanAnswer, LoanRequest
+from plovertrail.decisions.leases import InstanceIncarnation, LeaseAnswer, LeaseRules, LoanAnswer, LoanRequest
 from plovertrail.simulation.clock import SECOND_US
 
 S = SECOND_US
@@ -138,7 +138,7 @@
 def planner(members: int = 4) -> LeasePlanner:
     names = [f"i{number}" for number in range(members)]
     return LeasePlanner(
-        "b", RULES, InstanceLife("i0", 1), [("i1", "i2", "i3")], lambda: names, random.Random(1), 0
+        "b", RULES, InstanceIncarnation("i0", 1), [("i1", "i2", "i3")], lambda: names, random.Random(1), 0
     )
 
 
@@ -147,7 +147,7 @@
     for out in it.tick(now_us):
         message = out.message
         if hasattr(message, "slot"):
-            it.came(LeaseAnswer(message.slot, message.number, True), InstanceLife(out.to, 1), now_us)
+            it.came(LeaseAnswer(message.slot, message.number, True), InstanceIncarnation(out.to, 1), now_us)
 
 
 def test_it_claims_its_even_part_and_no_more_while_it_has_no_use_for_it() -> None:
@@ -167,7 +167,7 @@
     keeps = it.wanted(now_us)
     lent = 0
     for number in range(1, 9):
-        for out in it.came(LoanRequest(number, 5), InstanceLife("i9", 1), now_us):
+        for out in it.came(LoanRequest(number, 5), InstanceIncarnation("i9", 1), now_us):
             assert isinstance(out.message, LoanAnswer)
             assert out.to == "i9"
             lent += out.message.count
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -8,7 +8,7 @@
 from plovertrail.decisions.leases import (
     MOST_LEASES,
     Acceptor,
-    InstanceLife,
+    InstanceIncarnation,
     LeaseAnswer,
     LeaseClaim,
     LeaseGrant,
@@ -23,11 +23,11 @@
 
 S = 1_000_000
 RULES = LeaseRules(total=10, slots=4, lease_us=6 * S, hold_us=S)
-ME, OTHER = InstanceLife("a", 1), InstanceLife("b", 1)
+ME, OTHER = InstanceIncarnation("a", 1), InstanceIncarnation("b", 1)
 ACCEPTORS = ("x", "y", "z")
 
 
-def holder(me: InstanceLife = ME, rules: LeaseRules = RULES) -> LeaseHolder:
+def holder(me: InstanceIncarnation = ME, rules: LeaseRules = RULES) -> LeaseHolder:
     return LeaseHolder(rules, me, [ACCEPTORS])
 
 
@@ -89,7 +89,7 @@
 class LendsAndSpends(LeaseHolder):
     """What is lent is not counted."""
 
-    def asked(self, ask: LoanRequest, who: InstanceLife, most: int, now_us: int) -> LoanAnswer | None:
+    def asked(self, ask: LoanRequest, who: InstanceIncarnation, most: int, now_us: int) -> LoanAnswer | None:
         loan_answer = super().asked(ask, who, most, now_us)
         for it in self.slots.values():
             it.batch.lent.clear()
@@ -107,7 +107,7 @@
 class EndsTooSoon(Acceptor):
     """A grant ends here when a holder's would, by clocks that are all permit."""
 
-    def claimed(self, claim: LeaseClaim, who: InstanceLife, now_us: int) -> LeaseAnswer:
+    def claimed(self, claim: LeaseClaim, who: InstanceIncarnation, now_us: int) -> LeaseAnswer:
         told = super().claimed(claim, who, now_us)
         if told.granted:
             held = self.grants[claim.slot]
@@ -118,7 +118,7 @@
 class PromisesToTwo(Acceptor):
     """Whoever asks last has it."""
 
-    def claimed(self, claim: LeaseClaim, who: InstanceLife, now_us: int) -> LeaseAnswer:
+    def claimed(self, claim: LeaseClaim, who: InstanceIncarnation, now_us: int) -> LeaseAnswer:
         self.grants.clear()
         return super().claimed(claim, who, now_us)
 
@@ -224,7 +224,7 @@
     assert not told.granted
     assert told.holder == "a"
     assert told.wait_us == RULES.longest_us
-    acceptor.released(LeaseRelease(0, 2), InstanceLife("a", 2))
+    acceptor.released(LeaseRelease(0, 2), InstanceIncarnation("a", 2))
     assert not acceptor.claimed(claim(0, 1), OTHER, S).granted, "another life of it has no say"
     acceptor.released(LeaseRelease(0, 2), ME)
     assert acceptor.claimed(claim(0, 1), OTHER, S).granted
@@ -242,8 +242,8 @@
 
 def test_two_lives_of_one_instance_are_two_holders() -> None:
     acceptor = Acceptor(RULES, -100 * S)
-    assert acceptor.claimed(claim(0, 9), InstanceLife("a", 1), 0).granted
-    assert not acceptor.claimed(claim(0, 1), InstanceLife("a", 2), S).granted
+    assert acceptor.claimed(claim(0, 9), InstanceIncarnation("a", 1), 0).granted
+    assert not acceptor.claimed(claim(0, 1), InstanceIncarnation("a", 2), S).granted
 
 
 def test_a_slot_with_permits_out_is_not_released() -> None:
@@ -310,7 +310,7 @@
     again = lender.asked(ask, OTHER, 9, 0)
     assert again is not None
     assert borrower.loan_answered(again, "a", 0)
-    told = borrower.asked(LoanRequest(1, 1), InstanceLife("c", 1), 9, 0)
+    told = borrower.asked(LoanRequest(1, 1), InstanceIncarnation("c", 1), 9, 0)
     assert told is not None
     assert told.count == 0
 
@@ -377,9 +377,9 @@
     it = holder()
     take(it, 0, 0)
     for number in range(MOST_LEASES):
-        assert it.asked(LoanRequest(1, 1), InstanceLife(f"b{number}", 1), 0, 0) is not None
-    assert it.asked(LoanRequest(1, 1), InstanceLife("late", 1), 1, RULES.longest_us - 1) is None
-    assert it.asked(LoanRequest(1, 1), InstanceLife("late", 1), 1, RULES.longest_us) is not None
+        assert it.asked(LoanRequest(1, 1), InstanceIncarnation(f"b{number}", 1), 0, 0) is not None
+    assert it.asked(LoanRequest(1, 1), InstanceIncarnation("late", 1), 1, RULES.longest_us - 1) is None
+    assert it.asked(LoanRequest(1, 1), InstanceIncarnation("late", 1), 1, RULES.longest_us) is not None
 
 
 def test_while_acceptors_are_changed_both_groups_have_to_grant() -> None:
