--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -111,7 +111,7 @@
         told = super().claimed(claim, who, now_us)
         if told.granted:
             held = self.grants[claim.slot]
-            self.grants[claim.slot] = LeaseGrant(who, held.number, now_us + self.rules.held_us // 2)
+            self.grants[claim.slot] = LeaseGrant(who, held.number, now_us + self.rules.holder_term_us // 2)
         return told
 
 
@@ -170,7 +170,7 @@
 def test_a_permit_is_spent_only_if_it_lasts_as_long_as_the_spending_may() -> None:
     it = holder()
     take(it, 0, 0)
-    end_us = RULES.held_us - RULES.hold_us
+    end_us = RULES.holder_term_us - RULES.hold_us
     assert it.spare(end_us) == 3
     assert it.spend(end_us) is not None
     assert it.spare(end_us + 1) == 0
@@ -223,7 +223,7 @@
     told = acceptor.claimed(claim(0, 1), OTHER, S)
     assert not told.granted
     assert told.holder == "a"
-    assert told.wait_us == RULES.longest_us
+    assert told.wait_us == RULES.max_term_us
     acceptor.released(LeaseRelease(0, 2), InstanceIncarnation("a", 2))
     assert not acceptor.claimed(claim(0, 1), OTHER, S).granted, "another life of it has no say"
     acceptor.released(LeaseRelease(0, 2), ME)
@@ -233,8 +233,8 @@
 def test_an_acceptor_grants_again_when_its_grant_is_over_and_nothing_of_unknown_slots() -> None:
     acceptor = Acceptor(RULES, -100 * S)
     assert acceptor.claimed(claim(0, 7), ME, 0).granted
-    assert not acceptor.claimed(claim(0, 1), OTHER, RULES.longest_us - 1).granted
-    assert acceptor.claimed(claim(0, 1), OTHER, RULES.longest_us).granted
+    assert not acceptor.claimed(claim(0, 1), OTHER, RULES.max_term_us - 1).granted
+    assert acceptor.claimed(claim(0, 1), OTHER, RULES.max_term_us).granted
     assert not acceptor.claimed(claim(4, 1), OTHER, 0).granted
     assert not acceptor.claimed(claim(-1, 1), ME, 0).granted
     assert len(acceptor.grants) == 1
@@ -273,7 +273,7 @@
     assert not borrower.loan_answered(loan_answer, "a", 2 * S)
     assert borrower.spare(2 * S) == 2
     ends_us = borrower.loans[loan_answer.number].until_us
-    assert ends_us < S + loan_answer.for_us, "from when it was asked for, and less what clocks may differ by"
+    assert ends_us < S + loan_answer.term_us, "from when it was asked for, and less what clocks may differ by"
     assert lender.asked(LoanRequest(ask.number - 1, 1), OTHER, 9, 2 * S) is None, (
         "an older one comes too late"
     )
@@ -336,8 +336,8 @@
     it.reconfigure(other, [ACCEPTORS])
     acceptor.reconfigure(other, S)
     assert it.spare(0) == 0
-    assert not acceptor.claimed(claim(0, 1, other), OTHER, RULES.longest_us).granted
-    assert acceptor.claimed(claim(0, 1, other), OTHER, S + RULES.longest_us).granted
+    assert not acceptor.claimed(claim(0, 1, other), OTHER, RULES.max_term_us).granted
+    assert acceptor.claimed(claim(0, 1, other), OTHER, S + RULES.max_term_us).granted
 
 
 def test_one_who_reckons_with_other_slots_or_a_longer_lease_is_granted_nothing() -> None:
@@ -348,18 +348,18 @@
     assert not acceptor.claimed(claim(0, 1, LeaseRules(10, 2, 6 * S, S)), ME, 0).granted
     acceptor.reconfigure(longer, 0)
     assert acceptor.claimed(claim(0, 1, longer), ME, 0).granted
-    assert not acceptor.claimed(claim(0, 1), OTHER, RULES.longest_us).granted, (
+    assert not acceptor.claimed(claim(0, 1), OTHER, RULES.max_term_us).granted, (
         "for as long as it reckons with"
     )
 
 
 def test_a_lease_that_is_made_shorter_is_reckoned_with_as_long_as_anybody_may_have_it() -> None:
-    shorter = LeaseRules(total=10, slots=4, lease_us=2 * S, hold_us=S, former_lease_us=6 * S)
+    shorter = LeaseRules(total=10, slots=4, lease_us=2 * S, hold_us=S, previous_lease_us=6 * S)
     begun = Acceptor(shorter, 0)  # a new process: what it granted before is not known
-    assert not begun.claimed(claim(0, 1, shorter), ME, RULES.longest_us - 1).granted
-    assert begun.claimed(claim(0, 1), ME, RULES.longest_us).granted, "one that has not read it yet"
-    begun.claimed(claim(0, 2, shorter), ME, RULES.longest_us + 1)
-    assert not begun.claimed(claim(0, 1), OTHER, 2 * RULES.longest_us - 1).granted, "the longer grant holds"
+    assert not begun.claimed(claim(0, 1, shorter), ME, RULES.max_term_us - 1).granted
+    assert begun.claimed(claim(0, 1), ME, RULES.max_term_us).granted, "one that has not read it yet"
+    begun.claimed(claim(0, 2, shorter), ME, RULES.max_term_us + 1)
+    assert not begun.claimed(claim(0, 1), OTHER, 2 * RULES.max_term_us - 1).granted, "the longer grant holds"
 
 
 def test_with_other_acceptors_what_is_spent_and_lent_stays_counted() -> None:
@@ -378,8 +378,8 @@
     take(it, 0, 0)
     for number in range(MOST_LEASES):
         assert it.asked(LoanRequest(1, 1), InstanceIncarnation(f"b{number}", 1), 0, 0) is not None
-    assert it.asked(LoanRequest(1, 1), InstanceIncarnation("late", 1), 1, RULES.longest_us - 1) is None
-    assert it.asked(LoanRequest(1, 1), InstanceIncarnation("late", 1), 1, RULES.longest_us) is not None
+    assert it.asked(LoanRequest(1, 1), InstanceIncarnation("late", 1), 1, RULES.max_term_us - 1) is None
+    assert it.asked(LoanRequest(1, 1), InstanceIncarnation("late", 1), 1, RULES.max_term_us) is not None
 
 
 def test_while_acceptors_are_changed_both_groups_have_to_grant() -> None:
