--- a/fakes/lease_checker.py
+++ b/fakes/lease_checker.py
@@ -37,7 +37,7 @@
 
 NAMES = ("a", "b", "c")
 SPEEDS = (0.9, 1.1, 1.0)  # of their clocks, beside the true time
-RULES = LeaseRules(total=1, slots=1, lease_us=1_000, hold_us=100, drift=0.1, slack_us=1)
+RULES = LeaseRules(total=1, slots=1, lease_us=1_000, max_use_us=100, drift=0.1, slack_us=1)
 WAIT = 560  # of the true time, a step: two outlast a lease
 MOST_STATES = 400_000
 HOLDERS = (0, 1)
@@ -231,7 +231,7 @@
         ticket = world.holders[one].spend(world.clock(one))
         assert ticket is not None
         world.spent += 1
-        effect = world.now, world.now + world.rules.hold_us
+        effect = world.now, world.now + world.rules.max_use_us
         world.effects.append(effect)
         world.tickets.append((one, ticket, effect))
 
--- a/fakes/lease_model.py
+++ b/fakes/lease_model.py
@@ -33,7 +33,7 @@
 
     instances: int = 24
     rules: LeaseRules = field(
-        default_factory=lambda: LeaseRules(total=96, slots=48, lease_us=6 * SECOND_US, hold_us=SECOND_US)
+        default_factory=lambda: LeaseRules(total=96, slots=48, lease_us=6 * SECOND_US, max_use_us=SECOND_US)
     )
     per_s: float = 600.0  # of all instances
     work_us: int = 100_000
@@ -178,7 +178,7 @@
         number = self.rng.choice(self.hot) if uneven else self.rng.randrange(self.plan.instances)
         member = self.members[number]
         rules = self.plan.rules
-        took = min(int(self.rng.expovariate(1 / self.plan.work_us)), rules.hold_us - rules.slack_us)
+        took = min(int(self.rng.expovariate(1 / self.plan.work_us)), rules.max_use_us - rules.slack_us)
         if not member.up or not member.awake:
             return  # whatever one who knows all would do, nobody is there to ask
         self.asked += 1
--- a/tests/decisions/test_lease_planner.py
+++ b/tests/decisions/test_lease_planner.py
@@ -16,7 +16,7 @@
 from plovertrail.simulation.clock import SECOND_US
 
 S = SECOND_US
-RULES = LeaseRules(total=60, slots=20, lease_us=3 * S, hold_us=S // 2)
+RULES = LeaseRules(total=60, slots=20, lease_us=3 * S, max_use_us=S // 2)
 PLAN = Plan(instances=10, rules=RULES, per_s=300.0, work_us=80_000)
 
 
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -22,7 +22,7 @@
 )
 
 S = 1_000_000
-RULES = LeaseRules(total=10, slots=4, lease_us=6 * S, hold_us=S)
+RULES = LeaseRules(total=10, slots=4, lease_us=6 * S, max_use_us=S)
 ME, OTHER = InstanceIncarnation("a", 1), InstanceIncarnation("b", 1)
 ACCEPTORS = ("x", "y", "z")
 
@@ -170,7 +170,7 @@
 def test_a_permit_is_spent_only_if_it_lasts_as_long_as_the_spending_may() -> None:
     it = holder()
     take(it, 0, 0)
-    end_us = RULES.holder_term_us - RULES.hold_us
+    end_us = RULES.holder_term_us - RULES.max_use_us
     assert it.spare(end_us) == 3
     assert it.spend(end_us) is not None
     assert it.spare(end_us + 1) == 0
@@ -321,7 +321,7 @@
     assert it.spend(0)
     assert it.spend(0)
     assert it.spare(0) == 1
-    it.reconfigure(LeaseRules(total=4, slots=4, lease_us=6 * S, hold_us=S), [ACCEPTORS])
+    it.reconfigure(LeaseRules(total=4, slots=4, lease_us=6 * S, max_use_us=S), [ACCEPTORS])
     assert it.spare(0) == 0
     assert it.spend(0) is None
     assert it.in_use(0) == 2
@@ -332,7 +332,7 @@
     it, acceptor = holder(), Acceptor(RULES, -100 * S)
     take(it, 0, 0)
     assert acceptor.claimed(claim(0, 1), ME, 0).granted
-    other = LeaseRules(total=10, slots=2, lease_us=3 * S, hold_us=S)
+    other = LeaseRules(total=10, slots=2, lease_us=3 * S, max_use_us=S)
     it.reconfigure(other, [ACCEPTORS])
     acceptor.reconfigure(other, S)
     assert it.spare(0) == 0
@@ -343,7 +343,7 @@
 def test_one_who_reckons_with_other_slots_or_a_longer_lease_is_granted_nothing() -> None:
     """Instances read a changed file at different moments."""
     acceptor = Acceptor(RULES, -100 * S)
-    longer = LeaseRules(total=10, slots=4, lease_us=9 * S, hold_us=S)
+    longer = LeaseRules(total=10, slots=4, lease_us=9 * S, max_use_us=S)
     assert not acceptor.claimed(claim(0, 1, longer), ME, 0).granted
     assert not acceptor.claimed(claim(0, 1, LeaseRules(10, 2, 6 * S, S)), ME, 0).granted
     acceptor.reconfigure(longer, 0)
@@ -354,7 +354,7 @@
 
 
 def test_a_lease_that_is_made_shorter_is_reckoned_with_as_long_as_anybody_may_have_it() -> None:
-    shorter = LeaseRules(total=10, slots=4, lease_us=2 * S, hold_us=S, previous_lease_us=6 * S)
+    shorter = LeaseRules(total=10, slots=4, lease_us=2 * S, max_use_us=S, previous_lease_us=6 * S)
     begun = Acceptor(shorter, 0)  # a new process: what it granted before is not known
     assert not begun.claimed(claim(0, 1, shorter), ME, RULES.max_term_us - 1).granted
     assert begun.claimed(claim(0, 1), ME, RULES.max_term_us).granted, "one that has not read it yet"
