--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -6,7 +6,7 @@
 
 from fakes.lease_checker import LIMITS, Checker, Limits
 from plovertrail.decisions.leases import (
-    MOST_LEASES,
+    MAX_LOANS,
     Acceptor,
     InstanceIncarnation,
     LeaseAnswer,
@@ -376,7 +376,7 @@
 def test_borrowers_that_are_over_make_room_and_no_answer_is_forgotten_too_soon() -> None:
     it = holder()
     take(it, 0, 0)
-    for number in range(MOST_LEASES):
+    for number in range(MAX_LOANS):
         assert it.asked(LoanRequest(1, 1), InstanceIncarnation(f"b{number}", 1), 0, 0) is not None
     assert it.asked(LoanRequest(1, 1), InstanceIncarnation("late", 1), 1, RULES.max_term_us - 1) is None
     assert it.asked(LoanRequest(1, 1), InstanceIncarnation("late", 1), 1, RULES.max_term_us) is not None
