--- a/benchmarks/capacity/leases_role.py
+++ b/benchmarks/capacity/leases_role.py
@@ -64,9 +64,9 @@
     for member, meter in zip(model.members, meters, strict=True):
         for target, name in (
             (member.planner, "tick"),
-            (member.planner, "came"),
+            (member.planner, "handle_message"),
             (member.planner, "spend"),
-            (member.acceptor, "claimed"),
+            (member.acceptor, "handle_claim"),
         ):
             meter.wrap(target, name)
     sent = [member.sent for member in model.members]
--- a/fakes/lease_checker.py
+++ b/fakes/lease_checker.py
@@ -294,7 +294,7 @@
         for other, message in zip(bundle.others, itertools.cycle(bundle.messages), strict=False):
             now = world.clock(other)
             if isinstance(message, LeaseClaim):
-                back.append(world.acceptors[other].claimed(message, who, now))
+                back.append(world.acceptors[other].handle_claim(message, who, now))
             elif isinstance(message, LeaseRelease):
                 world.acceptors[other].released(message, who)
             elif isinstance(message, LoanRequest):
--- a/fakes/lease_model.py
+++ b/fakes/lease_model.py
@@ -97,22 +97,22 @@
             self.sent += 1
             self.model.deliver(self, self.model.by_name[each.to], each.message, who)
 
-    def came(self, message: Message, who: InstanceIncarnation, sender: Member) -> None:
+    def receive(self, message: Message, who: InstanceIncarnation, sender: Member) -> None:
         """A message has come; a stopped process finds it when it wakes, one that was killed never does."""
         if not self.up:
             return
         if not self.awake:
-            self.waiting.append(lambda: self.came(message, who, sender))
+            self.waiting.append(lambda: self.receive(message, who, sender))
             return
         now = self.now()
         if isinstance(message, LeaseClaim):
             self.sent += 1
-            answer = self.acceptor.claimed(message, who, now)
+            answer = self.acceptor.handle_claim(message, who, now)
             self.model.deliver(self, sender, answer, InstanceIncarnation(self.name, self.incarnation))
         elif isinstance(message, LeaseRelease):
             self.acceptor.released(message, who)
         else:
-            self.send(self.planner.came(message, who, now))
+            self.send(self.planner.handle_message(message, who, now))
 
     def wake(self) -> None:
         """Go on after a stop, with the messages that have come meanwhile."""
@@ -150,7 +150,7 @@
         apart = self.parts.get(sender.number, 0) != self.parts.get(receiver.number, 0)
         if apart or (sender is not receiver and self.rng.random() < self.plan.loss):
             return
-        self.clock.after(self.rng.randint(*DELAY_US), receiver.came, message, who, sender)
+        self.clock.after(self.rng.randint(*DELAY_US), receiver.receive, message, who, sender)
 
     # Demand
 
--- a/tests/decisions/test_lease_planner.py
+++ b/tests/decisions/test_lease_planner.py
@@ -147,7 +147,9 @@
     for out in it.tick(now_us):
         message = out.message
         if hasattr(message, "slot"):
-            it.came(LeaseAnswer(message.slot, message.number, True), InstanceIncarnation(out.to, 1), now_us)
+            it.handle_message(
+                LeaseAnswer(message.slot, message.number, True), InstanceIncarnation(out.to, 1), now_us
+            )
 
 
 def test_it_claims_its_even_part_and_no_more_while_it_has_no_use_for_it() -> None:
@@ -167,7 +169,7 @@
     keeps = it.wanted(now_us)
     lent = 0
     for number in range(1, 9):
-        for out in it.came(LoanRequest(number, 5), InstanceIncarnation("i9", 1), now_us):
+        for out in it.handle_message(LoanRequest(number, 5), InstanceIncarnation("i9", 1), now_us):
             assert isinstance(out.message, LoanAnswer)
             assert out.to == "i9"
             lent += out.message.count
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -107,8 +107,8 @@
 class EndsTooSoon(Acceptor):
     """A grant ends here when a holder's would, by clocks that are all permit."""
 
-    def claimed(self, claim: LeaseClaim, who: InstanceIncarnation, now_us: int) -> LeaseAnswer:
-        told = super().claimed(claim, who, now_us)
+    def handle_claim(self, claim: LeaseClaim, who: InstanceIncarnation, now_us: int) -> LeaseAnswer:
+        told = super().handle_claim(claim, who, now_us)
         if told.granted:
             held = self.grants[claim.slot]
             self.grants[claim.slot] = LeaseGrant(who, held.number, now_us + self.rules.holder_term_us // 2)
@@ -118,9 +118,9 @@
 class PromisesToTwo(Acceptor):
     """Whoever asks last has it."""
 
-    def claimed(self, claim: LeaseClaim, who: InstanceIncarnation, now_us: int) -> LeaseAnswer:
+    def handle_claim(self, claim: LeaseClaim, who: InstanceIncarnation, now_us: int) -> LeaseAnswer:
         self.grants.clear()
-        return super().claimed(claim, who, now_us)
+        return super().handle_claim(claim, who, now_us)
 
 
 @pytest.mark.parametrize(
@@ -217,33 +217,33 @@
 
 def test_a_release_that_a_later_claim_overtook_voids_nothing() -> None:
     acceptor = Acceptor(RULES, -100 * S)
-    assert acceptor.claimed(claim(0, 1), ME, 0).granted
-    assert acceptor.claimed(claim(0, 2), ME, S).granted
+    assert acceptor.handle_claim(claim(0, 1), ME, 0).granted
+    assert acceptor.handle_claim(claim(0, 2), ME, S).granted
     acceptor.released(LeaseRelease(0, 1), ME)
-    told = acceptor.claimed(claim(0, 1), OTHER, S)
+    told = acceptor.handle_claim(claim(0, 1), OTHER, S)
     assert not told.granted
     assert told.holder == "a"
     assert told.wait_us == RULES.max_term_us
     acceptor.released(LeaseRelease(0, 2), InstanceIncarnation("a", 2))
-    assert not acceptor.claimed(claim(0, 1), OTHER, S).granted, "another life of it has no say"
+    assert not acceptor.handle_claim(claim(0, 1), OTHER, S).granted, "another life of it has no say"
     acceptor.released(LeaseRelease(0, 2), ME)
-    assert acceptor.claimed(claim(0, 1), OTHER, S).granted
+    assert acceptor.handle_claim(claim(0, 1), OTHER, S).granted
 
 
 def test_an_acceptor_grants_again_when_its_grant_is_over_and_nothing_of_unknown_slots() -> None:
     acceptor = Acceptor(RULES, -100 * S)
-    assert acceptor.claimed(claim(0, 7), ME, 0).granted
-    assert not acceptor.claimed(claim(0, 1), OTHER, RULES.max_term_us - 1).granted
-    assert acceptor.claimed(claim(0, 1), OTHER, RULES.max_term_us).granted
-    assert not acceptor.claimed(claim(4, 1), OTHER, 0).granted
-    assert not acceptor.claimed(claim(-1, 1), ME, 0).granted
+    assert acceptor.handle_claim(claim(0, 7), ME, 0).granted
+    assert not acceptor.handle_claim(claim(0, 1), OTHER, RULES.max_term_us - 1).granted
+    assert acceptor.handle_claim(claim(0, 1), OTHER, RULES.max_term_us).granted
+    assert not acceptor.handle_claim(claim(4, 1), OTHER, 0).granted
+    assert not acceptor.handle_claim(claim(-1, 1), ME, 0).granted
     assert len(acceptor.grants) == 1
 
 
 def test_two_lives_of_one_instance_are_two_holders() -> None:
     acceptor = Acceptor(RULES, -100 * S)
-    assert acceptor.claimed(claim(0, 9), InstanceIncarnation("a", 1), 0).granted
-    assert not acceptor.claimed(claim(0, 1), InstanceIncarnation("a", 2), S).granted
+    assert acceptor.handle_claim(claim(0, 9), InstanceIncarnation("a", 1), 0).granted
+    assert not acceptor.handle_claim(claim(0, 1), InstanceIncarnation("a", 2), S).granted
 
 
 def test_a_slot_with_permits_out_is_not_released() -> None:
@@ -331,24 +331,24 @@
 def test_other_slots_are_other_permits_and_none_is_given_before_the_old_ones_are_over() -> None:
     it, acceptor = holder(), Acceptor(RULES, -100 * S)
     take(it, 0, 0)
-    assert acceptor.claimed(claim(0, 1), ME, 0).granted
+    assert acceptor.handle_claim(claim(0, 1), ME, 0).granted
     other = LeaseRules(total=10, slots=2, lease_us=3 * S, max_use_us=S)
     it.reconfigure(other, [ACCEPTORS])
     acceptor.reconfigure(other, S)
     assert it.spare(0) == 0
-    assert not acceptor.claimed(claim(0, 1, other), OTHER, RULES.max_term_us).granted
-    assert acceptor.claimed(claim(0, 1, other), OTHER, S + RULES.max_term_us).granted
+    assert not acceptor.handle_claim(claim(0, 1, other), OTHER, RULES.max_term_us).granted
+    assert acceptor.handle_claim(claim(0, 1, other), OTHER, S + RULES.max_term_us).granted
 
 
 def test_one_who_reckons_with_other_slots_or_a_longer_lease_is_granted_nothing() -> None:
     """Instances read a changed file at different moments."""
     acceptor = Acceptor(RULES, -100 * S)
     longer = LeaseRules(total=10, slots=4, lease_us=9 * S, max_use_us=S)
-    assert not acceptor.claimed(claim(0, 1, longer), ME, 0).granted
-    assert not acceptor.claimed(claim(0, 1, LeaseRules(10, 2, 6 * S, S)), ME, 0).granted
+    assert not acceptor.handle_claim(claim(0, 1, longer), ME, 0).granted
+    assert not acceptor.handle_claim(claim(0, 1, LeaseRules(10, 2, 6 * S, S)), ME, 0).granted
     acceptor.reconfigure(longer, 0)
-    assert acceptor.claimed(claim(0, 1, longer), ME, 0).granted
-    assert not acceptor.claimed(claim(0, 1), OTHER, RULES.max_term_us).granted, (
+    assert acceptor.handle_claim(claim(0, 1, longer), ME, 0).granted
+    assert not acceptor.handle_claim(claim(0, 1), OTHER, RULES.max_term_us).granted, (
         "for as long as it reckons with"
     )
 
@@ -356,10 +356,12 @@
 def test_a_lease_that_is_made_shorter_is_reckoned_with_as_long_as_anybody_may_have_it() -> None:
     shorter = LeaseRules(total=10, slots=4, lease_us=2 * S, max_use_us=S, previous_lease_us=6 * S)
     begun = Acceptor(shorter, 0)  # a new process: what it granted before is not known
-    assert not begun.claimed(claim(0, 1, shorter), ME, RULES.max_term_us - 1).granted
-    assert begun.claimed(claim(0, 1), ME, RULES.max_term_us).granted, "one that has not read it yet"
-    begun.claimed(claim(0, 2, shorter), ME, RULES.max_term_us + 1)
-    assert not begun.claimed(claim(0, 1), OTHER, 2 * RULES.max_term_us - 1).granted, "the longer grant holds"
+    assert not begun.handle_claim(claim(0, 1, shorter), ME, RULES.max_term_us - 1).granted
+    assert begun.handle_claim(claim(0, 1), ME, RULES.max_term_us).granted, "one that has not read it yet"
+    begun.handle_claim(claim(0, 2, shorter), ME, RULES.max_term_us + 1)
+    assert not begun.handle_claim(claim(0, 1), OTHER, 2 * RULES.max_term_us - 1).granted, (
+        "the longer grant holds"
+    )
 
 
 def test_with_other_acceptors_what_is_spent_and_lent_stays_counted() -> None:
