--- a/fakes/lease_checker.py
+++ b/fakes/lease_checker.py
@@ -296,16 +296,16 @@
             if isinstance(message, LeaseClaim):
                 back.append(world.acceptors[other].handle_claim(message, who, now))
             elif isinstance(message, LeaseRelease):
-                world.acceptors[other].released(message, who)
+                world.acceptors[other].handle_release(message, who)
             elif isinstance(message, LoanRequest):
-                loan_answer = world.holders[other].asked(message, who, message.want, now)
+                loan_answer = world.holders[other].handle_loan_request(message, who, message.want, now)
                 back += [loan_answer] if loan_answer is not None else []
             elif isinstance(message, LoanReturn):
-                world.holders[other].returned(message, who)
+                world.holders[other].handle_loan_return(message, who)
             elif isinstance(message, LeaseAnswer) and alive:
-                world.holders[bundle.one].answered(message, NAMES[other], world.clock(bundle.one))
+                world.holders[bundle.one].handle_lease_answer(message, NAMES[other], world.clock(bundle.one))
             elif isinstance(message, LoanAnswer) and alive:
-                world.holders[bundle.one].loan_answered(message, NAMES[other], world.clock(bundle.one))
+                world.holders[bundle.one].handle_loan_answer(message, NAMES[other], world.clock(bundle.one))
         if back:
             kind = "grants" if isinstance(back[0], LeaseAnswer) else "loans"
             world.under_way.append(Bundle(kind, bundle.one, bundle.others, tuple(back), bundle.incarnation))
--- a/fakes/lease_model.py
+++ b/fakes/lease_model.py
@@ -110,7 +110,7 @@
             answer = self.acceptor.handle_claim(message, who, now)
             self.model.deliver(self, sender, answer, InstanceIncarnation(self.name, self.incarnation))
         elif isinstance(message, LeaseRelease):
-            self.acceptor.released(message, who)
+            self.acceptor.handle_release(message, who)
         else:
             self.send(self.planner.handle_message(message, who, now))
 
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -37,7 +37,7 @@
     """It claims a slot, and these grant it."""
     claimed = it.claim(slot, now_us)
     for acceptor in acceptors:
-        it.answered(LeaseAnswer(slot, claimed.number, True), acceptor, now_us + late_us)
+        it.handle_lease_answer(LeaseAnswer(slot, claimed.number, True), acceptor, now_us + late_us)
     return claimed
 
 
@@ -58,9 +58,9 @@
 class CountsTwice(LeaseHolder):
     """A loan that comes again is another loan."""
 
-    def loan_answered(self, loan_answer: LoanAnswer, lender: str, now_us: int) -> bool:
+    def handle_loan_answer(self, loan_answer: LoanAnswer, lender: str, now_us: int) -> bool:
         asked = self.pending.get(loan_answer.number)
-        taken = super().loan_answered(loan_answer, lender, now_us)
+        taken = super().handle_loan_answer(loan_answer, lender, now_us)
         if asked is not None and taken:
             self.pending[loan_answer.number] = asked
             self.loans[1_000 + len(self.loans)] = self.loans.pop(loan_answer.number)
@@ -70,11 +70,11 @@
 class BeginsAtReceipt(LeaseHolder):
     """A grant lasts from when it came."""
 
-    def answered(self, answer: LeaseAnswer, acceptor: str, now_us: int) -> None:
+    def handle_lease_answer(self, answer: LeaseAnswer, acceptor: str, now_us: int) -> None:
         it = self.slots.get(answer.slot)
         if it is not None and answer.number in it.asked:
             it.asked[answer.number] = now_us
-        super().answered(answer, acceptor, now_us)
+        super().handle_lease_answer(answer, acceptor, now_us)
 
 
 class UsesWhatIsVoid(LeaseHolder):
@@ -89,8 +89,10 @@
 class LendsAndSpends(LeaseHolder):
     """What is lent is not counted."""
 
-    def asked(self, ask: LoanRequest, who: InstanceIncarnation, most: int, now_us: int) -> LoanAnswer | None:
-        loan_answer = super().asked(ask, who, most, now_us)
+    def handle_loan_request(
+        self, ask: LoanRequest, who: InstanceIncarnation, most: int, now_us: int
+    ) -> LoanAnswer | None:
+        loan_answer = super().handle_loan_request(ask, who, most, now_us)
         for it in self.slots.values():
             it.batch.lent.clear()
         return loan_answer
@@ -162,8 +164,8 @@
     it = LeaseHolder(RULES, ME, [("w", "x", "y", "z")])
     take(it, 0, 0, ("w", "x", "y"))
     late = it.claim(0, 5 * S)
-    it.answered(LeaseAnswer(0, late.number, True), "w", 7 * S)
-    it.answered(LeaseAnswer(0, late.number, True), "x", 7 * S)
+    it.handle_lease_answer(LeaseAnswer(0, late.number, True), "w", 7 * S)
+    it.handle_lease_answer(LeaseAnswer(0, late.number, True), "x", 7 * S)
     assert it.spare(7 * S) == 0, "in between it may have been another's"
 
 
@@ -203,15 +205,15 @@
 def test_answers_to_claims_that_were_not_made_or_were_given_up_count_nothing() -> None:
     it = holder()
     made = it.claim(0, 0)
-    it.answered(LeaseAnswer(0, made.number + 1, True), "x", 0)
-    it.answered(LeaseAnswer(1, made.number, True), "x", 0)
-    it.answered(LeaseAnswer(0, made.number, True), "stranger", 0)
-    it.answered(LeaseAnswer(0, made.number, False, "b", S), "y", 0)
-    it.answered(LeaseAnswer(0, made.number, True), "z", 0)
+    it.handle_lease_answer(LeaseAnswer(0, made.number + 1, True), "x", 0)
+    it.handle_lease_answer(LeaseAnswer(1, made.number, True), "x", 0)
+    it.handle_lease_answer(LeaseAnswer(0, made.number, True), "stranger", 0)
+    it.handle_lease_answer(LeaseAnswer(0, made.number, False, "b", S), "y", 0)
+    it.handle_lease_answer(LeaseAnswer(0, made.number, True), "z", 0)
     assert it.spare(0) == 0
     it.release(0, 0)
     for acceptor in ACCEPTORS:
-        it.answered(LeaseAnswer(0, made.number, True), acceptor, 0)
+        it.handle_lease_answer(LeaseAnswer(0, made.number, True), acceptor, 0)
     assert it.spare(0) == 0
 
 
@@ -219,14 +221,14 @@
     acceptor = Acceptor(RULES, -100 * S)
     assert acceptor.handle_claim(claim(0, 1), ME, 0).granted
     assert acceptor.handle_claim(claim(0, 2), ME, S).granted
-    acceptor.released(LeaseRelease(0, 1), ME)
+    acceptor.handle_release(LeaseRelease(0, 1), ME)
     told = acceptor.handle_claim(claim(0, 1), OTHER, S)
     assert not told.granted
     assert told.holder == "a"
     assert told.wait_us == RULES.max_term_us
-    acceptor.released(LeaseRelease(0, 2), InstanceIncarnation("a", 2))
+    acceptor.handle_release(LeaseRelease(0, 2), InstanceIncarnation("a", 2))
     assert not acceptor.handle_claim(claim(0, 1), OTHER, S).granted, "another life of it has no say"
-    acceptor.released(LeaseRelease(0, 2), ME)
+    acceptor.handle_release(LeaseRelease(0, 2), ME)
     assert acceptor.handle_claim(claim(0, 1), OTHER, S).granted
 
 
@@ -253,9 +255,9 @@
     assert ticket is not None
     assert it.release(0, 0) is None
     it.done(ticket)
-    assert it.asked(LoanRequest(1, 1), OTHER, 1, 0) is not None
+    assert it.handle_loan_request(LoanRequest(1, 1), OTHER, 1, 0) is not None
     assert it.release(0, 0) is None
-    it.returned(LoanReturn(1, 0), OTHER)
+    it.handle_loan_return(LoanReturn(1, 0), OTHER)
     assert it.release(0, 0) == LeaseRelease(0, 1)
 
 
@@ -263,18 +265,18 @@
     lender, borrower = holder(), holder(OTHER)
     take(lender, 0, 0)
     ask = borrower.ask("a", 2, 0)
-    loan_answer = lender.asked(ask, OTHER, 9, S)
+    loan_answer = lender.handle_loan_request(ask, OTHER, 9, S)
     assert loan_answer is not None
     assert loan_answer.count == 2
     assert lender.spare(S) == 1
-    assert lender.asked(ask, OTHER, 9, 2 * S) == loan_answer
+    assert lender.handle_loan_request(ask, OTHER, 9, 2 * S) == loan_answer
     assert lender.spare(2 * S) == 1
-    assert borrower.loan_answered(loan_answer, "a", 2 * S)
-    assert not borrower.loan_answered(loan_answer, "a", 2 * S)
+    assert borrower.handle_loan_answer(loan_answer, "a", 2 * S)
+    assert not borrower.handle_loan_answer(loan_answer, "a", 2 * S)
     assert borrower.spare(2 * S) == 2
     ends_us = borrower.loans[loan_answer.number].until_us
     assert ends_us < S + loan_answer.term_us, "from when it was asked for, and less what clocks may differ by"
-    assert lender.asked(LoanRequest(ask.number - 1, 1), OTHER, 9, 2 * S) is None, (
+    assert lender.handle_loan_request(LoanRequest(ask.number - 1, 1), OTHER, 9, 2 * S) is None, (
         "an older one comes too late"
     )
 
@@ -283,34 +285,34 @@
     lender, borrower = holder(), holder(OTHER)
     take(lender, 0, 0)
     take(borrower, 3, 0)
-    loan_answer = lender.asked(borrower.ask("a", 2, 0), OTHER, 9, 0)
+    loan_answer = lender.handle_loan_request(borrower.ask("a", 2, 0), OTHER, 9, 0)
     assert loan_answer is not None
-    assert borrower.loan_answered(loan_answer, "a", 0)
+    assert borrower.handle_loan_answer(loan_answer, "a", 0)
     ticket = borrower.spend(0)
     assert ticket is not None
     assert ticket.loan
     assert borrower.give_back(loan_answer.number, 0) == ("a", LoanReturn(loan_answer.number, 1))
-    lender.returned(LoanReturn(loan_answer.number, 1), OTHER)
-    lender.returned(LoanReturn(loan_answer.number, 2), OTHER)  # an older one, late
+    lender.handle_loan_return(LoanReturn(loan_answer.number, 1), OTHER)
+    lender.handle_loan_return(LoanReturn(loan_answer.number, 2), OTHER)  # an older one, late
     assert lender.spare(0) == 2
     borrower.done(ticket)
     assert borrower.give_back(loan_answer.number, 0) == ("a", LoanReturn(loan_answer.number, 0))
     assert borrower.give_back(loan_answer.number, 0) is None
-    lender.returned(LoanReturn(loan_answer.number, 0), OTHER)
+    lender.handle_loan_return(LoanReturn(loan_answer.number, 0), OTHER)
     assert lender.spare(0) == 3
 
 
 def test_what_is_borrowed_is_not_lent_on_and_a_loan_from_a_stranger_is_none() -> None:
     lender, borrower = holder(), holder(OTHER)
     take(lender, 0, 0)
-    loan_answer = lender.asked(borrower.ask("a", 2, 0), OTHER, 9, 0)
+    loan_answer = lender.handle_loan_request(borrower.ask("a", 2, 0), OTHER, 9, 0)
     assert loan_answer is not None
-    assert not borrower.loan_answered(loan_answer, "c", 0)
+    assert not borrower.handle_loan_answer(loan_answer, "c", 0)
     ask = borrower.ask("a", 2, 0)
-    again = lender.asked(ask, OTHER, 9, 0)
+    again = lender.handle_loan_request(ask, OTHER, 9, 0)
     assert again is not None
-    assert borrower.loan_answered(again, "a", 0)
-    told = borrower.asked(LoanRequest(1, 1), InstanceIncarnation("c", 1), 9, 0)
+    assert borrower.handle_loan_answer(again, "a", 0)
+    told = borrower.handle_loan_request(LoanRequest(1, 1), InstanceIncarnation("c", 1), 9, 0)
     assert told is not None
     assert told.count == 0
 
@@ -368,7 +370,7 @@
     it = holder()
     take(it, 0, 0)
     assert it.spend(0) is not None
-    assert it.asked(LoanRequest(1, 1), OTHER, 1, 0) is not None
+    assert it.handle_loan_request(LoanRequest(1, 1), OTHER, 1, 0) is not None
     it.reconfigure(RULES, [("x", "y", "q")])
     assert it.spare(0) == 0
     take(it, 0, 0, ("x", "y"))
@@ -379,9 +381,17 @@
     it = holder()
     take(it, 0, 0)
     for number in range(MAX_LOANS):
-        assert it.asked(LoanRequest(1, 1), InstanceIncarnation(f"b{number}", 1), 0, 0) is not None
-    assert it.asked(LoanRequest(1, 1), InstanceIncarnation("late", 1), 1, RULES.max_term_us - 1) is None
-    assert it.asked(LoanRequest(1, 1), InstanceIncarnation("late", 1), 1, RULES.max_term_us) is not None
+        assert (
+            it.handle_loan_request(LoanRequest(1, 1), InstanceIncarnation(f"b{number}", 1), 0, 0) is not None
+        )
+    assert (
+        it.handle_loan_request(LoanRequest(1, 1), InstanceIncarnation("late", 1), 1, RULES.max_term_us - 1)
+        is None
+    )
+    assert (
+        it.handle_loan_request(LoanRequest(1, 1), InstanceIncarnation("late", 1), 1, RULES.max_term_us)
+        is not None
+    )
 
 
 def test_while_acceptors_are_changed_both_groups_have_to_grant() -> None:
