--- a/fakes/lease_checker.py
+++ b/fakes/lease_checker.py
@@ -259,7 +259,7 @@
 def _asks(one: int, other: int) -> Callable[[World], None]:
     def step(world: World) -> None:
         world.asks += 1
-        ask = world.holders[one].ask(NAMES[other], 1, world.clock(one))
+        ask = world.holders[one].request_loan(NAMES[other], 1, world.clock(one))
         world.under_way.append(Bundle("asks", one, (other,), (ask,), world.incarnations[one]))
 
     return step
@@ -267,7 +267,7 @@
 
 def _gives_back(one: int, number: int) -> Callable[[World], None]:
     def step(world: World) -> None:
-        found = world.holders[one].give_back(number, world.clock(one))
+        found = world.holders[one].return_loan(number, world.clock(one))
         if found is not None:
             lender = NAMES.index(found[0])
             world.under_way.append(Bundle("returns", one, (lender,), (found[1],), world.incarnations[one]))
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -264,7 +264,7 @@
 def test_a_loan_is_counted_once_and_given_again_as_it_was() -> None:
     lender, borrower = holder(), holder(OTHER)
     take(lender, 0, 0)
-    ask = borrower.ask("a", 2, 0)
+    ask = borrower.request_loan("a", 2, 0)
     loan_answer = lender.handle_loan_request(ask, OTHER, 9, S)
     assert loan_answer is not None
     assert loan_answer.count == 2
@@ -285,19 +285,19 @@
     lender, borrower = holder(), holder(OTHER)
     take(lender, 0, 0)
     take(borrower, 3, 0)
-    loan_answer = lender.handle_loan_request(borrower.ask("a", 2, 0), OTHER, 9, 0)
+    loan_answer = lender.handle_loan_request(borrower.request_loan("a", 2, 0), OTHER, 9, 0)
     assert loan_answer is not None
     assert borrower.handle_loan_answer(loan_answer, "a", 0)
     ticket = borrower.spend(0)
     assert ticket is not None
     assert ticket.loan
-    assert borrower.give_back(loan_answer.number, 0) == ("a", LoanReturn(loan_answer.number, 1))
+    assert borrower.return_loan(loan_answer.number, 0) == ("a", LoanReturn(loan_answer.number, 1))
     lender.handle_loan_return(LoanReturn(loan_answer.number, 1), OTHER)
     lender.handle_loan_return(LoanReturn(loan_answer.number, 2), OTHER)  # an older one, late
     assert lender.spare(0) == 2
     borrower.done(ticket)
-    assert borrower.give_back(loan_answer.number, 0) == ("a", LoanReturn(loan_answer.number, 0))
-    assert borrower.give_back(loan_answer.number, 0) is None
+    assert borrower.return_loan(loan_answer.number, 0) == ("a", LoanReturn(loan_answer.number, 0))
+    assert borrower.return_loan(loan_answer.number, 0) is None
     lender.handle_loan_return(LoanReturn(loan_answer.number, 0), OTHER)
     assert lender.spare(0) == 3
 
@@ -305,10 +305,10 @@
 def test_what_is_borrowed_is_not_lent_on_and_a_loan_from_a_stranger_is_none() -> None:
     lender, borrower = holder(), holder(OTHER)
     take(lender, 0, 0)
-    loan_answer = lender.handle_loan_request(borrower.ask("a", 2, 0), OTHER, 9, 0)
+    loan_answer = lender.handle_loan_request(borrower.request_loan("a", 2, 0), OTHER, 9, 0)
     assert loan_answer is not None
     assert not borrower.handle_loan_answer(loan_answer, "c", 0)
-    ask = borrower.ask("a", 2, 0)
+    ask = borrower.request_loan("a", 2, 0)
     again = lender.handle_loan_request(ask, OTHER, 9, 0)
     assert again is not None
     assert borrower.handle_loan_answer(again, "a", 0)
