--- a/fakes/lease_checker.py
+++ b/fakes/lease_checker.py
@@ -76,7 +76,7 @@
     def reach(self) -> int:
         """What is in use, and what all could spend now."""
         return sum(begins <= self.now < ends for begins, ends in self.effects) + sum(
-            holder.spare(self.clock(one)) for one, holder in enumerate(self.holders)
+            holder.available(self.clock(one)) for one, holder in enumerate(self.holders)
         )
 
 
@@ -151,7 +151,7 @@
                     if world.repeats < limits.repeats:
                         what = f"{NAMES[one]} claims, heard by {named(others)}, and again later"
                         yield what, _claims(one, others, True)
-            if world.spent < limits.spends and world.holders[one].spare(world.clock(one)):
+            if world.spent < limits.spends and world.holders[one].available(world.clock(one)):
                 yield f"{NAMES[one]} spends one", _spends(one)
             if world.restarts < limits.restarts and world.claims:
                 yield f"{NAMES[one]} restarts", self._restarts(one)
@@ -241,7 +241,7 @@
 def _done(place: int) -> Callable[[World], None]:
     def step(world: World) -> None:
         one, ticket, effect = world.tickets.pop(place)
-        world.holders[one].done(ticket)
+        world.holders[one].finish(ticket)
         world.effects.remove(effect)
 
     return step
--- a/fakes/lease_model.py
+++ b/fakes/lease_model.py
@@ -207,7 +207,7 @@
     def _ended(self, member: Member, incarnation: int, ticket: Ticket) -> None:
         self.in_use -= 1
         if member.incarnation == incarnation and member.up:
-            member.planner.holder.done(ticket)
+            member.planner.holder.finish(ticket)
 
     # Faults
 
--- a/tests/decisions/test_lease_planner.py
+++ b/tests/decisions/test_lease_planner.py
@@ -33,7 +33,7 @@
     model.play(RULES.lease_us / S)
     assert model.let_in == 0 < model.asked, "acceptors that have just started grant nothing"
     model.play(2.0)
-    assert sum(len(each.planner.holder.held(each.now())) for each in model.members) == RULES.slots
+    assert sum(len(each.planner.holder.held_slots(each.now())) for each in model.members) == RULES.slots
 
 
 def test_even_demand_is_served_about_as_by_one_who_knows_all() -> None:
@@ -59,7 +59,7 @@
     assert model.worst <= RULES.total
     # the half with two of the five acceptors keeps nothing past its leases
     minority = [model.members[number] for number in (1, 3, 5, 7, 9)]
-    assert all(not each.planner.holder.held(each.now()) for each in minority)
+    assert all(not each.planner.holder.held_slots(each.now()) for each in minority)
     assert sum(each.planner.holder.in_use(each.now()) for each in model.members) > 0
     model.heal()
     model.play(6.0)
@@ -71,15 +71,16 @@
     model = settled()
     model.kill(range(5, 10))
     held = sum(
-        len(model.members[number].planner.holder.held(model.members[number].now())) for number in range(5)
+        len(model.members[number].planner.holder.held_slots(model.members[number].now()))
+        for number in range(5)
     )
     model.play(1.0)
-    now_held = sum(len(each.planner.holder.held(each.now())) for each in model.members[:5])
+    now_held = sum(len(each.planner.holder.held_slots(each.now())) for each in model.members[:5])
     assert now_held <= held < RULES.slots
     for _ in range(12):
         model.members[0].planner.peak = 40.0  # it wants them
         model.play(0.5)
-    assert sum(len(each.planner.holder.held(each.now())) for each in model.members[:5]) == RULES.slots
+    assert sum(len(each.planner.holder.held_slots(each.now())) for each in model.members[:5]) == RULES.slots
     assert model.worst <= RULES.total
 
 
@@ -87,7 +88,7 @@
     model = settled()
     model.stop([7])
     model.play(5.0)
-    assert model.members[7].planner.holder.spare(model.members[7].now()) == 0
+    assert model.members[7].planner.holder.available(model.members[7].now()) == 0
     model.wake([7])
     model.play(3.0)
     assert model.members[7].planner.had(model.members[7].now()) > 0
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -153,11 +153,11 @@
 def test_a_slot_is_held_with_more_than_half_and_kept_with_as_many_as_no_majority_can_do_without() -> None:
     it = LeaseHolder(RULES, ME, [("w", "x", "y", "z")])
     take(it, 0, 0, ("w", "x"))
-    assert it.spare(0) == 0
+    assert it.available(0) == 0
     take(it, 0, 0, ("y",))
-    assert it.spare(0) == RULES.permits(0) == 3
+    assert it.available(0) == RULES.permits(0) == 3
     take(it, 0, 3 * S, ("w", "x"))  # half of four: the others can give it to nobody else
-    assert it.spare(6 * S) == 3
+    assert it.available(6 * S) == 3
 
 
 def test_what_has_lapsed_is_not_kept_by_grants_that_come_later() -> None:
@@ -166,16 +166,16 @@
     late = it.claim(0, 5 * S)
     it.handle_lease_answer(LeaseAnswer(0, late.number, True), "w", 7 * S)
     it.handle_lease_answer(LeaseAnswer(0, late.number, True), "x", 7 * S)
-    assert it.spare(7 * S) == 0, "in between it may have been another's"
+    assert it.available(7 * S) == 0, "in between it may have been another's"
 
 
 def test_a_permit_is_spent_only_if_it_lasts_as_long_as_the_spending_may() -> None:
     it = holder()
     take(it, 0, 0)
     end_us = RULES.holder_term_us - RULES.max_use_us
-    assert it.spare(end_us) == 3
+    assert it.available(end_us) == 3
     assert it.spend(end_us) is not None
-    assert it.spare(end_us + 1) == 0
+    assert it.available(end_us + 1) == 0
     assert it.spend(end_us + 1) is None
     assert it.in_use(end_us + 1) == 1
 
@@ -184,7 +184,7 @@
     it = holder()
     take(it, 0, 0)
     assert it.spend(20 * S) is None
-    assert it.held(20 * S) == []
+    assert it.held_slots(20 * S) == []
     assert it.void == 1
 
 
@@ -196,10 +196,10 @@
     assert first is not None
     assert second is not None
     assert it.spend(0) is None
-    it.done(first)
-    it.done(first)  # once is enough
-    assert it.spare(0) == 1
-    assert it.spare(S) == 2, "a period has gone by"
+    it.finish(first)
+    it.finish(first)  # once is enough
+    assert it.available(0) == 1
+    assert it.available(S) == 2, "a period has gone by"
 
 
 def test_answers_to_claims_that_were_not_made_or_were_given_up_count_nothing() -> None:
@@ -210,11 +210,11 @@
     it.handle_lease_answer(LeaseAnswer(0, made.number, True), "stranger", 0)
     it.handle_lease_answer(LeaseAnswer(0, made.number, False, "b", S), "y", 0)
     it.handle_lease_answer(LeaseAnswer(0, made.number, True), "z", 0)
-    assert it.spare(0) == 0
+    assert it.available(0) == 0
     it.release(0, 0)
     for acceptor in ACCEPTORS:
         it.handle_lease_answer(LeaseAnswer(0, made.number, True), acceptor, 0)
-    assert it.spare(0) == 0
+    assert it.available(0) == 0
 
 
 def test_a_release_that_a_later_claim_overtook_voids_nothing() -> None:
@@ -254,7 +254,7 @@
     ticket = it.spend(0)
     assert ticket is not None
     assert it.release(0, 0) is None
-    it.done(ticket)
+    it.finish(ticket)
     assert it.handle_loan_request(LoanRequest(1, 1), OTHER, 1, 0) is not None
     assert it.release(0, 0) is None
     it.handle_loan_return(LoanReturn(1, 0), OTHER)
@@ -268,12 +268,12 @@
     loan_answer = lender.handle_loan_request(ask, OTHER, 9, S)
     assert loan_answer is not None
     assert loan_answer.count == 2
-    assert lender.spare(S) == 1
+    assert lender.available(S) == 1
     assert lender.handle_loan_request(ask, OTHER, 9, 2 * S) == loan_answer
-    assert lender.spare(2 * S) == 1
+    assert lender.available(2 * S) == 1
     assert borrower.handle_loan_answer(loan_answer, "a", 2 * S)
     assert not borrower.handle_loan_answer(loan_answer, "a", 2 * S)
-    assert borrower.spare(2 * S) == 2
+    assert borrower.available(2 * S) == 2
     ends_us = borrower.loans[loan_answer.number].until_us
     assert ends_us < S + loan_answer.term_us, "from when it was asked for, and less what clocks may differ by"
     assert lender.handle_loan_request(LoanRequest(ask.number - 1, 1), OTHER, 9, 2 * S) is None, (
@@ -294,12 +294,12 @@
     assert borrower.return_loan(loan_answer.number, 0) == ("a", LoanReturn(loan_answer.number, 1))
     lender.handle_loan_return(LoanReturn(loan_answer.number, 1), OTHER)
     lender.handle_loan_return(LoanReturn(loan_answer.number, 2), OTHER)  # an older one, late
-    assert lender.spare(0) == 2
-    borrower.done(ticket)
+    assert lender.available(0) == 2
+    borrower.finish(ticket)
     assert borrower.return_loan(loan_answer.number, 0) == ("a", LoanReturn(loan_answer.number, 0))
     assert borrower.return_loan(loan_answer.number, 0) is None
     lender.handle_loan_return(LoanReturn(loan_answer.number, 0), OTHER)
-    assert lender.spare(0) == 3
+    assert lender.available(0) == 3
 
 
 def test_what_is_borrowed_is_not_lent_on_and_a_loan_from_a_stranger_is_none() -> None:
@@ -322,12 +322,12 @@
     take(it, 0, 0)
     assert it.spend(0)
     assert it.spend(0)
-    assert it.spare(0) == 1
+    assert it.available(0) == 1
     it.reconfigure(LeaseRules(total=4, slots=4, lease_us=6 * S, max_use_us=S), [ACCEPTORS])
-    assert it.spare(0) == 0
+    assert it.available(0) == 0
     assert it.spend(0) is None
     assert it.in_use(0) == 2
-    assert it.spare(S) == 1
+    assert it.available(S) == 1
 
 
 def test_other_slots_are_other_permits_and_none_is_given_before_the_old_ones_are_over() -> None:
@@ -337,7 +337,7 @@
     other = LeaseRules(total=10, slots=2, lease_us=3 * S, max_use_us=S)
     it.reconfigure(other, [ACCEPTORS])
     acceptor.reconfigure(other, S)
-    assert it.spare(0) == 0
+    assert it.available(0) == 0
     assert not acceptor.handle_claim(claim(0, 1, other), OTHER, RULES.max_term_us).granted
     assert acceptor.handle_claim(claim(0, 1, other), OTHER, S + RULES.max_term_us).granted
 
@@ -372,9 +372,9 @@
     assert it.spend(0) is not None
     assert it.handle_loan_request(LoanRequest(1, 1), OTHER, 1, 0) is not None
     it.reconfigure(RULES, [("x", "y", "q")])
-    assert it.spare(0) == 0
+    assert it.available(0) == 0
     take(it, 0, 0, ("x", "y"))
-    assert it.spare(0) == 1, "the other two are out"
+    assert it.available(0) == 1, "the other two are out"
 
 
 def test_borrowers_that_are_over_make_room_and_no_answer_is_forgotten_too_soon() -> None:
@@ -397,9 +397,9 @@
 def test_while_acceptors_are_changed_both_groups_have_to_grant() -> None:
     it = LeaseHolder(RULES, ME, [("x", "y", "z"), ("p", "q", "r")])
     take(it, 0, 0, ("x", "y", "z", "p"))
-    assert it.spare(0) == 0
+    assert it.available(0) == 0
     take(it, 0, 0, ("x", "y", "z", "p", "q"))
-    assert it.spare(0) == 3
+    assert it.available(0) == 3
 
 
 def test_each_instance_has_an_order_of_its_own_and_the_same_each_time() -> None:
