--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -59,10 +59,10 @@
     """A loan that comes again is another loan."""
 
     def handle_loan_answer(self, loan_answer: LoanAnswer, lender: str, now_us: int) -> bool:
-        asked = self.pending.get(loan_answer.number)
+        asked = self.loan_requests.get(loan_answer.number)
         taken = super().handle_loan_answer(loan_answer, lender, now_us)
         if asked is not None and taken:
-            self.pending[loan_answer.number] = asked
+            self.loan_requests[loan_answer.number] = asked
             self.loans[1_000 + len(self.loans)] = self.loans.pop(loan_answer.number)
         return taken
 
@@ -103,7 +103,7 @@
 
     def __init__(self, rules: LeaseRules, now_us: int) -> None:
         super().__init__(rules, now_us)
-        self.quiet_until_us = now_us
+        self.no_grants_until_us = now_us
 
 
 class EndsTooSoon(Acceptor):
@@ -185,7 +185,7 @@
     take(it, 0, 0)
     assert it.spend(20 * S) is None
     assert it.held_slots(20 * S) == []
-    assert it.void == 1
+    assert it.lapsed == 1
 
 
 def test_a_permit_is_free_again_when_its_use_is_over_or_known_to_be() -> None:
