--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -72,8 +72,8 @@
 
     def handle_lease_answer(self, answer: LeaseAnswer, acceptor: str, now_us: int) -> None:
         it = self.slots.get(answer.slot)
-        if it is not None and answer.number in it.asked:
-            it.asked[answer.number] = now_us
+        if it is not None and answer.number in it.claimed_us:
+            it.claimed_us[answer.number] = now_us
         super().handle_lease_answer(answer, acceptor, now_us)
 
 
@@ -83,7 +83,7 @@
     def _lapse(self, now_us: int) -> None:
         for it in self.slots.values():
             if it.held:
-                it.kept_us = now_us + 10 * self.rules.lease_us
+                it.held_until_us = now_us + 10 * self.rules.lease_us
 
 
 class LendsAndSpends(LeaseHolder):
