--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -290,7 +290,7 @@
     assert borrower.handle_loan_answer(loan_answer, "a", 0)
     ticket = borrower.spend(0)
     assert ticket is not None
-    assert ticket.loan
+    assert ticket.borrowed
     assert borrower.return_loan(loan_answer.number, 0) == ("a", LoanReturn(loan_answer.number, 1))
     lender.handle_loan_return(LoanReturn(loan_answer.number, 1), OTHER)
     lender.handle_loan_return(LoanReturn(loan_answer.number, 2), OTHER)  # an older one, late
