--- a/fakes/lease_checker.py
+++ b/fakes/lease_checker.py
@@ -288,20 +288,20 @@
             world.repeats += 1
         else:
             del world.under_way[place]
-        who = InstanceIncarnation(NAMES[bundle.one], bundle.incarnation)
+        sender = InstanceIncarnation(NAMES[bundle.one], bundle.incarnation)
         alive = world.incarnations[bundle.one] == bundle.incarnation
         back: list[Message] = []
         for other, message in zip(bundle.others, itertools.cycle(bundle.messages), strict=False):
             now = world.clock(other)
             if isinstance(message, LeaseClaim):
-                back.append(world.acceptors[other].handle_claim(message, who, now))
+                back.append(world.acceptors[other].handle_claim(message, sender, now))
             elif isinstance(message, LeaseRelease):
-                world.acceptors[other].handle_release(message, who)
+                world.acceptors[other].handle_release(message, sender)
             elif isinstance(message, LoanRequest):
-                loan_answer = world.holders[other].handle_loan_request(message, who, message.want, now)
+                loan_answer = world.holders[other].handle_loan_request(message, sender, message.want, now)
                 back += [loan_answer] if loan_answer is not None else []
             elif isinstance(message, LoanReturn):
-                world.holders[other].handle_loan_return(message, who)
+                world.holders[other].handle_loan_return(message, sender)
             elif isinstance(message, LeaseAnswer) and alive:
                 world.holders[bundle.one].handle_lease_answer(message, NAMES[other], world.clock(bundle.one))
             elif isinstance(message, LoanAnswer) and alive:
--- a/fakes/lease_model.py
+++ b/fakes/lease_model.py
@@ -92,27 +92,27 @@
 
     def send(self, out: Iterable[Out]) -> None:
         """Send messages over the model's network."""
-        who = InstanceIncarnation(self.name, self.incarnation)
+        incarnation = InstanceIncarnation(self.name, self.incarnation)
         for each in out:
             self.sent += 1
-            self.model.deliver(self, self.model.by_name[each.to], each.message, who)
+            self.model.deliver(self, self.model.by_name[each.to], each.message, incarnation)
 
-    def receive(self, message: Message, who: InstanceIncarnation, sender: Member) -> None:
+    def receive(self, message: Message, incarnation: InstanceIncarnation, sender: Member) -> None:
         """A message has come; a stopped process finds it when it wakes, one that was killed never does."""
         if not self.up:
             return
         if not self.awake:
-            self.waiting.append(lambda: self.receive(message, who, sender))
+            self.waiting.append(lambda: self.receive(message, incarnation, sender))
             return
         now = self.now()
         if isinstance(message, LeaseClaim):
             self.sent += 1
-            answer = self.acceptor.handle_claim(message, who, now)
+            answer = self.acceptor.handle_claim(message, incarnation, now)
             self.model.deliver(self, sender, answer, InstanceIncarnation(self.name, self.incarnation))
         elif isinstance(message, LeaseRelease):
-            self.acceptor.handle_release(message, who)
+            self.acceptor.handle_release(message, incarnation)
         else:
-            self.send(self.planner.handle_message(message, who, now))
+            self.send(self.planner.handle_message(message, incarnation, now))
 
     def wake(self) -> None:
         """Go on after a stop, with the messages that have come meanwhile."""
@@ -145,12 +145,14 @@
         """The names of all members, in their order."""
         return self.all_names
 
-    def deliver(self, sender: Member, receiver: Member, message: Message, who: InstanceIncarnation) -> None:
+    def deliver(
+        self, sender: Member, receiver: Member, message: Message, incarnation: InstanceIncarnation
+    ) -> None:
         """Bring a message to its receiver after a delay; it may be lost, and crosses no split."""
         apart = self.parts.get(sender.number, 0) != self.parts.get(receiver.number, 0)
         if apart or (sender is not receiver and self.rng.random() < self.plan.loss):
             return
-        self.clock.after(self.rng.randint(*DELAY_US), receiver.receive, message, who, sender)
+        self.clock.after(self.rng.randint(*DELAY_US), receiver.receive, message, incarnation, sender)
 
     # Demand
 
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -90,9 +90,9 @@
     """What is lent is not counted."""
 
     def handle_loan_request(
-        self, ask: LoanRequest, who: InstanceIncarnation, most: int, now_us: int
+        self, ask: LoanRequest, sender: InstanceIncarnation, most: int, now_us: int
     ) -> LoanAnswer | None:
-        loan_answer = super().handle_loan_request(ask, who, most, now_us)
+        loan_answer = super().handle_loan_request(ask, sender, most, now_us)
         for it in self.slots.values():
             it.batch.lent.clear()
         return loan_answer
@@ -109,20 +109,20 @@
 class EndsTooSoon(Acceptor):
     """A grant ends here when a holder's would, by clocks that are all permit."""
 
-    def handle_claim(self, claim: LeaseClaim, who: InstanceIncarnation, now_us: int) -> LeaseAnswer:
-        told = super().handle_claim(claim, who, now_us)
+    def handle_claim(self, claim: LeaseClaim, sender: InstanceIncarnation, now_us: int) -> LeaseAnswer:
+        told = super().handle_claim(claim, sender, now_us)
         if told.granted:
             held = self.grants[claim.slot]
-            self.grants[claim.slot] = LeaseGrant(who, held.number, now_us + self.rules.holder_term_us // 2)
+            self.grants[claim.slot] = LeaseGrant(sender, held.number, now_us + self.rules.holder_term_us // 2)
         return told
 
 
 class PromisesToTwo(Acceptor):
     """Whoever asks last has it."""
 
-    def handle_claim(self, claim: LeaseClaim, who: InstanceIncarnation, now_us: int) -> LeaseAnswer:
+    def handle_claim(self, claim: LeaseClaim, sender: InstanceIncarnation, now_us: int) -> LeaseAnswer:
         self.grants.clear()
-        return super().handle_claim(claim, who, now_us)
+        return super().handle_claim(claim, sender, now_us)
 
 
 @pytest.mark.parametrize(
