--- a/fakes/lease_checker.py
+++ b/fakes/lease_checker.py
@@ -298,7 +298,7 @@
             elif isinstance(message, LeaseRelease):
                 world.acceptors[other].handle_release(message, sender)
             elif isinstance(message, LoanRequest):
-                loan_answer = world.holders[other].handle_loan_request(message, sender, message.want, now)
+                loan_answer = world.holders[other].handle_loan_request(message, sender, message.count, now)
                 back += [loan_answer] if loan_answer is not None else []
             elif isinstance(message, LoanReturn):
                 world.holders[other].handle_loan_return(message, sender)
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -90,9 +90,9 @@
     """What is lent is not counted."""
 
     def handle_loan_request(
-        self, ask: LoanRequest, sender: InstanceIncarnation, most: int, now_us: int
+        self, loan_request: LoanRequest, sender: InstanceIncarnation, max_count: int, now_us: int
     ) -> LoanAnswer | None:
-        loan_answer = super().handle_loan_request(ask, sender, most, now_us)
+        loan_answer = super().handle_loan_request(loan_request, sender, max_count, now_us)
         for it in self.slots.values():
             it.batch.lent.clear()
         return loan_answer
