--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -155,7 +155,7 @@
     take(it, 0, 0, ("w", "x"))
     assert it.available(0) == 0
     take(it, 0, 0, ("y",))
-    assert it.available(0) == RULES.permits(0) == 3
+    assert it.available(0) == RULES.permits_of(0) == 3
     take(it, 0, 3 * S, ("w", "x"))  # half of four: the others can give it to nobody else
     assert it.available(6 * S) == 3
 
@@ -191,7 +191,7 @@
 def test_a_permit_is_free_again_when_its_use_is_over_or_known_to_be() -> None:
     it = holder()
     take(it, 3, 0)
-    assert RULES.permits(3) == 2
+    assert RULES.permits_of(3) == 2
     first, second = it.spend(0), it.spend(0)
     assert first is not None
     assert second is not None
