--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -80,7 +80,7 @@
 class UsesWhatIsVoid(LeaseHolder):
     """What it held once it holds."""
 
-    def _lapse(self, now_us: int) -> None:
+    def _expire(self, now_us: int) -> None:
         for it in self.slots.values():
             if it.held:
                 it.held_until_us = now_us + 10 * self.rules.lease_us
