--- a/fakes/lease_model.py
+++ b/fakes/lease_model.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from plovertrail.decisions.lease_planner import LeasePlanner, Out
+from plovertrail.decisions.lease_planner import LeasePlanner, OutgoingMessage
 from plovertrail.decisions.leases import (
     Acceptor,
     InstanceIncarnation,
@@ -90,7 +90,7 @@
         wait_us = max(1_000, self.planner.next_us - self.now())
         self.model.clock.after(int(wait_us / self.speed) + 1, self.look, incarnation)
 
-    def send(self, out: Iterable[Out]) -> None:
+    def send(self, out: Iterable[OutgoingMessage]) -> None:
         """Send messages over the model's network."""
         incarnation = InstanceIncarnation(self.name, self.incarnation)
         for each in out:
