--- a/tests/decisions/test_lease_planner.py
+++ b/tests/decisions/test_lease_planner.py
@@ -196,4 +196,7 @@
     sent = [each.sent for each in model.members]
     model.play(3.0)
     assert max(each.sent - before for each, before in zip(model.members, sent, strict=True)) < 3 * 1_000
-    assert all(len(each.planner.asked) <= 6 and len(each.planner.returning) < 200 for each in model.members)
+    assert all(
+        len(each.planner.pending_loans) <= 6 and len(each.planner.return_repeats) < 200
+        for each in model.members
+    )
