--- a/tests/decisions/test_lease_planner.py
+++ b/tests/decisions/test_lease_planner.py
@@ -64,7 +64,7 @@
     model.heal()
     model.play(6.0)
     assert model.worst <= RULES.total
-    assert all(each.planner.had(each.now()) > 0 for each in model.members)
+    assert all(each.planner.permits_held(each.now()) > 0 for each in model.members)
 
 
 def test_the_permits_of_the_dead_come_back_after_their_leases_and_not_before() -> None:
@@ -91,7 +91,7 @@
     assert model.members[7].planner.holder.available(model.members[7].now()) == 0
     model.wake([7])
     model.play(3.0)
-    assert model.members[7].planner.had(model.members[7].now()) > 0
+    assert model.members[7].planner.permits_held(model.members[7].now()) > 0
     assert model.worst <= RULES.total
 
 
@@ -157,7 +157,7 @@
     it = planner()
     for step in range(60):
         give(it, step * S // 20)
-    assert it.had(3 * S) == it.even_part() == 15
+    assert it.permits_held(3 * S) == it.even_share() == 15
 
 
 def test_it_lends_what_it_can_do_without_and_keeps_what_it_needs() -> None:
@@ -167,7 +167,7 @@
     now_us = 3 * S
     for _ in range(8):
         assert it.spend(now_us) is not None
-    keeps = it.wanted(now_us)
+    keeps = it.permits_wanted(now_us)
     lent = 0
     for number in range(1, 9):
         for out in it.handle_message(LoanRequest(number, 5), InstanceIncarnation("i9", 1), now_us):
@@ -175,7 +175,7 @@
             assert out.to == "i9"
             lent += out.message.count
     assert lent == 15 - keeps
-    assert it.had(now_us) == keeps
+    assert it.permits_held(now_us) == keeps
 
 
 def test_an_answer_that_is_lost_is_asked_for_under_the_same_number() -> None:
