--- a/benchmarks/capacity/leases_role.py
+++ b/benchmarks/capacity/leases_role.py
@@ -55,7 +55,7 @@
     """Settle, let the event happen, and measure."""
     rules = LeaseRules(PERMITS_EACH * case.size, SLOTS_EACH * case.size, LEASE_US, SECOND_US)
     model = Model(Plan(case.size, rules, REQUESTS_EACH_PER_S * case.size), case.seed)
-    model.play(case.settle_s)
+    model.run(case.settle_s)
     if case.situation is Situation.RESTARTS:
         restarted = range(case.size - 1, ACCEPTORS, -10)
         model.kill(restarted)
@@ -70,7 +70,7 @@
         ):
             meter.wrap(target, name)
     sent = [member.sent for member in model.members]
-    model.play(case.stretch_s)
+    model.run(case.stretch_s)
     messages = [
         (member.sent - before) / case.stretch_s for member, before in zip(model.members, sent, strict=True)
     ]
@@ -81,7 +81,7 @@
         sum(shares[ACCEPTORS:]) / others,
         sum(messages[:ACCEPTORS]) / ACCEPTORS,
         sum(shares[:ACCEPTORS]) / ACCEPTORS,
-        max(0, model.worst - rules.total),
+        max(0, model.peak_in_use - rules.total),
     )
 
 
--- a/benchmarks/fleet_budgets.py
+++ b/benchmarks/fleet_budgets.py
@@ -43,21 +43,21 @@
     """Seven in ten, with two acceptors among them."""
     down = range(3, 20)
     model.kill(down)
-    model.play(0.5)
+    model.run(0.5)
     model.start(down)
 
 
 def all_killed(model: Model) -> None:
     """All instances are killed at once, and started half a second later."""
     model.kill(range(24))
-    model.play(0.5)
+    model.run(0.5)
     model.start(range(24))
 
 
 def stood_still(model: Model) -> None:
     """Six instances, an acceptor among them, for longer than a lease."""
     model.stop(range(4, 10))
-    model.play(8.0)
+    model.run(8.0)
     model.wake(range(4, 10))
 
 
@@ -103,18 +103,18 @@
     """Play one case in the model, for a pool of worker processes."""
     case, seconds, seed = job
     model = Model(case.plan, seed)
-    model.play(SETTLE_S)
-    model.forget()
+    model.run(SETTLE_S)
+    model.reset_counts()
     sent = sum(member.sent for member in model.members)
     began_us = model.clock.now_us
     case.fault(model)
-    model.play(seconds)
+    model.run(seconds)
     took_s = (model.clock.now_us - began_us) / SECOND_US
     messages = (sum(member.sent for member in model.members) - sent) / len(model.members) / took_s
     return Told(
-        model.worst,
+        model.peak_in_use,
         case.plan.rules.total,
-        model.let_in / max(1, model.ideal),
+        model.admitted / max(1, model.ideal),
         model.fixed / max(1, model.ideal),
         messages,
     )
--- a/fakes/lease_model.py
+++ b/fakes/lease_model.py
@@ -134,8 +134,8 @@
         self.members = [Member(self, number) for number in range(plan.instances)]
         self.by_name = {member.name: member for member in self.members}
         self.parts: dict[int, int] = {}  # which part of a split each is in
-        self.in_use = self.worst = 0
-        self.asked = self.let_in = 0
+        self.in_use = self.peak_in_use = 0
+        self.requests = self.admitted = 0
         # the same requests under one who knows all, and under fixed parts
         self.ideal = self.ideal_in_use = self.fixed = 0
         self.fixed_in_use = [0] * plan.instances
@@ -156,16 +156,16 @@
 
     # Demand
 
-    def play(self, seconds: float) -> None:
+    def run(self, seconds: float) -> None:
         """So long under load."""
         ends = self.clock.now_us + int(seconds * SECOND_US)
         self.clock.after(0, self._move, ends)
         self.clock.after(0, self._next, ends)
         self.clock.run(ends)
 
-    def forget(self) -> None:
+    def reset_counts(self) -> None:
         """Count from now on."""
-        self.asked = self.let_in = self.ideal = self.fixed = 0
+        self.requests = self.admitted = self.ideal = self.fixed = 0
 
     def _move(self, ends: int) -> None:
         self.hot = self.rng.sample(range(self.plan.instances), min(self.plan.hot, self.plan.instances))
@@ -183,7 +183,7 @@
         took = min(int(self.rng.expovariate(1 / self.plan.work_us)), rules.max_use_us - rules.slack_us)
         if not member.up or not member.awake:
             return  # whatever one who knows all would do, nobody is there to ask
-        self.asked += 1
+        self.requests += 1
         if self.ideal_in_use < rules.total:
             self.ideal += 1
             self.ideal_in_use += 1
@@ -195,9 +195,9 @@
         ticket = member.planner.spend(member.now())
         if ticket is None:
             return
-        self.let_in += 1
+        self.admitted += 1
         self.in_use += 1
-        self.worst = max(self.worst, self.in_use)
+        self.peak_in_use = max(self.peak_in_use, self.in_use)
         self.clock.after(took, self._ended, member, member.incarnation, ticket)
 
     def _over(self, what: str, number: int) -> None:
--- a/tests/decisions/test_lease_planner.py
+++ b/tests/decisions/test_lease_planner.py
@@ -23,47 +23,47 @@
 def settled(plan: Plan = PLAN, seed: int = 1) -> Model:
     """A fleet that has shared the budget out."""
     model = Model(plan, seed)
-    model.play(5.0)
-    model.forget()
+    model.run(5.0)
+    model.reset_counts()
     return model
 
 
 def test_nothing_is_spent_till_it_is_sure_and_then_the_whole_budget_is_held() -> None:
     model = Model(PLAN)
-    model.play(RULES.lease_us / S)
-    assert model.let_in == 0 < model.asked, "acceptors that have just started grant nothing"
-    model.play(2.0)
+    model.run(RULES.lease_us / S)
+    assert model.admitted == 0 < model.requests, "acceptors that have just started grant nothing"
+    model.run(2.0)
     assert sum(len(each.planner.holder.held_slots(each.now())) for each in model.members) == RULES.slots
 
 
 def test_even_demand_is_served_about_as_by_one_who_knows_all() -> None:
     model = settled()
-    model.play(5.0)
-    assert model.worst <= RULES.total
-    assert model.let_in >= 0.85 * model.ideal
+    model.run(5.0)
+    assert model.peak_in_use <= RULES.total
+    assert model.admitted >= 0.85 * model.ideal
 
 
 def test_demand_that_moves_gets_far_more_than_fixed_parts_would_give_it() -> None:
     model = settled(replace(PLAN, even=False, hot=1, moves_s=4.0))
-    model.play(8.0)
-    assert model.worst <= RULES.total
-    assert model.let_in > 1.5 * model.fixed
+    model.run(8.0)
+    assert model.peak_in_use <= RULES.total
+    assert model.admitted > 1.5 * model.fixed
 
 
 def test_each_half_of_a_split_goes_on_within_what_it_holds() -> None:
     model = settled()
     model.split([[0, 2, 4, 6, 8], [1, 3, 5, 7, 9]])
-    model.play(1.0)
-    model.forget()
-    model.play(6.0)
-    assert model.worst <= RULES.total
+    model.run(1.0)
+    model.reset_counts()
+    model.run(6.0)
+    assert model.peak_in_use <= RULES.total
     # the half with two of the five acceptors keeps nothing past its leases
     minority = [model.members[number] for number in (1, 3, 5, 7, 9)]
     assert all(not each.planner.holder.held_slots(each.now()) for each in minority)
     assert sum(each.planner.holder.in_use(each.now()) for each in model.members) > 0
     model.heal()
-    model.play(6.0)
-    assert model.worst <= RULES.total
+    model.run(6.0)
+    assert model.peak_in_use <= RULES.total
     assert all(each.planner.permits_held(each.now()) > 0 for each in model.members)
 
 
@@ -74,25 +74,25 @@
         len(model.members[number].planner.holder.held_slots(model.members[number].now()))
         for number in range(5)
     )
-    model.play(1.0)
+    model.run(1.0)
     now_held = sum(len(each.planner.holder.held_slots(each.now())) for each in model.members[:5])
     assert now_held <= held < RULES.slots
     for _ in range(12):
         model.members[0].planner.peak = 40.0  # it wants them
-        model.play(0.5)
+        model.run(0.5)
     assert sum(len(each.planner.holder.held_slots(each.now())) for each in model.members[:5]) == RULES.slots
-    assert model.worst <= RULES.total
+    assert model.peak_in_use <= RULES.total
 
 
 def test_one_that_stood_still_past_its_leases_finds_them_void_and_comes_back() -> None:
     model = settled()
     model.stop([7])
-    model.play(5.0)
+    model.run(5.0)
     assert model.members[7].planner.holder.available(model.members[7].now()) == 0
     model.wake([7])
-    model.play(3.0)
+    model.run(3.0)
     assert model.members[7].planner.permits_held(model.members[7].now()) > 0
-    assert model.worst <= RULES.total
+    assert model.peak_in_use <= RULES.total
 
 
 FAULTS = st.lists(
@@ -108,7 +108,7 @@
     faults: list[tuple[str, int, int]], loss: float, seed: int
 ) -> None:
     model = Model(replace(PLAN, loss=loss, even=False, hot=2), seed)
-    model.play(4.0)
+    model.run(4.0)
     for what, number, quarter in faults:
         some = {number, (number * 3 + 1) % 10, (number * 7 + 2) % 10}
         if what == "split":
@@ -119,18 +119,18 @@
             model.kill(some)
         else:
             model.stop(some)
-        model.play(quarter / 4)
+        model.run(quarter / 4)
         if what == "kill":
             model.start(some)
         elif what == "stop":
             model.wake(some)
-        assert model.worst <= RULES.total
+        assert model.peak_in_use <= RULES.total
     model.heal()
-    model.play(2 * RULES.lease_us / S + 2.0)
-    model.forget()
-    model.play(3.0)
-    assert model.worst <= RULES.total
-    assert model.let_in > 0.3 * model.ideal, "never stuck for good"
+    model.run(2 * RULES.lease_us / S + 2.0)
+    model.reset_counts()
+    model.run(3.0)
+    assert model.peak_in_use <= RULES.total
+    assert model.admitted > 0.3 * model.ideal, "never stuck for good"
 
 
 # One planner alone
@@ -194,7 +194,7 @@
 def test_what_one_sends_is_bounded_whatever_is_asked_for(loss: float) -> None:
     model = settled(replace(PLAN, per_s=2_000.0, loss=loss))
     sent = [each.sent for each in model.members]
-    model.play(3.0)
+    model.run(3.0)
     assert max(each.sent - before for each, before in zip(model.members, sent, strict=True)) < 3 * 1_000
     assert all(
         len(each.planner.pending_loans) <= 6 and len(each.planner.return_repeats) < 200
