--- a/benchmarks/fleet_budgets.py
+++ b/benchmarks/fleet_budgets.py
@@ -56,9 +56,9 @@
 
 def stood_still(model: Model) -> None:
     """Six instances, an acceptor among them, for longer than a lease."""
-    model.stop(range(4, 10))
+    model.pause(range(4, 10))
     model.run(8.0)
-    model.wake(range(4, 10))
+    model.resume(range(4, 10))
 
 
 @dataclass(frozen=True)
--- a/fakes/lease_model.py
+++ b/fakes/lease_model.py
@@ -53,7 +53,7 @@
         # within what the rules allow for
         self.speed = 1.0 + model.plan.rules.drift * (2.0 * model.rng.random() - 1.0) * 0.99
         self.incarnation = 0
-        self.up = self.awake = True
+        self.up = self.running = True
         self.waiting: list[Callable[[], None]] = []  # that came while it stood still
         self.sent = 0
         self.start()
@@ -83,7 +83,7 @@
         """Its timer."""
         if incarnation != self.incarnation or not self.up:
             return
-        if not self.awake:
+        if not self.running:
             self.waiting.append(lambda: self.look(incarnation))
             return
         self.send(self.planner.tick(self.now()))
@@ -101,7 +101,7 @@
         """A message has come; a stopped process finds it when it wakes, one that was killed never does."""
         if not self.up:
             return
-        if not self.awake:
+        if not self.running:
             self.waiting.append(lambda: self.receive(message, incarnation, sender))
             return
         now = self.now()
@@ -114,9 +114,9 @@
         else:
             self.send(self.planner.handle_message(message, incarnation, now))
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Go on after a stop, with the messages that have come meanwhile."""
-        self.awake = True
+        self.running = True
         waiting, self.waiting = self.waiting, []
         for each in waiting:
             each()
@@ -181,7 +181,7 @@
         member = self.members[number]
         rules = self.plan.rules
         took = min(int(self.rng.expovariate(1 / self.plan.work_us)), rules.max_use_us - rules.slack_us)
-        if not member.up or not member.awake:
+        if not member.up or not member.running:
             return  # whatever one who knows all would do, nobody is there to ask
         self.requests += 1
         if self.ideal_in_use < rules.total:
@@ -224,15 +224,15 @@
         for number in numbers:
             self.members[number].start()
 
-    def stop(self, numbers: Iterable[int]) -> None:
+    def pause(self, numbers: Iterable[int]) -> None:
         """Stop these members' processes, as SIGSTOP does."""
         for number in numbers:
-            self.members[number].awake = False
+            self.members[number].running = False
 
-    def wake(self, numbers: Iterable[int]) -> None:
+    def resume(self, numbers: Iterable[int]) -> None:
         """Let stopped processes go on."""
         for number in numbers:
-            self.members[number].wake()
+            self.members[number].resume()
 
     def split(self, parts: Iterable[Iterable[int]]) -> None:
         """Split the network: members of different parts do not hear one another."""
--- a/tests/decisions/test_lease_planner.py
+++ b/tests/decisions/test_lease_planner.py
@@ -86,10 +86,10 @@
 
 def test_one_that_stood_still_past_its_leases_finds_them_void_and_comes_back() -> None:
     model = settled()
-    model.stop([7])
+    model.pause([7])
     model.run(5.0)
     assert model.members[7].planner.holder.available(model.members[7].now()) == 0
-    model.wake([7])
+    model.resume([7])
     model.run(3.0)
     assert model.members[7].planner.permits_held(model.members[7].now()) > 0
     assert model.peak_in_use <= RULES.total
@@ -118,12 +118,12 @@
         elif what == "kill":
             model.kill(some)
         else:
-            model.stop(some)
+            model.pause(some)
         model.run(quarter / 4)
         if what == "kill":
             model.start(some)
         elif what == "stop":
-            model.wake(some)
+            model.resume(some)
         assert model.peak_in_use <= RULES.total
     model.heal()
     model.run(2 * RULES.lease_us / S + 2.0)
