--- a/benchmarks/fleet_budgets.py
+++ b/benchmarks/fleet_budgets.py
@@ -23,10 +23,10 @@
 
 SETTLE_S = 9.0
 LEASE_US, HOLD_US = 6 * SECOND_US, SECOND_US
-BASE = Plan(rules=LeaseRules(480, 96, LEASE_US, HOLD_US), per_s=3_000.0)
-MOVING = replace(BASE, even=False, moves_s=5.0)
-SMALL = replace(BASE, rules=LeaseRules(96, 48, LEASE_US, HOLD_US), per_s=600.0)
-FEWER = replace(BASE, rules=LeaseRules(12, 12, LEASE_US, HOLD_US), per_s=75.0)
+BASE = Plan(rules=LeaseRules(480, 96, LEASE_US, HOLD_US), requests_per_s=3_000.0)
+MOVING = replace(BASE, even_demand=False, demand_shift_s=5.0)
+SMALL = replace(BASE, rules=LeaseRules(96, 48, LEASE_US, HOLD_US), requests_per_s=600.0)
+FEWER = replace(BASE, rules=LeaseRules(12, 12, LEASE_US, HOLD_US), requests_per_s=75.0)
 MOVING_SHARE, SPLIT_SHARE = 0.9, 0.7
 
 
@@ -74,9 +74,9 @@
 CASES = (
     Case("even demand", BASE, least=MOVING_SHARE),
     Case("demand moves each 5 s", MOVING, least=MOVING_SHARE),
-    Case("demand moves each second", replace(MOVING, moves_s=1.0)),
+    Case("demand moves each second", replace(MOVING, demand_shift_s=1.0)),
     Case("demand moves, 30 % lost", replace(MOVING, loss=0.3)),
-    Case("twice what there is is asked for", replace(BASE, per_s=9_600.0)),
+    Case("twice what there is is asked for", replace(BASE, requests_per_s=9_600.0)),
     Case("a fifth of it: 96 for 24", SMALL),
     Case("more instances than permits", FEWER),
     Case("split in halves", BASE, halves, SPLIT_SHARE),
--- a/fakes/lease_model.py
+++ b/fakes/lease_model.py
@@ -29,18 +29,20 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """`work_us`: of a request, on average; it never takes longer than a permit is held."""
+    """`mean_request_us`: of a request, on average; it never takes longer than a permit is held."""
 
     instances: int = 24
     rules: LeaseRules = field(
         default_factory=lambda: LeaseRules(total=96, slots=48, lease_us=6 * SECOND_US, max_use_us=SECOND_US)
     )
-    per_s: float = 600.0  # of all instances
-    work_us: int = 100_000
+    requests_per_s: float = 600.0  # of all instances
+    mean_request_us: int = 100_000
     loss: float = 0.0
-    even: bool = True  # demand; else a few instances have nearly all of it, others each `moves_s`
-    moves_s: float = 1.0
-    hot: int = 3
+    even_demand: bool = (
+        True  # demand; else a few instances have nearly all of it, others each `demand_shift_s`
+    )
+    demand_shift_s: float = 1.0
+    hot_instances: int = 3
 
 
 class Member:
@@ -139,7 +141,7 @@
         # the same requests under one who knows all, and under fixed parts
         self.ideal = self.ideal_in_use = self.fixed = 0
         self.fixed_in_use = [0] * plan.instances
-        self.hot: list[int] = []
+        self.hot_members: list[int] = []
 
     def names(self) -> list[str]:
         """The names of all members, in their order."""
@@ -168,19 +170,25 @@
         self.requests = self.admitted = self.ideal = self.fixed = 0
 
     def _move(self, ends: int) -> None:
-        self.hot = self.rng.sample(range(self.plan.instances), min(self.plan.hot, self.plan.instances))
+        self.hot_members = self.rng.sample(
+            range(self.plan.instances), min(self.plan.hot_instances, self.plan.instances)
+        )
         if self.clock.now_us < ends:
-            self.clock.after(int(self.plan.moves_s * SECOND_US), self._move, ends)
+            self.clock.after(int(self.plan.demand_shift_s * SECOND_US), self._move, ends)
 
     def _next(self, ends: int) -> None:
         if self.clock.now_us >= ends:
             return
-        self.clock.after(max(1, int(self.rng.expovariate(self.plan.per_s / SECOND_US))), self._next, ends)
-        uneven = not self.plan.even and self.rng.random() < 0.9
-        number = self.rng.choice(self.hot) if uneven else self.rng.randrange(self.plan.instances)
+        self.clock.after(
+            max(1, int(self.rng.expovariate(self.plan.requests_per_s / SECOND_US))), self._next, ends
+        )
+        uneven = not self.plan.even_demand and self.rng.random() < 0.9
+        number = self.rng.choice(self.hot_members) if uneven else self.rng.randrange(self.plan.instances)
         member = self.members[number]
         rules = self.plan.rules
-        took = min(int(self.rng.expovariate(1 / self.plan.work_us)), rules.max_use_us - rules.slack_us)
+        took = min(
+            int(self.rng.expovariate(1 / self.plan.mean_request_us)), rules.max_use_us - rules.slack_us
+        )
         if not member.up or not member.running:
             return  # whatever one who knows all would do, nobody is there to ask
         self.requests += 1
--- a/tests/decisions/test_lease_planner.py
+++ b/tests/decisions/test_lease_planner.py
@@ -17,7 +17,7 @@
 
 S = SECOND_US
 RULES = LeaseRules(total=60, slots=20, lease_us=3 * S, max_use_us=S // 2)
-PLAN = Plan(instances=10, rules=RULES, per_s=300.0, work_us=80_000)
+PLAN = Plan(instances=10, rules=RULES, requests_per_s=300.0, mean_request_us=80_000)
 
 
 def settled(plan: Plan = PLAN, seed: int = 1) -> Model:
@@ -44,7 +44,7 @@
 
 
 def test_demand_that_moves_gets_far_more_than_fixed_parts_would_give_it() -> None:
-    model = settled(replace(PLAN, even=False, hot=1, moves_s=4.0))
+    model = settled(replace(PLAN, even_demand=False, hot_instances=1, demand_shift_s=4.0))
     model.run(8.0)
     assert model.peak_in_use <= RULES.total
     assert model.admitted > 1.5 * model.fixed
@@ -107,7 +107,7 @@
 def test_whatever_is_drawn_it_is_never_overspent_and_comes_back_once_healed(
     faults: list[tuple[str, int, int]], loss: float, seed: int
 ) -> None:
-    model = Model(replace(PLAN, loss=loss, even=False, hot=2), seed)
+    model = Model(replace(PLAN, loss=loss, even_demand=False, hot_instances=2), seed)
     model.run(4.0)
     for what, number, quarter in faults:
         some = {number, (number * 3 + 1) % 10, (number * 7 + 2) % 10}
@@ -192,7 +192,7 @@
 
 @pytest.mark.parametrize("loss", [0.0, 0.5])
 def test_what_one_sends_is_bounded_whatever_is_asked_for(loss: float) -> None:
-    model = settled(replace(PLAN, per_s=2_000.0, loss=loss))
+    model = settled(replace(PLAN, requests_per_s=2_000.0, loss=loss))
     sent = [each.sent for each in model.members]
     model.run(3.0)
     assert max(each.sent - before for each, before in zip(model.members, sent, strict=True)) < 3 * 1_000
