--- a/fakes/lease_model.py
+++ b/fakes/lease_model.py
@@ -56,7 +56,7 @@
         self.speed = 1.0 + model.plan.rules.drift * (2.0 * model.rng.random() - 1.0) * 0.99
         self.incarnation = 0
         self.up = self.running = True
-        self.waiting: list[Callable[[], None]] = []  # that came while it stood still
+        self.queued: list[Callable[[], None]] = []  # that came while it stood still
         self.sent = 0
         self.start()
 
@@ -79,18 +79,18 @@
             random.Random(model.rng.random()),
             self.now(),
         )
-        model.clock.after(1, self.look, self.incarnation)
+        model.clock.after(1, self.run_timer, self.incarnation)
 
-    def look(self, incarnation: int) -> None:
+    def run_timer(self, incarnation: int) -> None:
         """Its timer."""
         if incarnation != self.incarnation or not self.up:
             return
         if not self.running:
-            self.waiting.append(lambda: self.look(incarnation))
+            self.queued.append(lambda: self.run_timer(incarnation))
             return
         self.send(self.planner.tick(self.now()))
         wait_us = max(1_000, self.planner.next_us - self.now())
-        self.model.clock.after(int(wait_us / self.speed) + 1, self.look, incarnation)
+        self.model.clock.after(int(wait_us / self.speed) + 1, self.run_timer, incarnation)
 
     def send(self, out: Iterable[OutgoingMessage]) -> None:
         """Send messages over the model's network."""
@@ -104,7 +104,7 @@
         if not self.up:
             return
         if not self.running:
-            self.waiting.append(lambda: self.receive(message, incarnation, sender))
+            self.queued.append(lambda: self.receive(message, incarnation, sender))
             return
         now = self.now()
         if isinstance(message, LeaseClaim):
@@ -119,8 +119,8 @@
     def resume(self) -> None:
         """Go on after a stop, with the messages that have come meanwhile."""
         self.running = True
-        waiting, self.waiting = self.waiting, []
-        for each in waiting:
+        queued, self.queued = self.queued, []
+        for each in queued:
             each()
 
 
@@ -135,7 +135,7 @@
         self.all_names = [f"i{number}" for number in range(plan.instances)]
         self.members = [Member(self, number) for number in range(plan.instances)]
         self.by_name = {member.name: member for member in self.members}
-        self.parts: dict[int, int] = {}  # which part of a split each is in
+        self.partitions: dict[int, int] = {}  # which part of a split each is in
         self.in_use = self.peak_in_use = 0
         self.requests = self.admitted = 0
         # the same requests under one who knows all, and under fixed parts
@@ -151,7 +151,7 @@
         self, sender: Member, receiver: Member, message: Message, incarnation: InstanceIncarnation
     ) -> None:
         """Bring a message to its receiver after a delay; it may be lost, and crosses no split."""
-        apart = self.parts.get(sender.number, 0) != self.parts.get(receiver.number, 0)
+        apart = self.partitions.get(sender.number, 0) != self.partitions.get(receiver.number, 0)
         if apart or (sender is not receiver and self.rng.random() < self.plan.loss):
             return
         self.clock.after(self.rng.randint(*DELAY_US), receiver.receive, message, incarnation, sender)
@@ -160,33 +160,35 @@
 
     def run(self, seconds: float) -> None:
         """So long under load."""
-        ends = self.clock.now_us + int(seconds * SECOND_US)
-        self.clock.after(0, self._move, ends)
-        self.clock.after(0, self._next, ends)
-        self.clock.run(ends)
+        end_us = self.clock.now_us + int(seconds * SECOND_US)
+        self.clock.after(0, self._shift_demand, end_us)
+        self.clock.after(0, self._next_request, end_us)
+        self.clock.run(end_us)
 
     def reset_counts(self) -> None:
         """Count from now on."""
         self.requests = self.admitted = self.ideal = self.fixed = 0
 
-    def _move(self, ends: int) -> None:
+    def _shift_demand(self, end_us: int) -> None:
         self.hot_members = self.rng.sample(
             range(self.plan.instances), min(self.plan.hot_instances, self.plan.instances)
         )
-        if self.clock.now_us < ends:
-            self.clock.after(int(self.plan.demand_shift_s * SECOND_US), self._move, ends)
+        if self.clock.now_us < end_us:
+            self.clock.after(int(self.plan.demand_shift_s * SECOND_US), self._shift_demand, end_us)
 
-    def _next(self, ends: int) -> None:
-        if self.clock.now_us >= ends:
+    def _next_request(self, end_us: int) -> None:
+        if self.clock.now_us >= end_us:
             return
         self.clock.after(
-            max(1, int(self.rng.expovariate(self.plan.requests_per_s / SECOND_US))), self._next, ends
+            max(1, int(self.rng.expovariate(self.plan.requests_per_s / SECOND_US))),
+            self._next_request,
+            end_us,
         )
         uneven = not self.plan.even_demand and self.rng.random() < 0.9
         number = self.rng.choice(self.hot_members) if uneven else self.rng.randrange(self.plan.instances)
         member = self.members[number]
         rules = self.plan.rules
-        took = min(
+        duration_us = min(
             int(self.rng.expovariate(1 / self.plan.mean_request_us)), rules.max_use_us - rules.slack_us
         )
         if not member.up or not member.running:
@@ -195,26 +197,26 @@
         if self.ideal_in_use < rules.total:
             self.ideal += 1
             self.ideal_in_use += 1
-            self.clock.after(took, self._over, "ideal", number)
+            self.clock.after(duration_us, self._finish_reference, "ideal", number)
         if self.fixed_in_use[number] < rules.total // self.plan.instances:
             self.fixed += 1
             self.fixed_in_use[number] += 1
-            self.clock.after(took, self._over, "fixed", number)
+            self.clock.after(duration_us, self._finish_reference, "fixed", number)
         ticket = member.planner.spend(member.now())
         if ticket is None:
             return
         self.admitted += 1
         self.in_use += 1
         self.peak_in_use = max(self.peak_in_use, self.in_use)
-        self.clock.after(took, self._ended, member, member.incarnation, ticket)
+        self.clock.after(duration_us, self._finish_request, member, member.incarnation, ticket)
 
-    def _over(self, what: str, number: int) -> None:
+    def _finish_reference(self, what: str, number: int) -> None:
         if what == "ideal":
             self.ideal_in_use -= 1
         else:
             self.fixed_in_use[number] -= 1
 
-    def _ended(self, member: Member, incarnation: int, ticket: Ticket) -> None:
+    def _finish_request(self, member: Member, incarnation: int, ticket: Ticket) -> None:
         self.in_use -= 1
         if member.incarnation == incarnation and member.up:
             member.planner.holder.finish(ticket)
@@ -244,8 +246,8 @@
 
     def split(self, parts: Iterable[Iterable[int]]) -> None:
         """Split the network: members of different parts do not hear one another."""
-        self.parts = {number: part for part, numbers in enumerate(parts) for number in numbers}
+        self.partitions = {number: part for part, numbers in enumerate(parts) for number in numbers}
 
     def heal(self) -> None:
         """Join all parts of the network again."""
-        self.parts = {}
+        self.partitions = {}
