--- a/benchmarks/fleet_budgets.py
+++ b/benchmarks/fleet_budgets.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, replace
 
 from benchmarks.report import Bar, chosen, close, table
-from fakes.lease_checker import LIMITS, Checker, Found
+from fakes.lease_checker import LIMITS, Checker, SearchResult
 from fakes.lease_model import Model, Plan
 from plovertrail.decisions.leases import LeaseRules
 from plovertrail.simulation.clock import SECOND_US
@@ -120,7 +120,7 @@
     )
 
 
-def explored(job: tuple[str, int]) -> Found:
+def explored(job: tuple[str, int]) -> SearchResult:
     """Search the states of one set of limits, for a pool of worker processes."""
     return Checker(LIMITS[job[0]]).explore(12, job[1])
 
--- a/fakes/lease_checker.py
+++ b/fakes/lease_checker.py
@@ -101,7 +101,7 @@
 
 
 @dataclass(frozen=True)
-class Found:
+class SearchResult:
     """What an exploration came to; `history` is empty where nothing broke."""
 
     states: int
@@ -186,7 +186,7 @@
 
     # All histories
 
-    def explore(self, depth: int, most: int = MOST_STATES) -> Found:
+    def explore(self, depth: int, most: int = MOST_STATES) -> SearchResult:
         """All histories of so many steps, or those of so many states."""
         began = time.monotonic()
         first = pickle.dumps(self.begin())
@@ -200,15 +200,15 @@
                     step(world)
                     told = (*history, what)
                     if world.reach() > self.rules.total:
-                        return Found(len(known), level, time.monotonic() - began, told)
+                        return SearchResult(len(known), level, time.monotonic() - began, told)
                     after = pickle.dumps(world)
                     if after not in known:
                         if len(known) >= most:
-                            return Found(len(known), level, time.monotonic() - began, ())
+                            return SearchResult(len(known), level, time.monotonic() - began, ())
                         known.add(after)
                         further.append((after, told))
             edge = further
-        return Found(len(known), depth, time.monotonic() - began, ())
+        return SearchResult(len(known), depth, time.monotonic() - began, ())
 
 
 def named(some: tuple[int, ...]) -> str:
