--- a/fakes/lease_checker.py
+++ b/fakes/lease_checker.py
@@ -36,16 +36,16 @@
 )
 
 NAMES = ("a", "b", "c")
-SPEEDS = (0.9, 1.1, 1.0)  # of their clocks, beside the true time
+CLOCK_SPEEDS = (0.9, 1.1, 1.0)  # of their clocks, beside the true time
 RULES = LeaseRules(total=1, slots=1, lease_us=1_000, max_use_us=100, drift=0.1, slack_us=1)
-WAIT = 560  # of the true time, a step: two outlast a lease
-MOST_STATES = 400_000
+TIME_STEP = 560  # of the true time, a step: two outlast a lease
+MAX_STATES = 400_000
 HOLDERS = (0, 1)
-REACHED = ((0, 1), (1, 2), (0, 2))  # the acceptors that hear a claim at once
+CLAIM_TARGETS = ((0, 1), (1, 2), (0, 2))  # the acceptors that hear a claim at once
 
 
 @dataclass
-class Bundle:
+class MessageBatch:
     """Messages that are under way together: from one to some, or from some to one."""
 
     kind: str
@@ -64,18 +64,18 @@
     acceptors: list[Acceptor] = field(default_factory=list)
     holders: list[LeaseHolder] = field(default_factory=list)
     incarnations: list[int] = field(default_factory=list)
-    under_way: list[Bundle] = field(default_factory=list)
-    effects: list[tuple[int, int]] = field(default_factory=list)  # permits in use, from and till when truly
+    in_flight: list[MessageBatch] = field(default_factory=list)
+    uses: list[tuple[int, int]] = field(default_factory=list)  # permits in use, from and till when truly
     tickets: list[tuple[int, Ticket, tuple[int, int]]] = field(default_factory=list)
-    claims = repeats = restarts = asks = spent = 0
+    claims = repeats = restarts = loan_requests = spends = 0
 
     def clock(self, one: int) -> int:
         """The time on the clock of one instance, which runs at a speed of its own."""
-        return int(self.now * SPEEDS[one])
+        return int(self.now * CLOCK_SPEEDS[one])
 
-    def reach(self) -> int:
+    def committed(self) -> int:
         """What is in use, and what all could spend now."""
-        return sum(begins <= self.now < ends for begins, ends in self.effects) + sum(
+        return sum(begins <= self.now < ends for begins, ends in self.uses) + sum(
             holder.available(self.clock(one)) for one, holder in enumerate(self.holders)
         )
 
@@ -87,7 +87,7 @@
     claims: int = 3
     repeats: int = 0
     restarts: int = 0
-    asks: int = 0
+    loan_requests: int = 0
     spends: int = 0
     releases: bool = False
 
@@ -95,8 +95,8 @@
 LIMITS = {
     "claims and restarts": Limits(restarts=1, spends=1),
     "claims that come late, releases": Limits(repeats=1, releases=True),
-    "loans": Limits(claims=2, repeats=1, asks=1, spends=1),
-    "loans over a restart": Limits(claims=2, restarts=1, asks=1, spends=1),
+    "loans": Limits(claims=2, repeats=1, loan_requests=1, spends=1),
+    "loans over a restart": Limits(claims=2, restarts=1, loan_requests=1, spends=1),
 }
 
 
@@ -146,25 +146,25 @@
         limits = self.limits
         for one in HOLDERS:
             if world.claims < limits.claims:
-                for others in REACHED:
+                for others in CLAIM_TARGETS:
                     yield f"{NAMES[one]} claims, heard by {named(others)}", _claims(one, others, False)
                     if world.repeats < limits.repeats:
                         what = f"{NAMES[one]} claims, heard by {named(others)}, and again later"
                         yield what, _claims(one, others, True)
-            if world.spent < limits.spends and world.holders[one].available(world.clock(one)):
+            if world.spends < limits.spends and world.holders[one].available(world.clock(one)):
                 yield f"{NAMES[one]} spends one", _spends(one)
             if world.restarts < limits.restarts and world.claims:
                 yield f"{NAMES[one]} restarts", self._restarts(one)
             if limits.releases and 0 in world.holders[one].slots:
                 yield f"{NAMES[one]} releases, heard by all", _releases(one)
-            if world.asks < limits.asks:
+            if world.loan_requests < limits.loan_requests:
                 for other in HOLDERS:
                     if other != one and world.holders[other].slots:
                         yield f"{NAMES[one]} asks {NAMES[other]} to lend", _asks(one, other)
             for number in world.holders[one].loans:
                 yield f"{NAMES[one]} gives back {number}", _gives_back(one, number)
-        for place, bundle in enumerate(world.under_way):
-            what = f"{bundle.kind} between {NAMES[bundle.one]} and {named(bundle.others)} arrive"
+        for place, batch in enumerate(world.in_flight):
+            what = f"{batch.kind} between {NAMES[batch.one]} and {named(batch.others)} arrive"
             yield what, _arrives(place, False)
             if world.repeats < limits.repeats:
                 yield what + ", and are still under way", _arrives(place, True)
@@ -172,7 +172,7 @@
             yield f"{NAMES[2]} restarts", self._restarts(2)
         for place, (one, *_) in enumerate(world.tickets):
             yield f"{NAMES[one]} hears that it is done", _done(place)
-        yield f"{WAIT} go by", _waits
+        yield f"{TIME_STEP} go by", _waits
 
     def _restarts(self, one: int) -> Callable[[World], None]:
         def step(world: World) -> None:
@@ -186,7 +186,7 @@
 
     # All histories
 
-    def explore(self, depth: int, most: int = MOST_STATES) -> SearchResult:
+    def explore(self, depth: int, most: int = MAX_STATES) -> SearchResult:
         """All histories of so many steps, or those of so many states."""
         began = time.monotonic()
         first = pickle.dumps(self.begin())
@@ -199,7 +199,7 @@
                     world: World = pickle.loads(packed)
                     step(world)
                     told = (*history, what)
-                    if world.reach() > self.rules.total:
+                    if world.committed() > self.rules.total:
                         return SearchResult(len(known), level, time.monotonic() - began, told)
                     after = pickle.dumps(world)
                     if after not in known:
@@ -220,8 +220,8 @@
     def step(world: World) -> None:
         world.claims += 1
         claim = world.holders[one].claim(0, world.clock(one))
-        world.under_way.append(Bundle("claims", one, others, (claim,), world.incarnations[one]))
-        _arrives(len(world.under_way) - 1, again)(world)
+        world.in_flight.append(MessageBatch("claims", one, others, (claim,), world.incarnations[one]))
+        _arrives(len(world.in_flight) - 1, again)(world)
 
     return step
 
@@ -230,19 +230,19 @@
     def step(world: World) -> None:
         ticket = world.holders[one].spend(world.clock(one))
         assert ticket is not None
-        world.spent += 1
-        effect = world.now, world.now + world.rules.max_use_us
-        world.effects.append(effect)
-        world.tickets.append((one, ticket, effect))
+        world.spends += 1
+        use = world.now, world.now + world.rules.max_use_us
+        world.uses.append(use)
+        world.tickets.append((one, ticket, use))
 
     return step
 
 
 def _done(place: int) -> Callable[[World], None]:
     def step(world: World) -> None:
-        one, ticket, effect = world.tickets.pop(place)
+        one, ticket, use = world.tickets.pop(place)
         world.holders[one].finish(ticket)
-        world.effects.remove(effect)
+        world.uses.remove(use)
 
     return step
 
@@ -251,16 +251,18 @@
     def step(world: World) -> None:
         release = world.holders[one].release(0, world.clock(one))
         if release is not None:
-            world.under_way.append(Bundle("releases", one, (0, 1, 2), (release,), world.incarnations[one]))
+            world.in_flight.append(
+                MessageBatch("releases", one, (0, 1, 2), (release,), world.incarnations[one])
+            )
 
     return step
 
 
 def _asks(one: int, other: int) -> Callable[[World], None]:
     def step(world: World) -> None:
-        world.asks += 1
+        world.loan_requests += 1
         ask = world.holders[one].request_loan(NAMES[other], 1, world.clock(one))
-        world.under_way.append(Bundle("asks", one, (other,), (ask,), world.incarnations[one]))
+        world.in_flight.append(MessageBatch("asks", one, (other,), (ask,), world.incarnations[one]))
 
     return step
 
@@ -270,28 +272,30 @@
         found = world.holders[one].return_loan(number, world.clock(one))
         if found is not None:
             lender = NAMES.index(found[0])
-            world.under_way.append(Bundle("returns", one, (lender,), (found[1],), world.incarnations[one]))
+            world.in_flight.append(
+                MessageBatch("returns", one, (lender,), (found[1],), world.incarnations[one])
+            )
 
     return step
 
 
 def _waits(world: World) -> None:
-    world.now += WAIT
-    world.effects = [each for each in world.effects if each[1] > world.now]
+    world.now += TIME_STEP
+    world.uses = [each for each in world.uses if each[1] > world.now]
     world.tickets = [each for each in world.tickets if each[2][1] > world.now]
 
 
 def _arrives(place: int, again: bool) -> Callable[[World], None]:
     def step(world: World) -> None:
-        bundle = world.under_way[place]
+        batch = world.in_flight[place]
         if again:
             world.repeats += 1
         else:
-            del world.under_way[place]
-        sender = InstanceIncarnation(NAMES[bundle.one], bundle.incarnation)
-        alive = world.incarnations[bundle.one] == bundle.incarnation
+            del world.in_flight[place]
+        sender = InstanceIncarnation(NAMES[batch.one], batch.incarnation)
+        alive = world.incarnations[batch.one] == batch.incarnation
         back: list[Message] = []
-        for other, message in zip(bundle.others, itertools.cycle(bundle.messages), strict=False):
+        for other, message in zip(batch.others, itertools.cycle(batch.messages), strict=False):
             now = world.clock(other)
             if isinstance(message, LeaseClaim):
                 back.append(world.acceptors[other].handle_claim(message, sender, now))
@@ -303,12 +307,14 @@
             elif isinstance(message, LoanReturn):
                 world.holders[other].handle_loan_return(message, sender)
             elif isinstance(message, LeaseAnswer) and alive:
-                world.holders[bundle.one].handle_lease_answer(message, NAMES[other], world.clock(bundle.one))
+                world.holders[batch.one].handle_lease_answer(message, NAMES[other], world.clock(batch.one))
             elif isinstance(message, LoanAnswer) and alive:
-                world.holders[bundle.one].handle_loan_answer(message, NAMES[other], world.clock(bundle.one))
+                world.holders[batch.one].handle_loan_answer(message, NAMES[other], world.clock(batch.one))
         if back:
             kind = "grants" if isinstance(back[0], LeaseAnswer) else "loans"
-            world.under_way.append(Bundle(kind, bundle.one, bundle.others, tuple(back), bundle.incarnation))
+            world.in_flight.append(
+                MessageBatch(kind, batch.one, batch.others, tuple(back), batch.incarnation)
+            )
 
     return step
 
@@ -317,7 +323,7 @@
     """Search all limits for a broken rule; returns the exit code."""
     parser = argparse.ArgumentParser(prog="python -m fakes.lease_checker")
     parser.add_argument("--depth", type=int, default=8)
-    parser.add_argument("--states", type=int, default=MOST_STATES)
+    parser.add_argument("--states", type=int, default=MAX_STATES)
     asked = parser.parse_args()
     broken = 0
     for name, limits in LIMITS.items():
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -128,8 +128,8 @@
 @pytest.mark.parametrize(
     ("fault", "limits"),
     [
-        (CountsTwice, Limits(claims=1, repeats=1, asks=1)),
-        (LendsAndSpends, Limits(claims=1, asks=1)),
+        (CountsTwice, Limits(claims=1, repeats=1, loan_requests=1)),
+        (LendsAndSpends, Limits(claims=1, loan_requests=1)),
         (BeginsAtReceipt, Limits(claims=2)),
         (UsesWhatIsVoid, Limits(claims=2)),
         (PromisesTooSoon, Limits(claims=2, restarts=1)),
