--- a/fakes/lease_checker.py
+++ b/fakes/lease_checker.py
@@ -49,7 +49,7 @@
     """Messages that are under way together: from one to some, or from some to one."""
 
     kind: str
-    one: int
+    instance: int
     others: tuple[int, ...]
     messages: tuple[Message, ...]
     incarnation: int  # of the one, when they were sent
@@ -69,14 +69,14 @@
     tickets: list[tuple[int, Ticket, tuple[int, int]]] = field(default_factory=list)
     claims = repeats = restarts = loan_requests = spends = 0
 
-    def clock(self, one: int) -> int:
+    def clock(self, instance: int) -> int:
         """The time on the clock of one instance, which runs at a speed of its own."""
-        return int(self.now * CLOCK_SPEEDS[one])
+        return int(self.now * CLOCK_SPEEDS[instance])
 
     def committed(self) -> int:
         """What is in use, and what all could spend now."""
         return sum(begins <= self.now < ends for begins, ends in self.uses) + sum(
-            holder.available(self.clock(one)) for one, holder in enumerate(self.holders)
+            holder.available(self.clock(instance)) for instance, holder in enumerate(self.holders)
         )
 
 
@@ -125,17 +125,19 @@
         self.holder = holder
         self.acceptor = acceptor
 
-    def new_holder(self, one: int, incarnation: int) -> LeaseHolder:
+    def new_holder(self, instance: int, incarnation: int) -> LeaseHolder:
         """A holder for a new process of an instance; `life` counts its processes."""
-        return self.holder(self.rules, InstanceIncarnation(NAMES[one], incarnation), [NAMES])
+        return self.holder(self.rules, InstanceIncarnation(NAMES[instance], incarnation), [NAMES])
 
-    def begin(self) -> World:
+    def initial_world(self) -> World:
         """The state that the search begins from."""
         world = World(self.rules)
-        for one in range(len(NAMES)):
+        for instance in range(len(NAMES)):
             # they have been there for long: no acceptor is in doubt any more
-            world.acceptors.append(self.acceptor(self.rules, world.clock(one) - 10 * self.rules.lease_us))
-            world.holders.append(self.new_holder(one, 1))
+            world.acceptors.append(
+                self.acceptor(self.rules, world.clock(instance) - 10 * self.rules.lease_us)
+            )
+            world.holders.append(self.new_holder(instance, 1))
             world.incarnations.append(1)
         return world
 
@@ -144,176 +146,185 @@
     def steps(self, world: World) -> Iterator[tuple[str, Callable[[World], None]]]:
         """All that can happen next."""
         limits = self.limits
-        for one in HOLDERS:
+        for instance in HOLDERS:
             if world.claims < limits.claims:
                 for others in CLAIM_TARGETS:
-                    yield f"{NAMES[one]} claims, heard by {named(others)}", _claims(one, others, False)
+                    yield (
+                        f"{NAMES[instance]} claims, heard by {names_of(others)}",
+                        _claim_step(instance, others, False),
+                    )
                     if world.repeats < limits.repeats:
-                        what = f"{NAMES[one]} claims, heard by {named(others)}, and again later"
-                        yield what, _claims(one, others, True)
-            if world.spends < limits.spends and world.holders[one].available(world.clock(one)):
-                yield f"{NAMES[one]} spends one", _spends(one)
+                        what = f"{NAMES[instance]} claims, heard by {names_of(others)}, and again later"
+                        yield what, _claim_step(instance, others, True)
+            if world.spends < limits.spends and world.holders[instance].available(world.clock(instance)):
+                yield f"{NAMES[instance]} spends one", _spend_step(instance)
             if world.restarts < limits.restarts and world.claims:
-                yield f"{NAMES[one]} restarts", self._restarts(one)
-            if limits.releases and 0 in world.holders[one].slots:
-                yield f"{NAMES[one]} releases, heard by all", _releases(one)
+                yield f"{NAMES[instance]} restarts", self._restart_step(instance)
+            if limits.releases and 0 in world.holders[instance].slots:
+                yield f"{NAMES[instance]} releases, heard by all", _release_step(instance)
             if world.loan_requests < limits.loan_requests:
                 for other in HOLDERS:
-                    if other != one and world.holders[other].slots:
-                        yield f"{NAMES[one]} asks {NAMES[other]} to lend", _asks(one, other)
-            for number in world.holders[one].loans:
-                yield f"{NAMES[one]} gives back {number}", _gives_back(one, number)
-        for place, batch in enumerate(world.in_flight):
-            what = f"{batch.kind} between {NAMES[batch.one]} and {named(batch.others)} arrive"
-            yield what, _arrives(place, False)
+                    if other != instance and world.holders[other].slots:
+                        yield f"{NAMES[instance]} asks {NAMES[other]} to lend", _request_step(instance, other)
+            for number in world.holders[instance].loans:
+                yield f"{NAMES[instance]} gives back {number}", _return_step(instance, number)
+        for index, batch in enumerate(world.in_flight):
+            what = f"{batch.kind} between {NAMES[batch.instance]} and {names_of(batch.others)} arrive"
+            yield what, _arrival_step(index, False)
             if world.repeats < limits.repeats:
-                yield what + ", and are still under way", _arrives(place, True)
+                yield what + ", and are still under way", _arrival_step(index, True)
         if world.restarts < limits.restarts and world.claims:
-            yield f"{NAMES[2]} restarts", self._restarts(2)
-        for place, (one, *_) in enumerate(world.tickets):
-            yield f"{NAMES[one]} hears that it is done", _done(place)
-        yield f"{TIME_STEP} go by", _waits
+            yield f"{NAMES[2]} restarts", self._restart_step(2)
+        for index, (instance, *_) in enumerate(world.tickets):
+            yield f"{NAMES[instance]} hears that it is done", _finish_step(index)
+        yield f"{TIME_STEP} go by", _time_step
 
-    def _restarts(self, one: int) -> Callable[[World], None]:
+    def _restart_step(self, instance: int) -> Callable[[World], None]:
         def step(world: World) -> None:
             world.restarts += 1
-            world.incarnations[one] += 1
-            world.acceptors[one] = self.acceptor(self.rules, world.clock(one))
-            world.holders[one] = self.new_holder(one, world.incarnations[one])
-            world.tickets = [each for each in world.tickets if each[0] != one]
+            world.incarnations[instance] += 1
+            world.acceptors[instance] = self.acceptor(self.rules, world.clock(instance))
+            world.holders[instance] = self.new_holder(instance, world.incarnations[instance])
+            world.tickets = [each for each in world.tickets if each[0] != instance]
 
         return step
 
     # All histories
 
-    def explore(self, depth: int, most: int = MAX_STATES) -> SearchResult:
+    def explore(self, depth: int, max_states: int = MAX_STATES) -> SearchResult:
         """All histories of so many steps, or those of so many states."""
-        began = time.monotonic()
-        first = pickle.dumps(self.begin())
-        known = {first}
-        edge: list[tuple[bytes, tuple[str, ...]]] = [(first, ())]
+        started_s = time.monotonic()
+        first = pickle.dumps(self.initial_world())
+        seen = {first}
+        frontier: list[tuple[bytes, tuple[str, ...]]] = [(first, ())]
         for level in range(1, depth + 1):
-            further: list[tuple[bytes, tuple[str, ...]]] = []
-            for packed, history in edge:
-                for what, step in self.steps(pickle.loads(packed)):
-                    world: World = pickle.loads(packed)
+            next_frontier: list[tuple[bytes, tuple[str, ...]]] = []
+            for pickled, history in frontier:
+                for what, step in self.steps(pickle.loads(pickled)):
+                    world: World = pickle.loads(pickled)
                     step(world)
-                    told = (*history, what)
+                    path = (*history, what)
                     if world.committed() > self.rules.total:
-                        return SearchResult(len(known), level, time.monotonic() - began, told)
+                        return SearchResult(len(seen), level, time.monotonic() - started_s, path)
                     after = pickle.dumps(world)
-                    if after not in known:
-                        if len(known) >= most:
-                            return SearchResult(len(known), level, time.monotonic() - began, ())
-                        known.add(after)
-                        further.append((after, told))
-            edge = further
-        return SearchResult(len(known), depth, time.monotonic() - began, ())
+                    if after not in seen:
+                        if len(seen) >= max_states:
+                            return SearchResult(len(seen), level, time.monotonic() - started_s, ())
+                        seen.add(after)
+                        next_frontier.append((after, path))
+            frontier = next_frontier
+        return SearchResult(len(seen), depth, time.monotonic() - started_s, ())
 
 
-def named(some: tuple[int, ...]) -> str:
+def names_of(some: tuple[int, ...]) -> str:
     """The names of some instances as text."""
-    return ", ".join(NAMES[one] for one in some)
+    return ", ".join(NAMES[instance] for instance in some)
 
 
-def _claims(one: int, others: tuple[int, ...], again: bool) -> Callable[[World], None]:
+def _claim_step(instance: int, others: tuple[int, ...], repeat: bool) -> Callable[[World], None]:
     def step(world: World) -> None:
         world.claims += 1
-        claim = world.holders[one].claim(0, world.clock(one))
-        world.in_flight.append(MessageBatch("claims", one, others, (claim,), world.incarnations[one]))
-        _arrives(len(world.in_flight) - 1, again)(world)
+        claim = world.holders[instance].claim(0, world.clock(instance))
+        world.in_flight.append(
+            MessageBatch("claims", instance, others, (claim,), world.incarnations[instance])
+        )
+        _arrival_step(len(world.in_flight) - 1, repeat)(world)
 
     return step
 
 
-def _spends(one: int) -> Callable[[World], None]:
+def _spend_step(instance: int) -> Callable[[World], None]:
     def step(world: World) -> None:
-        ticket = world.holders[one].spend(world.clock(one))
+        ticket = world.holders[instance].spend(world.clock(instance))
         assert ticket is not None
         world.spends += 1
         use = world.now, world.now + world.rules.max_use_us
         world.uses.append(use)
-        world.tickets.append((one, ticket, use))
+        world.tickets.append((instance, ticket, use))
 
     return step
 
 
-def _done(place: int) -> Callable[[World], None]:
+def _finish_step(index: int) -> Callable[[World], None]:
     def step(world: World) -> None:
-        one, ticket, use = world.tickets.pop(place)
-        world.holders[one].finish(ticket)
+        instance, ticket, use = world.tickets.pop(index)
+        world.holders[instance].finish(ticket)
         world.uses.remove(use)
 
     return step
 
 
-def _releases(one: int) -> Callable[[World], None]:
+def _release_step(instance: int) -> Callable[[World], None]:
     def step(world: World) -> None:
-        release = world.holders[one].release(0, world.clock(one))
+        release = world.holders[instance].release(0, world.clock(instance))
         if release is not None:
             world.in_flight.append(
-                MessageBatch("releases", one, (0, 1, 2), (release,), world.incarnations[one])
+                MessageBatch("releases", instance, (0, 1, 2), (release,), world.incarnations[instance])
             )
 
     return step
 
 
-def _asks(one: int, other: int) -> Callable[[World], None]:
+def _request_step(instance: int, other: int) -> Callable[[World], None]:
     def step(world: World) -> None:
         world.loan_requests += 1
-        ask = world.holders[one].request_loan(NAMES[other], 1, world.clock(one))
-        world.in_flight.append(MessageBatch("asks", one, (other,), (ask,), world.incarnations[one]))
+        ask = world.holders[instance].request_loan(NAMES[other], 1, world.clock(instance))
+        world.in_flight.append(MessageBatch("asks", instance, (other,), (ask,), world.incarnations[instance]))
 
     return step
 
 
-def _gives_back(one: int, number: int) -> Callable[[World], None]:
+def _return_step(instance: int, number: int) -> Callable[[World], None]:
     def step(world: World) -> None:
-        found = world.holders[one].return_loan(number, world.clock(one))
+        found = world.holders[instance].return_loan(number, world.clock(instance))
         if found is not None:
             lender = NAMES.index(found[0])
             world.in_flight.append(
-                MessageBatch("returns", one, (lender,), (found[1],), world.incarnations[one])
+                MessageBatch("returns", instance, (lender,), (found[1],), world.incarnations[instance])
             )
 
     return step
 
 
-def _waits(world: World) -> None:
+def _time_step(world: World) -> None:
     world.now += TIME_STEP
     world.uses = [each for each in world.uses if each[1] > world.now]
     world.tickets = [each for each in world.tickets if each[2][1] > world.now]
 
 
-def _arrives(place: int, again: bool) -> Callable[[World], None]:
+def _arrival_step(index: int, repeat: bool) -> Callable[[World], None]:
     def step(world: World) -> None:
-        batch = world.in_flight[place]
-        if again:
+        batch = world.in_flight[index]
+        if repeat:
             world.repeats += 1
         else:
-            del world.in_flight[place]
-        sender = InstanceIncarnation(NAMES[batch.one], batch.incarnation)
-        alive = world.incarnations[batch.one] == batch.incarnation
-        back: list[Message] = []
+            del world.in_flight[index]
+        sender = InstanceIncarnation(NAMES[batch.instance], batch.incarnation)
+        alive = world.incarnations[batch.instance] == batch.incarnation
+        replies: list[Message] = []
         for other, message in zip(batch.others, itertools.cycle(batch.messages), strict=False):
             now = world.clock(other)
             if isinstance(message, LeaseClaim):
-                back.append(world.acceptors[other].handle_claim(message, sender, now))
+                replies.append(world.acceptors[other].handle_claim(message, sender, now))
             elif isinstance(message, LeaseRelease):
                 world.acceptors[other].handle_release(message, sender)
             elif isinstance(message, LoanRequest):
                 loan_answer = world.holders[other].handle_loan_request(message, sender, message.count, now)
-                back += [loan_answer] if loan_answer is not None else []
+                replies += [loan_answer] if loan_answer is not None else []
             elif isinstance(message, LoanReturn):
                 world.holders[other].handle_loan_return(message, sender)
             elif isinstance(message, LeaseAnswer) and alive:
-                world.holders[batch.one].handle_lease_answer(message, NAMES[other], world.clock(batch.one))
+                world.holders[batch.instance].handle_lease_answer(
+                    message, NAMES[other], world.clock(batch.instance)
+                )
             elif isinstance(message, LoanAnswer) and alive:
-                world.holders[batch.one].handle_loan_answer(message, NAMES[other], world.clock(batch.one))
-        if back:
-            kind = "grants" if isinstance(back[0], LeaseAnswer) else "loans"
+                world.holders[batch.instance].handle_loan_answer(
+                    message, NAMES[other], world.clock(batch.instance)
+                )
+        if replies:
+            kind = "grants" if isinstance(replies[0], LeaseAnswer) else "loans"
             world.in_flight.append(
-                MessageBatch(kind, batch.one, batch.others, tuple(back), batch.incarnation)
+                MessageBatch(kind, batch.instance, batch.others, tuple(replies), batch.incarnation)
             )
 
     return step
@@ -324,10 +335,10 @@
     parser = argparse.ArgumentParser(prog="python -m fakes.lease_checker")
     parser.add_argument("--depth", type=int, default=8)
     parser.add_argument("--states", type=int, default=MAX_STATES)
-    asked = parser.parse_args()
+    arguments = parser.parse_args()
     broken = 0
     for name, limits in LIMITS.items():
-        found = Checker(limits).explore(asked.depth, asked.states)
+        found = Checker(limits).explore(arguments.depth, arguments.states)
         print(f"{name}: {found.states:,} states, a depth of {found.depth}, {found.seconds:.1f} s", flush=True)
         for line in found.history:
             print("  " + line)
