--- a/fakes/lease_model.py
+++ b/fakes/lease_model.py
@@ -1,7 +1,7 @@
-"""Budgets of a whole fleet on a virtual clock.
+"""A model of leased budgets: many instances on a virtual clock.
 
-Real holders, acceptors and planners, a network that loses and splits, clocks of different speeds, and demand
-that moves. What is in use is counted as servers would see it.
+It runs the real holders, acceptors and planners over a network that loses messages and splits, with clocks of
+different speeds and demand that shifts. Permits in use are counted as the endpoints would see the requests.
 """
 
 from __future__ import annotations
@@ -29,39 +29,38 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """`mean_request_us`: of a request, on average; it never takes longer than a permit is held."""
+    """The size, rules, load and message loss of a model; no request outlasts the longest use of a permit."""
 
     instances: int = 24
     rules: LeaseRules = field(
         default_factory=lambda: LeaseRules(total=96, slots=48, lease_us=6 * SECOND_US, max_use_us=SECOND_US)
     )
-    requests_per_s: float = 600.0  # of all instances
+    requests_per_s: float = 600.0  # of all instances together
     mean_request_us: int = 100_000
     loss: float = 0.0
-    even_demand: bool = (
-        True  # demand; else a few instances have nearly all of it, others each `demand_shift_s`
-    )
+    # Otherwise 90 % of the requests go to a few instances, which are drawn anew each `demand_shift_s`.
+    even_demand: bool = True
     demand_shift_s: float = 1.0
     hot_instances: int = 3
 
 
 class Member:
-    """One instance: its lives, its clock, and its part in the budget."""
+    """One instance, with its incarnations, its clock, and its planner and acceptor."""
 
     def __init__(self, model: Model, number: int) -> None:
         self.model = model
         self.number = number
         self.name = f"i{number}"
-        # within what the rules allow for
+        # within the drift that the rules allow
         self.speed = 1.0 + model.plan.rules.drift * (2.0 * model.rng.random() - 1.0) * 0.99
         self.incarnation = 0
         self.up = self.running = True
-        self.queued: list[Callable[[], None]] = []  # that came while it stood still
+        self.queued: list[Callable[[], None]] = []  # calls that arrived while the process was paused
         self.sent = 0
         self.start()
 
     def now(self) -> int:
-        """The time on the member's own clock, in microseconds."""
+        """Return the time on the member's own clock, in microseconds."""
         return int(self.model.clock.now_us * self.speed)
 
     def start(self) -> None:
@@ -82,7 +81,7 @@
         model.clock.after(1, self.run_timer, self.incarnation)
 
     def run_timer(self, incarnation: int) -> None:
-        """Its timer."""
+        """Run the planner when it is due, and set the next timer."""
         if incarnation != self.incarnation or not self.up:
             return
         if not self.running:
@@ -100,7 +99,7 @@
             self.model.deliver(self, self.model.by_name[each.to], each.message, incarnation)
 
     def receive(self, message: Message, incarnation: InstanceIncarnation, sender: Member) -> None:
-        """A message has come; a stopped process finds it when it wakes, one that was killed never does."""
+        """Handle a message; a paused process gets it when it resumes, a killed one never."""
         if not self.up:
             return
         if not self.running:
@@ -117,7 +116,7 @@
             self.send(self.planner.handle_message(message, incarnation, now))
 
     def resume(self) -> None:
-        """Go on after a stop, with the messages that have come meanwhile."""
+        """Continue after a pause, with the messages that have arrived meanwhile."""
         self.running = True
         queued, self.queued = self.queued, []
         for each in queued:
@@ -125,7 +124,7 @@
 
 
 class Model:
-    """One play. `worst` is the most that was in use at one moment."""
+    """One simulated cluster. `peak_in_use` is the largest number of permits in use at once."""
 
     def __init__(self, plan: Plan, seed: int = 1) -> None:
         self.plan = plan
@@ -135,22 +134,22 @@
         self.all_names = [f"i{number}" for number in range(plan.instances)]
         self.members = [Member(self, number) for number in range(plan.instances)]
         self.by_name = {member.name: member for member in self.members}
-        self.partitions: dict[int, int] = {}  # which part of a split each is in
+        self.partitions: dict[int, int] = {}  # by member, its part of a split network
         self.in_use = self.peak_in_use = 0
         self.requests = self.admitted = 0
-        # the same requests under one who knows all, and under fixed parts
+        # The same requests, admitted with one central count, and with the budget divided evenly and fixed.
         self.ideal = self.ideal_in_use = self.fixed = 0
         self.fixed_in_use = [0] * plan.instances
         self.hot_members: list[int] = []
 
     def names(self) -> list[str]:
-        """The names of all members, in their order."""
+        """Return the names of all members, in their order."""
         return self.all_names
 
     def deliver(
         self, sender: Member, receiver: Member, message: Message, incarnation: InstanceIncarnation
     ) -> None:
-        """Bring a message to its receiver after a delay; it may be lost, and crosses no split."""
+        """Deliver a message after a delay, unless it is lost or the network is split between the two."""
         apart = self.partitions.get(sender.number, 0) != self.partitions.get(receiver.number, 0)
         if apart or (sender is not receiver and self.rng.random() < self.plan.loss):
             return
@@ -159,14 +158,14 @@
     # Demand
 
     def run(self, seconds: float) -> None:
-        """So long under load."""
+        """Run under load for this long."""
         end_us = self.clock.now_us + int(seconds * SECOND_US)
         self.clock.after(0, self._shift_demand, end_us)
         self.clock.after(0, self._next_request, end_us)
         self.clock.run(end_us)
 
     def reset_counts(self) -> None:
-        """Count from now on."""
+        """Set the counts of requests back to 0."""
         self.requests = self.admitted = self.ideal = self.fixed = 0
 
     def _shift_demand(self, end_us: int) -> None:
@@ -192,7 +191,7 @@
             int(self.rng.expovariate(1 / self.plan.mean_request_us)), rules.max_use_us - rules.slack_us
         )
         if not member.up or not member.running:
-            return  # whatever one who knows all would do, nobody is there to ask
+            return  # no process to ask, so the references do not count the request either
         self.requests += 1
         if self.ideal_in_use < rules.total:
             self.ideal += 1
@@ -235,17 +234,17 @@
             self.members[number].start()
 
     def pause(self, numbers: Iterable[int]) -> None:
-        """Stop these members' processes, as SIGSTOP does."""
+        """Pause these members' processes, as SIGSTOP does."""
         for number in numbers:
             self.members[number].running = False
 
     def resume(self, numbers: Iterable[int]) -> None:
-        """Let stopped processes go on."""
+        """Continue these members' processes."""
         for number in numbers:
             self.members[number].resume()
 
     def split(self, parts: Iterable[Iterable[int]]) -> None:
-        """Split the network: members of different parts do not hear one another."""
+        """Split the network: members of different parts get no messages from one another."""
         self.partitions = {number: part for part, numbers in enumerate(parts) for number in numbers}
 
     def heal(self) -> None:
