--- a/fakes/lease_checker.py
+++ b/fakes/lease_checker.py
@@ -75,7 +75,7 @@
 
     def committed(self) -> int:
         """What is in use, and what all could spend now."""
-        return sum(begins <= self.now < ends for begins, ends in self.uses) + sum(
+        return sum(start <= self.now < end for start, end in self.uses) + sum(
             holder.available(self.clock(instance)) for instance, holder in enumerate(self.holders)
         )
 
@@ -154,8 +154,10 @@
                         _claim_step(instance, others, False),
                     )
                     if world.repeats < limits.repeats:
-                        what = f"{NAMES[instance]} claims, heard by {names_of(others)}, and again later"
-                        yield what, _claim_step(instance, others, True)
+                        description = (
+                            f"{NAMES[instance]} claims, heard by {names_of(others)}, and again later"
+                        )
+                        yield description, _claim_step(instance, others, True)
             if world.spends < limits.spends and world.holders[instance].available(world.clock(instance)):
                 yield f"{NAMES[instance]} spends one", _spend_step(instance)
             if world.restarts < limits.restarts and world.claims:
@@ -169,10 +171,10 @@
             for number in world.holders[instance].loans:
                 yield f"{NAMES[instance]} gives back {number}", _return_step(instance, number)
         for index, batch in enumerate(world.in_flight):
-            what = f"{batch.kind} between {NAMES[batch.instance]} and {names_of(batch.others)} arrive"
-            yield what, _arrival_step(index, False)
+            description = f"{batch.kind} between {NAMES[batch.instance]} and {names_of(batch.others)} arrive"
+            yield description, _arrival_step(index, False)
             if world.repeats < limits.repeats:
-                yield what + ", and are still under way", _arrival_step(index, True)
+                yield description + ", and are still under way", _arrival_step(index, True)
         if world.restarts < limits.restarts and world.claims:
             yield f"{NAMES[2]} restarts", self._restart_step(2)
         for index, (instance, *_) in enumerate(world.tickets):
@@ -200,10 +202,10 @@
         for level in range(1, depth + 1):
             next_frontier: list[tuple[bytes, tuple[str, ...]]] = []
             for pickled, history in frontier:
-                for what, step in self.steps(pickle.loads(pickled)):
+                for description, step in self.steps(pickle.loads(pickled)):
                     world: World = pickle.loads(pickled)
                     step(world)
-                    path = (*history, what)
+                    path = (*history, description)
                     if world.committed() > self.rules.total:
                         return SearchResult(len(seen), level, time.monotonic() - started_s, path)
                     after = pickle.dumps(world)
@@ -216,9 +218,9 @@
         return SearchResult(len(seen), depth, time.monotonic() - started_s, ())
 
 
-def names_of(some: tuple[int, ...]) -> str:
+def names_of(instances: tuple[int, ...]) -> str:
     """The names of some instances as text."""
-    return ", ".join(NAMES[instance] for instance in some)
+    return ", ".join(NAMES[instance] for instance in instances)
 
 
 def _claim_step(instance: int, others: tuple[int, ...], repeat: bool) -> Callable[[World], None]:
@@ -268,19 +270,21 @@
 def _request_step(instance: int, other: int) -> Callable[[World], None]:
     def step(world: World) -> None:
         world.loan_requests += 1
-        ask = world.holders[instance].request_loan(NAMES[other], 1, world.clock(instance))
-        world.in_flight.append(MessageBatch("asks", instance, (other,), (ask,), world.incarnations[instance]))
+        loan_request = world.holders[instance].request_loan(NAMES[other], 1, world.clock(instance))
+        world.in_flight.append(
+            MessageBatch("asks", instance, (other,), (loan_request,), world.incarnations[instance])
+        )
 
     return step
 
 
 def _return_step(instance: int, number: int) -> Callable[[World], None]:
     def step(world: World) -> None:
-        found = world.holders[instance].return_loan(number, world.clock(instance))
-        if found is not None:
-            lender = NAMES.index(found[0])
+        returned = world.holders[instance].return_loan(number, world.clock(instance))
+        if returned is not None:
+            lender = NAMES.index(returned[0])
             world.in_flight.append(
-                MessageBatch("returns", instance, (lender,), (found[1],), world.incarnations[instance])
+                MessageBatch("returns", instance, (lender,), (returned[1],), world.incarnations[instance])
             )
 
     return step
