--- a/fakes/lease_checker.py
+++ b/fakes/lease_checker.py
@@ -1,13 +1,14 @@
-"""All histories of a few instances and a few permits, breadth first: `python -m fakes.lease_checker`.
+"""Model checker for leases, run with `python -m fakes.lease_checker`.
 
-Instances run the real `Acceptor` and `Holder`, each on a clock of its own speed. A step is a claim, a message
-that arrives late or twice, a permit spent, lent or given back, a restart, or time that goes by; what never
-arrives is a history that ends before. Held all along: what is in use at one moment, and what all could spend
-at that moment, are together no more than there is. States that are the same are gone on from once. The first
-history that breaks it is the shortest.
+It explores all histories of three instances and a few permits, breadth first. The instances run the real
+`Acceptor` and `LeaseHolder`, each on a clock of its own speed. A step is a claim, the arrival of a late or
+repeated message, a permit that is spent, lent or returned, a restart, or passing time; a lost message is one
+that never arrives. In every state the permits in use and those that the instances could spend at that moment
+must together not exceed the budget. A state that was reached before is not explored again, and the first
+history that violates the budget is a shortest one.
 
-Two of the three instances hold permits; all grant. A claim is heard at once by two of them, or, as a repeat,
-later as well; more hearers only grant more.
+Two of the three instances hold permits; all three are acceptors. A claim reaches two of them at once and, if
+it is repeated, again later; with more receivers there would only be more grants.
 """
 
 from __future__ import annotations
@@ -36,28 +37,28 @@
 )
 
 NAMES = ("a", "b", "c")
-CLOCK_SPEEDS = (0.9, 1.1, 1.0)  # of their clocks, beside the true time
+CLOCK_SPEEDS = (0.9, 1.1, 1.0)  # relative to the true time
 RULES = LeaseRules(total=1, slots=1, lease_us=1_000, max_use_us=100, drift=0.1, slack_us=1)
-TIME_STEP = 560  # of the true time, a step: two outlast a lease
+TIME_STEP = 560  # of the true time; two steps outlast a lease
 MAX_STATES = 400_000
 HOLDERS = (0, 1)
-CLAIM_TARGETS = ((0, 1), (1, 2), (0, 2))  # the acceptors that hear a claim at once
+CLAIM_TARGETS = ((0, 1), (1, 2), (0, 2))  # the acceptors that receive a claim at once
 
 
 @dataclass
 class MessageBatch:
-    """Messages that are under way together: from one to some, or from some to one."""
+    """Messages in flight that arrive together, between one instance and some others, in either direction."""
 
     kind: str
     instance: int
     others: tuple[int, ...]
     messages: tuple[Message, ...]
-    incarnation: int  # of the one, when they were sent
+    incarnation: int  # of the one instance, when the messages were sent
 
 
 @dataclass
 class World:
-    """All that there is at one moment."""
+    """One state of the search: the instances, and the messages in flight."""
 
     rules: LeaseRules
     now: int = 10_000
@@ -65,16 +66,16 @@
     holders: list[LeaseHolder] = field(default_factory=list)
     incarnations: list[int] = field(default_factory=list)
     in_flight: list[MessageBatch] = field(default_factory=list)
-    uses: list[tuple[int, int]] = field(default_factory=list)  # permits in use, from and till when truly
+    uses: list[tuple[int, int]] = field(default_factory=list)  # permits in use: begin and end, in true time
     tickets: list[tuple[int, Ticket, tuple[int, int]]] = field(default_factory=list)
     claims = repeats = restarts = loan_requests = spends = 0
 
     def clock(self, instance: int) -> int:
-        """The time on the clock of one instance, which runs at a speed of its own."""
+        """Return the time on the clock of an instance."""
         return int(self.now * CLOCK_SPEEDS[instance])
 
     def committed(self) -> int:
-        """What is in use, and what all could spend now."""
+        """Return the permits in use together with those that all instances could spend now."""
         return sum(start <= self.now < end for start, end in self.uses) + sum(
             holder.available(self.clock(instance)) for instance, holder in enumerate(self.holders)
         )
@@ -82,7 +83,7 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """How often a history may do what makes it longer."""
+    """How often each kind of step may occur in a history."""
 
     claims: int = 3
     repeats: int = 0
@@ -102,7 +103,7 @@
 
 @dataclass(frozen=True)
 class SearchResult:
-    """What an exploration came to; `history` is empty where nothing broke."""
+    """The result of a search; `history` is empty if the budget held."""
 
     states: int
     depth: int
@@ -111,7 +112,7 @@
 
 
 class Checker:
-    """`holder` and `acceptor`: what the instances run; a planted fault in one of them must be found."""
+    """Searches the histories within some limits; tests pass a `holder` or `acceptor` with a planted fault."""
 
     def __init__(
         self,
@@ -126,14 +127,14 @@
         self.acceptor = acceptor
 
     def new_holder(self, instance: int, incarnation: int) -> LeaseHolder:
-        """A holder for a new process of an instance; `life` counts its processes."""
+        """Return a holder for a new process of an instance."""
         return self.holder(self.rules, InstanceIncarnation(NAMES[instance], incarnation), [NAMES])
 
     def initial_world(self) -> World:
-        """The state that the search begins from."""
+        """Return the state from which the search begins."""
         world = World(self.rules)
         for instance in range(len(NAMES)):
-            # they have been there for long: no acceptor is in doubt any more
+            # The acceptors have run for long enough to grant from the beginning.
             world.acceptors.append(
                 self.acceptor(self.rules, world.clock(instance) - 10 * self.rules.lease_us)
             )
@@ -144,42 +145,43 @@
     # Steps
 
     def steps(self, world: World) -> Iterator[tuple[str, Callable[[World], None]]]:
-        """All that can happen next."""
+        """Yield every possible next step, with its description."""
         limits = self.limits
         for instance in HOLDERS:
             if world.claims < limits.claims:
                 for others in CLAIM_TARGETS:
                     yield (
-                        f"{NAMES[instance]} claims, heard by {names_of(others)}",
+                        f"{NAMES[instance]} claims, received by {names_of(others)}",
                         _claim_step(instance, others, False),
                     )
                     if world.repeats < limits.repeats:
-                        description = (
-                            f"{NAMES[instance]} claims, heard by {names_of(others)}, and again later"
-                        )
+                        description = f"{NAMES[instance]} claims, received by {names_of(others)}, again later"
                         yield description, _claim_step(instance, others, True)
             if world.spends < limits.spends and world.holders[instance].available(world.clock(instance)):
-                yield f"{NAMES[instance]} spends one", _spend_step(instance)
+                yield f"{NAMES[instance]} spends a permit", _spend_step(instance)
             if world.restarts < limits.restarts and world.claims:
                 yield f"{NAMES[instance]} restarts", self._restart_step(instance)
             if limits.releases and 0 in world.holders[instance].slots:
-                yield f"{NAMES[instance]} releases, heard by all", _release_step(instance)
+                yield f"{NAMES[instance]} releases the slot, received by all", _release_step(instance)
             if world.loan_requests < limits.loan_requests:
                 for other in HOLDERS:
                     if other != instance and world.holders[other].slots:
-                        yield f"{NAMES[instance]} asks {NAMES[other]} to lend", _request_step(instance, other)
+                        yield (
+                            f"{NAMES[instance]} requests a loan from {NAMES[other]}",
+                            _request_step(instance, other),
+                        )
             for number in world.holders[instance].loans:
-                yield f"{NAMES[instance]} gives back {number}", _return_step(instance, number)
+                yield f"{NAMES[instance]} returns loan {number}", _return_step(instance, number)
         for index, batch in enumerate(world.in_flight):
             description = f"{batch.kind} between {NAMES[batch.instance]} and {names_of(batch.others)} arrive"
             yield description, _arrival_step(index, False)
             if world.repeats < limits.repeats:
-                yield description + ", and are still under way", _arrival_step(index, True)
+                yield description + ", and stay in flight", _arrival_step(index, True)
         if world.restarts < limits.restarts and world.claims:
             yield f"{NAMES[2]} restarts", self._restart_step(2)
         for index, (instance, *_) in enumerate(world.tickets):
-            yield f"{NAMES[instance]} hears that it is done", _finish_step(index)
-        yield f"{TIME_STEP} go by", _time_step
+            yield f"{NAMES[instance]} learns that a use has ended", _finish_step(index)
+        yield f"{TIME_STEP} time units pass", _time_step
 
     def _restart_step(self, instance: int) -> Callable[[World], None]:
         def step(world: World) -> None:
@@ -191,10 +193,10 @@
 
         return step
 
-    # All histories
+    # Search
 
     def explore(self, depth: int, max_states: int = MAX_STATES) -> SearchResult:
-        """All histories of so many steps, or those of so many states."""
+        """Explore all histories of up to `depth` steps, until `max_states` states are known."""
         started_s = time.monotonic()
         first = pickle.dumps(self.initial_world())
         seen = {first}
@@ -219,7 +221,7 @@
 
 
 def names_of(instances: tuple[int, ...]) -> str:
-    """The names of some instances as text."""
+    """Return the names of some instances as text."""
     return ", ".join(NAMES[instance] for instance in instances)
 
 
@@ -272,7 +274,7 @@
         world.loan_requests += 1
         loan_request = world.holders[instance].request_loan(NAMES[other], 1, world.clock(instance))
         world.in_flight.append(
-            MessageBatch("asks", instance, (other,), (loan_request,), world.incarnations[instance])
+            MessageBatch("loan requests", instance, (other,), (loan_request,), world.incarnations[instance])
         )
 
     return step
@@ -284,7 +286,9 @@
         if returned is not None:
             lender = NAMES.index(returned[0])
             world.in_flight.append(
-                MessageBatch("returns", instance, (lender,), (returned[1],), world.incarnations[instance])
+                MessageBatch(
+                    "loan returns", instance, (lender,), (returned[1],), world.incarnations[instance]
+                )
             )
 
     return step
@@ -335,7 +339,7 @@
 
 
 def main() -> int:
-    """Search all limits for a broken rule; returns the exit code."""
+    """Search all limits for an overspent budget; returns the exit code."""
     parser = argparse.ArgumentParser(prog="python -m fakes.lease_checker")
     parser.add_argument("--depth", type=int, default=8)
     parser.add_argument("--states", type=int, default=MAX_STATES)
@@ -343,7 +347,7 @@
     broken = 0
     for name, limits in LIMITS.items():
         found = Checker(limits).explore(arguments.depth, arguments.states)
-        print(f"{name}: {found.states:,} states, a depth of {found.depth}, {found.seconds:.1f} s", flush=True)
+        print(f"{name}: {found.states:,} states, depth {found.depth}, {found.seconds:.1f} s", flush=True)
         for line in found.history:
             print("  " + line)
         broken += bool(found.history)
