--- a/plovertrail/decisions/counter_rows.py
+++ b/plovertrail/decisions/counter_rows.py
@@ -85,12 +85,12 @@
         for bucket, count in other.items():
             self.raise_to(bucket, count)
 
-    def within(self, at: float, buckets: int) -> float:
+    def within(self, end: float, buckets: int) -> float:
         """Return the count in the `buckets` before a point in time, which is given in buckets.
 
         Of the bucket that the window's start cuts the fraction within it counts; later buckets count too.
         """
-        start = at - buckets
+        start = end - buckets
         cut = floor(start)
         total = 0.0
         for bucket, count in self.items():
@@ -100,10 +100,10 @@
                 total += count * (cut + 1 - start)
         return total
 
-    def usage(self, at: float, buckets: int) -> tuple[float, float]:
+    def usage(self, end: float, buckets: int) -> tuple[float, float]:
         """Return the count in the `buckets` before a point, and the same without the current bucket."""
-        total = self.within(at, buckets)
-        if self.newest < floor(at):
+        total = self.within(end, buckets)
+        if self.newest < floor(end):
             return total, total
         return total, max(0.0, total - self.counts[self.newest % len(self.counts)])
 
--- a/plovertrail/decisions/shared_counters.py
+++ b/plovertrail/decisions/shared_counters.py
@@ -135,8 +135,8 @@
     def previous_usage(self, key: int, now_us: int) -> float:
         """Return what was counted before a restart, in the window that ends now."""
         row = self.previous.get(key)
-        at = (now_us - self._previous_start_us) / self.window.bucket_us
-        return row.within(at, self.window.buckets) if row is not None else 0.0
+        end = (now_us - self._previous_start_us) / self.window.bucket_us
+        return row.within(end, self.window.buckets) if row is not None else 0.0
 
     # Gossip
 
@@ -188,8 +188,8 @@
     def own_count(self, key: int, now_us: int) -> float:
         """Return this instance's usage of a key in the window, before a restart included."""
         row = self.own.get(key)
-        at = (now_us - self.start_us) / self.window.bucket_us
-        own = row.within(at, self.window.buckets) if row else 0.0
+        end = (now_us - self.start_us) / self.window.bucket_us
+        own = row.within(end, self.window.buckets) if row else 0.0
         return own + self.previous_usage(key, now_us)
 
     def shares_of(self, key: int, burst: float, now_us: int) -> tuple[float, float]:
@@ -202,10 +202,10 @@
         all of the traffic would refuse short bursts. Silent instances keep their equal share, unless each may
         have all of it then; at the start nobody has been heard yet.
         """
-        at = (now_us - self.start_us) / self.window.bucket_us
+        end = (now_us - self.start_us) / self.window.bucket_us
         row = self.own.get(key)
         size = max(1, self.cluster_size)
-        own, own_before = row.usage(at, self.window.buckets) if row is not None else (0.0, 0.0)
+        own, own_before = row.usage(end, self.window.buckets) if row is not None else (0.0, 0.0)
         if self.previous:
             previous = self.previous_usage(key, now_us)
             own += previous
