--- a/plovertrail/decisions/peer_counters.py
+++ b/plovertrail/decisions/peer_counters.py
@@ -47,8 +47,8 @@
 class PeerCounters:
     """The counts of all peers, merged by the larger count of each bucket."""
 
-    def __init__(self, me: ReplicaIdentity, window: CountingWindow, limits: CounterLimits) -> None:
-        self.me = me
+    def __init__(self, identity: ReplicaIdentity, window: CountingWindow, limits: CounterLimits) -> None:
+        self.identity = identity
         self.window = window
         self.limits = limits
         self.replicas: dict[tuple[str, int], ReplicaCounts] = {}  # by name and incarnation
@@ -69,7 +69,7 @@
         A replayed message would bring an earlier incarnation back, so incarnations are remembered for longer
         than their counts; once that memory is full, no older one is accepted.
         """
-        if (message.name, message.incarnation) == (self.me.name, self.me.incarnation):
+        if (message.name, message.incarnation) == (self.identity.name, self.identity.incarnation):
             self.duplicates += 1
             return False
         known = self.histories.pop(message.name, {})
@@ -99,7 +99,7 @@
         if self.needs_room(message):
             self.rejected_datagrams += 1
             return False
-        replica = self._heard(message, now_us)
+        replica = self._record_heard(message, now_us)
         latest = message.sent_us // self.window.bucket_us + 1
         for key, newest, counts in message.rows:
             row = replica.rows.get(key)
@@ -125,7 +125,7 @@
         self.key_count += 1
         return row
 
-    def _heard(self, message: CounterMessage, now_us: int) -> ReplicaCounts:
+    def _record_heard(self, message: CounterMessage, now_us: int) -> ReplicaCounts:
         """Note when a replica was heard, and how its clock differs from ours."""
         identity = message.name, message.incarnation
         offset_us = float(now_us - message.sent_us)
@@ -157,8 +157,8 @@
             and other.first_heard_us >= replica.first_heard_us
             and now_us - other.last_heard_us < silence_us
         ]
-        if replica.name == self.me.name:
-            later_starts_us.append(self.me.start_us)
+        if replica.name == self.identity.name:
+            later_starts_us.append(self.identity.start_us)
         if any(sent_us > start_us for start_us in later_starts_us):
             self.name_conflicts[replica.name] = now_us
 
