--- a/plovertrail/decisions/counter_error_bound.py
+++ b/plovertrail/decisions/counter_error_bound.py
@@ -37,7 +37,7 @@
     loss: float  # of datagrams, at most
     delay_s: float  # of those that arrive, at most
     keys: int = 32  # in use at once
-    keys_a_datagram: int = 32
+    keys_per_datagram: int = 32
     most_part: float = 1.0  # of a key's rate that one instance has
 
     @property
@@ -45,7 +45,7 @@
         """Between two datagrams of one instance to another with the same key. Where not all keys fit into
         one, half of the room is for those with most change, and a key has its turn in twice the rounds."""
         turns = max(1, math.ceil((self.size - 1) / self.fan_out))
-        pages = math.ceil(self.keys / self.keys_a_datagram)
+        pages = math.ceil(self.keys / self.keys_per_datagram)
         return turns * self.period_s * (2 * pages if pages > 1 else 1)
 
 
--- a/plovertrail/peers/counter_gossip.py
+++ b/plovertrail/peers/counter_gossip.py
@@ -161,6 +161,6 @@
                 size=self.counters.cluster_size,
                 loss=min(MAX_STATED_LOSS, max(parameters.loss, observed)),
                 keys=keys,
-                keys_a_datagram=self._keys_per_datagram or keys,
+                keys_per_datagram=self._keys_per_datagram or keys,
             )
         )
