--- a/plovertrail/decisions/counter_error_bound.py
+++ b/plovertrail/decisions/counter_error_bound.py
@@ -38,7 +38,7 @@
     delay_s: float  # of those that arrive, at most
     keys: int = 32  # in use at once
     keys_per_datagram: int = 32
-    most_part: float = 1.0  # of a key's rate that one instance has
+    max_instance_share: float = 1.0  # of a key's rate that one instance has
 
     @property
     def round_s(self) -> float:
@@ -86,7 +86,7 @@
 
 def error_bound(talk: GossipParameters, probability: float = 1e-3) -> ErrorBound:
     """What a count may be off by at any one moment, but with this probability."""
-    lost = losses_in_a_row(talk.loss, probability ** max(talk.most_part, 1.0 / talk.size))
+    lost = losses_in_a_row(talk.loss, probability ** max(talk.max_instance_share, 1.0 / talk.size))
     staleness_s = (lost + 1.0) * talk.round_s + talk.delay_s if talk.size > 1 else 0.0
     # a datagram can't be missing for longer than the window
     under = min(staleness_s, talk.window_s) + talk.bucket_s
@@ -94,7 +94,10 @@
     return ErrorBound(under / talk.window_s, over / talk.window_s, staleness_s, probability)
 
 
-def partition_undercount(split_s: float, far_part: float, talk: GossipParameters) -> float:
-    """What a partition adds to the undercount, in parts of rate times window, `split_s` after it began; the
-    far side has `far_part` of the rate. Once healed, a round and its losses end it."""
-    return far_part * min(split_s, talk.window_s) / talk.window_s
+def partition_undercount(partition_s: float, far_share: float, talk: GossipParameters) -> float:
+    """Return what a partition adds to the undercount, as a fraction of rate times window.
+
+    The partition began `partition_s` ago, and the other side has `far_share` of the rate. After healing it
+    takes a round, and the datagrams lost in it, until the undercount has ended.
+    """
+    return far_share * min(partition_s, talk.window_s) / talk.window_s
--- a/tests/decisions/test_counter_error_bound.py
+++ b/tests/decisions/test_counter_error_bound.py
@@ -31,7 +31,7 @@
     ]
     assert all(error_bound(each).under > base for each in worse)
     assert error_bound(TALK, 1e-6).under > base
-    even = GossipParameters(20, 0.1, 8, 10.0, 0.5, 0.3, 0.2, most_part=0.25)
+    even = GossipParameters(20, 0.1, 8, 10.0, 0.5, 0.3, 0.2, max_instance_share=0.25)
     assert error_bound(even).under < base
 
 
