--- a/plovertrail/decisions/counter_error_bound.py
+++ b/plovertrail/decisions/counter_error_bound.py
@@ -45,8 +45,8 @@
         """Between two datagrams of one instance to another with the same key. Where not all keys fit into
         one, half of the room is for those with most change, and a key has its turn in twice the rounds."""
         turns = max(1, math.ceil((self.size - 1) / self.fan_out))
-        pages = math.ceil(self.keys / self.keys_per_datagram)
-        return turns * self.period_s * (2 * pages if pages > 1 else 1)
+        datagrams = math.ceil(self.keys / self.keys_per_datagram)
+        return turns * self.period_s * (2 * datagrams if datagrams > 1 else 1)
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +63,7 @@
         return self.under * rate_per_s * window_s, self.over * rate_per_s * window_s
 
 
-def losses_in_a_row(loss: float, probability: float) -> float:
+def consecutive_loss_bound(loss: float, probability: float) -> float:
     """x with min over t of exp(-t x) M(t) = probability, for geometric losses; found by halving."""
     if loss <= 0.0:
         return 0.0
@@ -84,20 +84,22 @@
     return high
 
 
-def error_bound(talk: GossipParameters, probability: float = 1e-3) -> ErrorBound:
+def error_bound(gossip: GossipParameters, probability: float = 1e-3) -> ErrorBound:
     """What a count may be off by at any one moment, but with this probability."""
-    lost = losses_in_a_row(talk.loss, probability ** max(talk.max_instance_share, 1.0 / talk.size))
-    staleness_s = (lost + 1.0) * talk.round_s + talk.delay_s if talk.size > 1 else 0.0
+    losses = consecutive_loss_bound(
+        gossip.loss, probability ** max(gossip.max_instance_share, 1.0 / gossip.size)
+    )
+    staleness_s = (losses + 1.0) * gossip.round_s + gossip.delay_s if gossip.size > 1 else 0.0
     # a datagram can't be missing for longer than the window
-    under = min(staleness_s, talk.window_s) + talk.bucket_s
-    over = (talk.delay_s if talk.size > 1 else 0.0) + talk.bucket_s
-    return ErrorBound(under / talk.window_s, over / talk.window_s, staleness_s, probability)
+    under = min(staleness_s, gossip.window_s) + gossip.bucket_s
+    over = (gossip.delay_s if gossip.size > 1 else 0.0) + gossip.bucket_s
+    return ErrorBound(under / gossip.window_s, over / gossip.window_s, staleness_s, probability)
 
 
-def partition_undercount(partition_s: float, far_share: float, talk: GossipParameters) -> float:
+def partition_undercount(partition_s: float, far_share: float, gossip: GossipParameters) -> float:
     """Return what a partition adds to the undercount, as a fraction of rate times window.
 
     The partition began `partition_s` ago, and the other side has `far_share` of the rate. After healing it
     takes a round, and the datagrams lost in it, until the undercount has ended.
     """
-    return far_share * min(partition_s, talk.window_s) / talk.window_s
+    return far_share * min(partition_s, gossip.window_s) / gossip.window_s
--- a/tests/decisions/test_counter_error_bound.py
+++ b/tests/decisions/test_counter_error_bound.py
@@ -10,8 +10,8 @@
 from plovertrail.decisions.counter_error_bound import (
     ErrorBound,
     GossipParameters,
+    consecutive_loss_bound,
     error_bound,
-    losses_in_a_row,
     partition_undercount,
 )
 
@@ -44,7 +44,7 @@
 def test_losses_in_a_row_are_rarer_than_stated_however_the_rate_is_split(
     split: list[float], loss: float
 ) -> None:
-    rng, worst, plays = random.Random(3), losses_in_a_row(loss, 0.01), 20_000
+    rng, worst, plays = random.Random(3), consecutive_loss_bound(loss, 0.01), 20_000
 
     def in_a_row() -> int:
         count = 0
