--- a/plovertrail/decisions/shared_counters.py
+++ b/plovertrail/decisions/shared_counters.py
@@ -1,8 +1,8 @@
-"""Usage by key over a sliding window, summed over all instances with no leader.
+"""Usage by key over a sliding window, summed over all instances without a leader.
 
-Each instance counts its own requests and gossips these counts (counter_rows.py); what it hears of peers is
-merged in peer_counters.py. From both follow the fleet's usage of a key and this instance's share of a limit.
-Pure: times are arguments, in microseconds.
+Each instance counts its own requests and gossips these counts (counter_rows.py); the counts that peers send
+are merged in peer_counters.py. Both together give the usage of a key by all instances, and this instance's
+share of a limit. Pure: times are arguments, in microseconds.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
     ReplicaIdentity,
 )
 
-# Keys without room in the table share these, so a limit admits less of them, and never more.
+# Keys that find no room in the table share these, so a limit may admit less of them, and never more.
 OVERFLOW_KEYS = 64
 
 
 class SharedCounters:
-    """All that one instance knows of the fleet's usage."""
+    """The usage by key of all instances, as far as one instance knows it."""
 
     def __init__(
         self,
@@ -46,22 +46,22 @@
         self.window = window
         self.start_us = now_us
         self.limits = limits or CounterLimits()
-        self.cluster_size = 1  # instances, as listed
+        self.cluster_size = 1  # instances in the peer list, this one included
         self.own: dict[int, CounterRow] = {}
         self.peers = PeerCounters(ReplicaIdentity(name, incarnation, now_us), window, self.limits)
-        self.reserved_keys: frozenset[int] = frozenset()  # they are few, and always find room
-        # Counts of this instance before a restart: peers know them by its earlier incarnation, so they are
-        # never sent again.
+        self.reserved_keys: frozenset[int] = frozenset()  # few keys, which always find room in the table
+        # Counts of this instance before a restart: peers have them under its earlier incarnation, so they are
+        # not sent again.
         self.previous: dict[int, CounterRow] = {}
-        self.overflowed = 0  # counts of keys without room, since the start
+        self.overflowed = 0  # requests of keys without room, since the start
         self._previous_start_us = 0
-        self._changes: dict[int, int] = {}  # by own key, what was counted since it last went out
-        self._sent_round: dict[int, int] = {}  # by own key, when it last went out
+        self._changes: dict[int, int] = {}  # by own key: requests counted since it was last sent
+        self._sent_round: dict[int, int] = {}  # by own key: the round in which it was last sent
         self._round = 0
         self._swept_us = now_us
 
     def reconfigure(self, limits: CounterLimits, cluster_size: int) -> None:
-        """Go on under other limits, in a fleet of this size."""
+        """Apply other limits and another number of instances."""
         self.limits = limits
         self.peers.limits = limits
         self.cluster_size = cluster_size
@@ -69,7 +69,7 @@
     # Own counts
 
     def add(self, key: int, now_us: int, count: int = 1) -> int:
-        """Count a request of a key; returns the key that it counts under."""
+        """Count requests of a key; returns the key under which they are counted."""
         if key not in self.own and len(self.own) >= self.limits.max_keys and key not in self.reserved_keys:
             self.sweep(now_us)
             if len(self.own) >= self.limits.max_keys:
@@ -84,16 +84,17 @@
         return key
 
     def bucket(self, now_us: int) -> int:
-        """Return the number of a time's bucket, from 0 at the start of these counters."""
+        """Return the number of the bucket of a time; bucket 0 begins with these counters."""
         return max(0, now_us - self.start_us) // self.window.bucket_us
 
     # Restarts
 
     def saved_rows(self, keys: Iterable[int]) -> dict[int, tuple[int, tuple[int, ...]]]:
-        """Return own counts of some keys as `PreviousIncarnation` has them, from `saved_from_us` on.
+        """Return own counts of some keys in the form of `PreviousIncarnation`, from `saved_from_us` on.
 
-        Those of before a restart are added, as an instance that is killed twice in a window would lose its
-        first counts; later ones are up to a bucket too late, which holds a limit for that much longer.
+        Counts from before a restart are included, or an instance that is killed twice within a window would
+        lose its first counts. Counts since the restart are shifted to whole buckets, up to one bucket too
+        late, so they count against a limit for that much longer.
         """
         shift = -(-(self.start_us - self.saved_from_us) // self.window.bucket_us)
         found = {}
@@ -109,14 +110,14 @@
 
     @property
     def saved_from_us(self) -> int:
-        """The time from which on usage is known, before a restart included."""
+        """The time since which usage is known, including that before a restart."""
         return self._previous_start_us if self.previous else self.start_us
 
     def restore(self, saved: PreviousIncarnation, now_us: int) -> bool:
-        """Go on from counts before a restart; returns whether they are of use.
+        """Continue from counts before a restart; returns whether they are usable.
 
-        They count here alone: sent under the new incarnation, peers would count them twice. Buckets that lie
-        ahead, by a clock that was set, are left out, as they would never end.
+        They count only here: if they were sent under the new incarnation, peers would count them twice.
+        Buckets in the future, after the clock was set, are left out, as they would stay in the window.
         """
         same_window = (saved.span_us, saved.buckets) == (self.window.span_us, self.window.buckets)
         if saved.name != self.name or not same_window or saved.start_us > now_us:
@@ -133,7 +134,7 @@
         return True
 
     def previous_usage(self, key: int, now_us: int) -> float:
-        """Return what was counted before a restart, in the window that ends now."""
+        """Return the usage counted before a restart, in the window that ends now."""
         row = self.previous.get(key)
         end = (now_us - self._previous_start_us) / self.window.bucket_us
         return row.within(end, self.window.buckets) if row is not None else 0.0
@@ -141,11 +142,11 @@
     # Gossip
 
     def keys_to_send(self, limit: int, fitting: int) -> list[int]:
-        """Choose at most `limit` keys for a round, where about `fitting` go out at once.
+        """Choose at most `limit` keys for a round, of which about `fitting` are sent.
 
-        Those with most change go first. One that changes little has to reach all as well, and one that does
-        not change any more those that missed it; so a key that has waited for twice the rounds that all keys
-        take in turn goes before others.
+        Keys with most new requests come first. A key with few has to reach all peers as well, and one with
+        none any more those peers that missed it, so a key that has waited for twice the rounds that it takes
+        to send all keys in turn comes before others.
         """
         self._round += 1
         max_wait = 2 * -(-len(self.own) // max(1, fitting))
@@ -157,13 +158,13 @@
         return heapq.nlargest(limit, self.own, key=urgency)
 
     def sent(self, keys: Iterable[int]) -> None:
-        """Note that keys have gone to all receivers of this round."""
+        """Record that keys have been sent to all receivers of this round."""
         for key in keys:
             self._changes.pop(key, None)
             self._sent_round[key] = self._round
 
     def encoded_row(self, key: int, now_us: int) -> EncodedRow | None:
-        """Return a key's counts as they are sent, or None if it has none in the window."""
+        """Return the counts of a key in the form in which they are sent; None if the window has none."""
         row = self.own.get(key)
         oldest = self.bucket(now_us) - self.window.slots
         found = {bucket: count for bucket, count in row.items() if bucket > oldest} if row else {}
@@ -172,7 +173,7 @@
         return key, *_newest_first(found)
 
     def merge(self, message: CounterMessage, now_us: int) -> bool:
-        """Merge what a peer has sent; returns False for a duplicate, or without room for its sender."""
+        """Merge a message of a peer; returns False for a duplicate, or without room for its sender."""
         if not self.peers.accept(message):
             return False
         if self.peers.needs_room(message):
@@ -182,25 +183,32 @@
     # Usage
 
     def estimate(self, key: int, now_us: int) -> float:
-        """Return the fleet's usage of a key in the window that ends now, as far as it is known here."""
+        """Return the usage of a key by all instances in the window that ends now, as far as known here."""
         return self.own_count(key, now_us) + self.peers.usage(key, now_us).now
 
     def own_count(self, key: int, now_us: int) -> float:
-        """Return this instance's usage of a key in the window, before a restart included."""
+        """Return this instance's usage of a key in the window, including that before a restart."""
         row = self.own.get(key)
         end = (now_us - self.start_us) / self.window.bucket_us
         own = row.within(end, self.window.buckets) if row else 0.0
         return own + self.previous_usage(key, now_us)
 
     def shares_of(self, key: int, burst: float, now_us: int) -> tuple[float, float]:
-        """Return this instance's share of a key's rate limit, and of its burst. All shares add up to one.
-
-        Of the rate: its share of the usage, each peer's taken as it was when last heard, or all that is not
-        known yet of the others would count as nobody's. Of the burst: equal shares while nobody has used the
-        key, and the more by usage the more there was of it before the current bucket. By usage alone, all
-        would have the whole burst of a key that nobody has used; by equal shares alone, an instance that has
-        all of the traffic would refuse short bursts. Silent instances keep their equal share, unless each may
-        have all of it then; at the start nobody has been heard yet.
+        """Return this instance's share of a key's rate limit, and of its burst.
+
+        The shares of all instances add up to one.
+
+        The share of the rate is this instance's share of the usage. Each peer's usage is that of the window
+        before its last message: in the window that ends now its later requests would be missing, and this
+        share too large.
+
+        The share of the burst is equal for all while the key is unused, and follows the usage more, the more
+        there was of it before the current bucket. By usage alone, each instance would have the whole burst of
+        an unused key; by equal shares alone, an instance that gets all of the traffic would refuse short
+        bursts.
+
+        Silent instances keep their equal share, unless `share_when_alone` is off; at the start all peers are
+        silent.
         """
         end = (now_us - self.start_us) / self.window.bucket_us
         row = self.own.get(key)
@@ -221,7 +229,7 @@
     # Sweeping
 
     def sweep(self, now_us: int, force: bool = False) -> None:
-        """Drop what no window holds any more; once in a bucket's time, unless forced."""
+        """Drop counts that have left the window; at most once per bucket, unless forced."""
         if now_us - self._swept_us < self.window.bucket_us and not force:
             return
         self._swept_us = now_us
@@ -236,19 +244,19 @@
 
 
 def _newest_first(counts: dict[int, int]) -> tuple[int, tuple[int, ...]]:
-    """Return the newest bucket, and the counts from it back to the oldest one."""
+    """Return the newest bucket, and the counts from it back to the oldest bucket."""
     newest = max(counts)
     return newest, tuple(counts.get(bucket, 0) for bucket in range(newest, min(counts) - 1, -1))
 
 
 class TenantUsage:
-    """Each tenant's share of the fleet's requests, where its allowance is for all instances together."""
+    """Each tenant's share of the requests of all instances, if its allowance is for all of them together."""
 
     def __init__(self, counters: SharedCounters, names: Sequence[str], fleet_wide: frozenset[int]) -> None:
         self.counters = counters
         self.fleet_wide = fleet_wide
         self.keys = [key_of("tenant", name) for name in names]
-        # Names made up on every request would otherwise push the listed tenants out of the table.
+        # Otherwise invented names, new with every request, could leave no room for the listed tenants.
         counters.reserved_keys = frozenset(self.keys)
         self._total = 0.0
         self._total_until_us = -1
@@ -259,7 +267,7 @@
             self.counters.add(self.keys[tenant], now_us)
 
     def share(self, tenant: int, now_us: int) -> float:
-        """Return a tenant's share; 0: nothing is known, or its allowance is for one instance."""
+        """Return a tenant's share; 0 if nothing is known, or if its allowance is for one instance."""
         if tenant not in self.fleet_wide:
             return 0.0
         if now_us > self._total_until_us:
