--- a/plovertrail/decisions/peer_counters.py
+++ b/plovertrail/decisions/peer_counters.py
@@ -1,7 +1,7 @@
-"""The counts that peers send: their merge, bounds, clocks, and what peers use of a key.
+"""The counts that peers send: merging, bounds, clock offsets, and the peers' usage of a key.
 
-Times are monotonic and each replica's own: they are mapped to this instance's clock by the fastest of its
-datagrams. Pure: times are arguments, in microseconds.
+A replica's times are of its own monotonic clock. They are mapped to this instance's clock by the replica's
+fastest datagram. Pure: times are arguments, in microseconds.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
     ReplicaCounts,
 )
 
-MAX_REPLICAS = 512  # instances and their earlier incarnations whose windows are not over
-MAX_INCARNATIONS = 8  # of one name, that are remembered
-PEER_KEYS_FACTOR = 16  # all peers together may have so many times the keys of this instance
-MAX_CLOCK_DRIFT = 0.001  # of a peer's clock: far more than real ones have
-SWEEP_KEYS = 8_192  # of peers, in one sweep
-CACHE_FRACTION = 16  # of a bucket's time, for one of which the sum over all peers is cached
+MAX_REPLICAS = 512  # instances, and earlier incarnations with counts in the window
+MAX_INCARNATIONS = 8  # remembered of one name
+PEER_KEYS_FACTOR = 16  # all peers together may have this many times `max_keys`
+MAX_CLOCK_DRIFT = 0.001  # relative, of a peer's clock: far more than real clocks drift
+SWEEP_KEYS = 8_192  # of peers, looked at in one sweep
+CACHE_FRACTION = 16  # the sum over all peers is cached for a bucket's time divided by this
 
 
 @dataclass(slots=True)
 class CounterLimits:
-    """Bounds on the table of keys, and what holds while peers are silent."""
+    """The bound on the table of keys, and the rules for silent peers."""
 
     max_keys: int = 4_096
-    silence_timeout_us: int = 2_000_000  # a peer that was not heard for so long is silent
-    # While peers are silent: take only the fraction of those that are heard, by number; else all of a limit.
+    silence_timeout_us: int = 2_000_000  # a peer is silent after this long without a message
+    # While peers are silent, use only the fraction of a limit for the instances heard; otherwise all of it.
     share_when_alone: bool = True
 
 
@@ -53,21 +53,23 @@
         self.limits = limits
         self.replicas: dict[tuple[str, int], ReplicaCounts] = {}  # by name and incarnation
         self.key_count = 0  # of all replicas
-        self.histories: dict[str, dict[int, DatagramHistory]] = {}  # the name heard last is at the end
-        self.name_conflicts: dict[str, int] = {}  # names of two live instances, and when that was last seen
-        # since the start
+        # by name, the last sender at the end, and by incarnation
+        self.histories: dict[str, dict[int, DatagramHistory]] = {}
+        self.name_conflicts: dict[str, int] = {}  # by name of two live instances: when that was last seen
+        # Counts since the start.
         self.duplicates = 0
-        self.rejected_keys = 0  # that found no room
-        self.rejected_datagrams = 0  # of replicas beyond the bounds
+        self.rejected_keys = 0  # without room
+        self.rejected_datagrams = 0  # of replicas without room, or of forgotten incarnations
         self._usage: dict[int, PeerUsage] = {}
 
     # Merging
 
     def accept(self, message: CounterMessage) -> bool:
-        """Whether a message is neither a duplicate nor of a forgotten incarnation.
+        """Record a message; returns whether it is neither a duplicate nor of a forgotten incarnation.
 
-        A replayed message would bring an earlier incarnation back, so incarnations are remembered for longer
-        than their counts; once that memory is full, no older one is accepted.
+        A replayed message would bring back the counts of an earlier incarnation, so incarnations are
+        remembered for longer than their counts. Once the memory is full, none older than those in it is
+        accepted.
         """
         if (message.name, message.incarnation) == (self.identity.name, self.identity.incarnation):
             self.duplicates += 1
@@ -90,7 +92,7 @@
         return True
 
     def needs_room(self, message: CounterMessage) -> bool:
-        """Whether a message is of a new replica and the table of replicas is full."""
+        """Return whether a message is of a new replica and the table of replicas is full."""
         is_new = (message.name, message.incarnation) not in self.replicas
         return is_new and len(self.replicas) >= MAX_REPLICAS
 
@@ -109,7 +111,7 @@
                     continue
             received = CounterRow(self.window.slots)
             for age, count in enumerate(counts):
-                # A bucket from the future would push all true ones out.
+                # A bucket in the future would evict all valid ones.
                 if 0 <= newest - age <= latest:
                     received.raise_to(newest - age, count)
             row.merge(received)
@@ -126,14 +128,14 @@
         return row
 
     def _record_heard(self, message: CounterMessage, now_us: int) -> ReplicaCounts:
-        """Note when a replica was heard, and how its clock differs from ours."""
+        """Record the time of a message and the offset of its replica's clock."""
         identity = message.name, message.incarnation
         offset_us = float(now_us - message.sent_us)
         replica = self.replicas.get(identity)
         if replica is None:
             replica = ReplicaCounts(*identity, offset_us, now_us, now_us, message.sent_us)
             self.replicas[identity] = replica
-        # The fastest datagram tells the offset best; a slow drift is followed.
+        # The fastest datagram gives the best offset; clock drift is followed slowly.
         drift_us = MAX_CLOCK_DRIFT * (now_us - replica.last_heard_us)
         replica.clock_offset_us = min(replica.clock_offset_us + drift_us, offset_us)
         replica.last_heard_us = now_us
@@ -142,10 +144,10 @@
         return replica
 
     def _detect_name_conflict(self, replica: ReplicaCounts, message: CounterMessage, now_us: int) -> None:
-        """Note two live instances under one name: both count, each under its own incarnation.
+        """Record a conflict between two live instances of one name; both count, by their incarnations.
 
-        The earlier one sends something after the later one was first heard; what an incarnation had sent
-        before its end may arrive late and is none.
+        It is a conflict if the earlier one sent a message after the later one was first heard. Messages that
+        an incarnation sent before it ended may arrive late, and are no conflict.
         """
         silence_us = self.limits.silence_timeout_us
         sent_us = message.sent_us + replica.clock_offset_us - silence_us
@@ -165,7 +167,7 @@
     # Reading
 
     def loss_of(self, name: str, incarnation: int) -> float:
-        """Return the fraction of a replica's datagrams that has not arrived."""
+        """Return the fraction of a replica's recent datagrams that has not arrived."""
         history = self.histories.get(name, {}).get(incarnation)
         return history.loss if history is not None else 0.0
 
@@ -177,7 +179,7 @@
         return now_us - replica.last_heard_us >= self.limits.silence_timeout_us
 
     def usage(self, key: int, now_us: int) -> PeerUsage:
-        """Return what all peers have used of a key; cached for a while, as it is a sum over all of them."""
+        """Return the usage of a key by all peers; cached for a while, as it is a sum over all replicas."""
         cached = self._usage.get(key)
         if cached is not None and now_us < cached.valid_until_us:
             return cached
@@ -201,7 +203,7 @@
     # Sweeping
 
     def sweep(self, now_us: int) -> None:
-        """Drop what no window holds any more; of the keys a bounded number, so the loop is not delayed."""
+        """Drop counts that have left the window; a bounded number of keys, not to delay the event loop."""
         bucket_us = self.window.bucket_us
         silence_us = self.limits.silence_timeout_us
         kept_us = self.window.span_us + bucket_us + silence_us
@@ -223,7 +225,7 @@
             if swept >= SWEEP_KEYS:
                 break
             replica = self.replicas.pop(identity)
-            self.replicas[identity] = replica  # the replica swept last is at the end
+            self.replicas[identity] = replica  # the last replica swept is at the end
             swept += len(replica.rows)
             bucket = int((now_us - replica.clock_offset_us) // self.window.bucket_us)
             oldest = bucket - self.window.slots
