--- a/plovertrail/decisions/counter_rows.py
+++ b/plovertrail/decisions/counter_rows.py
@@ -1,9 +1,9 @@
-"""The data of shared counters: counts by time bucket, and what is known of each replica.
+"""The data of shared counters: counts by time bucket, and the state of each replica.
 
-A state-based grow-only counter (Shapiro et al., "A comprehensive study of Convergent and Commutative
-Replicated Data Types", INRIA RR-7506, 2011) for each key and each bucket of time. Each replica writes its own
-counts alone, under its name and an incarnation; they are merged by the larger count of each bucket, so order,
-duplicates and paths make no difference. Pure: times are in microseconds.
+There is a state-based grow-only counter (Shapiro et al., "A comprehensive study of Convergent and Commutative
+Replicated Data Types", INRIA RR-7506, 2011) for each key and each bucket of time. Each replica writes only
+its own counts, under its name and incarnation. Merging takes the larger count of each bucket, so the order,
+the duplicates and the paths of messages make no difference. Pure: times are in microseconds.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 from math import floor
 
 MAX_COUNT = 2**32 - 1
-HISTORY_BITS = 256  # the datagrams of a sender that are remembered, to detect duplicates and losses
-EncodedRow = tuple[int, int, tuple[int, ...]]  # key, newest bucket, its count and those before it
+HISTORY_BITS = 256  # datagrams of a sender that are remembered, to detect duplicates and losses
+EncodedRow = tuple[int, int, tuple[int, ...]]  # key, newest bucket, its count and those before
 
 
 def key_of(*parts: str) -> int:
-    """Return the key of some names, the same at all instances."""
+    """Return the key for some names, the same on all instances."""
     text = "".join(f"{len(part)} {part}" for part in parts)
     return int.from_bytes(blake2b(text.encode("utf-8", "surrogateescape"), digest_size=8).digest())
 
 
 @dataclass(frozen=True, slots=True)
 class CountingWindow:
-    """The sliding window, in buckets. All instances must have the same."""
+    """The sliding window and its buckets; all instances must use the same."""
 
     span_us: int
     buckets: int
@@ -39,7 +39,7 @@
 
     @property
     def slots(self) -> int:
-        """Buckets that a window overlaps: one at each end in part."""
+        """The number of buckets that a window overlaps; those at both ends only in part."""
         return self.buckets + 1
 
 
@@ -50,17 +50,17 @@
 
     def __init__(self, slots: int, newest: int = 0) -> None:
         self.newest = newest
-        self.counts = array("I", [0] * slots)  # 4 bytes each: MAX_COUNT
+        self.counts = array("I", [0] * slots)  # 4 bytes each, hence MAX_COUNT
 
     def advance(self, bucket: int) -> None:
-        """Move on to a bucket, dropping those that are older than all slots."""
+        """Advance to a bucket, and drop those that become too old for the slots."""
         slots = len(self.counts)
         for dropped in range(max(self.newest, bucket - slots) + 1, bucket + 1):
             self.counts[dropped % slots] = 0
         self.newest = max(self.newest, bucket)
 
     def raise_to(self, bucket: int, count: int) -> None:
-        """Merge one bucket: the larger count holds."""
+        """Merge one bucket: take the larger count."""
         if not count or bucket <= self.newest - len(self.counts):
             return
         self.advance(bucket)
@@ -68,7 +68,7 @@
         self.counts[slot] = max(self.counts[slot], min(count, MAX_COUNT))
 
     def add(self, bucket: int, count: int = 1) -> None:
-        """Count in a bucket, up to MAX_COUNT."""
+        """Add to a bucket, up to MAX_COUNT."""
         self.advance(bucket)
         slot = bucket % len(self.counts)
         self.counts[slot] = min(MAX_COUNT, self.counts[slot] + count)
@@ -86,9 +86,10 @@
             self.raise_to(bucket, count)
 
     def within(self, end: float, buckets: int) -> float:
-        """Return the count in the `buckets` before a point in time, which is given in buckets.
+        """Return the count in a window of `buckets` that ends at a time, which is given in buckets.
 
-        Of the bucket that the window's start cuts the fraction within it counts; later buckets count too.
+        The bucket that the start of the window cuts counts by the fraction within it. Buckets after the end
+        count as well.
         """
         start = end - buckets
         cut = floor(start)
@@ -101,7 +102,7 @@
         return total
 
     def usage(self, end: float, buckets: int) -> tuple[float, float]:
-        """Return the count in the `buckets` before a point, and the same without the current bucket."""
+        """Return the count in a window as in `within`, and the same without the current bucket."""
         total = self.within(end, buckets)
         if self.newest < floor(end):
             return total, total
@@ -110,12 +111,12 @@
 
 @dataclass(slots=True)
 class PeerUsage:
-    """What all peers together have used of a key."""
+    """The usage of a key by all peers together."""
 
     valid_until_us: int
     now: float = 0.0  # in the window that ends now
-    last_heard: float = 0.0  # in the windows that ended when each was last heard; without silent peers
-    before_bucket: float = 0.0  # the same, without the bucket that was current then
+    last_heard: float = 0.0  # in the window before each peer's last message; without silent peers
+    before_bucket: float = 0.0  # the same, without the bucket of that message
 
 
 @dataclass(slots=True)
@@ -124,31 +125,31 @@
 
     name: str
     incarnation: int
-    clock_offset_us: float  # our clock less its own; too large by its fastest datagram's delay at most
+    clock_offset_us: float  # our clock minus its own; too large by at most its fastest datagram's delay
     first_heard_us: int
     last_heard_us: int
-    last_sent_us: int  # its own time of the latest datagram
+    last_sent_us: int  # by its own clock, of the latest datagram
     rows: dict[int, CounterRow] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class PreviousIncarnation:
-    """The counts of this instance before a restart, their times by the present clock."""
+    """The counts of this instance before a restart, with times of the present clock."""
 
     name: str
-    start_us: int  # buckets are numbered from there
+    start_us: int  # the start of bucket 0
     span_us: int
     buckets: int
-    rows: Mapping[int, tuple[int, tuple[int, ...]]]  # by key: the newest bucket, its count and those before
+    rows: Mapping[int, tuple[int, tuple[int, ...]]]  # by key: newest bucket, its count and those before
 
 
 @dataclass(frozen=True, slots=True)
 class CounterMessage:
-    """A replica's own counts of the keys that one datagram holds."""
+    """A replica's own counts of the keys in one datagram."""
 
     name: str
     incarnation: int
-    sequence: int  # of those to this receiver
+    sequence: int  # of the datagrams to this receiver
     sent_us: int  # since its start, by its own clock
     rows: tuple[EncodedRow, ...]
 
@@ -159,10 +160,10 @@
 
     highest: int
     first: int
-    received_bits: int = 1  # a bit for each of the last ones up to the highest
+    received_bits: int = 1  # one bit for each of the last sequence numbers up to the highest
 
     def accept(self, sequence: int) -> bool:
-        """Record a datagram; returns whether it is no duplicate."""
+        """Record a datagram; returns False for a duplicate, or if it is too old to tell."""
         ahead = sequence - self.highest
         if ahead > 0:
             self.received_bits = (self.received_bits << min(ahead, HISTORY_BITS) | 1) & (
@@ -177,6 +178,6 @@
 
     @property
     def loss(self) -> float:
-        """The fraction of the last datagrams that has not arrived."""
+        """The fraction of the last datagrams that have not arrived."""
         sent = min(HISTORY_BITS, self.highest - self.first + 1)
         return 1.0 - (self.received_bits & (1 << sent) - 1).bit_count() / sent
