--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -27,21 +27,21 @@
 ACCEPTORS = ("x", "y", "z")
 
 
-def holder(me: InstanceIncarnation = ME, rules: LeaseRules = RULES) -> LeaseHolder:
+def new_holder(me: InstanceIncarnation = ME, rules: LeaseRules = RULES) -> LeaseHolder:
     return LeaseHolder(rules, me, [ACCEPTORS])
 
 
-def take(
-    it: LeaseHolder, slot: int, now_us: int, acceptors: tuple[str, ...] = ACCEPTORS, late_us: int = 0
+def acquire(
+    holder: LeaseHolder, slot: int, now_us: int, acceptors: tuple[str, ...] = ACCEPTORS, late_us: int = 0
 ) -> LeaseClaim:
     """It claims a slot, and these grant it."""
-    claimed = it.claim(slot, now_us)
+    sent_claim = holder.claim(slot, now_us)
     for acceptor in acceptors:
-        it.handle_lease_answer(LeaseAnswer(slot, claimed.number, True), acceptor, now_us + late_us)
-    return claimed
+        holder.handle_lease_answer(LeaseAnswer(slot, sent_claim.number, True), acceptor, now_us + late_us)
+    return sent_claim
 
 
-def claim(slot: int, number: int, rules: LeaseRules = RULES) -> LeaseClaim:
+def new_claim(slot: int, number: int, rules: LeaseRules = RULES) -> LeaseClaim:
     return LeaseClaim(slot, number, rules.slots, rules.lease_us)
 
 
@@ -55,50 +55,50 @@
     assert found.states >= 6_000
 
 
-class CountsTwice(LeaseHolder):
+class DuplicatesLoans(LeaseHolder):
     """A loan that comes again is another loan."""
 
     def handle_loan_answer(self, loan_answer: LoanAnswer, lender: str, now_us: int) -> bool:
         asked = self.loan_requests.get(loan_answer.number)
-        taken = super().handle_loan_answer(loan_answer, lender, now_us)
-        if asked is not None and taken:
+        accepted = super().handle_loan_answer(loan_answer, lender, now_us)
+        if asked is not None and accepted:
             self.loan_requests[loan_answer.number] = asked
             self.loans[1_000 + len(self.loans)] = self.loans.pop(loan_answer.number)
-        return taken
+        return accepted
 
 
-class BeginsAtReceipt(LeaseHolder):
+class TermFromArrival(LeaseHolder):
     """A grant lasts from when it came."""
 
     def handle_lease_answer(self, answer: LeaseAnswer, acceptor: str, now_us: int) -> None:
-        it = self.slots.get(answer.slot)
-        if it is not None and answer.number in it.claimed_us:
-            it.claimed_us[answer.number] = now_us
+        state = self.slots.get(answer.slot)
+        if state is not None and answer.number in state.claimed_us:
+            state.claimed_us[answer.number] = now_us
         super().handle_lease_answer(answer, acceptor, now_us)
 
 
-class UsesWhatIsVoid(LeaseHolder):
+class IgnoresExpiry(LeaseHolder):
     """What it held once it holds."""
 
     def _expire(self, now_us: int) -> None:
-        for it in self.slots.values():
-            if it.held:
-                it.held_until_us = now_us + 10 * self.rules.lease_us
+        for state in self.slots.values():
+            if state.held:
+                state.held_until_us = now_us + 10 * self.rules.lease_us
 
 
-class LendsAndSpends(LeaseHolder):
+class ForgetsLoans(LeaseHolder):
     """What is lent is not counted."""
 
     def handle_loan_request(
         self, loan_request: LoanRequest, sender: InstanceIncarnation, max_count: int, now_us: int
     ) -> LoanAnswer | None:
         loan_answer = super().handle_loan_request(loan_request, sender, max_count, now_us)
-        for it in self.slots.values():
-            it.batch.lent.clear()
+        for state in self.slots.values():
+            state.batch.lent.clear()
         return loan_answer
 
 
-class PromisesTooSoon(Acceptor):
+class GrantsAfterRestart(Acceptor):
     """One that has restarted knows of no grant, and takes none into account."""
 
     def __init__(self, rules: LeaseRules, now_us: int) -> None:
@@ -106,18 +106,18 @@
         self.no_grants_until_us = now_us
 
 
-class EndsTooSoon(Acceptor):
+class EndsGrantsEarly(Acceptor):
     """A grant ends here when a holder's would, by clocks that are all permit."""
 
     def handle_claim(self, claim: LeaseClaim, sender: InstanceIncarnation, now_us: int) -> LeaseAnswer:
-        told = super().handle_claim(claim, sender, now_us)
-        if told.granted:
+        answer = super().handle_claim(claim, sender, now_us)
+        if answer.granted:
             held = self.grants[claim.slot]
             self.grants[claim.slot] = LeaseGrant(sender, held.number, now_us + self.rules.holder_term_us // 2)
-        return told
+        return answer
 
 
-class PromisesToTwo(Acceptor):
+class IgnoresGrants(Acceptor):
     """Whoever asks last has it."""
 
     def handle_claim(self, claim: LeaseClaim, sender: InstanceIncarnation, now_us: int) -> LeaseAnswer:
@@ -128,13 +128,13 @@
 @pytest.mark.parametrize(
     ("fault", "limits"),
     [
-        (CountsTwice, Limits(claims=1, repeats=1, loan_requests=1)),
-        (LendsAndSpends, Limits(claims=1, loan_requests=1)),
-        (BeginsAtReceipt, Limits(claims=2)),
-        (UsesWhatIsVoid, Limits(claims=2)),
-        (PromisesTooSoon, Limits(claims=2, restarts=1)),
-        (EndsTooSoon, Limits(claims=2)),
-        (PromisesToTwo, Limits(claims=2)),
+        (DuplicatesLoans, Limits(claims=1, repeats=1, loan_requests=1)),
+        (ForgetsLoans, Limits(claims=1, loan_requests=1)),
+        (TermFromArrival, Limits(claims=2)),
+        (IgnoresExpiry, Limits(claims=2)),
+        (GrantsAfterRestart, Limits(claims=2, restarts=1)),
+        (EndsGrantsEarly, Limits(claims=2)),
+        (IgnoresGrants, Limits(claims=2)),
     ],
 )
 def test_a_planted_fault_is_found(fault: type[LeaseHolder] | type[Acceptor], limits: Limits) -> None:
@@ -151,119 +151,119 @@
 
 
 def test_a_slot_is_held_with_more_than_half_and_kept_with_as_many_as_no_majority_can_do_without() -> None:
-    it = LeaseHolder(RULES, ME, [("w", "x", "y", "z")])
-    take(it, 0, 0, ("w", "x"))
-    assert it.available(0) == 0
-    take(it, 0, 0, ("y",))
-    assert it.available(0) == RULES.permits_of(0) == 3
-    take(it, 0, 3 * S, ("w", "x"))  # half of four: the others can give it to nobody else
-    assert it.available(6 * S) == 3
+    holder = LeaseHolder(RULES, ME, [("w", "x", "y", "z")])
+    acquire(holder, 0, 0, ("w", "x"))
+    assert holder.available(0) == 0
+    acquire(holder, 0, 0, ("y",))
+    assert holder.available(0) == RULES.permits_of(0) == 3
+    acquire(holder, 0, 3 * S, ("w", "x"))  # half of four: the others can give it to nobody else
+    assert holder.available(6 * S) == 3
 
 
 def test_what_has_lapsed_is_not_kept_by_grants_that_come_later() -> None:
-    it = LeaseHolder(RULES, ME, [("w", "x", "y", "z")])
-    take(it, 0, 0, ("w", "x", "y"))
-    late = it.claim(0, 5 * S)
-    it.handle_lease_answer(LeaseAnswer(0, late.number, True), "w", 7 * S)
-    it.handle_lease_answer(LeaseAnswer(0, late.number, True), "x", 7 * S)
-    assert it.available(7 * S) == 0, "in between it may have been another's"
+    holder = LeaseHolder(RULES, ME, [("w", "x", "y", "z")])
+    acquire(holder, 0, 0, ("w", "x", "y"))
+    late = holder.claim(0, 5 * S)
+    holder.handle_lease_answer(LeaseAnswer(0, late.number, True), "w", 7 * S)
+    holder.handle_lease_answer(LeaseAnswer(0, late.number, True), "x", 7 * S)
+    assert holder.available(7 * S) == 0, "in between it may have been another's"
 
 
 def test_a_permit_is_spent_only_if_it_lasts_as_long_as_the_spending_may() -> None:
-    it = holder()
-    take(it, 0, 0)
+    holder = new_holder()
+    acquire(holder, 0, 0)
     end_us = RULES.holder_term_us - RULES.max_use_us
-    assert it.available(end_us) == 3
-    assert it.spend(end_us) is not None
-    assert it.available(end_us + 1) == 0
-    assert it.spend(end_us + 1) is None
-    assert it.in_use(end_us + 1) == 1
+    assert holder.available(end_us) == 3
+    assert holder.spend(end_us) is not None
+    assert holder.available(end_us + 1) == 0
+    assert holder.spend(end_us + 1) is None
+    assert holder.in_use(end_us + 1) == 1
 
 
 def test_a_process_that_stood_still_past_its_lease_has_nothing_to_spend() -> None:
-    it = holder()
-    take(it, 0, 0)
-    assert it.spend(20 * S) is None
-    assert it.held_slots(20 * S) == []
-    assert it.lapsed == 1
+    holder = new_holder()
+    acquire(holder, 0, 0)
+    assert holder.spend(20 * S) is None
+    assert holder.held_slots(20 * S) == []
+    assert holder.lapsed == 1
 
 
 def test_a_permit_is_free_again_when_its_use_is_over_or_known_to_be() -> None:
-    it = holder()
-    take(it, 3, 0)
+    holder = new_holder()
+    acquire(holder, 3, 0)
     assert RULES.permits_of(3) == 2
-    first, second = it.spend(0), it.spend(0)
+    first, second = holder.spend(0), holder.spend(0)
     assert first is not None
     assert second is not None
-    assert it.spend(0) is None
-    it.finish(first)
-    it.finish(first)  # once is enough
-    assert it.available(0) == 1
-    assert it.available(S) == 2, "a period has gone by"
+    assert holder.spend(0) is None
+    holder.finish(first)
+    holder.finish(first)  # once is enough
+    assert holder.available(0) == 1
+    assert holder.available(S) == 2, "a period has gone by"
 
 
 def test_answers_to_claims_that_were_not_made_or_were_given_up_count_nothing() -> None:
-    it = holder()
-    made = it.claim(0, 0)
-    it.handle_lease_answer(LeaseAnswer(0, made.number + 1, True), "x", 0)
-    it.handle_lease_answer(LeaseAnswer(1, made.number, True), "x", 0)
-    it.handle_lease_answer(LeaseAnswer(0, made.number, True), "stranger", 0)
-    it.handle_lease_answer(LeaseAnswer(0, made.number, False, "b", S), "y", 0)
-    it.handle_lease_answer(LeaseAnswer(0, made.number, True), "z", 0)
-    assert it.available(0) == 0
-    it.release(0, 0)
+    holder = new_holder()
+    sent_claim = holder.claim(0, 0)
+    holder.handle_lease_answer(LeaseAnswer(0, sent_claim.number + 1, True), "x", 0)
+    holder.handle_lease_answer(LeaseAnswer(1, sent_claim.number, True), "x", 0)
+    holder.handle_lease_answer(LeaseAnswer(0, sent_claim.number, True), "stranger", 0)
+    holder.handle_lease_answer(LeaseAnswer(0, sent_claim.number, False, "b", S), "y", 0)
+    holder.handle_lease_answer(LeaseAnswer(0, sent_claim.number, True), "z", 0)
+    assert holder.available(0) == 0
+    holder.release(0, 0)
     for acceptor in ACCEPTORS:
-        it.handle_lease_answer(LeaseAnswer(0, made.number, True), acceptor, 0)
-    assert it.available(0) == 0
+        holder.handle_lease_answer(LeaseAnswer(0, sent_claim.number, True), acceptor, 0)
+    assert holder.available(0) == 0
 
 
 def test_a_release_that_a_later_claim_overtook_voids_nothing() -> None:
     acceptor = Acceptor(RULES, -100 * S)
-    assert acceptor.handle_claim(claim(0, 1), ME, 0).granted
-    assert acceptor.handle_claim(claim(0, 2), ME, S).granted
+    assert acceptor.handle_claim(new_claim(0, 1), ME, 0).granted
+    assert acceptor.handle_claim(new_claim(0, 2), ME, S).granted
     acceptor.handle_release(LeaseRelease(0, 1), ME)
-    told = acceptor.handle_claim(claim(0, 1), OTHER, S)
-    assert not told.granted
-    assert told.holder == "a"
-    assert told.wait_us == RULES.max_term_us
+    answer = acceptor.handle_claim(new_claim(0, 1), OTHER, S)
+    assert not answer.granted
+    assert answer.holder == "a"
+    assert answer.wait_us == RULES.max_term_us
     acceptor.handle_release(LeaseRelease(0, 2), InstanceIncarnation("a", 2))
-    assert not acceptor.handle_claim(claim(0, 1), OTHER, S).granted, "another life of it has no say"
+    assert not acceptor.handle_claim(new_claim(0, 1), OTHER, S).granted, "another life of it has no say"
     acceptor.handle_release(LeaseRelease(0, 2), ME)
-    assert acceptor.handle_claim(claim(0, 1), OTHER, S).granted
+    assert acceptor.handle_claim(new_claim(0, 1), OTHER, S).granted
 
 
 def test_an_acceptor_grants_again_when_its_grant_is_over_and_nothing_of_unknown_slots() -> None:
     acceptor = Acceptor(RULES, -100 * S)
-    assert acceptor.handle_claim(claim(0, 7), ME, 0).granted
-    assert not acceptor.handle_claim(claim(0, 1), OTHER, RULES.max_term_us - 1).granted
-    assert acceptor.handle_claim(claim(0, 1), OTHER, RULES.max_term_us).granted
-    assert not acceptor.handle_claim(claim(4, 1), OTHER, 0).granted
-    assert not acceptor.handle_claim(claim(-1, 1), ME, 0).granted
+    assert acceptor.handle_claim(new_claim(0, 7), ME, 0).granted
+    assert not acceptor.handle_claim(new_claim(0, 1), OTHER, RULES.max_term_us - 1).granted
+    assert acceptor.handle_claim(new_claim(0, 1), OTHER, RULES.max_term_us).granted
+    assert not acceptor.handle_claim(new_claim(4, 1), OTHER, 0).granted
+    assert not acceptor.handle_claim(new_claim(-1, 1), ME, 0).granted
     assert len(acceptor.grants) == 1
 
 
 def test_two_lives_of_one_instance_are_two_holders() -> None:
     acceptor = Acceptor(RULES, -100 * S)
-    assert acceptor.handle_claim(claim(0, 9), InstanceIncarnation("a", 1), 0).granted
-    assert not acceptor.handle_claim(claim(0, 1), InstanceIncarnation("a", 2), S).granted
+    assert acceptor.handle_claim(new_claim(0, 9), InstanceIncarnation("a", 1), 0).granted
+    assert not acceptor.handle_claim(new_claim(0, 1), InstanceIncarnation("a", 2), S).granted
 
 
 def test_a_slot_with_permits_out_is_not_released() -> None:
-    it = holder()
-    take(it, 0, 0)
-    ticket = it.spend(0)
+    holder = new_holder()
+    acquire(holder, 0, 0)
+    ticket = holder.spend(0)
     assert ticket is not None
-    assert it.release(0, 0) is None
-    it.finish(ticket)
-    assert it.handle_loan_request(LoanRequest(1, 1), OTHER, 1, 0) is not None
-    assert it.release(0, 0) is None
-    it.handle_loan_return(LoanReturn(1, 0), OTHER)
-    assert it.release(0, 0) == LeaseRelease(0, 1)
+    assert holder.release(0, 0) is None
+    holder.finish(ticket)
+    assert holder.handle_loan_request(LoanRequest(1, 1), OTHER, 1, 0) is not None
+    assert holder.release(0, 0) is None
+    holder.handle_loan_return(LoanReturn(1, 0), OTHER)
+    assert holder.release(0, 0) == LeaseRelease(0, 1)
 
 
 def test_a_loan_is_counted_once_and_given_again_as_it_was() -> None:
-    lender, borrower = holder(), holder(OTHER)
-    take(lender, 0, 0)
+    lender, borrower = new_holder(), new_holder(OTHER)
+    acquire(lender, 0, 0)
     ask = borrower.request_loan("a", 2, 0)
     loan_answer = lender.handle_loan_request(ask, OTHER, 9, S)
     assert loan_answer is not None
@@ -282,9 +282,9 @@
 
 
 def test_what_is_borrowed_is_spent_first_and_goes_back() -> None:
-    lender, borrower = holder(), holder(OTHER)
-    take(lender, 0, 0)
-    take(borrower, 3, 0)
+    lender, borrower = new_holder(), new_holder(OTHER)
+    acquire(lender, 0, 0)
+    acquire(borrower, 3, 0)
     loan_answer = lender.handle_loan_request(borrower.request_loan("a", 2, 0), OTHER, 9, 0)
     assert loan_answer is not None
     assert borrower.handle_loan_answer(loan_answer, "a", 0)
@@ -303,8 +303,8 @@
 
 
 def test_what_is_borrowed_is_not_lent_on_and_a_loan_from_a_stranger_is_none() -> None:
-    lender, borrower = holder(), holder(OTHER)
-    take(lender, 0, 0)
+    lender, borrower = new_holder(), new_holder(OTHER)
+    acquire(lender, 0, 0)
     loan_answer = lender.handle_loan_request(borrower.request_loan("a", 2, 0), OTHER, 9, 0)
     assert loan_answer is not None
     assert not borrower.handle_loan_answer(loan_answer, "c", 0)
@@ -312,94 +312,99 @@
     again = lender.handle_loan_request(ask, OTHER, 9, 0)
     assert again is not None
     assert borrower.handle_loan_answer(again, "a", 0)
-    told = borrower.handle_loan_request(LoanRequest(1, 1), InstanceIncarnation("c", 1), 9, 0)
-    assert told is not None
-    assert told.count == 0
+    answer = borrower.handle_loan_request(LoanRequest(1, 1), InstanceIncarnation("c", 1), 9, 0)
+    assert answer is not None
+    assert answer.count == 0
 
 
 def test_a_smaller_budget_holds_at_once_for_what_is_spent_from_then_on() -> None:
-    it = holder()
-    take(it, 0, 0)
-    assert it.spend(0)
-    assert it.spend(0)
-    assert it.available(0) == 1
-    it.reconfigure(LeaseRules(total=4, slots=4, lease_us=6 * S, max_use_us=S), [ACCEPTORS])
-    assert it.available(0) == 0
-    assert it.spend(0) is None
-    assert it.in_use(0) == 2
-    assert it.available(S) == 1
+    holder = new_holder()
+    acquire(holder, 0, 0)
+    assert holder.spend(0)
+    assert holder.spend(0)
+    assert holder.available(0) == 1
+    holder.reconfigure(LeaseRules(total=4, slots=4, lease_us=6 * S, max_use_us=S), [ACCEPTORS])
+    assert holder.available(0) == 0
+    assert holder.spend(0) is None
+    assert holder.in_use(0) == 2
+    assert holder.available(S) == 1
 
 
 def test_other_slots_are_other_permits_and_none_is_given_before_the_old_ones_are_over() -> None:
-    it, acceptor = holder(), Acceptor(RULES, -100 * S)
-    take(it, 0, 0)
-    assert acceptor.handle_claim(claim(0, 1), ME, 0).granted
+    holder, acceptor = new_holder(), Acceptor(RULES, -100 * S)
+    acquire(holder, 0, 0)
+    assert acceptor.handle_claim(new_claim(0, 1), ME, 0).granted
     other = LeaseRules(total=10, slots=2, lease_us=3 * S, max_use_us=S)
-    it.reconfigure(other, [ACCEPTORS])
+    holder.reconfigure(other, [ACCEPTORS])
     acceptor.reconfigure(other, S)
-    assert it.available(0) == 0
-    assert not acceptor.handle_claim(claim(0, 1, other), OTHER, RULES.max_term_us).granted
-    assert acceptor.handle_claim(claim(0, 1, other), OTHER, S + RULES.max_term_us).granted
+    assert holder.available(0) == 0
+    assert not acceptor.handle_claim(new_claim(0, 1, other), OTHER, RULES.max_term_us).granted
+    assert acceptor.handle_claim(new_claim(0, 1, other), OTHER, S + RULES.max_term_us).granted
 
 
 def test_one_who_reckons_with_other_slots_or_a_longer_lease_is_granted_nothing() -> None:
     """Instances read a changed file at different moments."""
     acceptor = Acceptor(RULES, -100 * S)
     longer = LeaseRules(total=10, slots=4, lease_us=9 * S, max_use_us=S)
-    assert not acceptor.handle_claim(claim(0, 1, longer), ME, 0).granted
-    assert not acceptor.handle_claim(claim(0, 1, LeaseRules(10, 2, 6 * S, S)), ME, 0).granted
+    assert not acceptor.handle_claim(new_claim(0, 1, longer), ME, 0).granted
+    assert not acceptor.handle_claim(new_claim(0, 1, LeaseRules(10, 2, 6 * S, S)), ME, 0).granted
     acceptor.reconfigure(longer, 0)
-    assert acceptor.handle_claim(claim(0, 1, longer), ME, 0).granted
-    assert not acceptor.handle_claim(claim(0, 1), OTHER, RULES.max_term_us).granted, (
+    assert acceptor.handle_claim(new_claim(0, 1, longer), ME, 0).granted
+    assert not acceptor.handle_claim(new_claim(0, 1), OTHER, RULES.max_term_us).granted, (
         "for as long as it reckons with"
     )
 
 
 def test_a_lease_that_is_made_shorter_is_reckoned_with_as_long_as_anybody_may_have_it() -> None:
     shorter = LeaseRules(total=10, slots=4, lease_us=2 * S, max_use_us=S, previous_lease_us=6 * S)
-    begun = Acceptor(shorter, 0)  # a new process: what it granted before is not known
-    assert not begun.handle_claim(claim(0, 1, shorter), ME, RULES.max_term_us - 1).granted
-    assert begun.handle_claim(claim(0, 1), ME, RULES.max_term_us).granted, "one that has not read it yet"
-    begun.handle_claim(claim(0, 2, shorter), ME, RULES.max_term_us + 1)
-    assert not begun.handle_claim(claim(0, 1), OTHER, 2 * RULES.max_term_us - 1).granted, (
+    restarted = Acceptor(shorter, 0)  # a new process: what it granted before is not known
+    assert not restarted.handle_claim(new_claim(0, 1, shorter), ME, RULES.max_term_us - 1).granted
+    assert restarted.handle_claim(new_claim(0, 1), ME, RULES.max_term_us).granted, (
+        "one that has not read it yet"
+    )
+    restarted.handle_claim(new_claim(0, 2, shorter), ME, RULES.max_term_us + 1)
+    assert not restarted.handle_claim(new_claim(0, 1), OTHER, 2 * RULES.max_term_us - 1).granted, (
         "the longer grant holds"
     )
 
 
 def test_with_other_acceptors_what_is_spent_and_lent_stays_counted() -> None:
-    it = holder()
-    take(it, 0, 0)
-    assert it.spend(0) is not None
-    assert it.handle_loan_request(LoanRequest(1, 1), OTHER, 1, 0) is not None
-    it.reconfigure(RULES, [("x", "y", "q")])
-    assert it.available(0) == 0
-    take(it, 0, 0, ("x", "y"))
-    assert it.available(0) == 1, "the other two are out"
+    holder = new_holder()
+    acquire(holder, 0, 0)
+    assert holder.spend(0) is not None
+    assert holder.handle_loan_request(LoanRequest(1, 1), OTHER, 1, 0) is not None
+    holder.reconfigure(RULES, [("x", "y", "q")])
+    assert holder.available(0) == 0
+    acquire(holder, 0, 0, ("x", "y"))
+    assert holder.available(0) == 1, "the other two are out"
 
 
 def test_borrowers_that_are_over_make_room_and_no_answer_is_forgotten_too_soon() -> None:
-    it = holder()
-    take(it, 0, 0)
+    holder = new_holder()
+    acquire(holder, 0, 0)
     for number in range(MAX_LOANS):
         assert (
-            it.handle_loan_request(LoanRequest(1, 1), InstanceIncarnation(f"b{number}", 1), 0, 0) is not None
+            holder.handle_loan_request(LoanRequest(1, 1), InstanceIncarnation(f"b{number}", 1), 0, 0)
+            is not None
         )
     assert (
-        it.handle_loan_request(LoanRequest(1, 1), InstanceIncarnation("late", 1), 1, RULES.max_term_us - 1)
+        holder.handle_loan_request(
+            LoanRequest(1, 1), InstanceIncarnation("late", 1), 1, RULES.max_term_us - 1
+        )
         is None
     )
     assert (
-        it.handle_loan_request(LoanRequest(1, 1), InstanceIncarnation("late", 1), 1, RULES.max_term_us)
+        holder.handle_loan_request(LoanRequest(1, 1), InstanceIncarnation("late", 1), 1, RULES.max_term_us)
         is not None
     )
 
 
 def test_while_acceptors_are_changed_both_groups_have_to_grant() -> None:
-    it = LeaseHolder(RULES, ME, [("x", "y", "z"), ("p", "q", "r")])
-    take(it, 0, 0, ("x", "y", "z", "p"))
-    assert it.available(0) == 0
-    take(it, 0, 0, ("x", "y", "z", "p", "q"))
-    assert it.available(0) == 3
+    holder = LeaseHolder(RULES, ME, [("x", "y", "z"), ("p", "q", "r")])
+    acquire(holder, 0, 0, ("x", "y", "z", "p"))
+    assert holder.available(0) == 0
+    acquire(holder, 0, 0, ("x", "y", "z", "p", "q"))
+    assert holder.available(0) == 3
 
 
 def test_each_instance_has_an_order_of_its_own_and_the_same_each_time() -> None:
