--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -150,7 +150,7 @@
 # Each law alone
 
 
-def test_a_slot_is_held_with_more_than_half_and_kept_with_as_many_as_no_majority_can_do_without() -> None:
+def test_a_slot_is_acquired_by_a_majority_and_kept_while_the_others_have_none() -> None:
     holder = LeaseHolder(RULES, ME, [("w", "x", "y", "z")])
     acquire(holder, 0, 0, ("w", "x"))
     assert holder.available(0) == 0
@@ -160,7 +160,7 @@
     assert holder.available(6 * S) == 3
 
 
-def test_what_has_lapsed_is_not_kept_by_grants_that_come_later() -> None:
+def test_grants_that_arrive_late_do_not_continue_an_expired_lease() -> None:
     holder = LeaseHolder(RULES, ME, [("w", "x", "y", "z")])
     acquire(holder, 0, 0, ("w", "x", "y"))
     late = holder.claim(0, 5 * S)
@@ -169,7 +169,7 @@
     assert holder.available(7 * S) == 0, "in between it may have been another's"
 
 
-def test_a_permit_is_spent_only_if_it_lasts_as_long_as_the_spending_may() -> None:
+def test_a_permit_is_spent_only_if_its_lease_outlasts_the_longest_use() -> None:
     holder = new_holder()
     acquire(holder, 0, 0)
     end_us = RULES.holder_term_us - RULES.max_use_us
@@ -180,7 +180,7 @@
     assert holder.in_use(end_us + 1) == 1
 
 
-def test_a_process_that_stood_still_past_its_lease_has_nothing_to_spend() -> None:
+def test_a_process_paused_past_its_lease_has_nothing_to_spend() -> None:
     holder = new_holder()
     acquire(holder, 0, 0)
     assert holder.spend(20 * S) is None
@@ -188,7 +188,7 @@
     assert holder.lapsed == 1
 
 
-def test_a_permit_is_free_again_when_its_use_is_over_or_known_to_be() -> None:
+def test_a_permit_is_free_when_its_use_is_finished_or_its_time_has_passed() -> None:
     holder = new_holder()
     acquire(holder, 3, 0)
     assert RULES.permits_of(3) == 2
@@ -202,7 +202,7 @@
     assert holder.available(S) == 2, "a period has gone by"
 
 
-def test_answers_to_claims_that_were_not_made_or_were_given_up_count_nothing() -> None:
+def test_answers_to_unknown_or_released_claims_are_ignored() -> None:
     holder = new_holder()
     sent_claim = holder.claim(0, 0)
     holder.handle_lease_answer(LeaseAnswer(0, sent_claim.number + 1, True), "x", 0)
@@ -217,7 +217,7 @@
     assert holder.available(0) == 0
 
 
-def test_a_release_that_a_later_claim_overtook_voids_nothing() -> None:
+def test_a_release_older_than_the_last_claim_is_ignored() -> None:
     acceptor = Acceptor(RULES, -100 * S)
     assert acceptor.handle_claim(new_claim(0, 1), ME, 0).granted
     assert acceptor.handle_claim(new_claim(0, 2), ME, S).granted
@@ -232,7 +232,7 @@
     assert acceptor.handle_claim(new_claim(0, 1), OTHER, S).granted
 
 
-def test_an_acceptor_grants_again_when_its_grant_is_over_and_nothing_of_unknown_slots() -> None:
+def test_an_acceptor_grants_a_slot_again_after_its_grant_and_never_an_unknown_slot() -> None:
     acceptor = Acceptor(RULES, -100 * S)
     assert acceptor.handle_claim(new_claim(0, 7), ME, 0).granted
     assert not acceptor.handle_claim(new_claim(0, 1), OTHER, RULES.max_term_us - 1).granted
@@ -242,13 +242,13 @@
     assert len(acceptor.grants) == 1
 
 
-def test_two_lives_of_one_instance_are_two_holders() -> None:
+def test_two_incarnations_of_one_instance_are_two_holders() -> None:
     acceptor = Acceptor(RULES, -100 * S)
     assert acceptor.handle_claim(new_claim(0, 9), InstanceIncarnation("a", 1), 0).granted
     assert not acceptor.handle_claim(new_claim(0, 1), InstanceIncarnation("a", 2), S).granted
 
 
-def test_a_slot_with_permits_out_is_not_released() -> None:
+def test_a_slot_with_spent_or_lent_permits_is_not_released() -> None:
     holder = new_holder()
     acquire(holder, 0, 0)
     ticket = holder.spend(0)
@@ -261,7 +261,7 @@
     assert holder.release(0, 0) == LeaseRelease(0, 1)
 
 
-def test_a_loan_is_counted_once_and_given_again_as_it_was() -> None:
+def test_a_repeated_loan_request_gets_the_same_loan_which_counts_once() -> None:
     lender, borrower = new_holder(), new_holder(OTHER)
     acquire(lender, 0, 0)
     ask = borrower.request_loan("a", 2, 0)
@@ -281,7 +281,7 @@
     )
 
 
-def test_what_is_borrowed_is_spent_first_and_goes_back() -> None:
+def test_borrowed_permits_are_spent_first_and_returned() -> None:
     lender, borrower = new_holder(), new_holder(OTHER)
     acquire(lender, 0, 0)
     acquire(borrower, 3, 0)
@@ -302,7 +302,7 @@
     assert lender.available(0) == 3
 
 
-def test_what_is_borrowed_is_not_lent_on_and_a_loan_from_a_stranger_is_none() -> None:
+def test_borrowed_permits_are_not_lent_on_and_loans_from_other_lenders_are_ignored() -> None:
     lender, borrower = new_holder(), new_holder(OTHER)
     acquire(lender, 0, 0)
     loan_answer = lender.handle_loan_request(borrower.request_loan("a", 2, 0), OTHER, 9, 0)
@@ -317,7 +317,7 @@
     assert answer.count == 0
 
 
-def test_a_smaller_budget_holds_at_once_for_what_is_spent_from_then_on() -> None:
+def test_a_smaller_budget_applies_at_once_to_permits_that_are_spent_later() -> None:
     holder = new_holder()
     acquire(holder, 0, 0)
     assert holder.spend(0)
@@ -330,7 +330,7 @@
     assert holder.available(S) == 1
 
 
-def test_other_slots_are_other_permits_and_none_is_given_before_the_old_ones_are_over() -> None:
+def test_another_number_of_slots_drops_all_and_grants_none_before_old_leases_have_ended() -> None:
     holder, acceptor = new_holder(), Acceptor(RULES, -100 * S)
     acquire(holder, 0, 0)
     assert acceptor.handle_claim(new_claim(0, 1), ME, 0).granted
@@ -342,7 +342,7 @@
     assert acceptor.handle_claim(new_claim(0, 1, other), OTHER, S + RULES.max_term_us).granted
 
 
-def test_one_who_reckons_with_other_slots_or_a_longer_lease_is_granted_nothing() -> None:
+def test_claims_with_another_number_of_slots_or_a_longer_lease_are_refused() -> None:
     """Instances read a changed file at different moments."""
     acceptor = Acceptor(RULES, -100 * S)
     longer = LeaseRules(total=10, slots=4, lease_us=9 * S, max_use_us=S)
@@ -355,7 +355,7 @@
     )
 
 
-def test_a_lease_that_is_made_shorter_is_reckoned_with_as_long_as_anybody_may_have_it() -> None:
+def test_a_previous_longer_lease_is_respected_while_an_instance_may_use_it() -> None:
     shorter = LeaseRules(total=10, slots=4, lease_us=2 * S, max_use_us=S, previous_lease_us=6 * S)
     restarted = Acceptor(shorter, 0)  # a new process: what it granted before is not known
     assert not restarted.handle_claim(new_claim(0, 1, shorter), ME, RULES.max_term_us - 1).granted
@@ -368,7 +368,7 @@
     )
 
 
-def test_with_other_acceptors_what_is_spent_and_lent_stays_counted() -> None:
+def test_spent_and_lent_permits_stay_counted_when_the_acceptors_change() -> None:
     holder = new_holder()
     acquire(holder, 0, 0)
     assert holder.spend(0) is not None
@@ -379,7 +379,7 @@
     assert holder.available(0) == 1, "the other two are out"
 
 
-def test_borrowers_that_are_over_make_room_and_no_answer_is_forgotten_too_soon() -> None:
+def test_answers_to_borrowers_are_dropped_only_after_their_loans_have_ended() -> None:
     holder = new_holder()
     acquire(holder, 0, 0)
     for number in range(MAX_LOANS):
@@ -399,7 +399,7 @@
     )
 
 
-def test_while_acceptors_are_changed_both_groups_have_to_grant() -> None:
+def test_both_groups_have_to_grant_while_acceptors_are_replaced() -> None:
     holder = LeaseHolder(RULES, ME, [("x", "y", "z"), ("p", "q", "r")])
     acquire(holder, 0, 0, ("x", "y", "z", "p"))
     assert holder.available(0) == 0
@@ -407,7 +407,7 @@
     assert holder.available(0) == 3
 
 
-def test_each_instance_has_an_order_of_its_own_and_the_same_each_time() -> None:
+def test_each_instance_has_its_own_fixed_order_of_slots() -> None:
     orders = [sorted(range(50), key=lambda slot: rank("b", slot, f"i{number}")) for number in range(20)]
     assert orders[3] == sorted(range(50), key=lambda slot: rank("b", slot, "i3"))
     assert len({order[0] for order in orders}) >= 12
