--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -1,4 +1,4 @@
-"""Permits that are lent: all histories of three instances, planted faults that are found, each law alone."""
+"""Leases: the search of all histories of three instances, planted faults that it finds, and single rules."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 def acquire(
     holder: LeaseHolder, slot: int, now_us: int, acceptors: tuple[str, ...] = ACCEPTORS, late_us: int = 0
 ) -> LeaseClaim:
-    """It claims a slot, and these grant it."""
+    """Claim a slot that these acceptors grant."""
     sent_claim = holder.claim(slot, now_us)
     for acceptor in acceptors:
         holder.handle_lease_answer(LeaseAnswer(slot, sent_claim.number, True), acceptor, now_us + late_us)
@@ -45,7 +45,7 @@
     return LeaseClaim(slot, number, rules.slots, rules.lease_us)
 
 
-# All histories
+# Search of all histories
 
 
 @pytest.mark.parametrize("name", LIMITS)
@@ -56,19 +56,19 @@
 
 
 class DuplicatesLoans(LeaseHolder):
-    """A loan that comes again is another loan."""
+    """Counts a duplicate of a loan as another loan."""
 
     def handle_loan_answer(self, loan_answer: LoanAnswer, lender: str, now_us: int) -> bool:
-        asked = self.loan_requests.get(loan_answer.number)
+        request = self.loan_requests.get(loan_answer.number)
         accepted = super().handle_loan_answer(loan_answer, lender, now_us)
-        if asked is not None and accepted:
-            self.loan_requests[loan_answer.number] = asked
+        if request is not None and accepted:
+            self.loan_requests[loan_answer.number] = request
             self.loans[1_000 + len(self.loans)] = self.loans.pop(loan_answer.number)
         return accepted
 
 
 class TermFromArrival(LeaseHolder):
-    """A grant lasts from when it came."""
+    """Begins the term when the grant arrives."""
 
     def handle_lease_answer(self, answer: LeaseAnswer, acceptor: str, now_us: int) -> None:
         state = self.slots.get(answer.slot)
@@ -78,7 +78,7 @@
 
 
 class IgnoresExpiry(LeaseHolder):
-    """What it held once it holds."""
+    """Keeps a slot for ever once it was acquired."""
 
     def _expire(self, now_us: int) -> None:
         for state in self.slots.values():
@@ -87,7 +87,7 @@
 
 
 class ForgetsLoans(LeaseHolder):
-    """What is lent is not counted."""
+    """Does not count the permits that it lends."""
 
     def handle_loan_request(
         self, loan_request: LoanRequest, sender: InstanceIncarnation, max_count: int, now_us: int
@@ -99,7 +99,7 @@
 
 
 class GrantsAfterRestart(Acceptor):
-    """One that has restarted knows of no grant, and takes none into account."""
+    """Grants immediately after a restart."""
 
     def __init__(self, rules: LeaseRules, now_us: int) -> None:
         super().__init__(rules, now_us)
@@ -107,7 +107,7 @@
 
 
 class EndsGrantsEarly(Acceptor):
-    """A grant ends here when a holder's would, by clocks that are all permit."""
+    """Ends a grant after half of its holder's term."""
 
     def handle_claim(self, claim: LeaseClaim, sender: InstanceIncarnation, now_us: int) -> LeaseAnswer:
         answer = super().handle_claim(claim, sender, now_us)
@@ -118,7 +118,7 @@
 
 
 class IgnoresGrants(Acceptor):
-    """Whoever asks last has it."""
+    """Grants a slot to whoever claims it last."""
 
     def handle_claim(self, claim: LeaseClaim, sender: InstanceIncarnation, now_us: int) -> LeaseAnswer:
         self.grants.clear()
@@ -144,10 +144,10 @@
         broken, sound = Checker(limits, acceptor=fault), Checker(limits)
     found = broken.explore(8)
     assert found.history, f"not found in {found.states} states"
-    assert sound.explore(found.depth).history == (), "the same histories without the fault"
+    assert sound.explore(found.depth).history == (), "no violation in the same histories without the fault"
 
 
-# Each law alone
+# Single rules
 
 
 def test_a_slot_is_acquired_by_a_majority_and_kept_while_the_others_have_none() -> None:
@@ -156,7 +156,7 @@
     assert holder.available(0) == 0
     acquire(holder, 0, 0, ("y",))
     assert holder.available(0) == RULES.permits_of(0) == 3
-    acquire(holder, 0, 3 * S, ("w", "x"))  # half of four: the others can give it to nobody else
+    acquire(holder, 0, 3 * S, ("w", "x"))  # two of four: the other two are no majority
     assert holder.available(6 * S) == 3
 
 
@@ -166,7 +166,7 @@
     late = holder.claim(0, 5 * S)
     holder.handle_lease_answer(LeaseAnswer(0, late.number, True), "w", 7 * S)
     holder.handle_lease_answer(LeaseAnswer(0, late.number, True), "x", 7 * S)
-    assert holder.available(7 * S) == 0, "in between it may have been another's"
+    assert holder.available(7 * S) == 0, "another instance may have held it in between"
 
 
 def test_a_permit_is_spent_only_if_its_lease_outlasts_the_longest_use() -> None:
@@ -197,9 +197,9 @@
     assert second is not None
     assert holder.spend(0) is None
     holder.finish(first)
-    holder.finish(first)  # once is enough
+    holder.finish(first)  # the second call frees nothing
     assert holder.available(0) == 1
-    assert holder.available(S) == 2, "a period has gone by"
+    assert holder.available(S) == 2, "the longest use has passed"
 
 
 def test_answers_to_unknown_or_released_claims_are_ignored() -> None:
@@ -207,7 +207,7 @@
     sent_claim = holder.claim(0, 0)
     holder.handle_lease_answer(LeaseAnswer(0, sent_claim.number + 1, True), "x", 0)
     holder.handle_lease_answer(LeaseAnswer(1, sent_claim.number, True), "x", 0)
-    holder.handle_lease_answer(LeaseAnswer(0, sent_claim.number, True), "stranger", 0)
+    holder.handle_lease_answer(LeaseAnswer(0, sent_claim.number, True), "unknown", 0)
     holder.handle_lease_answer(LeaseAnswer(0, sent_claim.number, False, "b", S), "y", 0)
     holder.handle_lease_answer(LeaseAnswer(0, sent_claim.number, True), "z", 0)
     assert holder.available(0) == 0
@@ -227,7 +227,9 @@
     assert answer.holder == "a"
     assert answer.wait_us == RULES.max_term_us
     acceptor.handle_release(LeaseRelease(0, 2), InstanceIncarnation("a", 2))
-    assert not acceptor.handle_claim(new_claim(0, 1), OTHER, S).granted, "another life of it has no say"
+    assert not acceptor.handle_claim(new_claim(0, 1), OTHER, S).granted, (
+        "the release of another incarnation is ignored"
+    )
     acceptor.handle_release(LeaseRelease(0, 2), ME)
     assert acceptor.handle_claim(new_claim(0, 1), OTHER, S).granted
 
@@ -264,20 +266,20 @@
 def test_a_repeated_loan_request_gets_the_same_loan_which_counts_once() -> None:
     lender, borrower = new_holder(), new_holder(OTHER)
     acquire(lender, 0, 0)
-    ask = borrower.request_loan("a", 2, 0)
-    loan_answer = lender.handle_loan_request(ask, OTHER, 9, S)
+    loan_request = borrower.request_loan("a", 2, 0)
+    loan_answer = lender.handle_loan_request(loan_request, OTHER, 9, S)
     assert loan_answer is not None
     assert loan_answer.count == 2
     assert lender.available(S) == 1
-    assert lender.handle_loan_request(ask, OTHER, 9, 2 * S) == loan_answer
+    assert lender.handle_loan_request(loan_request, OTHER, 9, 2 * S) == loan_answer
     assert lender.available(2 * S) == 1
     assert borrower.handle_loan_answer(loan_answer, "a", 2 * S)
     assert not borrower.handle_loan_answer(loan_answer, "a", 2 * S)
     assert borrower.available(2 * S) == 2
-    ends_us = borrower.loans[loan_answer.number].until_us
-    assert ends_us < S + loan_answer.term_us, "from when it was asked for, and less what clocks may differ by"
-    assert lender.handle_loan_request(LoanRequest(ask.number - 1, 1), OTHER, 9, 2 * S) is None, (
-        "an older one comes too late"
+    end_us = borrower.loans[loan_answer.number].until_us
+    assert end_us < S + loan_answer.term_us, "from the time of the request, shortened by the clock drift"
+    assert lender.handle_loan_request(LoanRequest(loan_request.number - 1, 1), OTHER, 9, 2 * S) is None, (
+        "an older request is ignored"
     )
 
 
@@ -293,7 +295,7 @@
     assert ticket.borrowed
     assert borrower.return_loan(loan_answer.number, 0) == ("a", LoanReturn(loan_answer.number, 1))
     lender.handle_loan_return(LoanReturn(loan_answer.number, 1), OTHER)
-    lender.handle_loan_return(LoanReturn(loan_answer.number, 2), OTHER)  # an older one, late
+    lender.handle_loan_return(LoanReturn(loan_answer.number, 2), OTHER)  # an older message that arrives late
     assert lender.available(0) == 2
     borrower.finish(ticket)
     assert borrower.return_loan(loan_answer.number, 0) == ("a", LoanReturn(loan_answer.number, 0))
@@ -308,10 +310,10 @@
     loan_answer = lender.handle_loan_request(borrower.request_loan("a", 2, 0), OTHER, 9, 0)
     assert loan_answer is not None
     assert not borrower.handle_loan_answer(loan_answer, "c", 0)
-    ask = borrower.request_loan("a", 2, 0)
-    again = lender.handle_loan_request(ask, OTHER, 9, 0)
-    assert again is not None
-    assert borrower.handle_loan_answer(again, "a", 0)
+    loan_request = borrower.request_loan("a", 2, 0)
+    second_answer = lender.handle_loan_request(loan_request, OTHER, 9, 0)
+    assert second_answer is not None
+    assert borrower.handle_loan_answer(second_answer, "a", 0)
     answer = borrower.handle_loan_request(LoanRequest(1, 1), InstanceIncarnation("c", 1), 9, 0)
     assert answer is not None
     assert answer.count == 0
@@ -343,7 +345,7 @@
 
 
 def test_claims_with_another_number_of_slots_or_a_longer_lease_are_refused() -> None:
-    """Instances read a changed file at different moments."""
+    """Instances read a changed configuration file at different times."""
     acceptor = Acceptor(RULES, -100 * S)
     longer = LeaseRules(total=10, slots=4, lease_us=9 * S, max_use_us=S)
     assert not acceptor.handle_claim(new_claim(0, 1, longer), ME, 0).granted
@@ -351,16 +353,16 @@
     acceptor.reconfigure(longer, 0)
     assert acceptor.handle_claim(new_claim(0, 1, longer), ME, 0).granted
     assert not acceptor.handle_claim(new_claim(0, 1), OTHER, RULES.max_term_us).granted, (
-        "for as long as it reckons with"
+        "the grant lasts for the longer lease"
     )
 
 
 def test_a_previous_longer_lease_is_respected_while_an_instance_may_use_it() -> None:
     shorter = LeaseRules(total=10, slots=4, lease_us=2 * S, max_use_us=S, previous_lease_us=6 * S)
-    restarted = Acceptor(shorter, 0)  # a new process: what it granted before is not known
+    restarted = Acceptor(shorter, 0)  # a new process, which does not know what it granted before
     assert not restarted.handle_claim(new_claim(0, 1, shorter), ME, RULES.max_term_us - 1).granted
     assert restarted.handle_claim(new_claim(0, 1), ME, RULES.max_term_us).granted, (
-        "one that has not read it yet"
+        "a claim of an instance that has not read the change yet"
     )
     restarted.handle_claim(new_claim(0, 2, shorter), ME, RULES.max_term_us + 1)
     assert not restarted.handle_claim(new_claim(0, 1), OTHER, 2 * RULES.max_term_us - 1).granted, (
@@ -376,7 +378,7 @@
     holder.reconfigure(RULES, [("x", "y", "q")])
     assert holder.available(0) == 0
     acquire(holder, 0, 0, ("x", "y"))
-    assert holder.available(0) == 1, "the other two are out"
+    assert holder.available(0) == 1, "one is spent and one is lent"
 
 
 def test_answers_to_borrowers_are_dropped_only_after_their_loans_have_ended() -> None:
