--- a/tests/decisions/test_lease_planner.py
+++ b/tests/decisions/test_lease_planner.py
@@ -20,7 +20,7 @@
 PLAN = Plan(instances=10, rules=RULES, requests_per_s=300.0, mean_request_us=80_000)
 
 
-def settled(plan: Plan = PLAN, seed: int = 1) -> Model:
+def settled_model(plan: Plan = PLAN, seed: int = 1) -> Model:
     """A fleet that has shared the budget out."""
     model = Model(plan, seed)
     model.run(5.0)
@@ -37,21 +37,21 @@
 
 
 def test_even_demand_is_served_about_as_by_one_who_knows_all() -> None:
-    model = settled()
+    model = settled_model()
     model.run(5.0)
     assert model.peak_in_use <= RULES.total
     assert model.admitted >= 0.85 * model.ideal
 
 
 def test_demand_that_moves_gets_far_more_than_fixed_parts_would_give_it() -> None:
-    model = settled(replace(PLAN, even_demand=False, hot_instances=1, demand_shift_s=4.0))
+    model = settled_model(replace(PLAN, even_demand=False, hot_instances=1, demand_shift_s=4.0))
     model.run(8.0)
     assert model.peak_in_use <= RULES.total
     assert model.admitted > 1.5 * model.fixed
 
 
 def test_each_half_of_a_split_goes_on_within_what_it_holds() -> None:
-    model = settled()
+    model = settled_model()
     model.split([[0, 2, 4, 6, 8], [1, 3, 5, 7, 9]])
     model.run(1.0)
     model.reset_counts()
@@ -68,7 +68,7 @@
 
 
 def test_the_permits_of_the_dead_come_back_after_their_leases_and_not_before() -> None:
-    model = settled()
+    model = settled_model()
     model.kill(range(5, 10))
     held = sum(
         len(model.members[number].planner.holder.held_slots(model.members[number].now()))
@@ -85,7 +85,7 @@
 
 
 def test_one_that_stood_still_past_its_leases_finds_them_void_and_comes_back() -> None:
-    model = settled()
+    model = settled_model()
     model.pause([7])
     model.run(5.0)
     assert model.members[7].planner.holder.available(model.members[7].now()) == 0
@@ -95,7 +95,7 @@
     assert model.peak_in_use <= RULES.total
 
 
-FAULTS = st.lists(
+fault_lists = st.lists(
     st.tuples(st.sampled_from(["kill", "stop", "split", "heal"]), st.integers(0, 9), st.integers(1, 12)),
     min_size=1,
     max_size=6,
@@ -103,27 +103,29 @@
 
 
 @settings(max_examples=12, deadline=None, derandomize=True)
-@given(FAULTS, st.sampled_from([0.0, 0.3]), st.integers(0, 1_000))
+@given(fault_lists, st.sampled_from([0.0, 0.3]), st.integers(0, 1_000))
 def test_whatever_is_drawn_it_is_never_overspent_and_comes_back_once_healed(
     faults: list[tuple[str, int, int]], loss: float, seed: int
 ) -> None:
     model = Model(replace(PLAN, loss=loss, even_demand=False, hot_instances=2), seed)
     model.run(4.0)
-    for what, number, quarter in faults:
-        some = {number, (number * 3 + 1) % 10, (number * 7 + 2) % 10}
-        if what == "split":
-            model.split([[each for each in range(10) if (each in some) is part] for part in (True, False)])
-        elif what == "heal":
+    for fault, number, quarters in faults:
+        affected = {number, (number * 3 + 1) % 10, (number * 7 + 2) % 10}
+        if fault == "split":
+            model.split(
+                [[each for each in range(10) if (each in affected) is part] for part in (True, False)]
+            )
+        elif fault == "heal":
             model.heal()
-        elif what == "kill":
-            model.kill(some)
+        elif fault == "kill":
+            model.kill(affected)
         else:
-            model.pause(some)
-        model.run(quarter / 4)
-        if what == "kill":
-            model.start(some)
-        elif what == "stop":
-            model.resume(some)
+            model.pause(affected)
+        model.run(quarters / 4)
+        if fault == "kill":
+            model.start(affected)
+        elif fault == "stop":
+            model.resume(affected)
         assert model.peak_in_use <= RULES.total
     model.heal()
     model.run(2 * RULES.lease_us / S + 2.0)
@@ -136,54 +138,54 @@
 # One planner alone
 
 
-def planner(members: int = 4) -> LeasePlanner:
+def new_planner(members: int = 4) -> LeasePlanner:
     names = [f"i{number}" for number in range(members)]
     return LeasePlanner(
         "b", RULES, InstanceIncarnation("i0", 1), [("i1", "i2", "i3")], lambda: names, random.Random(1), 0
     )
 
 
-def give(it: LeasePlanner, now_us: int) -> None:
+def grant_claims(planner: LeasePlanner, now_us: int) -> None:
     """Whatever it claims is granted."""
-    for out in it.tick(now_us):
+    for out in planner.tick(now_us):
         message = out.message
         if hasattr(message, "slot"):
-            it.handle_message(
+            planner.handle_message(
                 LeaseAnswer(message.slot, message.number, True), InstanceIncarnation(out.to, 1), now_us
             )
 
 
 def test_it_claims_its_even_part_and_no_more_while_it_has_no_use_for_it() -> None:
-    it = planner()
+    planner = new_planner()
     for step in range(60):
-        give(it, step * S // 20)
-    assert it.permits_held(3 * S) == it.even_share() == 15
+        grant_claims(planner, step * S // 20)
+    assert planner.permits_held(3 * S) == planner.even_share() == 15
 
 
 def test_it_lends_what_it_can_do_without_and_keeps_what_it_needs() -> None:
-    it = planner()
+    planner = new_planner()
     for step in range(60):
-        give(it, step * S // 20)
+        grant_claims(planner, step * S // 20)
     now_us = 3 * S
     for _ in range(8):
-        assert it.spend(now_us) is not None
-    keeps = it.permits_wanted(now_us)
+        assert planner.spend(now_us) is not None
+    kept = planner.permits_wanted(now_us)
     lent = 0
     for number in range(1, 9):
-        for out in it.handle_message(LoanRequest(number, 5), InstanceIncarnation("i9", 1), now_us):
+        for out in planner.handle_message(LoanRequest(number, 5), InstanceIncarnation("i9", 1), now_us):
             assert isinstance(out.message, LoanAnswer)
             assert out.to == "i9"
             lent += out.message.count
-    assert lent == 15 - keeps
-    assert it.permits_held(now_us) == keeps
+    assert lent == 15 - kept
+    assert planner.permits_held(now_us) == kept
 
 
 def test_an_answer_that_is_lost_is_asked_for_under_the_same_number() -> None:
-    it = planner()
+    planner = new_planner()
     sent: Counter[int] = Counter()
     for step in range(60):
-        it.peak = 50.0
-        for out in it.tick(step * S // 100):
+        planner.peak = 50.0
+        for out in planner.tick(step * S // 100):
             if isinstance(out.message, LoanRequest) and out.to == "i1":
                 sent[out.message.number] += 1
     assert len(sent) >= 2, "and another one after it"
@@ -192,7 +194,7 @@
 
 @pytest.mark.parametrize("loss", [0.0, 0.5])
 def test_what_one_sends_is_bounded_whatever_is_asked_for(loss: float) -> None:
-    model = settled(replace(PLAN, requests_per_s=2_000.0, loss=loss))
+    model = settled_model(replace(PLAN, requests_per_s=2_000.0, loss=loss))
     sent = [each.sent for each in model.members]
     model.run(3.0)
     assert max(each.sent - before for each, before in zip(model.members, sent, strict=True)) < 3 * 1_000
