--- a/tests/decisions/test_lease_planner.py
+++ b/tests/decisions/test_lease_planner.py
@@ -28,7 +28,7 @@
     return model
 
 
-def test_nothing_is_spent_till_it_is_sure_and_then_the_whole_budget_is_held() -> None:
+def test_after_a_start_nothing_is_spent_for_a_lease_and_then_the_whole_budget_is_held() -> None:
     model = Model(PLAN)
     model.run(RULES.lease_us / S)
     assert model.admitted == 0 < model.requests, "acceptors that have just started grant nothing"
@@ -36,21 +36,21 @@
     assert sum(len(each.planner.holder.held_slots(each.now())) for each in model.members) == RULES.slots
 
 
-def test_even_demand_is_served_about_as_by_one_who_knows_all() -> None:
+def test_even_demand_is_admitted_almost_as_with_a_central_count() -> None:
     model = settled_model()
     model.run(5.0)
     assert model.peak_in_use <= RULES.total
     assert model.admitted >= 0.85 * model.ideal
 
 
-def test_demand_that_moves_gets_far_more_than_fixed_parts_would_give_it() -> None:
+def test_shifting_demand_is_admitted_far_more_than_with_fixed_shares() -> None:
     model = settled_model(replace(PLAN, even_demand=False, hot_instances=1, demand_shift_s=4.0))
     model.run(8.0)
     assert model.peak_in_use <= RULES.total
     assert model.admitted > 1.5 * model.fixed
 
 
-def test_each_half_of_a_split_goes_on_within_what_it_holds() -> None:
+def test_each_half_of_a_split_network_continues_with_the_permits_it_holds() -> None:
     model = settled_model()
     model.split([[0, 2, 4, 6, 8], [1, 3, 5, 7, 9]])
     model.run(1.0)
@@ -67,7 +67,7 @@
     assert all(each.planner.permits_held(each.now()) > 0 for each in model.members)
 
 
-def test_the_permits_of_the_dead_come_back_after_their_leases_and_not_before() -> None:
+def test_permits_of_killed_instances_return_after_their_leases_and_not_before() -> None:
     model = settled_model()
     model.kill(range(5, 10))
     held = sum(
@@ -84,7 +84,7 @@
     assert model.peak_in_use <= RULES.total
 
 
-def test_one_that_stood_still_past_its_leases_finds_them_void_and_comes_back() -> None:
+def test_an_instance_paused_past_its_leases_loses_them_and_recovers() -> None:
     model = settled_model()
     model.pause([7])
     model.run(5.0)
@@ -104,7 +104,7 @@
 
 @settings(max_examples=12, deadline=None, derandomize=True)
 @given(fault_lists, st.sampled_from([0.0, 0.3]), st.integers(0, 1_000))
-def test_whatever_is_drawn_it_is_never_overspent_and_comes_back_once_healed(
+def test_random_faults_never_overspend_the_budget_and_it_recovers_afterwards(
     faults: list[tuple[str, int, int]], loss: float, seed: int
 ) -> None:
     model = Model(replace(PLAN, loss=loss, even_demand=False, hot_instances=2), seed)
@@ -155,14 +155,14 @@
             )
 
 
-def test_it_claims_its_even_part_and_no_more_while_it_has_no_use_for_it() -> None:
+def test_an_idle_instance_claims_its_even_share_and_no_more() -> None:
     planner = new_planner()
     for step in range(60):
         grant_claims(planner, step * S // 20)
     assert planner.permits_held(3 * S) == planner.even_share() == 15
 
 
-def test_it_lends_what_it_can_do_without_and_keeps_what_it_needs() -> None:
+def test_an_instance_lends_what_it_does_not_need() -> None:
     planner = new_planner()
     for step in range(60):
         grant_claims(planner, step * S // 20)
@@ -180,7 +180,7 @@
     assert planner.permits_held(now_us) == kept
 
 
-def test_an_answer_that_is_lost_is_asked_for_under_the_same_number() -> None:
+def test_a_loan_request_without_an_answer_is_repeated_under_its_number() -> None:
     planner = new_planner()
     sent: Counter[int] = Counter()
     for step in range(60):
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.5])
-def test_what_one_sends_is_bounded_whatever_is_asked_for(loss: float) -> None:
+def test_the_messages_of_an_instance_are_bounded_under_overload(loss: float) -> None:
     model = settled_model(replace(PLAN, requests_per_s=2_000.0, loss=loss))
     sent = [each.sent for each in model.members]
     model.run(3.0)
