--- a/tests/decisions/test_lease_planner.py
+++ b/tests/decisions/test_lease_planner.py
@@ -1,4 +1,4 @@
-"""Who asks whom for permits: whatever happens the sum holds, and permits follow demand."""
+"""The lease planner: the budget holds under faults, and permits follow demand."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def settled_model(plan: Plan = PLAN, seed: int = 1) -> Model:
-    """A fleet that has shared the budget out."""
+    """Return a model in which the instances have acquired the budget."""
     model = Model(plan, seed)
     model.run(5.0)
     model.reset_counts()
@@ -57,7 +57,7 @@
     model.reset_counts()
     model.run(6.0)
     assert model.peak_in_use <= RULES.total
-    # the half with two of the five acceptors keeps nothing past its leases
+    # The half with two of the five acceptors cannot renew its leases.
     minority = [model.members[number] for number in (1, 3, 5, 7, 9)]
     assert all(not each.planner.holder.held_slots(each.now()) for each in minority)
     assert sum(each.planner.holder.in_use(each.now()) for each in model.members) > 0
@@ -78,7 +78,7 @@
     now_held = sum(len(each.planner.holder.held_slots(each.now())) for each in model.members[:5])
     assert now_held <= held < RULES.slots
     for _ in range(12):
-        model.members[0].planner.peak = 40.0  # it wants them
+        model.members[0].planner.peak = 40.0  # its demand
         model.run(0.5)
     assert sum(len(each.planner.holder.held_slots(each.now())) for each in model.members[:5]) == RULES.slots
     assert model.peak_in_use <= RULES.total
@@ -96,7 +96,7 @@
 
 
 fault_lists = st.lists(
-    st.tuples(st.sampled_from(["kill", "stop", "split", "heal"]), st.integers(0, 9), st.integers(1, 12)),
+    st.tuples(st.sampled_from(["kill", "pause", "split", "heal"]), st.integers(0, 9), st.integers(1, 12)),
     min_size=1,
     max_size=6,
 )
@@ -124,7 +124,7 @@
         model.run(quarters / 4)
         if fault == "kill":
             model.start(affected)
-        elif fault == "stop":
+        elif fault == "pause":
             model.resume(affected)
         assert model.peak_in_use <= RULES.total
     model.heal()
@@ -132,10 +132,10 @@
     model.reset_counts()
     model.run(3.0)
     assert model.peak_in_use <= RULES.total
-    assert model.admitted > 0.3 * model.ideal, "never stuck for good"
+    assert model.admitted > 0.3 * model.ideal, "the instances spend permits again"
 
 
-# One planner alone
+# A single planner
 
 
 def new_planner(members: int = 4) -> LeasePlanner:
@@ -146,7 +146,7 @@
 
 
 def grant_claims(planner: LeasePlanner, now_us: int) -> None:
-    """Whatever it claims is granted."""
+    """Run the planner, and grant all that it claims."""
     for out in planner.tick(now_us):
         message = out.message
         if hasattr(message, "slot"):
@@ -188,7 +188,7 @@
         for out in planner.tick(step * S // 100):
             if isinstance(out.message, LoanRequest) and out.to == "i1":
                 sent[out.message.number] += 1
-    assert len(sent) >= 2, "and another one after it"
+    assert len(sent) >= 2, "another request follows it"
     assert all(count == 3 for count in list(sent.values())[:-1])
 
 
