--- a/tests/decisions/test_shared_counters.py
+++ b/tests/decisions/test_shared_counters.py
@@ -24,7 +24,7 @@
 SECOND = 1_000_000
 WINDOW = CountingWindow(4 * SECOND, 8)
 
-buckets = st.dictionaries(st.integers(0, 30), st.integers(0, 1_000), max_size=12)
+bucket_counts = st.dictionaries(st.integers(0, 30), st.integers(0, 1_000), max_size=12)
 
 
 def row_of(counts: dict[int, int]) -> CounterRow:
@@ -41,19 +41,19 @@
     return made
 
 
-def plain(row: CounterRow) -> tuple[int, list[tuple[int, int]]]:
+def content_of(row: CounterRow) -> tuple[int, list[tuple[int, int]]]:
     return row.newest, list(row.items())
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
-@given(buckets, buckets, buckets)
+@given(bucket_counts, bucket_counts, bucket_counts)
 def test_the_merge_is_commutative_associative_and_idempotent(
     one: dict[int, int], other: dict[int, int], third: dict[int, int]
 ) -> None:
     a, b, c = row_of(one), row_of(other), row_of(third)
-    assert plain(merged(a, b)) == plain(merged(b, a))
-    assert plain(merged(merged(a, b), c)) == plain(merged(a, merged(b, c)))
-    assert plain(merged(a, a)) == plain(a) == plain(merged(a, CounterRow(WINDOW.slots)))
+    assert content_of(merged(a, b)) == content_of(merged(b, a))
+    assert content_of(merged(merged(a, b), c)) == content_of(merged(a, merged(b, c)))
+    assert content_of(merged(a, a)) == content_of(a) == content_of(merged(a, CounterRow(WINDOW.slots)))
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
@@ -74,16 +74,16 @@
     for number, (name, age, tenth, key) in enumerate(sorted(requests, key=lambda each: each[2]), start=1):
         sender, now_us = senders[name, age], tenth * 100_000
         sender.add(key, now_us)
-        messages.append(message(sender, number, now_us, 1, 2, 3))
+        messages.append(message_of(sender, number, now_us, 1, 2, 3))
 
     def known(order: list[CounterMessage]) -> dict[tuple[str, int, int], tuple[int, list[tuple[int, int]]]]:
         receiver = SharedCounters("c", 1, WINDOW, 0)
         for each in order:
             receiver.merge(each, 30 * SECOND)
         return {
-            (*ident, key): plain(row)
-            for ident, part in receiver.peers.replicas.items()
-            for key, row in part.rows.items()
+            (*identity, key): content_of(row)
+            for identity, replica in receiver.peers.replicas.items()
+            for key, row in replica.rows.items()
         }
 
     shuffled = messages * 2
@@ -100,56 +100,56 @@
     for at_us in sorted(times):
         counts.add(7, at_us)
     now_us = max(times) + later_us
-    begins_us = now_us - WINDOW.span_us
-    true = sum(at_us > begins_us for at_us in times)
-    cut = begins_us // WINDOW.bucket_us
+    start_us = now_us - WINDOW.span_us
+    true = sum(at_us > start_us for at_us in times)
+    cut = start_us // WINDOW.bucket_us
     in_cut = sum(at_us // WINDOW.bucket_us == cut for at_us in times)
     assert abs(counts.estimate(7, now_us) - true) <= in_cut
 
 
-def message(counts: SharedCounters, sequence: int, now_us: int, *keys: int) -> CounterMessage:
+def message_of(counts: SharedCounters, sequence: int, now_us: int, *keys: int) -> CounterMessage:
     rows = tuple(row for key in keys if (row := counts.encoded_row(key, now_us)) is not None)
     return CounterMessage(counts.name, counts.incarnation, sequence, now_us - counts.start_us, rows)
 
 
-def pair() -> tuple[SharedCounters, SharedCounters]:
+def new_pair() -> tuple[SharedCounters, SharedCounters]:
     return SharedCounters("a", 1, WINDOW, 5 * SECOND), SharedCounters("b", 1, WINDOW, 900 * SECOND)
 
 
 def test_peers_know_each_others_counts_whatever_their_clocks_say() -> None:
-    a, b = pair()
+    a, b = new_pair()
     for _ in range(30):
         a.add(7, 6 * SECOND)
-    assert b.merge(message(a, 1, 6 * SECOND, 7), 1_000 * SECOND)
+    assert b.merge(message_of(a, 1, 6 * SECOND, 7), 1_000 * SECOND)
     assert b.estimate(7, 1_000 * SECOND) == 30
     assert b.estimate(7, 1_003 * SECOND) == 30
     assert b.estimate(7, 1_005 * SECOND) == 0  # the window has passed there as well
 
 
 def test_duplicates_reordering_and_late_datagrams_change_nothing() -> None:
-    a, b = pair()
+    a, b = new_pair()
     sent = []
     for number in range(1, 21):
         a.add(7, 5 * SECOND + number * 100_000)
-        sent.append(message(a, number, 5 * SECOND + number * 100_000, 7))
+        sent.append(message_of(a, number, 5 * SECOND + number * 100_000, 7))
     order = sent * 3
     random.Random(5).shuffle(order)
-    taken = sum(b.merge(each, 1_000 * SECOND) for each in order)
-    assert taken == 20
+    accepted = sum(b.merge(each, 1_000 * SECOND) for each in order)
+    assert accepted == 20
     assert b.peers.duplicates == 40
     assert b.estimate(7, 1_000 * SECOND) == 20
 
 
 def test_a_restarted_peer_counts_under_both_incarnations_within_the_window() -> None:
-    a, b = pair()
+    a, b = new_pair()
     for _ in range(10):
         a.add(7, 6 * SECOND)
-    old = message(a, 1, 6 * SECOND, 7)
-    late = message(a, 2, 6 * SECOND, 7)
+    old = message_of(a, 1, 6 * SECOND, 7)
+    late = message_of(a, 2, 6 * SECOND, 7)
     assert b.merge(old, 1_000 * SECOND)
     again = SharedCounters("a", 2, WINDOW, 7 * SECOND)
     again.add(7, 8 * SECOND, 5)
-    assert b.merge(message(again, 1, 8 * SECOND, 7), 1_001 * SECOND)
+    assert b.merge(message_of(again, 1, 8 * SECOND, 7), 1_001 * SECOND)
     assert b.merge(late, 1_001 * SECOND)  # was still on its way: it counts for the old one, once
     assert b.estimate(7, 1_001 * SECOND) == 15
     assert not b.peers.name_conflicts
@@ -163,10 +163,10 @@
 
 def test_a_restart_is_not_taken_for_two_instances_under_one_name() -> None:
     b = SharedCounters("b", 1, WINDOW, 0)
-    for incarnation, begins_us in ((5, 0), (6, 3 * SECOND), (4, 6 * SECOND)):  # its clock steps back
+    for incarnation, start_us in ((5, 0), (6, 3 * SECOND), (4, 6 * SECOND)):  # its clock steps back
         for number in range(1, 31):
             sent_us = number * 100_000
-            b.merge(CounterMessage("a", incarnation, number, sent_us, ()), begins_us + sent_us)
+            b.merge(CounterMessage("a", incarnation, number, sent_us, ()), start_us + sent_us)
             assert not b.peers.name_conflicts
 
 
@@ -181,8 +181,8 @@
         one.add(7, now_us)
         other.add(7, now_us)
         for each in (one, other):
-            each.merge(message(other if each is one else one, number, now_us, 7), now_us)
-            third.merge(message(each, number, now_us, 7), now_us)
+            each.merge(message_of(other if each is one else one, number, now_us, 7), now_us)
+            third.merge(message_of(each, number, now_us, 7), now_us)
     now_us = 59 * 100_000
     assert third.estimate(7, now_us) == pytest.approx(2 * one.own_count(7, now_us))
     assert one.estimate(7, now_us) == pytest.approx(third.estimate(7, now_us))
@@ -211,7 +211,7 @@
         counts.merge(CounterMessage(f"p{number}", 1, 1, 0, rows), 1_000)
     assert counts.peers.key_count <= 16 * 100 + 1
     assert counts.peers.rejected_keys > 20_000
-    assert max(len(part.rows) for part in counts.peers.replicas.values()) <= 200
+    assert max(len(replica.rows) for replica in counts.peers.replicas.values()) <= 200
     for number in range(2 * MAX_REPLICAS):
         counts.merge(CounterMessage(f"q{number}", 1, 1, 0, ()), 1_000)
     assert len(counts.peers.replicas) <= MAX_REPLICAS
@@ -226,41 +226,43 @@
 
 
 def test_the_fastest_datagram_sets_the_clock_offset_and_drift_is_followed() -> None:
-    a, b = pair()
+    a, b = new_pair()
     for number, delay_us in enumerate((180_000, 20_000, 150_000), start=1):
         at_us = 6 * SECOND + number * 100_000
-        b.merge(message(a, number, at_us), 995 * SECOND + at_us + delay_us)
-    (part,) = b.peers.replicas.values()
-    assert 1_000 * SECOND + 20_000 <= part.clock_offset_us <= 1_000 * SECOND + 20_300
+        b.merge(message_of(a, number, at_us), 995 * SECOND + at_us + delay_us)
+    (replica,) = b.peers.replicas.values()
+    assert 1_000 * SECOND + 20_000 <= replica.clock_offset_us <= 1_000 * SECOND + 20_300
     for number in range(4, 400):  # its clock runs slower by 500 in a million
         at_us = 6 * SECOND + number * 100_000
-        b.merge(message(a, number, at_us), 995 * SECOND + at_us + 20_000 + int(at_us * 5e-4))
-    assert abs(part.clock_offset_us - (1_000 * SECOND + 20_000 + int(at_us * 5e-4))) < 1_000
+        b.merge(message_of(a, number, at_us), 995 * SECOND + at_us + 20_000 + int(at_us * 5e-4))
+    assert abs(replica.clock_offset_us - (1_000 * SECOND + 20_000 + int(at_us * 5e-4))) < 1_000
 
 
 def test_shares_of_a_limit_follow_the_usage_and_add_up_to_one() -> None:
-    fleet = [SharedCounters(name, 1, WINDOW, 0) for name in "abc"]
-    for each in fleet:
+    instances = [SharedCounters(name, 1, WINDOW, 0) for name in "abc"]
+    for each in instances:
         each.cluster_size = 3
     for number in range(1, 81):
         now_us = number * 50_000
-        for each, load in zip(fleet, (6, 3, 1), strict=True):
+        for each, load in zip(instances, (6, 3, 1), strict=True):
             each.add(7, now_us, load)
-        for each in fleet:
-            for other in fleet:
+        for each in instances:
+            for other in instances:
                 if other is not each:
-                    each.merge(message(other, number, now_us, 7), now_us)
-    parts, bursts = zip(*(each.shares_of(7, 30, now_us) for each in fleet), strict=True)
-    assert sum(bursts) == pytest.approx(1.0, abs=0.02)
-    assert bursts[0] > bursts[1] > bursts[2]
-    for part, expected in zip(parts, (0.6, 0.3, 0.1), strict=True):
-        assert part == pytest.approx(expected, abs=0.01)
+                    each.merge(message_of(other, number, now_us, 7), now_us)
+    rate_shares, burst_shares = zip(*(each.shares_of(7, 30, now_us) for each in instances), strict=True)
+    assert sum(burst_shares) == pytest.approx(1.0, abs=0.02)
+    assert burst_shares[0] > burst_shares[1] > burst_shares[2]
+    for replica, expected in zip(rate_shares, (0.6, 0.3, 0.1), strict=True):
+        assert replica == pytest.approx(expected, abs=0.01)
 
 
-@pytest.mark.parametrize(("alone_share", "expected"), [(True, 0.25), (False, 1.0)])
-def test_while_all_peers_are_silent_the_configured_share_holds(alone_share: bool, expected: float) -> None:
+@pytest.mark.parametrize(("share_when_alone", "expected"), [(True, 0.25), (False, 1.0)])
+def test_while_all_peers_are_silent_the_configured_share_holds(
+    share_when_alone: bool, expected: float
+) -> None:
     counts = SharedCounters(
-        "a", 1, WINDOW, 0, limits=CounterLimits(silence_timeout_us=SECOND, share_when_alone=alone_share)
+        "a", 1, WINDOW, 0, limits=CounterLimits(silence_timeout_us=SECOND, share_when_alone=share_when_alone)
     )
     counts.cluster_size = 4
     counts.add(7, 0)
@@ -277,15 +279,15 @@
     for key in range(40):
         counts.add(key, 0)
     seen: set[int] = set()
-    busy = 0
+    rounds_with_both = 0
     for _ in range(16):  # twice the rounds that 40 keys take by 5
         counts.add(39, 0, 100)
         counts.add(38, 0, 50)
         chosen = counts.keys_to_send(5, 5)
-        busy += {38, 39} <= set(chosen)
+        rounds_with_both += {38, 39} <= set(chosen)
         counts.sent(chosen)
         seen |= set(chosen)
-    assert busy >= 8  # where not all has to go that waits, those with most change do
+    assert rounds_with_both >= 8  # where not all has to go that waits, those with most change do
     assert seen == set(range(40))
     counts.add(20, 0, 500)
     assert 20 in counts.keys_to_send(5, 5)
@@ -294,52 +296,52 @@
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.lists(st.integers(1, 900), min_size=1, max_size=120))
 def test_a_datagram_is_accepted_once(sequence: list[int]) -> None:
-    heard = DatagramHistory(sequence[0], sequence[0])
-    taken = {sequence[0]}
+    history = DatagramHistory(sequence[0], sequence[0])
+    accepted = {sequence[0]}
     for each in sequence[1:]:
-        fresh = heard.accept(each)
-        assert not (fresh and each in taken)
-        if heard.highest - each < HISTORY_BITS and each not in taken:
-            assert fresh
-        if fresh:
-            taken.add(each)
+        is_accepted = history.accept(each)
+        assert not (is_accepted and each in accepted)
+        if history.highest - each < HISTORY_BITS and each not in accepted:
+            assert is_accepted
+        if is_accepted:
+            accepted.add(each)
 
 
 def test_tenants_have_shares_of_the_fleet_usage() -> None:
     a, b = SharedCounters("a", 1, WINDOW, 0), SharedCounters("b", 1, WINDOW, 0)
-    use, far = (TenantUsage(each, ["big", "small", "here"], frozenset((0, 1))) for each in (a, b))
+    local, remote = (TenantUsage(each, ["big", "small", "here"], frozenset((0, 1))) for each in (a, b))
     for _ in range(10):
-        use.record_request(1, 0)
-        far.record_request(0, 0)
-        far.record_request(0, 0)
-    use.record_request(3, 0)  # not listed
-    assert use.share(1, 0) == 1.0
-    a.merge(message(b, 1, 0, *far.keys), 0)
-    assert use.share(1, SECOND) == pytest.approx(1 / 3)
-    assert use.share(0, SECOND) == pytest.approx(2 / 3)
-    assert use.share(2, SECOND) == 0.0  # its allowance is for one instance
-    assert use.share(3, SECOND) == 0.0
+        local.record_request(1, 0)
+        remote.record_request(0, 0)
+        remote.record_request(0, 0)
+    local.record_request(3, 0)  # not listed
+    assert local.share(1, 0) == 1.0
+    a.merge(message_of(b, 1, 0, *remote.keys), 0)
+    assert local.share(1, SECOND) == pytest.approx(1 / 3)
+    assert local.share(0, SECOND) == pytest.approx(2 / 3)
+    assert local.share(2, SECOND) == 0.0  # its allowance is for one instance
+    assert local.share(3, SECOND) == 0.0
 
 
 def test_the_reported_loss_is_recent() -> None:
-    heard = DatagramHistory(1, 1)
+    history = DatagramHistory(1, 1)
     for sequence in range(2, 2_001):
         if sequence > 1_000 or sequence % 2:  # half is lost for a while, then nothing
-            assert heard.accept(sequence)
+            assert history.accept(sequence)
         if sequence == 1_000:
-            assert heard.loss == pytest.approx(0.5, abs=0.01)
-    assert heard.loss == 0.0
+            assert history.loss == pytest.approx(0.5, abs=0.01)
+    assert history.loss == 0.0
 
 
 def test_invented_names_evict_no_listed_tenant() -> None:
     counts = SharedCounters("a", 1, WINDOW, 0, limits=CounterLimits(max_keys=64))
-    use = TenantUsage(counts, ["big", "small"], frozenset((0, 1)))
+    local = TenantUsage(counts, ["big", "small"], frozenset((0, 1)))
     for number in range(1_000):
         counts.add(key_of(f"made up {number}"), 0)
-    use.record_request(0, 0)
-    use.record_request(0, 0)
-    use.record_request(1, 0)
-    assert use.share(0, SECOND) == pytest.approx(2 / 3)
+    local.record_request(0, 0)
+    local.record_request(0, 0)
+    local.record_request(1, 0)
+    assert local.share(0, SECOND) == pytest.approx(2 / 3)
     assert len(counts.own) <= 64 + 2 + OVERFLOW_KEYS
 
 
