--- a/tests/decisions/test_shared_counters.py
+++ b/tests/decisions/test_shared_counters.py
@@ -93,7 +93,7 @@
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.lists(st.integers(0, 12 * SECOND), min_size=1, max_size=60), st.integers(0, 4 * SECOND))
-def test_the_window_is_off_by_no_more_than_the_bucket_that_its_beginning_cuts(
+def test_the_error_of_a_window_is_at_most_the_bucket_that_its_start_cuts(
     times: list[int], later_us: int
 ) -> None:
     counts = SharedCounters("a", 1, WINDOW, 0)
@@ -116,7 +116,7 @@
     return SharedCounters("a", 1, WINDOW, 5 * SECOND), SharedCounters("b", 1, WINDOW, 900 * SECOND)
 
 
-def test_peers_know_each_others_counts_whatever_their_clocks_say() -> None:
+def test_counts_of_peers_are_merged_across_different_clocks() -> None:
     a, b = new_pair()
     for _ in range(30):
         a.add(7, 6 * SECOND)
@@ -161,7 +161,7 @@
     assert b.estimate(7, 1_020 * SECOND) == 0
 
 
-def test_a_restart_is_not_taken_for_two_instances_under_one_name() -> None:
+def test_a_restart_is_no_name_conflict() -> None:
     b = SharedCounters("b", 1, WINDOW, 0)
     for incarnation, start_us in ((5, 0), (6, 3 * SECOND), (4, 6 * SECOND)):  # its clock steps back
         for number in range(1, 31):
@@ -218,7 +218,7 @@
     assert len(counts.peers.histories) <= MAX_REPLICAS + 1
 
 
-def test_a_bucket_from_the_future_evicts_no_true_one() -> None:
+def test_a_bucket_in_the_future_evicts_no_valid_one() -> None:
     counts = SharedCounters("b", 1, WINDOW, 0)
     counts.merge(CounterMessage("a", 1, 1, SECOND, ((7, 2, (5, 5)),)), SECOND)
     counts.merge(CounterMessage("a", 1, 2, SECOND, ((7, 10**9, (5,)),)), SECOND)
@@ -258,7 +258,7 @@
 
 
 @pytest.mark.parametrize(("share_when_alone", "expected"), [(True, 0.25), (False, 1.0)])
-def test_while_all_peers_are_silent_the_configured_share_holds(
+def test_the_configured_share_applies_while_all_peers_are_silent(
     share_when_alone: bool, expected: float
 ) -> None:
     counts = SharedCounters(
@@ -345,7 +345,7 @@
     assert len(counts.own) <= 64 + 2 + OVERFLOW_KEYS
 
 
-def test_expired_keys_are_dropped_though_they_were_sent_meanwhile() -> None:
+def test_expired_keys_are_dropped_even_if_they_are_still_sent() -> None:
     counts = SharedCounters("a", 1, WINDOW, 0)
     counts.add(7, 0)
     for step in range(1, 20):
@@ -371,7 +371,7 @@
         assert counts.peers.key_count == (8 - 2 * step) * 4_096
 
 
-def test_counters_continue_over_restarts_and_peers_count_nothing_twice() -> None:
+def test_counters_continue_after_restarts_and_peers_count_nothing_twice() -> None:
     one, peer = SharedCounters("a", 1, WINDOW, 0), SharedCounters("b", 1, WINDOW, 0)
     for counts in (one, peer):
         counts.cluster_size = 2
