--- a/tests/decisions/test_counter_error_bound.py
+++ b/tests/decisions/test_counter_error_bound.py
@@ -15,11 +15,13 @@
     partition_undercount,
 )
 
-TALK = GossipParameters(size=20, period_s=0.1, fan_out=8, window_s=10.0, bucket_s=0.5, loss=0.3, delay_s=0.2)
+GOSSIP = GossipParameters(
+    size=20, period_s=0.1, fan_out=8, window_s=10.0, bucket_s=0.5, loss=0.3, delay_s=0.2
+)
 
 
 def test_the_staleness_grows_with_the_fleet_the_losses_and_the_keys() -> None:
-    base = error_bound(TALK).under
+    base = error_bound(GOSSIP).under
     worse = [
         GossipParameters(80, 0.1, 8, 10.0, 0.5, 0.3, 0.2),
         GossipParameters(20, 0.2, 8, 10.0, 0.5, 0.3, 0.2),
@@ -30,7 +32,7 @@
         GossipParameters(20, 0.1, 8, 5.0, 0.5, 0.3, 0.2),
     ]
     assert all(error_bound(each).under > base for each in worse)
-    assert error_bound(TALK, 1e-6).under > base
+    assert error_bound(GOSSIP, 1e-6).under > base
     even = GossipParameters(20, 0.1, 8, 10.0, 0.5, 0.3, 0.2, max_instance_share=0.25)
     assert error_bound(even).under < base
 
@@ -39,115 +41,117 @@
     assert error_bound(GossipParameters(1, 0.1, 8, 10.0, 0.5, 0.3, 0.2)) == ErrorBound(0.05, 0.05, 0.0, 1e-3)
 
 
-@pytest.mark.parametrize("split", [[1.0], [0.5, 0.5], [0.1] * 10, [0.7, 0.1, 0.1, 0.1]])
+@pytest.mark.parametrize("shares", [[1.0], [0.5, 0.5], [0.1] * 10, [0.7, 0.1, 0.1, 0.1]])
 @pytest.mark.parametrize("loss", [0.05, 0.3, 0.6])
 def test_losses_in_a_row_are_rarer_than_stated_however_the_rate_is_split(
-    split: list[float], loss: float
+    shares: list[float], loss: float
 ) -> None:
-    rng, worst, plays = random.Random(3), consecutive_loss_bound(loss, 0.01), 20_000
+    rng, bound, trials = random.Random(3), consecutive_loss_bound(loss, 0.01), 20_000
 
-    def in_a_row() -> int:
+    def consecutive_losses() -> int:
         count = 0
         while rng.random() < loss:
             count += 1
         return count
 
-    beyond = sum(sum(part * in_a_row() for part in split) >= worst for _ in range(plays))
-    assert beyond / plays <= 0.01
+    exceeded = sum(sum(share * consecutive_losses() for share in shares) >= bound for _ in range(trials))
+    assert exceeded / trials <= 0.01
     # and it is no idle bound: with all of the rate at one peer, three fifths of it are passed now and then
-    if split == [1.0]:
-        assert sum(in_a_row() >= 0.6 * worst for _ in range(plays)) > 0
+    if shares == [1.0]:
+        assert sum(consecutive_losses() >= 0.6 * bound for _ in range(trials)) > 0
 
 
-def beyond(
-    model: PeersModel, stated: ErrorBound, rates: dict[int, float], seconds: int, more_under: float = 0.0
+def measure_errors(
+    model: PeersModel, stated: ErrorBound, rates: dict[int, float], seconds: int, extra_under: float = 0.0
 ) -> tuple[int, int, float]:
     """Looks outside the bound, all looks, and the worst of both as a part of what is stated."""
-    outside = looks = 0
-    worst = 0.0
+    outside = samples = 0
+    worst_ratio = 0.0
     for _ in range(seconds):
         model.load(1.0, rates)
         for key, rate in rates.items():
             # what comes at random comes thicker now and then: the highest rate, as the bound has it
             peak = max(rate, model.true_count(key) / model.talk.window_s) * 1.1
             under, over = stated.counts(peak, model.talk.window_s)
-            under += more_under * peak * model.talk.window_s
+            under += extra_under * peak * model.talk.window_s
             for number in range(model.talk.size):
                 off = model.estimate(number, key) - model.true_count(key)
                 ratio = off / over if off > 0 else -off / under
-                worst = max(worst, ratio)
+                worst_ratio = max(worst_ratio, ratio)
                 outside += ratio > 1.0
-                looks += 1
-    return outside, looks, worst
+                samples += 1
+    return outside, samples, worst_ratio
 
 
 def test_twenty_instances_stay_within_the_bound_under_loss_delay_and_repeats() -> None:
-    model = PeersModel(TALK, seed=5, repeats=0.1)
+    model = PeersModel(GOSSIP, seed=5, repeats=0.1)
     rates = {1: 60.0, 2: 20.0, 3: 5.0}
-    outside, looks, worst = beyond(model, error_bound(TALK), rates, 20)
-    assert outside <= 1e-3 * looks
-    assert looks == 20 * 20 * 3
-    assert worst > 0.2, "a bound that is never near tells nothing"
+    outside, samples, worst_ratio = measure_errors(model, error_bound(GOSSIP), rates, 20)
+    assert outside <= 1e-3 * samples
+    assert samples == 20 * 20 * 3
+    assert worst_ratio > 0.2, "a bound that is never near tells nothing"
 
 
 def test_a_partition_costs_what_is_stated_and_its_healing_makes_no_jump() -> None:
-    model = PeersModel(TALK, seed=6)
+    model = PeersModel(GOSSIP, seed=6)
     rates = {1: 80.0}
-    beyond(model, error_bound(TALK), rates, 12)
+    measure_errors(model, error_bound(GOSSIP), rates, 12)
     model.delivers = lambda sender, receiver: sender % 2 == receiver % 2
-    lows = []
+    ratios = []
     for second in range(1, 8):
-        outside, looks, _ = beyond(
-            model, error_bound(TALK), rates, 1, partition_undercount(second, 0.5, TALK)
+        outside, samples, _ = measure_errors(
+            model, error_bound(GOSSIP), rates, 1, partition_undercount(second, 0.5, GOSSIP)
         )
         assert outside <= 1
-        lows.append(model.estimate(0, 1) / model.true_count(1))
-    assert lows[-1] < 0.75, "the other half was missing"
+        ratios.append(model.estimate(0, 1) / model.true_count(1))
+    assert ratios[-1] < 0.75, "the other half was missing"
     model.delivers = lambda sender, receiver: True
     model.load(2.0, rates)
-    outside, looks, _ = beyond(model, error_bound(TALK), rates, 10)
+    outside, samples, _ = measure_errors(model, error_bound(GOSSIP), rates, 10)
     assert outside <= 1  # nothing is counted twice, and all of it again
 
 
 def test_loss_in_one_direction_blinds_one_side_alone() -> None:
-    talk = GossipParameters(
+    gossip = GossipParameters(
         size=2, period_s=0.1, fan_out=1, window_s=4.0, bucket_s=0.5, loss=0.0, delay_s=0.05
     )
-    model = PeersModel(talk, seed=1)
+    model = PeersModel(gossip, seed=1)
     model.delivers = lambda sender, receiver: sender == 0
     model.load(6.0, {1: 100.0})
     own = model.gossips[0].counters.own_count(1, model.local_us(0))
     assert model.estimate(0, 1) == own
     assert model.estimate(1, 1) == pytest.approx(model.true_count(1), rel=0.1)
     # the blind one keeps to its part by number, so that both together stay within the limit
-    parts = [each.counters.shares_of(1, 1, model.local_us(n))[0] for n, each in enumerate(model.gossips)]
-    assert parts[0] == pytest.approx(0.5)
-    assert sum(parts) < 1.15
+    rate_shares = [
+        each.counters.shares_of(1, 1, model.local_us(n))[0] for n, each in enumerate(model.gossips)
+    ]
+    assert rate_shares[0] == pytest.approx(0.5)
+    assert sum(rate_shares) < 1.15
 
 
 def test_restarts_and_a_start_of_all_at_once_stay_within_the_bound() -> None:
-    model = PeersModel(TALK, seed=7)
+    model = PeersModel(GOSSIP, seed=7)
     model.load(10.0, {1: 80.0})
     for number in range(0, 20, 2):
         model.restart(number)
     # what the old incarnations had not told yet is lost with them: as much as a peer's silence costs
-    model.load(2 * error_bound(TALK).staleness_s, {1: 80.0})
-    outside, looks, _ = beyond(model, error_bound(TALK), {1: 80.0}, 5)
-    assert outside <= 1e-2 * looks
+    model.load(2 * error_bound(GOSSIP).staleness_s, {1: 80.0})
+    outside, samples, _ = measure_errors(model, error_bound(GOSSIP), {1: 80.0}, 5)
+    assert outside <= 1e-2 * samples
     model.run(model.now_us + 40 * SECOND_US)
     assert all(each.counters.estimate(1, model.local_us(n)) == 0 for n, each in enumerate(model.gossips))
     assert all(len(each.counters.peers.replicas) == 19 for each in model.gossips)
 
 
 def test_a_burst_in_the_last_moment_of_a_window_is_counted_whole() -> None:
-    model = PeersModel(TALK, seed=8)
+    model = PeersModel(GOSSIP, seed=8)
     model.load(2.0, {1: 10.0})
     for number in range(500):
         model.count(number % 20, 1)
-    burst_us, told_us = model.now_us, int(error_bound(TALK).staleness_s * SECOND_US)
-    model.run(burst_us + told_us)
+    burst_us, staleness_us = model.now_us, int(error_bound(GOSSIP).staleness_s * SECOND_US)
+    model.run(burst_us + staleness_us)
     assert model.estimate(3, 1) >= 500
-    model.run(burst_us + int((TALK.window_s - TALK.bucket_s) * SECOND_US))
+    model.run(burst_us + int((GOSSIP.window_s - GOSSIP.bucket_s) * SECOND_US))
     assert model.estimate(3, 1) >= 500  # still in the window, to its last bucket
-    model.run(burst_us + int((TALK.window_s + TALK.bucket_s + TALK.delay_s) * SECOND_US))
+    model.run(burst_us + int((GOSSIP.window_s + GOSSIP.bucket_s + GOSSIP.delay_s) * SECOND_US))
     assert model.estimate(3, 1) == 0
