--- a/tests/decisions/test_counter_error_bound.py
+++ b/tests/decisions/test_counter_error_bound.py
@@ -20,7 +20,7 @@
 )
 
 
-def test_the_staleness_grows_with_the_fleet_the_losses_and_the_keys() -> None:
+def test_the_undercount_grows_with_the_instances_the_losses_and_the_keys() -> None:
     base = error_bound(GOSSIP).under
     worse = [
         GossipParameters(80, 0.1, 8, 10.0, 0.5, 0.3, 0.2),
@@ -37,13 +37,13 @@
     assert error_bound(even).under < base
 
 
-def test_alone_only_the_bucket_at_the_windows_beginning_is_in_doubt() -> None:
+def test_a_single_instance_has_only_the_error_of_the_bucket_at_the_start_of_the_window() -> None:
     assert error_bound(GossipParameters(1, 0.1, 8, 10.0, 0.5, 0.3, 0.2)) == ErrorBound(0.05, 0.05, 0.0, 1e-3)
 
 
 @pytest.mark.parametrize("shares", [[1.0], [0.5, 0.5], [0.1] * 10, [0.7, 0.1, 0.1, 0.1]])
 @pytest.mark.parametrize("loss", [0.05, 0.3, 0.6])
-def test_losses_in_a_row_are_rarer_than_stated_however_the_rate_is_split(
+def test_consecutive_losses_stay_within_the_bound_for_each_division_of_the_rate(
     shares: list[float], loss: float
 ) -> None:
     rng, bound, trials = random.Random(3), consecutive_loss_bound(loss, 0.01), 20_000
@@ -92,7 +92,7 @@
     assert worst_ratio > 0.2, "a bound that is never near tells nothing"
 
 
-def test_a_partition_costs_what_is_stated_and_its_healing_makes_no_jump() -> None:
+def test_a_partition_adds_the_stated_undercount_and_healing_counts_nothing_twice() -> None:
     model = PeersModel(GOSSIP, seed=6)
     rates = {1: 80.0}
     measure_errors(model, error_bound(GOSSIP), rates, 12)
@@ -111,7 +111,7 @@
     assert outside <= 1  # nothing is counted twice, and all of it again
 
 
-def test_loss_in_one_direction_blinds_one_side_alone() -> None:
+def test_loss_in_one_direction_affects_only_one_side() -> None:
     gossip = GossipParameters(
         size=2, period_s=0.1, fan_out=1, window_s=4.0, bucket_s=0.5, loss=0.0, delay_s=0.05
     )
@@ -143,7 +143,7 @@
     assert all(len(each.counters.peers.replicas) == 19 for each in model.gossips)
 
 
-def test_a_burst_in_the_last_moment_of_a_window_is_counted_whole() -> None:
+def test_a_burst_is_counted_whole_until_it_leaves_the_window() -> None:
     model = PeersModel(GOSSIP, seed=8)
     model.load(2.0, {1: 10.0})
     for number in range(500):
