--- a/tests/decisions/test_shared_counters.py
+++ b/tests/decisions/test_shared_counters.py
@@ -69,10 +69,16 @@
     requests: list[tuple[str, int, int, int]], rng: random.Random
 ) -> None:
     """Two instances of two incarnations each count, and tell all they know after each request."""
-    senders = {(name, age): SharedCounters(name, age, WINDOW, 0) for name in "ab" for age in (1, 2)}
+    senders = {
+        (name, incarnation): SharedCounters(name, incarnation, WINDOW, 0)
+        for name in "ab"
+        for incarnation in (1, 2)
+    }
     messages = []
-    for number, (name, age, tenth, key) in enumerate(sorted(requests, key=lambda each: each[2]), start=1):
-        sender, now_us = senders[name, age], tenth * 100_000
+    for number, (name, incarnation, tenths, key) in enumerate(
+        sorted(requests, key=lambda each: each[2]), start=1
+    ):
+        sender, now_us = senders[name, incarnation], tenths * 100_000
         sender.add(key, now_us)
         messages.append(message_of(sender, number, now_us, 1, 2, 3))
 
@@ -147,9 +153,9 @@
     old = message_of(a, 1, 6 * SECOND, 7)
     late = message_of(a, 2, 6 * SECOND, 7)
     assert b.merge(old, 1_000 * SECOND)
-    again = SharedCounters("a", 2, WINDOW, 7 * SECOND)
-    again.add(7, 8 * SECOND, 5)
-    assert b.merge(message_of(again, 1, 8 * SECOND, 7), 1_001 * SECOND)
+    restarted = SharedCounters("a", 2, WINDOW, 7 * SECOND)
+    restarted.add(7, 8 * SECOND, 5)
+    assert b.merge(message_of(restarted, 1, 8 * SECOND, 7), 1_001 * SECOND)
     assert b.merge(late, 1_001 * SECOND)  # was still on its way: it counts for the old one, once
     assert b.estimate(7, 1_001 * SECOND) == 15
     assert not b.peers.name_conflicts
@@ -253,8 +259,8 @@
     rate_shares, burst_shares = zip(*(each.shares_of(7, 30, now_us) for each in instances), strict=True)
     assert sum(burst_shares) == pytest.approx(1.0, abs=0.02)
     assert burst_shares[0] > burst_shares[1] > burst_shares[2]
-    for replica, expected in zip(rate_shares, (0.6, 0.3, 0.1), strict=True):
-        assert replica == pytest.approx(expected, abs=0.01)
+    for share, expected in zip(rate_shares, (0.6, 0.3, 0.1), strict=True):
+        assert share == pytest.approx(expected, abs=0.01)
 
 
 @pytest.mark.parametrize(("share_when_alone", "expected"), [(True, 0.25), (False, 1.0)])
@@ -335,13 +341,13 @@
 
 def test_invented_names_evict_no_listed_tenant() -> None:
     counts = SharedCounters("a", 1, WINDOW, 0, limits=CounterLimits(max_keys=64))
-    local = TenantUsage(counts, ["big", "small"], frozenset((0, 1)))
+    usage = TenantUsage(counts, ["big", "small"], frozenset((0, 1)))
     for number in range(1_000):
         counts.add(key_of(f"made up {number}"), 0)
-    local.record_request(0, 0)
-    local.record_request(0, 0)
-    local.record_request(1, 0)
-    assert local.share(0, SECOND) == pytest.approx(2 / 3)
+    usage.record_request(0, 0)
+    usage.record_request(0, 0)
+    usage.record_request(1, 0)
+    assert usage.share(0, SECOND) == pytest.approx(2 / 3)
     assert len(counts.own) <= 64 + 2 + OVERFLOW_KEYS
 
 
@@ -382,17 +388,17 @@
         rows = (row,) if row else ()
         peer.merge(CounterMessage(counts.name, counts.incarnation, 1, now_us - counts.start_us, rows), now_us)
 
-    def restarted(counts: SharedCounters, incarnation: int, now_us: int) -> SharedCounters:
+    def restart(counts: SharedCounters, incarnation: int, now_us: int) -> SharedCounters:
         rows = counts.saved_rows([*counts.own, *counts.previous])
         old = PreviousIncarnation(counts.name, counts.saved_from_us, WINDOW.span_us, WINDOW.buckets, rows)
-        again = SharedCounters("a", incarnation, WINDOW, now_us)
-        assert again.restore(old, now_us)
-        return again
+        restarted = SharedCounters("a", incarnation, WINDOW, now_us)
+        assert restarted.restore(old, now_us)
+        return restarted
 
     send(one, 1 * SECOND)
-    two = restarted(one, 2, 2 * SECOND + 123_000)
+    two = restart(one, 2, 2 * SECOND + 123_000)
     two.add(7, 2 * SECOND + 200_000, 5)
-    three = restarted(two, 3, 3 * SECOND)
+    three = restart(two, 3, 3 * SECOND)
     three.add(7, 3 * SECOND, 1)
     for each in (two, three):
         send(each, 3 * SECOND)
