--- a/tests/decisions/test_shared_counters.py
+++ b/tests/decisions/test_shared_counters.py
@@ -1,4 +1,4 @@
-"""Shared counters: the laws of their merge, the window against a plain reference, and the bounds."""
+"""Shared counters: the properties of merging, the window against an exact count, and the bounds."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
 def test_the_merged_counts_do_not_depend_on_order_or_duplicates(
     requests: list[tuple[str, int, int, int]], rng: random.Random
 ) -> None:
-    """Two instances of two incarnations each count, and tell all they know after each request."""
+    """Two instances with two incarnations each count requests, and send all counts after each of them."""
     senders = {
         (name, incarnation): SharedCounters(name, incarnation, WINDOW, 0)
         for name in "ab"
@@ -129,7 +129,7 @@
     assert b.merge(message_of(a, 1, 6 * SECOND, 7), 1_000 * SECOND)
     assert b.estimate(7, 1_000 * SECOND) == 30
     assert b.estimate(7, 1_003 * SECOND) == 30
-    assert b.estimate(7, 1_005 * SECOND) == 0  # the window has passed there as well
+    assert b.estimate(7, 1_005 * SECOND) == 0  # the counts have left the window here as well
 
 
 def test_duplicates_reordering_and_late_datagrams_change_nothing() -> None:
@@ -156,20 +156,24 @@
     restarted = SharedCounters("a", 2, WINDOW, 7 * SECOND)
     restarted.add(7, 8 * SECOND, 5)
     assert b.merge(message_of(restarted, 1, 8 * SECOND, 7), 1_001 * SECOND)
-    assert b.merge(late, 1_001 * SECOND)  # was still on its way: it counts for the old one, once
+    assert b.merge(late, 1_001 * SECOND)  # sent before the restart: counts once, for the old incarnation
     assert b.estimate(7, 1_001 * SECOND) == 15
     assert not b.peers.name_conflicts
     assert not b.merge(old, 1_002 * SECOND)
     b.sweep(1_020 * SECOND)
     assert not b.peers.replicas
     assert b.peers.key_count == 0
-    assert not b.merge(late, 1_020 * SECOND)  # one that is caught and sent again brings nothing back
+    assert not b.merge(late, 1_020 * SECOND)  # a replayed datagram brings no counts back
     assert b.estimate(7, 1_020 * SECOND) == 0
 
 
 def test_a_restart_is_no_name_conflict() -> None:
     b = SharedCounters("b", 1, WINDOW, 0)
-    for incarnation, start_us in ((5, 0), (6, 3 * SECOND), (4, 6 * SECOND)):  # its clock steps back
+    for incarnation, start_us in (
+        (5, 0),
+        (6, 3 * SECOND),
+        (4, 6 * SECOND),
+    ):  # incarnation 4: the wall clock was set back
         for number in range(1, 31):
             sent_us = number * 100_000
             b.merge(CounterMessage("a", incarnation, number, sent_us, ()), start_us + sent_us)
@@ -207,13 +211,13 @@
 
 def test_names_keys_and_replicas_are_bounded() -> None:
     counts = SharedCounters("me", 1, WINDOW, 0, limits=CounterLimits(max_keys=100))
-    for number in range(1_000):  # names made up on every request
+    for number in range(1_000):  # invented names, new with every request
         counts.add(key_of(f"made up {number}"), 1_000)
     assert len(counts.own) <= 100 + OVERFLOW_KEYS
     assert counts.overflowed > 800
-    assert sum(counts.own_count(key, 1_000) for key in counts.own) == 1_000  # none is lost
+    assert sum(counts.own_count(key, 1_000) for key in counts.own) == 1_000  # no request is lost
     rows = tuple((key, 0, (1,)) for key in range(2_000))
-    for number in range(12):  # peers that claim keys without end
+    for number in range(12):  # peers that send too many keys
         counts.merge(CounterMessage(f"p{number}", 1, 1, 0, rows), 1_000)
     assert counts.peers.key_count <= 16 * 100 + 1
     assert counts.peers.rejected_keys > 20_000
@@ -238,7 +242,7 @@
         b.merge(message_of(a, number, at_us), 995 * SECOND + at_us + delay_us)
     (replica,) = b.peers.replicas.values()
     assert 1_000 * SECOND + 20_000 <= replica.clock_offset_us <= 1_000 * SECOND + 20_300
-    for number in range(4, 400):  # its clock runs slower by 500 in a million
+    for number in range(4, 400):  # its clock runs slow by 500 ppm
         at_us = 6 * SECOND + number * 100_000
         b.merge(message_of(a, number, at_us), 995 * SECOND + at_us + 20_000 + int(at_us * 5e-4))
     assert abs(replica.clock_offset_us - (1_000 * SECOND + 20_000 + int(at_us * 5e-4))) < 1_000
@@ -272,10 +276,10 @@
     )
     counts.cluster_size = 4
     counts.add(7, 0)
-    assert counts.shares_of(7, 4, 0)[0] == expected  # none was ever heard
+    assert counts.shares_of(7, 4, 0)[0] == expected  # no peer was heard yet
     for name in "bcd":
         counts.merge(CounterMessage(name, 1, 1, 100_000, ()), 100_000)
-    assert counts.shares_of(7, 4, 200_000)[0] == 1.0  # all are heard, and have no usage
+    assert counts.shares_of(7, 4, 200_000)[0] == 1.0  # all peers are heard, and have no usage
     counts.peers._usage.clear()
     assert counts.shares_of(7, 4, 2 * SECOND)[0] == expected
 
@@ -286,14 +290,14 @@
         counts.add(key, 0)
     seen: set[int] = set()
     rounds_with_both = 0
-    for _ in range(16):  # twice the rounds that 40 keys take by 5
+    for _ in range(16):  # twice the rounds that 40 keys take, with 5 in each
         counts.add(39, 0, 100)
         counts.add(38, 0, 50)
         chosen = counts.keys_to_send(5, 5)
         rounds_with_both += {38, 39} <= set(chosen)
         counts.sent(chosen)
         seen |= set(chosen)
-    assert rounds_with_both >= 8  # where not all has to go that waits, those with most change do
+    assert rounds_with_both >= 8  # both go first unless keys have waited for too long
     assert seen == set(range(40))
     counts.add(20, 0, 500)
     assert 20 in counts.keys_to_send(5, 5)
@@ -332,7 +336,7 @@
 def test_the_reported_loss_is_recent() -> None:
     history = DatagramHistory(1, 1)
     for sequence in range(2, 2_001):
-        if sequence > 1_000 or sequence % 2:  # half is lost for a while, then nothing
+        if sequence > 1_000 or sequence % 2:  # half is lost at first, then nothing
             assert history.accept(sequence)
         if sequence == 1_000:
             assert history.loss == pytest.approx(0.5, abs=0.01)
@@ -369,7 +373,7 @@
     for number in range(8):
         counts.merge(CounterMessage(f"p{number}", 1, 1, 0, rows), 0)
     assert counts.peers.key_count == 8 * 4_096
-    for step in range(1, 5):  # each is heard on, with none of those keys
+    for step in range(1, 5):  # each peer goes on sending, without those keys
         now_us = 10 * SECOND + step * WINDOW.bucket_us
         for number in range(8):
             counts.merge(CounterMessage(f"p{number}", 1, 1 + step, now_us, ()), now_us)
@@ -406,8 +410,10 @@
     assert three.estimate(7, 3 * SECOND) == 16
     assert peer.estimate(7, 3 * SECOND) == 16
     three.reconfigure(CounterLimits(share_when_alone=False), 2)
-    assert three.shares_of(7, 1.0, 3 * SECOND)[1] == pytest.approx(16 / 17)  # all that was used before
-    assert three.own_count(7, 5 * SECOND + 500_000) <= 6  # the first ten are out of the window
+    assert three.shares_of(7, 1.0, 3 * SECOND)[1] == pytest.approx(
+        16 / 17
+    )  # the share by usage of both incarnations before
+    assert three.own_count(7, 5 * SECOND + 500_000) <= 6  # the first ten have left the window
     assert three.own_count(7, 8 * SECOND) == 0
     three.sweep(8 * SECOND)
     assert not three.previous
