--- a/tests/decisions/test_counter_error_bound.py
+++ b/tests/decisions/test_counter_error_bound.py
@@ -1,4 +1,4 @@
-"""The stated error of shared counts: its formula, and that what is measured lies within it."""
+"""The error bound of shared counts: its formula, and simulated errors against it."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
     exceeded = sum(sum(share * consecutive_losses() for share in shares) >= bound for _ in range(trials))
     assert exceeded / trials <= 0.01
-    # and it is no idle bound: with all of the rate at one peer, three fifths of it are passed now and then
+    # The bound is not too loose: with all of the rate at one peer, 60 % of it is exceeded sometimes.
     if shares == [1.0]:
         assert sum(consecutive_losses() >= 0.6 * bound for _ in range(trials)) > 0
 
@@ -64,13 +64,13 @@
 def measure_errors(
     model: PeersModel, stated: ErrorBound, rates: dict[int, float], seconds: int, extra_under: float = 0.0
 ) -> tuple[int, int, float]:
-    """Looks outside the bound, all looks, and the worst of both as a part of what is stated."""
+    """Return the samples outside the bound, all samples, and the largest error relative to its bound."""
     outside = samples = 0
     worst_ratio = 0.0
     for _ in range(seconds):
         model.load(1.0, rates)
         for key, rate in rates.items():
-            # what comes at random comes thicker now and then: the highest rate, as the bound has it
+            # The rate of random arrivals varies; the bound is stated for the highest rate.
             peak = max(rate, model.true_count(key) / model.talk.window_s) * 1.1
             under, over = stated.counts(peak, model.talk.window_s)
             under += extra_under * peak * model.talk.window_s
@@ -89,7 +89,7 @@
     outside, samples, worst_ratio = measure_errors(model, error_bound(GOSSIP), rates, 20)
     assert outside <= 1e-3 * samples
     assert samples == 20 * 20 * 3
-    assert worst_ratio > 0.2, "a bound that is never near tells nothing"
+    assert worst_ratio > 0.2, "the bound is not too loose"
 
 
 def test_a_partition_adds_the_stated_undercount_and_healing_counts_nothing_twice() -> None:
@@ -104,11 +104,11 @@
         )
         assert outside <= 1
         ratios.append(model.estimate(0, 1) / model.true_count(1))
-    assert ratios[-1] < 0.75, "the other half was missing"
+    assert ratios[-1] < 0.75, "the counts of the other half are missing"
     model.delivers = lambda sender, receiver: True
     model.load(2.0, rates)
     outside, samples, _ = measure_errors(model, error_bound(GOSSIP), rates, 10)
-    assert outside <= 1  # nothing is counted twice, and all of it again
+    assert outside <= 1  # all is counted again, and nothing twice
 
 
 def test_loss_in_one_direction_affects_only_one_side() -> None:
@@ -121,7 +121,7 @@
     own = model.gossips[0].counters.own_count(1, model.local_us(0))
     assert model.estimate(0, 1) == own
     assert model.estimate(1, 1) == pytest.approx(model.true_count(1), rel=0.1)
-    # the blind one keeps to its part by number, so that both together stay within the limit
+    # The side that receives nothing uses its equal share, so both together stay near the limit.
     rate_shares = [
         each.counters.shares_of(1, 1, model.local_us(n))[0] for n, each in enumerate(model.gossips)
     ]
@@ -134,7 +134,7 @@
     model.load(10.0, {1: 80.0})
     for number in range(0, 20, 2):
         model.restart(number)
-    # what the old incarnations had not told yet is lost with them: as much as a peer's silence costs
+    # Counts that the old incarnations had not sent are lost: as many as while a peer is silent.
     model.load(2 * error_bound(GOSSIP).staleness_s, {1: 80.0})
     outside, samples, _ = measure_errors(model, error_bound(GOSSIP), {1: 80.0}, 5)
     assert outside <= 1e-2 * samples
@@ -152,6 +152,6 @@
     model.run(burst_us + staleness_us)
     assert model.estimate(3, 1) >= 500
     model.run(burst_us + int((GOSSIP.window_s - GOSSIP.bucket_s) * SECOND_US))
-    assert model.estimate(3, 1) >= 500  # still in the window, to its last bucket
+    assert model.estimate(3, 1) >= 500  # still in the window, in its last bucket
     model.run(burst_us + int((GOSSIP.window_s + GOSSIP.bucket_s + GOSSIP.delay_s) * SECOND_US))
     assert model.estimate(3, 1) == 0
