--- a/tests/decisions/test_shared_counters.py
+++ b/tests/decisions/test_shared_counters.py
@@ -412,7 +412,7 @@
     three.reconfigure(CounterLimits(share_when_alone=False), 2)
     assert three.shares_of(7, 1.0, 3 * SECOND)[1] == pytest.approx(
         16 / 17
-    )  # the share by usage of both incarnations before
+    )  # with the 15 requests from before the restart
     assert three.own_count(7, 5 * SECOND + 500_000) <= 6  # the first ten have left the window
     assert three.own_count(7, 8 * SECOND) == 0
     three.sweep(8 * SECOND)
