--- a/benchmarks/fleet_budgets.py
+++ b/benchmarks/fleet_budgets.py
@@ -16,17 +16,17 @@
 from dataclasses import dataclass, replace
 
 from benchmarks.report import Bar, chosen, close, table
-from fakes.lease_checker import LIMITS, Checker, Found
+from fakes.lease_checker import LIMITS, Checker, SearchResult
 from fakes.lease_model import Model, Plan
 from plovertrail.decisions.leases import LeaseRules
 from plovertrail.simulation.clock import SECOND_US
 
 SETTLE_S = 9.0
 LEASE_US, HOLD_US = 6 * SECOND_US, SECOND_US
-BASE = Plan(rules=LeaseRules(480, 96, LEASE_US, HOLD_US), per_s=3_000.0)
-MOVING = replace(BASE, even=False, moves_s=5.0)
-SMALL = replace(BASE, rules=LeaseRules(96, 48, LEASE_US, HOLD_US), per_s=600.0)
-FEWER = replace(BASE, rules=LeaseRules(12, 12, LEASE_US, HOLD_US), per_s=75.0)
+BASE = Plan(rules=LeaseRules(480, 96, LEASE_US, HOLD_US), requests_per_s=3_000.0)
+MOVING = replace(BASE, even_demand=False, demand_shift_s=5.0)
+SMALL = replace(BASE, rules=LeaseRules(96, 48, LEASE_US, HOLD_US), requests_per_s=600.0)
+FEWER = replace(BASE, rules=LeaseRules(12, 12, LEASE_US, HOLD_US), requests_per_s=75.0)
 MOVING_SHARE, SPLIT_SHARE = 0.9, 0.7
 
 
@@ -43,22 +43,22 @@
     """Seven in ten, with two acceptors among them."""
     down = range(3, 20)
     model.kill(down)
-    model.play(0.5)
+    model.run(0.5)
     model.start(down)
 
 
 def all_killed(model: Model) -> None:
     """All instances are killed at once, and started half a second later."""
     model.kill(range(24))
-    model.play(0.5)
+    model.run(0.5)
     model.start(range(24))
 
 
 def stood_still(model: Model) -> None:
     """Six instances, an acceptor among them, for longer than a lease."""
-    model.stop(range(4, 10))
-    model.play(8.0)
-    model.wake(range(4, 10))
+    model.pause(range(4, 10))
+    model.run(8.0)
+    model.resume(range(4, 10))
 
 
 @dataclass(frozen=True)
@@ -74,9 +74,9 @@
 CASES = (
     Case("even demand", BASE, least=MOVING_SHARE),
     Case("demand moves each 5 s", MOVING, least=MOVING_SHARE),
-    Case("demand moves each second", replace(MOVING, moves_s=1.0)),
+    Case("demand moves each second", replace(MOVING, demand_shift_s=1.0)),
     Case("demand moves, 30 % lost", replace(MOVING, loss=0.3)),
-    Case("twice what there is is asked for", replace(BASE, per_s=9_600.0)),
+    Case("twice what there is is asked for", replace(BASE, requests_per_s=9_600.0)),
     Case("a fifth of it: 96 for 24", SMALL),
     Case("more instances than permits", FEWER),
     Case("split in halves", BASE, halves, SPLIT_SHARE),
@@ -103,24 +103,24 @@
     """Play one case in the model, for a pool of worker processes."""
     case, seconds, seed = job
     model = Model(case.plan, seed)
-    model.play(SETTLE_S)
-    model.forget()
+    model.run(SETTLE_S)
+    model.reset_counts()
     sent = sum(member.sent for member in model.members)
     began_us = model.clock.now_us
     case.fault(model)
-    model.play(seconds)
+    model.run(seconds)
     took_s = (model.clock.now_us - began_us) / SECOND_US
     messages = (sum(member.sent for member in model.members) - sent) / len(model.members) / took_s
     return Told(
-        model.worst,
+        model.peak_in_use,
         case.plan.rules.total,
-        model.let_in / max(1, model.ideal),
+        model.admitted / max(1, model.ideal),
         model.fixed / max(1, model.ideal),
         messages,
     )
 
 
-def explored(job: tuple[str, int]) -> Found:
+def explored(job: tuple[str, int]) -> SearchResult:
     """Search the states of one set of limits, for a pool of worker processes."""
     return Checker(LIMITS[job[0]]).explore(12, job[1])
 
--- a/fakes/lease_checker.py
+++ b/fakes/lease_checker.py
@@ -1,13 +1,14 @@
-"""All histories of a few instances and a few permits, breadth first: `python -m fakes.lease_checker`.
+"""Model checker for leases, run with `python -m fakes.lease_checker`.
 
-Instances run the real `Acceptor` and `Holder`, each on a clock of its own speed. A step is a claim, a message
-that arrives late or twice, a permit spent, lent or given back, a restart, or time that goes by; what never
-arrives is a history that ends before. Held all along: what is in use at one moment, and what all could spend
-at that moment, are together no more than there is. States that are the same are gone on from once. The first
-history that breaks it is the shortest.
+It explores all histories of three instances and a few permits, breadth first. The instances run the real
+`Acceptor` and `LeaseHolder`, each on a clock of its own speed. A step is a claim, the arrival of a late or
+repeated message, a permit that is spent, lent or returned, a restart, or passing time; a lost message is one
+that never arrives. In every state the permits in use and those that the instances could spend at that moment
+must together not exceed the budget. A state that was reached before is not explored again, and the first
+history that violates the budget is a shortest one.
 
-Two of the three instances hold permits; all grant. A claim is heard at once by two of them, or, as a repeat,
-later as well; more hearers only grant more.
+Two of the three instances hold permits; all three are acceptors. A claim reaches two of them at once and, if
+it is repeated, again later; with more receivers there would only be more grants.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 from plovertrail.decisions.leases import (
     Acceptor,
-    InstanceLife,
+    InstanceIncarnation,
     LeaseAnswer,
     LeaseClaim,
     LeaseHolder,
@@ -36,58 +37,58 @@
 )
 
 NAMES = ("a", "b", "c")
-SPEEDS = (0.9, 1.1, 1.0)  # of their clocks, beside the true time
-RULES = LeaseRules(total=1, slots=1, lease_us=1_000, hold_us=100, drift=0.1, slack_us=1)
-WAIT = 560  # of the true time, a step: two outlast a lease
-MOST_STATES = 400_000
+CLOCK_SPEEDS = (0.9, 1.1, 1.0)  # relative to the true time
+RULES = LeaseRules(total=1, slots=1, lease_us=1_000, max_use_us=100, drift=0.1, slack_us=1)
+TIME_STEP = 560  # of the true time; two steps outlast a lease
+MAX_STATES = 400_000
 HOLDERS = (0, 1)
-REACHED = ((0, 1), (1, 2), (0, 2))  # the acceptors that hear a claim at once
+CLAIM_TARGETS = ((0, 1), (1, 2), (0, 2))  # the acceptors that receive a claim at once
 
 
 @dataclass
-class Bundle:
-    """Messages that are under way together: from one to some, or from some to one."""
+class MessageBatch:
+    """Messages in flight that arrive together, between one instance and some others, in either direction."""
 
     kind: str
-    one: int
+    instance: int
     others: tuple[int, ...]
     messages: tuple[Message, ...]
-    life: int  # of the one, when they were sent
+    incarnation: int  # of the one instance, when the messages were sent
 
 
 @dataclass
 class World:
-    """All that there is at one moment."""
+    """One state of the search: the instances, and the messages in flight."""
 
     rules: LeaseRules
     now: int = 10_000
     acceptors: list[Acceptor] = field(default_factory=list)
     holders: list[LeaseHolder] = field(default_factory=list)
-    lives: list[int] = field(default_factory=list)
-    under_way: list[Bundle] = field(default_factory=list)
-    effects: list[tuple[int, int]] = field(default_factory=list)  # permits in use, from and till when truly
+    incarnations: list[int] = field(default_factory=list)
+    in_flight: list[MessageBatch] = field(default_factory=list)
+    uses: list[tuple[int, int]] = field(default_factory=list)  # permits in use: begin and end, in true time
     tickets: list[tuple[int, Ticket, tuple[int, int]]] = field(default_factory=list)
-    claims = repeats = restarts = asks = spent = 0
+    claims = repeats = restarts = loan_requests = spends = 0
 
-    def clock(self, one: int) -> int:
-        """The time on the clock of one instance, which runs at a speed of its own."""
-        return int(self.now * SPEEDS[one])
+    def clock(self, instance: int) -> int:
+        """Return the time on the clock of an instance."""
+        return int(self.now * CLOCK_SPEEDS[instance])
 
-    def reach(self) -> int:
-        """What is in use, and what all could spend now."""
-        return sum(begins <= self.now < ends for begins, ends in self.effects) + sum(
-            holder.spare(self.clock(one)) for one, holder in enumerate(self.holders)
+    def committed(self) -> int:
+        """Return the permits in use together with those that all instances could spend now."""
+        return sum(start <= self.now < end for start, end in self.uses) + sum(
+            holder.available(self.clock(instance)) for instance, holder in enumerate(self.holders)
         )
 
 
 @dataclass(frozen=True)
 class Limits:
-    """How often a history may do what makes it longer."""
+    """How often each kind of step may occur in a history."""
 
     claims: int = 3
     repeats: int = 0
     restarts: int = 0
-    asks: int = 0
+    loan_requests: int = 0
     spends: int = 0
     releases: bool = False
 
@@ -95,14 +96,14 @@
 LIMITS = {
     "claims and restarts": Limits(restarts=1, spends=1),
     "claims that come late, releases": Limits(repeats=1, releases=True),
-    "loans": Limits(claims=2, repeats=1, asks=1, spends=1),
-    "loans over a restart": Limits(claims=2, restarts=1, asks=1, spends=1),
+    "loans": Limits(claims=2, repeats=1, loan_requests=1, spends=1),
+    "loans over a restart": Limits(claims=2, restarts=1, loan_requests=1, spends=1),
 }
 
 
 @dataclass(frozen=True)
-class Found:
-    """What an exploration came to; `history` is empty where nothing broke."""
+class SearchResult:
+    """The result of a search; `history` is empty if the budget held."""
 
     states: int
     depth: int
@@ -111,7 +112,7 @@
 
 
 class Checker:
-    """`holder` and `acceptor`: what the instances run; a planted fault in one of them must be found."""
+    """Searches the histories within some limits; tests pass a `holder` or `acceptor` with a planted fault."""
 
     def __init__(
         self,
@@ -125,204 +126,228 @@
         self.holder = holder
         self.acceptor = acceptor
 
-    def new_holder(self, one: int, life: int) -> LeaseHolder:
-        """A holder for a new process of an instance; `life` counts its processes."""
-        return self.holder(self.rules, InstanceLife(NAMES[one], life), [NAMES])
+    def new_holder(self, instance: int, incarnation: int) -> LeaseHolder:
+        """Return a holder for a new process of an instance."""
+        return self.holder(self.rules, InstanceIncarnation(NAMES[instance], incarnation), [NAMES])
 
-    def begin(self) -> World:
-        """The state that the search begins from."""
+    def initial_world(self) -> World:
+        """Return the state from which the search begins."""
         world = World(self.rules)
-        for one in range(len(NAMES)):
-            # they have been there for long: no acceptor is in doubt any more
-            world.acceptors.append(self.acceptor(self.rules, world.clock(one) - 10 * self.rules.lease_us))
-            world.holders.append(self.new_holder(one, 1))
-            world.lives.append(1)
+        for instance in range(len(NAMES)):
+            # The acceptors have run for long enough to grant from the beginning.
+            world.acceptors.append(
+                self.acceptor(self.rules, world.clock(instance) - 10 * self.rules.lease_us)
+            )
+            world.holders.append(self.new_holder(instance, 1))
+            world.incarnations.append(1)
         return world
 
     # Steps
 
     def steps(self, world: World) -> Iterator[tuple[str, Callable[[World], None]]]:
-        """All that can happen next."""
+        """Yield every possible next step, with its description."""
         limits = self.limits
-        for one in HOLDERS:
+        for instance in HOLDERS:
             if world.claims < limits.claims:
-                for others in REACHED:
-                    yield f"{NAMES[one]} claims, heard by {named(others)}", _claims(one, others, False)
+                for others in CLAIM_TARGETS:
+                    yield (
+                        f"{NAMES[instance]} claims, received by {names_of(others)}",
+                        _claim_step(instance, others, False),
+                    )
                     if world.repeats < limits.repeats:
-                        what = f"{NAMES[one]} claims, heard by {named(others)}, and again later"
-                        yield what, _claims(one, others, True)
-            if world.spent < limits.spends and world.holders[one].spare(world.clock(one)):
-                yield f"{NAMES[one]} spends one", _spends(one)
+                        description = f"{NAMES[instance]} claims, received by {names_of(others)}, again later"
+                        yield description, _claim_step(instance, others, True)
+            if world.spends < limits.spends and world.holders[instance].available(world.clock(instance)):
+                yield f"{NAMES[instance]} spends a permit", _spend_step(instance)
             if world.restarts < limits.restarts and world.claims:
-                yield f"{NAMES[one]} restarts", self._restarts(one)
-            if limits.releases and 0 in world.holders[one].slots:
-                yield f"{NAMES[one]} releases, heard by all", _releases(one)
-            if world.asks < limits.asks:
+                yield f"{NAMES[instance]} restarts", self._restart_step(instance)
+            if limits.releases and 0 in world.holders[instance].slots:
+                yield f"{NAMES[instance]} releases the slot, received by all", _release_step(instance)
+            if world.loan_requests < limits.loan_requests:
                 for other in HOLDERS:
-                    if other != one and world.holders[other].slots:
-                        yield f"{NAMES[one]} asks {NAMES[other]} to lend", _asks(one, other)
-            for number in world.holders[one].loans:
-                yield f"{NAMES[one]} gives back {number}", _gives_back(one, number)
-        for place, bundle in enumerate(world.under_way):
-            what = f"{bundle.kind} between {NAMES[bundle.one]} and {named(bundle.others)} arrive"
-            yield what, _arrives(place, False)
+                    if other != instance and world.holders[other].slots:
+                        yield (
+                            f"{NAMES[instance]} requests a loan from {NAMES[other]}",
+                            _request_step(instance, other),
+                        )
+            for number in world.holders[instance].loans:
+                yield f"{NAMES[instance]} returns loan {number}", _return_step(instance, number)
+        for index, batch in enumerate(world.in_flight):
+            description = f"{batch.kind} between {NAMES[batch.instance]} and {names_of(batch.others)} arrive"
+            yield description, _arrival_step(index, False)
             if world.repeats < limits.repeats:
-                yield what + ", and are still under way", _arrives(place, True)
+                yield description + ", and stay in flight", _arrival_step(index, True)
         if world.restarts < limits.restarts and world.claims:
-            yield f"{NAMES[2]} restarts", self._restarts(2)
-        for place, (one, *_) in enumerate(world.tickets):
-            yield f"{NAMES[one]} hears that it is done", _done(place)
-        yield f"{WAIT} go by", _waits
+            yield f"{NAMES[2]} restarts", self._restart_step(2)
+        for index, (instance, *_) in enumerate(world.tickets):
+            yield f"{NAMES[instance]} learns that a use has ended", _finish_step(index)
+        yield f"{TIME_STEP} time units pass", _time_step
 
-    def _restarts(self, one: int) -> Callable[[World], None]:
+    def _restart_step(self, instance: int) -> Callable[[World], None]:
         def step(world: World) -> None:
             world.restarts += 1
-            world.lives[one] += 1
-            world.acceptors[one] = self.acceptor(self.rules, world.clock(one))
-            world.holders[one] = self.new_holder(one, world.lives[one])
-            world.tickets = [each for each in world.tickets if each[0] != one]
+            world.incarnations[instance] += 1
+            world.acceptors[instance] = self.acceptor(self.rules, world.clock(instance))
+            world.holders[instance] = self.new_holder(instance, world.incarnations[instance])
+            world.tickets = [each for each in world.tickets if each[0] != instance]
 
         return step
 
-    # All histories
+    # Search
 
-    def explore(self, depth: int, most: int = MOST_STATES) -> Found:
-        """All histories of so many steps, or those of so many states."""
-        began = time.monotonic()
-        first = pickle.dumps(self.begin())
-        known = {first}
-        edge: list[tuple[bytes, tuple[str, ...]]] = [(first, ())]
+    def explore(self, depth: int, max_states: int = MAX_STATES) -> SearchResult:
+        """Explore all histories of up to `depth` steps, until `max_states` states are known."""
+        started_s = time.monotonic()
+        first = pickle.dumps(self.initial_world())
+        seen = {first}
+        frontier: list[tuple[bytes, tuple[str, ...]]] = [(first, ())]
         for level in range(1, depth + 1):
-            further: list[tuple[bytes, tuple[str, ...]]] = []
-            for packed, history in edge:
-                for what, step in self.steps(pickle.loads(packed)):
-                    world: World = pickle.loads(packed)
+            next_frontier: list[tuple[bytes, tuple[str, ...]]] = []
+            for pickled, history in frontier:
+                for description, step in self.steps(pickle.loads(pickled)):
+                    world: World = pickle.loads(pickled)
                     step(world)
-                    told = (*history, what)
-                    if world.reach() > self.rules.total:
-                        return Found(len(known), level, time.monotonic() - began, told)
+                    path = (*history, description)
+                    if world.committed() > self.rules.total:
+                        return SearchResult(len(seen), level, time.monotonic() - started_s, path)
                     after = pickle.dumps(world)
-                    if after not in known:
-                        if len(known) >= most:
-                            return Found(len(known), level, time.monotonic() - began, ())
-                        known.add(after)
-                        further.append((after, told))
-            edge = further
-        return Found(len(known), depth, time.monotonic() - began, ())
+                    if after not in seen:
+                        if len(seen) >= max_states:
+                            return SearchResult(len(seen), level, time.monotonic() - started_s, ())
+                        seen.add(after)
+                        next_frontier.append((after, path))
+            frontier = next_frontier
+        return SearchResult(len(seen), depth, time.monotonic() - started_s, ())
 
 
-def named(some: tuple[int, ...]) -> str:
-    """The names of some instances as text."""
-    return ", ".join(NAMES[one] for one in some)
+def names_of(instances: tuple[int, ...]) -> str:
+    """Return the names of some instances as text."""
+    return ", ".join(NAMES[instance] for instance in instances)
 
 
-def _claims(one: int, others: tuple[int, ...], again: bool) -> Callable[[World], None]:
+def _claim_step(instance: int, others: tuple[int, ...], repeat: bool) -> Callable[[World], None]:
     def step(world: World) -> None:
         world.claims += 1
-        claim = world.holders[one].claim(0, world.clock(one))
-        world.under_way.append(Bundle("claims", one, others, (claim,), world.lives[one]))
-        _arrives(len(world.under_way) - 1, again)(world)
+        claim = world.holders[instance].claim(0, world.clock(instance))
+        world.in_flight.append(
+            MessageBatch("claims", instance, others, (claim,), world.incarnations[instance])
+        )
+        _arrival_step(len(world.in_flight) - 1, repeat)(world)
 
     return step
 
 
-def _spends(one: int) -> Callable[[World], None]:
+def _spend_step(instance: int) -> Callable[[World], None]:
     def step(world: World) -> None:
-        ticket = world.holders[one].spend(world.clock(one))
+        ticket = world.holders[instance].spend(world.clock(instance))
         assert ticket is not None
-        world.spent += 1
-        effect = world.now, world.now + world.rules.hold_us
-        world.effects.append(effect)
-        world.tickets.append((one, ticket, effect))
+        world.spends += 1
+        use = world.now, world.now + world.rules.max_use_us
+        world.uses.append(use)
+        world.tickets.append((instance, ticket, use))
 
     return step
 
 
-def _done(place: int) -> Callable[[World], None]:
+def _finish_step(index: int) -> Callable[[World], None]:
     def step(world: World) -> None:
-        one, ticket, effect = world.tickets.pop(place)
-        world.holders[one].done(ticket)
-        world.effects.remove(effect)
+        instance, ticket, use = world.tickets.pop(index)
+        world.holders[instance].finish(ticket)
+        world.uses.remove(use)
 
     return step
 
 
-def _releases(one: int) -> Callable[[World], None]:
+def _release_step(instance: int) -> Callable[[World], None]:
     def step(world: World) -> None:
-        release = world.holders[one].release(0, world.clock(one))
+        release = world.holders[instance].release(0, world.clock(instance))
         if release is not None:
-            world.under_way.append(Bundle("releases", one, (0, 1, 2), (release,), world.lives[one]))
+            world.in_flight.append(
+                MessageBatch("releases", instance, (0, 1, 2), (release,), world.incarnations[instance])
+            )
 
     return step
 
 
-def _asks(one: int, other: int) -> Callable[[World], None]:
+def _request_step(instance: int, other: int) -> Callable[[World], None]:
     def step(world: World) -> None:
-        world.asks += 1
-        ask = world.holders[one].ask(NAMES[other], 1, world.clock(one))
-        world.under_way.append(Bundle("asks", one, (other,), (ask,), world.lives[one]))
+        world.loan_requests += 1
+        loan_request = world.holders[instance].request_loan(NAMES[other], 1, world.clock(instance))
+        world.in_flight.append(
+            MessageBatch("loan requests", instance, (other,), (loan_request,), world.incarnations[instance])
+        )
 
     return step
 
 
-def _gives_back(one: int, number: int) -> Callable[[World], None]:
+def _return_step(instance: int, number: int) -> Callable[[World], None]:
     def step(world: World) -> None:
-        found = world.holders[one].give_back(number, world.clock(one))
-        if found is not None:
-            lender = NAMES.index(found[0])
-            world.under_way.append(Bundle("returns", one, (lender,), (found[1],), world.lives[one]))
+        returned = world.holders[instance].return_loan(number, world.clock(instance))
+        if returned is not None:
+            lender = NAMES.index(returned[0])
+            world.in_flight.append(
+                MessageBatch(
+                    "loan returns", instance, (lender,), (returned[1],), world.incarnations[instance]
+                )
+            )
 
     return step
 
 
-def _waits(world: World) -> None:
-    world.now += WAIT
-    world.effects = [each for each in world.effects if each[1] > world.now]
+def _time_step(world: World) -> None:
+    world.now += TIME_STEP
+    world.uses = [each for each in world.uses if each[1] > world.now]
     world.tickets = [each for each in world.tickets if each[2][1] > world.now]
 
 
-def _arrives(place: int, again: bool) -> Callable[[World], None]:
+def _arrival_step(index: int, repeat: bool) -> Callable[[World], None]:
     def step(world: World) -> None:
-        bundle = world.under_way[place]
-        if again:
+        batch = world.in_flight[index]
+        if repeat:
             world.repeats += 1
         else:
-            del world.under_way[place]
-        who = InstanceLife(NAMES[bundle.one], bundle.life)
-        alive = world.lives[bundle.one] == bundle.life
-        back: list[Message] = []
-        for other, message in zip(bundle.others, itertools.cycle(bundle.messages), strict=False):
+            del world.in_flight[index]
+        sender = InstanceIncarnation(NAMES[batch.instance], batch.incarnation)
+        alive = world.incarnations[batch.instance] == batch.incarnation
+        replies: list[Message] = []
+        for other, message in zip(batch.others, itertools.cycle(batch.messages), strict=False):
             now = world.clock(other)
             if isinstance(message, LeaseClaim):
-                back.append(world.acceptors[other].claimed(message, who, now))
+                replies.append(world.acceptors[other].handle_claim(message, sender, now))
             elif isinstance(message, LeaseRelease):
-                world.acceptors[other].released(message, who)
+                world.acceptors[other].handle_release(message, sender)
             elif isinstance(message, LoanRequest):
-                loan_answer = world.holders[other].asked(message, who, message.want, now)
-                back += [loan_answer] if loan_answer is not None else []
+                loan_answer = world.holders[other].handle_loan_request(message, sender, message.count, now)
+                replies += [loan_answer] if loan_answer is not None else []
             elif isinstance(message, LoanReturn):
-                world.holders[other].returned(message, who)
+                world.holders[other].handle_loan_return(message, sender)
             elif isinstance(message, LeaseAnswer) and alive:
-                world.holders[bundle.one].answered(message, NAMES[other], world.clock(bundle.one))
+                world.holders[batch.instance].handle_lease_answer(
+                    message, NAMES[other], world.clock(batch.instance)
+                )
             elif isinstance(message, LoanAnswer) and alive:
-                world.holders[bundle.one].loan_answered(message, NAMES[other], world.clock(bundle.one))
-        if back:
-            kind = "grants" if isinstance(back[0], LeaseAnswer) else "loans"
-            world.under_way.append(Bundle(kind, bundle.one, bundle.others, tuple(back), bundle.life))
+                world.holders[batch.instance].handle_loan_answer(
+                    message, NAMES[other], world.clock(batch.instance)
+                )
+        if replies:
+            kind = "grants" if isinstance(replies[0], LeaseAnswer) else "loans"
+            world.in_flight.append(
+                MessageBatch(kind, batch.instance, batch.others, tuple(replies), batch.incarnation)
+            )
 
     return step
 
 
 def main() -> int:
-    """Search all limits for a broken rule; returns the exit code."""
+    """Search all limits for an overspent budget; returns the exit code."""
     parser = argparse.ArgumentParser(prog="python -m fakes.lease_checker")
     parser.add_argument("--depth", type=int, default=8)
-    parser.add_argument("--states", type=int, default=MOST_STATES)
-    asked = parser.parse_args()
+    parser.add_argument("--states", type=int, default=MAX_STATES)
+    arguments = parser.parse_args()
     broken = 0
     for name, limits in LIMITS.items():
-        found = Checker(limits).explore(asked.depth, asked.states)
-        print(f"{name}: {found.states:,} states, a depth of {found.depth}, {found.seconds:.1f} s", flush=True)
+        found = Checker(limits).explore(arguments.depth, arguments.states)
+        print(f"{name}: {found.states:,} states, depth {found.depth}, {found.seconds:.1f} s", flush=True)
         for line in found.history:
             print("  " + line)
         broken += bool(found.history)
--- a/tests/decisions/test_lease_planner.py
+++ b/tests/decisions/test_lease_planner.py
@@ -1,4 +1,4 @@
-"""Who asks whom for permits: whatever happens the sum holds, and permits follow demand."""
+"""The lease planner: the budget holds under faults, and permits follow demand."""
 
 from __future__ import annotations
 
@@ -12,185 +12,193 @@
 
 from fakes.lease_model import Model, Plan
 from plovertrail.decisions.lease_planner import LeasePlanner
-from plovertrail.decisions.leases import InstanceLife, LeaseAnswer, LeaseRules, LoanAnswer, LoanRequest
+from plovertrail.decisions.leases import InstanceIncarnation, LeaseAnswer, LeaseRules, LoanAnswer, LoanRequest
 from plovertrail.simulation.clock import SECOND_US
 
 S = SECOND_US
-RULES = LeaseRules(total=60, slots=20, lease_us=3 * S, hold_us=S // 2)
-PLAN = Plan(instances=10, rules=RULES, per_s=300.0, work_us=80_000)
+RULES = LeaseRules(total=60, slots=20, lease_us=3 * S, max_use_us=S // 2)
+PLAN = Plan(instances=10, rules=RULES, requests_per_s=300.0, mean_request_us=80_000)
 
 
-def settled(plan: Plan = PLAN, seed: int = 1) -> Model:
-    """A fleet that has shared the budget out."""
+def settled_model(plan: Plan = PLAN, seed: int = 1) -> Model:
+    """Return a model in which the instances have acquired the budget."""
     model = Model(plan, seed)
-    model.play(5.0)
-    model.forget()
+    model.run(5.0)
+    model.reset_counts()
     return model
 
 
-def test_nothing_is_spent_till_it_is_sure_and_then_the_whole_budget_is_held() -> None:
+def test_after_a_start_nothing_is_spent_for_a_lease_and_then_the_whole_budget_is_held() -> None:
     model = Model(PLAN)
-    model.play(RULES.lease_us / S)
-    assert model.let_in == 0 < model.asked, "acceptors that have just started grant nothing"
-    model.play(2.0)
-    assert sum(len(each.planner.holder.held(each.now())) for each in model.members) == RULES.slots
+    model.run(RULES.lease_us / S)
+    assert model.admitted == 0 < model.requests, "acceptors that have just started grant nothing"
+    model.run(2.0)
+    assert sum(len(each.planner.holder.held_slots(each.now())) for each in model.members) == RULES.slots
 
 
-def test_even_demand_is_served_about_as_by_one_who_knows_all() -> None:
-    model = settled()
-    model.play(5.0)
-    assert model.worst <= RULES.total
-    assert model.let_in >= 0.85 * model.ideal
+def test_even_demand_is_admitted_almost_as_with_a_central_count() -> None:
+    model = settled_model()
+    model.run(5.0)
+    assert model.peak_in_use <= RULES.total
+    assert model.admitted >= 0.85 * model.ideal
 
 
-def test_demand_that_moves_gets_far_more_than_fixed_parts_would_give_it() -> None:
-    model = settled(replace(PLAN, even=False, hot=1, moves_s=4.0))
-    model.play(8.0)
-    assert model.worst <= RULES.total
-    assert model.let_in > 1.5 * model.fixed
+def test_shifting_demand_is_admitted_far_more_than_with_fixed_shares() -> None:
+    model = settled_model(replace(PLAN, even_demand=False, hot_instances=1, demand_shift_s=4.0))
+    model.run(8.0)
+    assert model.peak_in_use <= RULES.total
+    assert model.admitted > 1.5 * model.fixed
 
 
-def test_each_half_of_a_split_goes_on_within_what_it_holds() -> None:
-    model = settled()
+def test_each_half_of_a_split_network_continues_with_the_permits_it_holds() -> None:
+    model = settled_model()
     model.split([[0, 2, 4, 6, 8], [1, 3, 5, 7, 9]])
-    model.play(1.0)
-    model.forget()
-    model.play(6.0)
-    assert model.worst <= RULES.total
-    # the half with two of the five acceptors keeps nothing past its leases
+    model.run(1.0)
+    model.reset_counts()
+    model.run(6.0)
+    assert model.peak_in_use <= RULES.total
+    # The half with two of the five acceptors cannot renew its leases.
     minority = [model.members[number] for number in (1, 3, 5, 7, 9)]
-    assert all(not each.planner.holder.held(each.now()) for each in minority)
+    assert all(not each.planner.holder.held_slots(each.now()) for each in minority)
     assert sum(each.planner.holder.in_use(each.now()) for each in model.members) > 0
     model.heal()
-    model.play(6.0)
-    assert model.worst <= RULES.total
-    assert all(each.planner.had(each.now()) > 0 for each in model.members)
+    model.run(6.0)
+    assert model.peak_in_use <= RULES.total
+    assert all(each.planner.permits_held(each.now()) > 0 for each in model.members)
 
 
-def test_the_permits_of_the_dead_come_back_after_their_leases_and_not_before() -> None:
-    model = settled()
+def test_permits_of_killed_instances_return_after_their_leases_and_not_before() -> None:
+    model = settled_model()
     model.kill(range(5, 10))
     held = sum(
-        len(model.members[number].planner.holder.held(model.members[number].now())) for number in range(5)
+        len(model.members[number].planner.holder.held_slots(model.members[number].now()))
+        for number in range(5)
     )
-    model.play(1.0)
-    now_held = sum(len(each.planner.holder.held(each.now())) for each in model.members[:5])
+    model.run(1.0)
+    now_held = sum(len(each.planner.holder.held_slots(each.now())) for each in model.members[:5])
     assert now_held <= held < RULES.slots
     for _ in range(12):
-        model.members[0].planner.peak = 40.0  # it wants them
-        model.play(0.5)
-    assert sum(len(each.planner.holder.held(each.now())) for each in model.members[:5]) == RULES.slots
-    assert model.worst <= RULES.total
+        model.members[0].planner.peak = 40.0  # its demand
+        model.run(0.5)
+    assert sum(len(each.planner.holder.held_slots(each.now())) for each in model.members[:5]) == RULES.slots
+    assert model.peak_in_use <= RULES.total
 
 
-def test_one_that_stood_still_past_its_leases_finds_them_void_and_comes_back() -> None:
-    model = settled()
-    model.stop([7])
-    model.play(5.0)
-    assert model.members[7].planner.holder.spare(model.members[7].now()) == 0
-    model.wake([7])
-    model.play(3.0)
-    assert model.members[7].planner.had(model.members[7].now()) > 0
-    assert model.worst <= RULES.total
+def test_an_instance_paused_past_its_leases_loses_them_and_recovers() -> None:
+    model = settled_model()
+    model.pause([7])
+    model.run(5.0)
+    assert model.members[7].planner.holder.available(model.members[7].now()) == 0
+    model.resume([7])
+    model.run(3.0)
+    assert model.members[7].planner.permits_held(model.members[7].now()) > 0
+    assert model.peak_in_use <= RULES.total
 
 
-FAULTS = st.lists(
-    st.tuples(st.sampled_from(["kill", "stop", "split", "heal"]), st.integers(0, 9), st.integers(1, 12)),
+fault_lists = st.lists(
+    st.tuples(st.sampled_from(["kill", "pause", "split", "heal"]), st.integers(0, 9), st.integers(1, 12)),
     min_size=1,
     max_size=6,
 )
 
 
 @settings(max_examples=12, deadline=None, derandomize=True)
-@given(FAULTS, st.sampled_from([0.0, 0.3]), st.integers(0, 1_000))
-def test_whatever_is_drawn_it_is_never_overspent_and_comes_back_once_healed(
+@given(fault_lists, st.sampled_from([0.0, 0.3]), st.integers(0, 1_000))
+def test_random_faults_never_overspend_the_budget_and_it_recovers_afterwards(
     faults: list[tuple[str, int, int]], loss: float, seed: int
 ) -> None:
-    model = Model(replace(PLAN, loss=loss, even=False, hot=2), seed)
-    model.play(4.0)
-    for what, number, quarter in faults:
-        some = {number, (number * 3 + 1) % 10, (number * 7 + 2) % 10}
-        if what == "split":
-            model.split([[each for each in range(10) if (each in some) is part] for part in (True, False)])
-        elif what == "heal":
+    model = Model(replace(PLAN, loss=loss, even_demand=False, hot_instances=2), seed)
+    model.run(4.0)
+    for fault, number, quarters in faults:
+        affected = {number, (number * 3 + 1) % 10, (number * 7 + 2) % 10}
+        if fault == "split":
+            model.split(
+                [[each for each in range(10) if (each in affected) is part] for part in (True, False)]
+            )
+        elif fault == "heal":
             model.heal()
-        elif what == "kill":
-            model.kill(some)
+        elif fault == "kill":
+            model.kill(affected)
         else:
-            model.stop(some)
-        model.play(quarter / 4)
-        if what == "kill":
-            model.start(some)
-        elif what == "stop":
-            model.wake(some)
-        assert model.worst <= RULES.total
+            model.pause(affected)
+        model.run(quarters / 4)
+        if fault == "kill":
+            model.start(affected)
+        elif fault == "pause":
+            model.resume(affected)
+        assert model.peak_in_use <= RULES.total
     model.heal()
-    model.play(2 * RULES.lease_us / S + 2.0)
-    model.forget()
-    model.play(3.0)
-    assert model.worst <= RULES.total
-    assert model.let_in > 0.3 * model.ideal, "never stuck for good"
+    model.run(2 * RULES.lease_us / S + 2.0)
+    model.reset_counts()
+    model.run(3.0)
+    assert model.peak_in_use <= RULES.total
+    assert model.admitted > 0.3 * model.ideal, "the instances spend permits again"
 
 
-# One planner alone
+# A single planner
 
 
-def planner(members: int = 4) -> LeasePlanner:
+def new_planner(members: int = 4) -> LeasePlanner:
     names = [f"i{number}" for number in range(members)]
     return LeasePlanner(
-        "b", RULES, InstanceLife("i0", 1), [("i1", "i2", "i3")], lambda: names, random.Random(1), 0
+        "b", RULES, InstanceIncarnation("i0", 1), [("i1", "i2", "i3")], lambda: names, random.Random(1), 0
     )
 
 
-def give(it: LeasePlanner, now_us: int) -> None:
-    """Whatever it claims is granted."""
-    for out in it.tick(now_us):
+def grant_claims(planner: LeasePlanner, now_us: int) -> None:
+    """Run the planner, and grant all that it claims."""
+    for out in planner.tick(now_us):
         message = out.message
         if hasattr(message, "slot"):
-            it.came(LeaseAnswer(message.slot, message.number, True), InstanceLife(out.to, 1), now_us)
+            planner.handle_message(
+                LeaseAnswer(message.slot, message.number, True), InstanceIncarnation(out.to, 1), now_us
+            )
 
 
-def test_it_claims_its_even_part_and_no_more_while_it_has_no_use_for_it() -> None:
-    it = planner()
+def test_an_idle_instance_claims_its_even_share_and_no_more() -> None:
+    planner = new_planner()
     for step in range(60):
-        give(it, step * S // 20)
-    assert it.had(3 * S) == it.even_part() == 15
+        grant_claims(planner, step * S // 20)
+    assert planner.permits_held(3 * S) == planner.even_share() == 15
 
 
-def test_it_lends_what_it_can_do_without_and_keeps_what_it_needs() -> None:
-    it = planner()
+def test_an_instance_lends_what_it_does_not_need() -> None:
+    planner = new_planner()
     for step in range(60):
-        give(it, step * S // 20)
+        grant_claims(planner, step * S // 20)
     now_us = 3 * S
     for _ in range(8):
-        assert it.spend(now_us) is not None
-    keeps = it.wanted(now_us)
+        assert planner.spend(now_us) is not None
+    kept = planner.permits_wanted(now_us)
     lent = 0
     for number in range(1, 9):
-        for out in it.came(LoanRequest(number, 5), InstanceLife("i9", 1), now_us):
+        for out in planner.handle_message(LoanRequest(number, 5), InstanceIncarnation("i9", 1), now_us):
             assert isinstance(out.message, LoanAnswer)
             assert out.to == "i9"
             lent += out.message.count
-    assert lent == 15 - keeps
-    assert it.had(now_us) == keeps
+    assert lent == 15 - kept
+    assert planner.permits_held(now_us) == kept
 
 
-def test_an_answer_that_is_lost_is_asked_for_under_the_same_number() -> None:
-    it = planner()
+def test_a_loan_request_without_an_answer_is_repeated_under_its_number() -> None:
+    planner = new_planner()
     sent: Counter[int] = Counter()
     for step in range(60):
-        it.peak = 50.0
-        for out in it.tick(step * S // 100):
+        planner.peak = 50.0
+        for out in planner.tick(step * S // 100):
             if isinstance(out.message, LoanRequest) and out.to == "i1":
                 sent[out.message.number] += 1
-    assert len(sent) >= 2, "and another one after it"
+    assert len(sent) >= 2, "another request follows it"
     assert all(count == 3 for count in list(sent.values())[:-1])
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.5])
-def test_what_one_sends_is_bounded_whatever_is_asked_for(loss: float) -> None:
-    model = settled(replace(PLAN, per_s=2_000.0, loss=loss))
+def test_the_messages_of_an_instance_are_bounded_under_overload(loss: float) -> None:
+    model = settled_model(replace(PLAN, requests_per_s=2_000.0, loss=loss))
     sent = [each.sent for each in model.members]
-    model.play(3.0)
+    model.run(3.0)
     assert max(each.sent - before for each, before in zip(model.members, sent, strict=True)) < 3 * 1_000
-    assert all(len(each.planner.asked) <= 6 and len(each.planner.returning) < 200 for each in model.members)
+    assert all(
+        len(each.planner.pending_loans) <= 6 and len(each.planner.return_repeats) < 200
+        for each in model.members
+    )
