--- a/plovertrail/cli/route.py
+++ b/plovertrail/cli/route.py
@@ -13,8 +13,8 @@
     client_of,
     read_head,
     route_request,
+    template_values,
     tenant_of,
-    told_by,
 )
 
 
@@ -56,7 +56,7 @@
         taken = True
         won = routed.route
         if won.answers is not None:
-            told = told_by(head, path, authority, url.encode(), address, address, b"", 0, won)
+            told = template_values(head, path, authority, url.encode(), address, address, b"", 0, won)
             where = won.answers.location.filled(told) if won.answers.location is not None else ""
             click.echo(f"route     {won.name}\nanswers   {won.answers.status} {where}".rstrip())
             return
--- a/plovertrail/decisions/requests.py
+++ b/plovertrail/decisions/requests.py
@@ -83,7 +83,7 @@
     return Routed(match.route, head, target, host)
 
 
-def told_by(
+def template_values(
     head: Head,
     path: str,
     authority: bytes,
@@ -152,7 +152,7 @@
     except RequestRejectedError as away:
         return Outline(away.status, away.why, head=head)
     route = routed.route
-    values = told_by(head, path, authority, sent, address, address, b"", port, route)
+    values = template_values(head, path, authority, sent, address, address, b"", port, route)
     if route.answers is not None:
         fixed = route.answers
         return Outline(
--- a/plovertrail/listeners/http_forwarding.py
+++ b/plovertrail/listeners/http_forwarding.py
@@ -16,8 +16,8 @@
     deadline_us,
     read_head,
     route_request,
+    template_values,
     tenant_of,
-    told_by,
 )
 from plovertrail.decisions.routes import FixedAnswer, Head
 from plovertrail.dispatch.types import ProxyRequest
@@ -206,7 +206,7 @@
     ) -> dict[str, str]:
         """Return what the route's templates are filled with."""
         routed = request.routed
-        return told_by(
+        return template_values(
             routed.head,
             request.path,
             routed.host,
