--- a/benchmarks/nginx_requests.py
+++ b/benchmarks/nginx_requests.py
@@ -11,7 +11,7 @@
 from fakes.nginx_reference import Asked, Block, Outcome, Reference
 from plovertrail.config.setup import Setup
 from plovertrail.decisions.paths import InvalidTargetError, normalise_path
-from plovertrail.decisions.requests import outline
+from plovertrail.decisions.requests import preview_request
 from plovertrail.nginx.report import Report, Treatment
 
 ADDRESS = "127.0.0.1"
@@ -134,7 +134,7 @@
     """What the imported setup decides, with no sockets."""
     listener = next(each for each in setup.listeners if each.address[1] == asked.port)
     target = asked.path + (f"?{asked.query}" if asked.query else "")
-    found = outline(
+    found = preview_request(
         setup.routes,
         asked.method,
         asked.host,
@@ -152,7 +152,9 @@
         for server in setup.pools[name].servers
         if not server.drain
     )
-    return Got(addresses=addresses, uri=found.routed.target.decode("latin-1"), headers=found.sends)
+    return Got(
+        addresses=addresses, uri=found.routed.target.decode("latin-1"), headers=found.forwarded_headers
+    )
 
 
 def servers_of(reference: Reference, group: str) -> frozenset[str]:
--- a/plovertrail/decisions/requests.py
+++ b/plovertrail/decisions/requests.py
@@ -116,7 +116,7 @@
 
 
 @dataclass(slots=True)
-class Outline:
+class RequestPreview:
     """What the routes make of a request, before a hook, a limit or a server has a say."""
 
     status: int = 0  # of the answer that it gets here; 0: it goes on to a server
@@ -125,10 +125,12 @@
     head: Head | None = None  # None: it is malformed
     routed: Routed | None = None
     tenant: str = ""
-    sends: dict[str, str] = field(default_factory=dict)  # the headers that go on, names in lower case
+    forwarded_headers: dict[str, str] = field(
+        default_factory=dict
+    )  # the headers that go on, names in lower case
 
 
-def outline(
+def preview_request(
     table: RouteTable,
     method: str,
     host: str,
@@ -137,7 +139,7 @@
     listener: str,
     port: int,
     address: str,
-) -> Outline:
+) -> RequestPreview:
     """A request of HTTP/1.1 as a client at `address` sends it to a listener."""
     joined: dict[bytes, bytes] = {}
     for name, value in headers:
@@ -150,27 +152,29 @@
         )
         routed = route_request(table, head, path, authority)
     except RequestRejectedError as away:
-        return Outline(away.status, away.why, head=head)
+        return RequestPreview(away.status, away.why, head=head)
     route = routed.route
     values = template_values(head, path, authority, sent, address, address, b"", port, route)
     if route.answers is not None:
         fixed = route.answers
-        return Outline(
+        return RequestPreview(
             fixed.status,
             fixed.body.filled(values) if fixed.body is not None else "",
             fixed.location.filled(values) if fixed.location is not None else "",
             head,
             routed,
         )
-    sends = {
+    forwarded_headers = {
         name.decode("latin-1"): value.decode("latin-1")
         for name, value in joined.items()
         if name not in route.remove_headers
     }
-    sends["host"] = host
-    sends |= {name.decode().lower(): value.decode("latin-1") for name, value in route.set_headers}
-    sends |= {name.decode().lower(): value.filled(values) for name, value in route.filled_headers}
-    return Outline(0, "", "", head, routed, tenant_of(route, head, address).decode("latin-1"), sends)
+    forwarded_headers["host"] = host
+    forwarded_headers |= {name.decode().lower(): value.decode("latin-1") for name, value in route.set_headers}
+    forwarded_headers |= {name.decode().lower(): value.filled(values) for name, value in route.filled_headers}
+    return RequestPreview(
+        0, "", "", head, routed, tenant_of(route, head, address).decode("latin-1"), forwarded_headers
+    )
 
 
 def tenant_of(route: Route, head: Head, address: str) -> bytes:
--- a/plovertrail/scenario_tests/run.py
+++ b/plovertrail/scenario_tests/run.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from plovertrail.config.setup import Setup
-from plovertrail.decisions.requests import outline
+from plovertrail.decisions.requests import preview_request
 from plovertrail.scenario_tests.judge import Broken, Coverage, expected, rules, trace
 from plovertrail.scenario_tests.play import Played, arrivals, play
 from plovertrail.scenario_tests.schema import Expectations, OneRequest, Scenario
@@ -66,7 +66,7 @@
     """What becomes of a request, in the words of its expectations."""
     asks = one.asks
     port = next(each.address[1] for each in setup.listeners if each.name == asks.listener)
-    found = outline(
+    found = preview_request(
         setup.routes, asks.method, asks.host, asks.target, asks.headers, asks.listener, port, asks.address
     )
     if found.head is not None:
@@ -85,7 +85,7 @@
         "pools": list(route.pools),
         "tenant": found.tenant,
         "target": found.routed.target.decode("latin-1"),
-        "sends": found.sends,
+        "sends": found.forwarded_headers,
     }
 
 
