--- a/plovertrail/cli/route.py
+++ b/plovertrail/cli/route.py
@@ -55,10 +55,12 @@
     else:
         taken = True
         won = routed.route
-        if won.answers is not None:
+        if won.fixed_response is not None:
             told = template_values(head, path, authority, url.encode(), address, address, b"", 0, won)
-            where = won.answers.location.filled(told) if won.answers.location is not None else ""
-            click.echo(f"route     {won.name}\nanswers   {won.answers.status} {where}".rstrip())
+            where = (
+                won.fixed_response.location.filled(told) if won.fixed_response.location is not None else ""
+            )
+            click.echo(f"route     {won.name}\nanswers   {won.fixed_response.status} {where}".rstrip())
             return
         effects = {ours: word for word, ours in EFFECTS.items()}
         kind = setup.classes[setup.class_index(won.class_name)]
--- a/plovertrail/config/route_actions.py
+++ b/plovertrail/config/route_actions.py
@@ -11,7 +11,7 @@
 from plovertrail.config.schema import RespondTable, RouteTableRow
 from plovertrail.config.table_reader import FIELD_VALUE
 from plovertrail.config.tables import key_path, read_table
-from plovertrail.decisions.routes import FixedAnswer, PathKind
+from plovertrail.decisions.routes import FixedResponse, PathKind
 from plovertrail.decisions.templates import NAMES, Template, parse_template
 
 RESERVED = frozenset(
@@ -36,7 +36,7 @@
 class RouteActionsReader(PathReader):
     """Reads what becomes of a request that a route has taken."""
 
-    def fixed_answer(self, row: RouteTableRow, at: str, kind: PathKind, path: str) -> FixedAnswer | None:
+    def fixed_answer(self, row: RouteTableRow, at: str, kind: PathKind, path: str) -> FixedResponse | None:
         """What a route answers by itself; None: its requests go to servers."""
         if row.respond is None:
             return None
@@ -67,7 +67,7 @@
                 self.wrong(f"{place}.location", "the value is not plain text", "write printable ASCII")
         if table.body is not None:
             body = self._template(table.body, f"{place}.body", kind, path)
-        return FixedAnswer(table.status, location, body, table.content_type)
+        return FixedResponse(table.status, location, body, table.content_type)
 
     def _template(self, text: str, place: str, kind: PathKind, path: str) -> Template:
         """A text with places for what a request tells."""
--- a/plovertrail/decisions/requests.py
+++ b/plovertrail/decisions/requests.py
@@ -155,8 +155,8 @@
         return RequestPreview(away.status, away.why, head=head)
     route = routed.route
     values = template_values(head, path, authority, sent, address, address, b"", port, route)
-    if route.answers is not None:
-        fixed = route.answers
+    if route.fixed_response is not None:
+        fixed = route.fixed_response
         return RequestPreview(
             fixed.status,
             fixed.body.filled(values) if fixed.body is not None else "",
--- a/plovertrail/decisions/routes.py
+++ b/plovertrail/decisions/routes.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FixedAnswer:
+class FixedResponse:
     """What a route answers by itself."""
 
     status: int
@@ -97,7 +97,7 @@
     within: str = ""  # the path begins with this text,
     excepts: tuple[str, ...] = ()  # and with none of these
     max_body: int | None = None  # bytes; None: as long as the listeners take
-    answers: FixedAnswer | None = None  # it sends its requests to no server
+    fixed_response: FixedResponse | None = None  # it sends its requests to no server
 
     def rank(self, place: int) -> tuple[int, ...]:
         """Its place among the routes of one host: the smallest goes first."""
--- a/plovertrail/generation.py
+++ b/plovertrail/generation.py
@@ -83,7 +83,7 @@
     """Lay a configuration out for requests; `pools`, `hooks` and `limiters` have all that it names."""
     plans = {}
     for route in setup.routes.routes:
-        if route.answers is not None:
+        if route.fixed_response is not None:
             continue  # it is answered without an endpoint
         plan = _route_plan(route, setup, pools, limiters)
         if route.name in setup.hooked:
--- a/plovertrail/listeners/http_forwarding.py
+++ b/plovertrail/listeners/http_forwarding.py
@@ -19,7 +19,7 @@
     template_values,
     tenant_of,
 )
-from plovertrail.decisions.routes import FixedAnswer, Head
+from plovertrail.decisions.routes import FixedResponse, Head
 from plovertrail.dispatch.types import ProxyRequest
 from plovertrail.generation import Generation, RoutePlan, headers_replaced_by
 from plovertrail.hooks.chain import Seen, Trail
@@ -84,9 +84,9 @@
         """
         request = self._route(exchange, generation, client)
         route = request.routed.route
-        if route.answers is not None:
+        if route.fixed_response is not None:
             values = self._template_values(request, b"", client.address)
-            return fixed_response(route.answers, values)
+            return fixed_response(route.fixed_response, values)
         plan = generation.plans[route.name]
         wait_us = deadline_us(request.headers.get(self.listener.deadline_header), plan.deadline_us)
         tenant_name = tenant_of(route, request.head, client.address)
@@ -230,7 +230,7 @@
         exchange.handshake = self.websockets.request(context, client_key, offered)
 
 
-def fixed_response(fixed: FixedAnswer, values: dict[str, str]) -> LocalResponse:
+def fixed_response(fixed: FixedResponse, values: dict[str, str]) -> LocalResponse:
     """Return the response of a route that answers by itself."""
     body = fixed.body.filled(values).encode() if fixed.body is not None else b""
     headers: Headers = [(b"Content-Type", fixed.content_type.encode("latin-1"))] if body else []
--- a/tests/nginx/test_import.py
+++ b/tests/nginx/test_import.py
@@ -203,10 +203,12 @@
 @pytest.mark.parametrize("name", [name for name, case in CASES.items() if case[2] is X and "501" in case[3]])
 def test_what_may_guard_a_location_shuts_it(name: str, tmp_path: Path) -> None:
     _, setup = imported(tmp_path, UP + SERVER % CASES[name][0])
-    answers = {route.answers.status for route in setup.routes.routes if route.answers is not None}
+    answers = {
+        route.fixed_response.status for route in setup.routes.routes if route.fixed_response is not None
+    }
     assert answers <= {501, 404}
     assert 501 in answers
-    assert all(route.answers is not None for route in setup.routes.routes)
+    assert all(route.fixed_response is not None for route in setup.routes.routes)
 
 
 def test_nothing_that_nginx_says_of_retries_makes_a_post_repeatable(tmp_path: Path) -> None:
@@ -318,7 +320,9 @@
     assert len(found.report.entries) == 7 + 3
     assert any("includes a file that it is in" in note for note in notes(found, "include", X))
     # what nginx would refuse shuts the server: the file might have held a guard
-    assert {route.answers.status for route in setup.routes.routes if route.answers is not None} == {501}
+    assert {
+        route.fixed_response.status for route in setup.routes.routes if route.fixed_response is not None
+    } == {501}
 
 
 def test_a_file_that_two_servers_include_is_told_of_once(tmp_path: Path) -> None:
@@ -358,7 +362,9 @@
     path.write_bytes(f"http {{ {UP} {server} }}".encode().replace(b"#", b"\xe9"))
     found = Importer(read_tree(str(path))).run()
     assert notes(found, "proxy_set_header", X)
-    assert {route.answers.status for route in parse(found.text).routes.routes if route.answers} == {501}
+    assert {
+        route.fixed_response.status for route in parse(found.text).routes.routes if route.fixed_response
+    } == {501}
 
 
 @settings(
