--- a/plovertrail/decisions/routes.py
+++ b/plovertrail/decisions/routes.py
@@ -294,14 +294,14 @@
                 (
                     self._host_order(host, head.host)
                     for host in route.hosts or ("",)
-                    if takes_host(host, head.host)
+                    if host_matches(host, head.host)
                 ),
                 default=None,
             )
             miss: Miss | None
             if host_rank is None:
                 miss = Miss.HOST
-            elif not takes_path(route, head.path):
+            elif not path_matches(route, head.path):
                 miss = Miss.PATH
             else:
                 miss = predicate_miss(route, head)
@@ -328,7 +328,7 @@
         return 0 if pattern == host else 999 - len(pattern)
 
 
-def takes_host(pattern: str, host: str) -> bool:
+def host_matches(pattern: str, host: str) -> bool:
     """Whether a route's host takes that of a request."""
     if pattern.startswith("~"):
         return bool(host) and re2.search(pattern[1:], host) is not None
@@ -339,7 +339,7 @@
     return pattern in ("", host)
 
 
-def takes_path(route: Route, path: str) -> bool:
+def path_matches(route: Route, path: str) -> bool:
     """Whether a route's path takes that of a request."""
     if route.kind is PathKind.EXACT:
         return route.path == path
@@ -358,7 +358,7 @@
             second.kind is not PathKind.REGEX and covers_path(first.path, second.path)
         )
     elif second.kind is PathKind.EXACT:
-        covered = takes_path(first, second.path)
+        covered = path_matches(first, second.path)
     else:
         covered = second.kind is PathKind.REGEX and first.path == second.path
     # what a path must begin with, or must not, is told from the second's own words alone
--- a/plovertrail/scenario_tests/judge.py
+++ b/plovertrail/scenario_tests/judge.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from plovertrail.config.setup import Setup
-from plovertrail.decisions.routes import Head, Miss, predicate_miss, takes_path
+from plovertrail.decisions.routes import Head, Miss, path_matches, predicate_miss
 from plovertrail.decisions.settings import RequestClass
 from plovertrail.scenario_tests.daemon import Asked, Sending
 from plovertrail.scenario_tests.play import Played
@@ -334,7 +334,7 @@
     def asked(self, setup: Setup, head: Head) -> None:
         """A request's head: the predicates that it doesn't meet were touched."""
         for route in setup.routes.routes:
-            if not (route.headers or route.query) or not takes_path(route, head.path):
+            if not (route.headers or route.query) or not path_matches(route, head.path):
                 continue
             miss = predicate_miss(route, head)
             if miss in (Miss.HEADER, Miss.QUERY):
