--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -43,7 +43,7 @@
             ("p",),
             "c",
             hosts=("shop.example",),
-            kind=PathKind.REGEX,
+            path_kind=PathKind.REGEX,
             path=rf"/area{n % 50}/shelf{n}/[a-z]+/\d+",
         )
         for n in range(count)
--- a/plovertrail/decisions/routes.py
+++ b/plovertrail/decisions/routes.py
@@ -76,7 +76,7 @@
     # empty, or "": any; `*.a.example` takes all names below a.example, `www.a.*` all that begin so, and what
     # begins with ~ is a regular expression that is searched for in the name
     hosts: tuple[str, ...] = ()
-    kind: PathKind = PathKind.PREFIX
+    path_kind: PathKind = PathKind.PREFIX
     path: str = "/"
     methods: frozenset[str] = frozenset()  # empty: any
     headers: tuple[Predicate, ...] = ()
@@ -101,9 +101,9 @@
 
     def rank(self, place: int) -> tuple[int, ...]:
         """Its place among the routes of one host: the smallest goes first."""
-        long = -self.path.rstrip("/").count("/") if self.kind is PathKind.PREFIX else 0
+        long = -self.path.rstrip("/").count("/") if self.path_kind is PathKind.PREFIX else 0
         named = (not self.methods, -len(self.headers), -len(self.query))
-        return (-self.priority, self.kind, long, *named, place)
+        return (-self.priority, self.path_kind, long, *named, place)
 
 
 @dataclass(frozen=True, slots=True)
@@ -202,9 +202,9 @@
 
     def add(self, entry: Ranked) -> None:
         """Add a route under its kind of path."""
-        if entry.route.kind is PathKind.EXACT:
+        if entry.route.path_kind is PathKind.EXACT:
             self.exact.setdefault(entry.route.path, []).append(entry)
-        elif entry.route.kind is PathKind.PREFIX:
+        elif entry.route.path_kind is PathKind.PREFIX:
             self.prefix.setdefault(entry.route.path.rstrip("/"), []).append(entry)
         else:
             self.regex.append(entry)
@@ -341,9 +341,9 @@
 
 def path_matches(route: Route, path: str) -> bool:
     """Whether a route's path takes that of a request."""
-    if route.kind is PathKind.EXACT:
+    if route.path_kind is PathKind.EXACT:
         return route.path == path
-    if route.kind is PathKind.PREFIX:
+    if route.path_kind is PathKind.PREFIX:
         return covers_path(route.path, path)
     return re2.fullmatch(route.path, path) is not None
 
@@ -351,16 +351,16 @@
 def shadows(first: Route, second: Route) -> bool:
     """Whether `first`, which goes before `second`, takes all that `second` would. Sound, not complete: of two
     regular expressions only equal ones are told."""
-    if first.kind is PathKind.EXACT:
-        covered = second.kind is PathKind.EXACT and first.path == second.path
-    elif first.kind is PathKind.PREFIX:
+    if first.path_kind is PathKind.EXACT:
+        covered = second.path_kind is PathKind.EXACT and first.path == second.path
+    elif first.path_kind is PathKind.PREFIX:
         covered = first.path == "/" or (
-            second.kind is not PathKind.REGEX and covers_path(first.path, second.path)
+            second.path_kind is not PathKind.REGEX and covers_path(first.path, second.path)
         )
-    elif second.kind is PathKind.EXACT:
+    elif second.path_kind is PathKind.EXACT:
         covered = path_matches(first, second.path)
     else:
-        covered = second.kind is PathKind.REGEX and first.path == second.path
+        covered = second.path_kind is PathKind.REGEX and first.path == second.path
     # what a path must begin with, or must not, is told from the second's own words alone
     covered = (
         covered
@@ -406,7 +406,7 @@
 
 def _candidates(layout: HostRoutes, route: Route) -> list[Ranked]:
     """The routes of a host that could take all of another's paths."""
-    if route.kind is PathKind.REGEX:
+    if route.path_kind is PathKind.REGEX:
         return layout.prefix.get("", []) + [entry for entry in layout.regex if entry.route.path == route.path]
     return layout.by_path(route.path)
 
@@ -414,7 +414,7 @@
 def captured(route: Route, path: str) -> list[str]:
     """Nine groups of a route's regular expression in a path as rules see it; empty where there is none."""
     groups: list[str] = []
-    if route.kind is PathKind.REGEX:
+    if route.path_kind is PathKind.REGEX:
         found = re2.fullmatch(route.path, path)
         groups = [text or "" for text in found.groups()] if found is not None else []
     return (groups + [""] * 9)[:9]
@@ -426,9 +426,9 @@
     differ in length."""
     if route.rewrite is None:
         return path
-    if route.kind is PathKind.EXACT:
+    if route.path_kind is PathKind.EXACT:
         changed = route.rewrite
-    elif route.kind is PathKind.PREFIX:
+    elif route.path_kind is PathKind.PREFIX:
         depth = route.path.rstrip("/").count("/")
         rest = path.split("/")[1 + depth :]
         changed = "/".join([route.rewrite.rstrip("/"), *rest]) if rest else route.rewrite
--- a/plovertrail/scenario_tests/first.py
+++ b/plovertrail/scenario_tests/first.py
@@ -17,7 +17,7 @@
     """A request that a route may take; None where none is known (a regular expression)."""
     hosts = [host for host in route.hosts if not host.startswith("~")] or [""]
     host = hosts[0].replace("*", "any") if hosts[0] else ANY_HOST
-    path = route.path if route.kind is not PathKind.REGEX else route.within
+    path = route.path if route.path_kind is not PathKind.REGEX else route.within
     if len(route.within) > len(path):
         path = route.within
     if not path or any(predicate.value is None for predicate in route.query):
--- a/tests/config/test_operator.py
+++ b/tests/config/test_operator.py
@@ -354,7 +354,7 @@
         "OPTIONS",
     }  # a safe class repeats no POST unasked
     assert setup.routes.routes[0].methods == frozenset()
-    assert setup.routes.routes[0].kind is PathKind.PREFIX
+    assert setup.routes.routes[0].path_kind is PathKind.PREFIX
     assert setup.key_headers == (b"", b"", b"Idempotency-Key")
     assert setup.pools["spare"].servers == ()
     with_get = parse(GOOD.replace('path = "/buy"', 'methods = ["GET"]'))
--- a/tests/decisions/test_paths.py
+++ b/tests/decisions/test_paths.py
@@ -59,8 +59,8 @@
     table = RouteTable(
         [
             Route("admin", ("p",), "c", path="/a"),
-            Route("exact", ("p",), "c", kind=PathKind.EXACT, path=plain),
-            Route("regex", ("p",), "c", kind=PathKind.REGEX, path="/[abc]+/.*"),
+            Route("exact", ("p",), "c", path_kind=PathKind.EXACT, path=plain),
+            Route("regex", ("p",), "c", path_kind=PathKind.REGEX, path="/[abc]+/.*"),
             Route("rest", ("p",), "c"),
         ]
     )
--- a/tests/decisions/test_routes.py
+++ b/tests/decisions/test_routes.py
@@ -31,7 +31,7 @@
 
 
 def route(name: str, path: str = "/", kind: PathKind = PathKind.PREFIX, **more: object) -> Route:
-    return Route(name, ("p",), "c", kind=kind, path=path, **more)  # type: ignore[arg-type]
+    return Route(name, ("p",), "c", path_kind=kind, path=path, **more)  # type: ignore[arg-type]
 
 
 def head(path: str = "/", host: str = "h", method: str = "GET", query: bytes = b"", **headers: str) -> Head:
