--- a/plovertrail/decisions/routes.py
+++ b/plovertrail/decisions/routes.py
@@ -94,8 +94,8 @@
     client_header: bytes = b""
     websocket: str = ""  # the name of the limits of its sockets; empty: it opens none
     listeners: frozenset[str] = frozenset()  # empty: any
-    within: str = ""  # the path begins with this text,
-    excepts: tuple[str, ...] = ()  # and with none of these
+    path_within: str = ""  # the path begins with this text,
+    path_except: tuple[str, ...] = ()  # and with none of these
     max_body: int | None = None  # bytes; None: as long as the listeners take
     fixed_response: FixedResponse | None = None  # it sends its requests to no server
 
@@ -166,7 +166,9 @@
     """The first of a route's predicates that the request doesn't meet."""
     if route.listeners and head.listener not in route.listeners:
         return Miss.LISTENER
-    if not head.path.startswith(route.within) or (route.excepts and head.path.startswith(route.excepts)):
+    if not head.path.startswith(route.path_within) or (
+        route.path_except and head.path.startswith(route.path_except)
+    ):
         return Miss.PATH
     if route.methods and head.method not in route.methods:
         return Miss.METHOD
@@ -364,8 +366,8 @@
     # what a path must begin with, or must not, is told from the second's own words alone
     covered = (
         covered
-        and second.within.startswith(first.within)
-        and set(first.excepts) <= set(second.excepts)
+        and second.path_within.startswith(first.path_within)
+        and set(first.path_except) <= set(second.path_except)
         and (not first.listeners or (bool(second.listeners) and second.listeners <= first.listeners))
     )
     return (
--- a/plovertrail/scenario_tests/first.py
+++ b/plovertrail/scenario_tests/first.py
@@ -17,9 +17,9 @@
     """A request that a route may take; None where none is known (a regular expression)."""
     hosts = [host for host in route.hosts if not host.startswith("~")] or [""]
     host = hosts[0].replace("*", "any") if hosts[0] else ANY_HOST
-    path = route.path if route.path_kind is not PathKind.REGEX else route.within
-    if len(route.within) > len(path):
-        path = route.within
+    path = route.path if route.path_kind is not PathKind.REGEX else route.path_within
+    if len(route.path_within) > len(path):
+        path = route.path_within
     if not path or any(predicate.value is None for predicate in route.query):
         return None
     query = "&".join(f"{each.name}={each.value}" for each in route.query)
--- a/tests/decisions/test_routes.py
+++ b/tests/decisions/test_routes.py
@@ -317,7 +317,7 @@
 def test_a_path_may_have_to_begin_with_a_text_and_with_none_of_others() -> None:
     table = RouteTable(
         [
-            route("part", within="/a/b", excepts=("/a/bad", "/a/b/c"), priority=1),
+            route("part", path_within="/a/b", path_except=("/a/bad", "/a/b/c"), priority=1),
             route("rest"),
         ]
     )
@@ -334,7 +334,10 @@
         assert [each.name for each, miss in table.explain(head(path)) if miss is None] == [name]
     # what goes first for a part only takes nothing away
     assert not unreachable(table.routes)
-    same = [route("first", within="/a", priority=1), route("second", within="/a/b", excepts=("/x",))]
+    same = [
+        route("first", path_within="/a", priority=1),
+        route("second", path_within="/a/b", path_except=("/x",)),
+    ]
     assert [(lost.name, by.name) for lost, by in unreachable(same)] == [("second", "first")]
 
 
