--- a/plovertrail/cli/route.py
+++ b/plovertrail/cli/route.py
@@ -75,7 +75,7 @@
             click.echo(f"hooks     {', then '.join(hooked.hooks)} (without one it {policy}; not asked here)")
         for name_, value_ in won.set_headers:
             click.echo(f"          {name_.decode()}: {value_.decode()}")
-        for name_, template in won.filled_headers:
+        for name_, template in won.templated_headers:
             click.echo(f"          {name_.decode()}: {template.text}")
         for name_ in sorted(won.remove_headers):
             click.echo(f"          without {name_.decode()}")
--- a/plovertrail/decisions/requests.py
+++ b/plovertrail/decisions/requests.py
@@ -171,7 +171,9 @@
     }
     forwarded_headers["host"] = host
     forwarded_headers |= {name.decode().lower(): value.decode("latin-1") for name, value in route.set_headers}
-    forwarded_headers |= {name.decode().lower(): value.filled(values) for name, value in route.filled_headers}
+    forwarded_headers |= {
+        name.decode().lower(): value.filled(values) for name, value in route.templated_headers
+    }
     return RequestPreview(
         0, "", "", head, routed, tenant_of(route, head, address).decode("latin-1"), forwarded_headers
     )
--- a/plovertrail/decisions/routes.py
+++ b/plovertrail/decisions/routes.py
@@ -86,7 +86,7 @@
     rewrite: str | None = None  # of the prefix, of the whole path, or a replacement with \1 for the regex
     keep_query: bool = True  # False: it doesn't go on to the server
     set_headers: tuple[tuple[bytes, bytes], ...] = ()
-    filled_headers: tuple[tuple[bytes, Template], ...] = ()  # set as well, with what the request tells
+    templated_headers: tuple[tuple[bytes, Template], ...] = ()  # set as well, with what the request tells
     remove_headers: frozenset[bytes] = frozenset()  # in lower case
     tenant_from: TenantSource = TenantSource.NONE
     tenant_header: bytes = b""
--- a/plovertrail/generation.py
+++ b/plovertrail/generation.py
@@ -100,7 +100,7 @@
     request_class = setup.classes[class_index]
     hosts = [value for name, value in route.set_headers if name.lower() == HOST]
     set_headers = tuple(header for header in route.set_headers if header[0].lower() != HOST)
-    templates = {name.lower(): (name, value) for name, value in route.filled_headers}
+    templates = {name.lower(): (name, value) for name, value in route.templated_headers}
     _, host_template = templates.pop(HOST, (b"", None))
     set_names = {name.lower() for name, _ in set_headers}
     return RoutePlan(
@@ -153,7 +153,7 @@
 def _protected_headers(route: Route, setup: Setup) -> frozenset[bytes]:
     """Headers that hooks may not change: with another idempotency key or id it would be another request."""
     protected = {key.lower() for key in setup.key_headers if key} | route.remove_headers
-    protected |= {name.lower() for name, _ in (*route.set_headers, *route.filled_headers)}
+    protected |= {name.lower() for name, _ in (*route.set_headers, *route.templated_headers)}
     for listener in setup.listeners:
         protected |= {listener.request_id_header.lower(), listener.deadline_header}
     return frozenset(protected)
