--- a/plovertrail/cli/route.py
+++ b/plovertrail/cli/route.py
@@ -58,7 +58,7 @@
         if won.fixed_response is not None:
             told = template_values(head, path, authority, url.encode(), address, address, b"", 0, won)
             where = (
-                won.fixed_response.location.filled(told) if won.fixed_response.location is not None else ""
+                won.fixed_response.location.render(told) if won.fixed_response.location is not None else ""
             )
             click.echo(f"route     {won.name}\nanswers   {won.fixed_response.status} {where}".rstrip())
             return
--- a/plovertrail/config/route_actions.py
+++ b/plovertrail/config/route_actions.py
@@ -129,7 +129,7 @@
             if made.names:
                 filled.append((self.header_name(name, place), made))
             else:
-                plain.append((self.header_name(name, place), made.filled({}).encode("ascii", "replace")))
+                plain.append((self.header_name(name, place), made.render({}).encode("ascii", "replace")))
         return tuple(plain), tuple(filled)
 
     def removed(self, row: RouteTableRow, at: str) -> frozenset[bytes]:
--- a/plovertrail/decisions/requests.py
+++ b/plovertrail/decisions/requests.py
@@ -159,8 +159,8 @@
         fixed = route.fixed_response
         return RequestPreview(
             fixed.status,
-            fixed.body.filled(values) if fixed.body is not None else "",
-            fixed.location.filled(values) if fixed.location is not None else "",
+            fixed.body.render(values) if fixed.body is not None else "",
+            fixed.location.render(values) if fixed.location is not None else "",
             head,
             routed,
         )
@@ -172,7 +172,7 @@
     forwarded_headers["host"] = host
     forwarded_headers |= {name.decode().lower(): value.decode("latin-1") for name, value in route.set_headers}
     forwarded_headers |= {
-        name.decode().lower(): value.filled(values) for name, value in route.templated_headers
+        name.decode().lower(): value.render(values) for name, value in route.templated_headers
     }
     return RequestPreview(
         0, "", "", head, routed, tenant_of(route, head, address).decode("latin-1"), forwarded_headers
--- a/plovertrail/decisions/templates.py
+++ b/plovertrail/decisions/templates.py
@@ -43,7 +43,7 @@
         """The names of the values that the template needs."""
         return frozenset(name for _, name in self.pieces if name)
 
-    def filled(self, values: Mapping[str, str]) -> str:
+    def render(self, values: Mapping[str, str]) -> str:
         """The text with the values filled in; `values` has each of `names`."""
         return "".join(plain + (values[name] if name else "") for plain, name in self.pieces)
 
--- a/plovertrail/listeners/http_forwarding.py
+++ b/plovertrail/listeners/http_forwarding.py
@@ -183,10 +183,10 @@
         if plan.templated_headers or plan.host_template is not None:
             values = self._template_values(request, request_id, client_name)
             headers.extend(
-                (name, value.filled(values).encode("latin-1")) for name, value in plan.templated_headers
+                (name, value.render(values).encode("latin-1")) for name, value in plan.templated_headers
             )
             if plan.host_template is not None:
-                host = plan.host_template.filled(values).encode("latin-1")
+                host = plan.host_template.render(values).encode("latin-1")
         return headers, host
 
     def _forwarded_header(self, request: _RoutedRequest) -> tuple[bytes, bytes]:
@@ -232,9 +232,9 @@
 
 def fixed_response(fixed: FixedResponse, values: dict[str, str]) -> LocalResponse:
     """Return the response of a route that answers by itself."""
-    body = fixed.body.filled(values).encode() if fixed.body is not None else b""
+    body = fixed.body.render(values).encode() if fixed.body is not None else b""
     headers: Headers = [(b"Content-Type", fixed.content_type.encode("latin-1"))] if body else []
     if fixed.location is not None:
-        headers.append((b"Location", fixed.location.filled(values).encode("latin-1")))
+        headers.append((b"Location", fixed.location.render(values).encode("latin-1")))
     has_length = fixed.status not in STATUSES_WITHOUT_BODY
     return LocalResponse(fixed.status, body, headers, has_length=has_length)
--- a/tests/decisions/test_templates.py
+++ b/tests/decisions/test_templates.py
@@ -12,7 +12,7 @@
 def test_places_are_filled_and_doubled_braces_are_braces() -> None:
     made = parse_template("https://{host}{uri}?{{x}}={1}")
     assert made.names == {"host", "uri", "1"}
-    assert made.filled({"host": "a.b", "uri": "/c{host}", "1": "{{"}) == "https://a.b/c{host}?{x}={{"
+    assert made.render({"host": "a.b", "uri": "/c{host}", "1": "{{"}) == "https://a.b/c{host}?{x}={{"
 
 
 @pytest.mark.parametrize("text", ["{", "}", "{nothing}", "a}b", "{host", "{0}", "{}", "{host }", "{{{"])
@@ -24,7 +24,7 @@
 @given(st.text())
 def test_an_escaped_text_is_filled_with_itself(text: str) -> None:
     made = parse_template(escaped(text))
-    assert made.filled({}) == text
+    assert made.render({}) == text
     assert not made.names
 
 
@@ -39,4 +39,4 @@
 def test_a_template_says_what_it_was_made_of(parts: list[tuple[str, str]]) -> None:
     text = "".join(f"{{{name}}}" if name else escaped(plain) for plain, name in parts)
     values = {name: f"<{name}>" for name in NAMES}
-    assert parse_template(text).filled(values) == "".join(f"<{n}>" if n else plain for plain, n in parts)
+    assert parse_template(text).render(values) == "".join(f"<{n}>" if n else plain for plain, n in parts)
