--- a/plovertrail/config/route_actions.py
+++ b/plovertrail/config/route_actions.py
@@ -12,7 +12,7 @@
 from plovertrail.config.table_reader import FIELD_VALUE
 from plovertrail.config.tables import key_path, read_table
 from plovertrail.decisions.routes import FixedResponse, PathKind
-from plovertrail.decisions.templates import NAMES, Template, parse_template
+from plovertrail.decisions.templates import PLACEHOLDERS, Template, parse_template
 
 RESERVED = frozenset(
     (
@@ -78,7 +78,7 @@
                 place,
                 str(error),
                 "write one of "
-                + ", ".join(f"{{{name}}}" for name in sorted(NAMES))
+                + ", ".join(f"{{{name}}}" for name in sorted(PLACEHOLDERS))
                 + ", or {{ and }} for braces",
             )
             return Template(())
--- a/plovertrail/decisions/templates.py
+++ b/plovertrail/decisions/templates.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 # what each place is filled with, as docs/operator.md tells it
-NAMES = frozenset(
+PLACEHOLDERS = frozenset(
     (
         "host",  # without a port, in lower case
         "authority",  # the host as it was sent
@@ -59,7 +59,7 @@
             plain += found[0][0]
         elif found[1] is None:
             raise ValueError("a brace that stands alone")
-        elif found[1] not in NAMES:
+        elif found[1] not in PLACEHOLDERS:
             raise ValueError(f"{found[0]} is not known")
         else:
             pieces.append((plain, found[1]))
--- a/tests/decisions/test_templates.py
+++ b/tests/decisions/test_templates.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from plovertrail.decisions.templates import NAMES, escaped, parse_template
+from plovertrail.decisions.templates import PLACEHOLDERS, escaped, parse_template
 
 
 def test_places_are_filled_and_doubled_braces_are_braces() -> None:
@@ -31,12 +31,12 @@
 @given(
     st.lists(
         st.one_of(
-            st.sampled_from(sorted(NAMES)).map(lambda name: ("", name)),
+            st.sampled_from(sorted(PLACEHOLDERS)).map(lambda name: ("", name)),
             st.text().map(lambda text: (text, "")),
         )
     )
 )
 def test_a_template_says_what_it_was_made_of(parts: list[tuple[str, str]]) -> None:
     text = "".join(f"{{{name}}}" if name else escaped(plain) for plain, name in parts)
-    values = {name: f"<{name}>" for name in NAMES}
+    values = {name: f"<{name}>" for name in PLACEHOLDERS}
     assert parse_template(text).render(values) == "".join(f"<{n}>" if n else plain for plain, n in parts)
