--- a/plovertrail/decisions/verdicts.py
+++ b/plovertrail/decisions/verdicts.py
@@ -65,7 +65,7 @@
     logs: list[bytes] = field(default_factory=list)
 
 
-NOTHING = Verdict()  # asks for nothing; most verdicts
+EMPTY_VERDICT = Verdict()  # asks for nothing; most verdicts
 
 
 @dataclass(frozen=True, slots=True)
--- a/plovertrail/hooks/chain.py
+++ b/plovertrail/hooks/chain.py
@@ -13,7 +13,7 @@
 
 from plovertrail.decisions.settings import RequestClass
 from plovertrail.decisions.verdicts import (
-    NOTHING,
+    EMPTY_VERDICT,
     Allowed,
     Verdict,
     at_least_as_strict,
@@ -153,7 +153,7 @@
                 raise RequestRefusedError(
                     431 if too_long else 500, TOO_LONG if too_long else FAILED
                 ) from None
-            if verdict is NOTHING:
+            if verdict is EMPTY_VERDICT:
                 continue
             if verdict.refuse:
                 raise RequestRefusedError(verdict.refuse, verdict.body)
@@ -179,7 +179,7 @@
                     if not chain.passes:
                         raise AnswerWithheldError from None
                 else:
-                    headers = headers if verdict is NOTHING else changed_headers(headers, verdict)
+                    headers = headers if verdict is EMPTY_VERDICT else changed_headers(headers, verdict)
         return headers
 
     def end(self, outcome: bytes, status: int) -> None:
--- a/plovertrail/hooks/hook.py
+++ b/plovertrail/hooks/hook.py
@@ -9,7 +9,7 @@
 
 from plovertrail.config.hooks import HookSetup
 from plovertrail.decisions.breaker import Breaker
-from plovertrail.decisions.verdicts import NOTHING, Allowed, InvalidVerdictError, Verdict
+from plovertrail.decisions.verdicts import EMPTY_VERDICT, Allowed, InvalidVerdictError, Verdict
 from plovertrail.hooks import abi
 from plovertrail.hooks.bounds import HookError, RequestTooLongError
 from plovertrail.hooks.engine import Bounds, Compiled, Instance, Runtime
@@ -70,7 +70,7 @@
         self.figures.calls += 1
         try:
             verdict = self._call(phase, told)
-            if verdict is not NOTHING:
+            if verdict is not EMPTY_VERDICT:
                 check(verdict, allowed)
         except RequestTooLongError as fault:
             self.figures.too_long += 1
@@ -85,7 +85,7 @@
         if self.breaker.worked():
             log.warning("hook %s is on again", self.setup.name)
         self.figures.mean_us += (self.clock_us() - began_us - self.figures.mean_us) / MEAN_MEMORY
-        if verdict is not NOTHING:
+        if verdict is not EMPTY_VERDICT:
             self._take(verdict, began_us)
         return verdict
 
@@ -99,7 +99,7 @@
         answer = instance.call(phase, told + self.told_own)
         if self.served >= self.setup.reuse or (self.served % LOOK_EACH == 0 and self._grown(instance)):
             self.instance = None
-        return abi.read_verdict(answer) if answer else NOTHING
+        return abi.read_verdict(answer) if answer else EMPTY_VERDICT
 
     def _grown(self, instance: Instance) -> bool:
         size = instance.memory_bytes()
