--- a/plovertrail/decisions/breaker.py
+++ b/plovertrail/decisions/breaker.py
@@ -16,7 +16,7 @@
 LONGEST_OFF_US = 600_000_000  # doubled for each trial that fails, up to this
 
 
-class Breaker:
+class CircuitBreaker:
     """One hook's. Off, it lets one call through as a trial each time its pause is over."""
 
     def __init__(self) -> None:
--- a/plovertrail/hooks/hook.py
+++ b/plovertrail/hooks/hook.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from plovertrail.config.hooks import HookSetup
-from plovertrail.decisions.breaker import Breaker
+from plovertrail.decisions.breaker import CircuitBreaker
 from plovertrail.decisions.verdicts import EMPTY_VERDICT, Allowed, InvalidVerdictError, Verdict
 from plovertrail.hooks import abi
 from plovertrail.hooks.bounds import HookError, RequestTooLongError
@@ -51,7 +51,7 @@
         self.clock_us = clock_us
         self.setup = setup
         self.compiled = compiled
-        self.breaker = Breaker()
+        self.breaker = CircuitBreaker()
         self.figures = Figures(counters={name.encode(): 0 for name in setup.counters})
         self.counter_names = frozenset(self.figures.counters)
         self.told_own = self._own()
--- a/tests/decisions/test_breaker.py
+++ b/tests/decisions/test_breaker.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from plovertrail.decisions.breaker import FIRST_OFF_US, LONGEST_OFF_US, Breaker
+from plovertrail.decisions.breaker import FIRST_OFF_US, LONGEST_OFF_US, CircuitBreaker
 
 SECOND = 1_000_000
 
 
 def test_a_run_of_faults_switches_off_and_a_good_trial_on() -> None:
-    breaker = Breaker()
+    breaker = CircuitBreaker()
     calls = 0
     while breaker.may(calls):
         assert calls < 20
@@ -26,7 +26,7 @@
 
 
 def test_a_trial_that_fails_doubles_the_pause_up_to_a_bound() -> None:
-    breaker, now = Breaker(), 0
+    breaker, now = CircuitBreaker(), 0
     for _ in range(11):
         breaker.faulted(now, 10)
     pauses = []
@@ -40,7 +40,7 @@
 
 def test_a_few_faults_among_many_good_calls_leave_it_on() -> None:
     """Else anyone who knows an input that it trips over could switch a route off."""
-    breaker = Breaker()
+    breaker = CircuitBreaker()
     for now in range(0, 60 * SECOND, 10_000):
         assert breaker.may(now)
         if now % 50_000:
@@ -51,7 +51,7 @@
 
 def test_faults_that_take_too_much_time_switch_it_off_however_few() -> None:
     """Each stopped by the clock after 10 ms, 20 a second: a fifth of the loop's time."""
-    breaker, now = Breaker(), 0
+    breaker, now = CircuitBreaker(), 0
     while breaker.may(now):
         for _ in range(9):
             breaker.worked()
@@ -61,7 +61,7 @@
 
 
 def test_what_faults_took_long_ago_is_forgotten() -> None:
-    breaker = Breaker()
+    breaker = CircuitBreaker()
     for minute in range(60):
         breaker.worked()
         breaker.faulted(minute * 60 * SECOND, 100_000)
--- a/tests/hooks/test_chain.py
+++ b/tests/hooks/test_chain.py
@@ -8,7 +8,7 @@
 import pytest
 
 from plovertrail.config.hooks import HookSetup
-from plovertrail.decisions.breaker import Breaker
+from plovertrail.decisions.breaker import CircuitBreaker
 from plovertrail.decisions.settings import RequestClass
 from plovertrail.decisions.verdicts import Allowed, InvalidVerdictError, Verdict
 from plovertrail.hooks import abi
@@ -32,7 +32,7 @@
     def __init__(self, verdict: Callable[[str], Verdict] = lambda phase: Verdict(), body: int = 0) -> None:
         self.verdict = verdict
         self.setup = HookSetup("played", "", 1000, 1 << 16, 1, body, (), ("n",))
-        self.breaker = Breaker()
+        self.breaker = CircuitBreaker()
         self.figures = Figures()
         self.counter_names = frozenset((b"n",))
         self.told: list[tuple[str, list[tuple[int, bytes, bytes]]]] = []
