--- a/plovertrail/decisions/breaker.py
+++ b/plovertrail/decisions/breaker.py
@@ -26,15 +26,15 @@
         self.off_until_us = 0  # 0 = on
         self.pause_us = FIRST_OFF_US
 
-    def may(self, now_us: int) -> bool:
+    def allows_call(self, now_us: int) -> bool:
         """Whether the hook may be called now."""
         return now_us >= self.off_until_us
 
-    def left_us(self, now_us: int) -> int:
+    def until_trial_us(self, now_us: int) -> int:
         """Till the next trial, in microseconds."""
         return max(0, self.off_until_us - now_us)
 
-    def worked(self) -> bool:
+    def record_success(self) -> bool:
         """A call went well; whether that switches the hook on again."""
         self.faults -= self.faults / FAULT_MEMORY
         if not self.off_until_us:
@@ -43,7 +43,7 @@
         self.faults = self.spent_us = 0.0
         return True
 
-    def faulted(self, now_us: int, took_us: int) -> bool:
+    def record_fault(self, now_us: int, took_us: int) -> bool:
         """A call went wrong after so long; whether that switches the hook off."""
         self.faults += (1.0 - self.faults) / FAULT_MEMORY
         borne_us = TIME_SHARE * (now_us - self.counted_us)
--- a/plovertrail/hooks/chain.py
+++ b/plovertrail/hooks/chain.py
@@ -134,9 +134,9 @@
         """The first phase; raises RequestRefusedError."""
         chain, seen, changes = self.chain, self.seen, self.changes
         for hook in chain.hooks:  # also those that would be asked later: then the request has run
-            if not chain.passes and not hook.breaker.may(self.began_us):
+            if not chain.passes and not hook.breaker.allows_call(self.began_us):
                 hook.figures.skipped += 1
-                raise RequestRefusedError(503, SWITCHED_OFF, hook.breaker.left_us(self.began_us))
+                raise RequestRefusedError(503, SWITCHED_OFF, hook.breaker.until_trial_us(self.began_us))
         self.facts = self._facts()
         headers, told_headers = seen.headers, abi.headers(seen.headers)
         for number, hook in enumerate(chain.hooks):
@@ -208,7 +208,7 @@
         After the end nobody waits."""
         now_us = self.clock_us()
         left_us = self.due_us - now_us
-        if not hook.breaker.may(now_us) or (phase != "on_end" and left_us <= LONGEST_CALL_US):
+        if not hook.breaker.allows_call(now_us) or (phase != "on_end" and left_us <= LONGEST_CALL_US):
             hook.figures.skipped += 1
             raise HookError("not asked")
         told = self.facts + told + abi.number(Read.REMAINING_MS, left_us // 1000)
--- a/plovertrail/hooks/hook.py
+++ b/plovertrail/hooks/hook.py
@@ -82,7 +82,7 @@
             # hazard: a fault of the engine's own must end neither the request nor the daemon
             log.exception("hook %s: the engine failed", self.setup.name)
             raise self._faulted(f"{phase}: the engine failed: {error!r}", began_us) from None
-        if self.breaker.worked():
+        if self.breaker.record_success():
             log.warning("hook %s is on again", self.setup.name)
         self.figures.mean_us += (self.clock_us() - began_us - self.figures.mean_us) / MEAN_MEMORY
         if verdict is not EMPTY_VERDICT:
@@ -117,11 +117,11 @@
         self.figures.faults += 1
         self.figures.last_fault = why[:MOST_KEPT_FAULT]
         now_us = self.clock_us()
-        if self.breaker.faulted(now_us, now_us - began_us):
+        if self.breaker.record_fault(now_us, now_us - began_us):
             log.error(
                 "hook %s is switched off for %d s: it faults too often; the last time: %s",
                 self.setup.name,
-                self.breaker.left_us(now_us) // A_SECOND_US,
+                self.breaker.until_trial_us(now_us) // A_SECOND_US,
                 self.figures.last_fault,
             )
         elif self._may_log(now_us):
@@ -164,6 +164,6 @@
             "mean_us": round(figures.mean_us, 1),
             "logs_dropped": figures.logs_dropped,
             "last_fault": figures.last_fault,
-            "off_for_s": round(self.breaker.left_us(self.clock_us()) / 1e6, 1),
+            "off_for_s": round(self.breaker.until_trial_us(self.clock_us()) / 1e6, 1),
             "counters": {name.decode(): count for name, count in figures.counters.items()},
         }
--- a/tests/decisions/test_breaker.py
+++ b/tests/decisions/test_breaker.py
@@ -10,29 +10,29 @@
 def test_a_run_of_faults_switches_off_and_a_good_trial_on() -> None:
     breaker = CircuitBreaker()
     calls = 0
-    while breaker.may(calls):
+    while breaker.allows_call(calls):
         assert calls < 20
-        breaker.faulted(calls, 10)
+        breaker.record_fault(calls, 10)
         calls += 1
     assert calls == 11  # faults are most of the last calls
     off = breaker.off_until_us
-    assert not breaker.may(off - 1)
-    assert breaker.left_us(off - 1) == 1
-    assert breaker.may(off)
-    assert breaker.worked()
-    assert breaker.may(off)
-    assert not breaker.worked()
+    assert not breaker.allows_call(off - 1)
+    assert breaker.until_trial_us(off - 1) == 1
+    assert breaker.allows_call(off)
+    assert breaker.record_success()
+    assert breaker.allows_call(off)
+    assert not breaker.record_success()
     assert breaker.faults == 0.0
 
 
 def test_a_trial_that_fails_doubles_the_pause_up_to_a_bound() -> None:
     breaker, now = CircuitBreaker(), 0
     for _ in range(11):
-        breaker.faulted(now, 10)
+        breaker.record_fault(now, 10)
     pauses = []
     for _ in range(10):
         now = breaker.off_until_us
-        assert breaker.faulted(now, 10)
+        assert breaker.record_fault(now, 10)
         pauses.append(breaker.off_until_us - now)
     assert pauses[:3] == [2 * FIRST_OFF_US, 4 * FIRST_OFF_US, 8 * FIRST_OFF_US]
     assert pauses[-1] == LONGEST_OFF_US
@@ -42,20 +42,20 @@
     """Else anyone who knows an input that it trips over could switch a route off."""
     breaker = CircuitBreaker()
     for now in range(0, 60 * SECOND, 10_000):
-        assert breaker.may(now)
+        assert breaker.allows_call(now)
         if now % 50_000:
-            breaker.worked()
+            breaker.record_success()
         else:
-            breaker.faulted(now, 500)  # 20 a second take 1 % of the time
+            breaker.record_fault(now, 500)  # 20 a second take 1 % of the time
 
 
 def test_faults_that_take_too_much_time_switch_it_off_however_few() -> None:
     """Each stopped by the clock after 10 ms, 20 a second: a fifth of the loop's time."""
     breaker, now = CircuitBreaker(), 0
-    while breaker.may(now):
+    while breaker.allows_call(now):
         for _ in range(9):
-            breaker.worked()
-        breaker.faulted(now, 10_000)
+            breaker.record_success()
+        breaker.record_fault(now, 10_000)
         now += 50_000
     assert SECOND < now < 3 * SECOND
 
@@ -63,7 +63,7 @@
 def test_what_faults_took_long_ago_is_forgotten() -> None:
     breaker = CircuitBreaker()
     for minute in range(60):
-        breaker.worked()
-        breaker.faulted(minute * 60 * SECOND, 100_000)
-        breaker.worked()
-    assert breaker.may(3600 * SECOND)
+        breaker.record_success()
+        breaker.record_fault(minute * 60 * SECOND, 100_000)
+        breaker.record_success()
+    assert breaker.allows_call(3600 * SECOND)
