--- a/plovertrail/decisions/affinity.py
+++ b/plovertrail/decisions/affinity.py
@@ -47,7 +47,7 @@
         return b",".join(value for name, value in headers if name.lower() == self.header)
 
 
-class Ring:
+class HashRing:
     """The servers that take requests, by their numbers, each at the points of its name."""
 
     def __init__(self) -> None:
--- a/plovertrail/dispatch/server_pool.py
+++ b/plovertrail/dispatch/server_pool.py
@@ -16,7 +16,7 @@
 from plovertrail.dispatch.types import Address, EndpointTransport, ProxyRequest
 
 if TYPE_CHECKING:  # imported where they are configured: the platform's start has none of them
-    from plovertrail.decisions.affinity import Affinity, Ring
+    from plovertrail.decisions.affinity import Affinity, HashRing
     from plovertrail.decisions.fair_queue import FairQueue, FairQueueSettings
     from plovertrail.decisions.startup_admission import StartupAdmission
     from plovertrail.decisions.subsetting import EndpointSubset
@@ -69,7 +69,7 @@
         self.retired = False
         self.connect_timer: asyncio.TimerHandle | None = None  # until a further connection may be made
         self.affinity: Affinity | None = None  # None: requests prefer no endpoint
-        self.ring: Ring | None = None
+        self.ring: HashRing | None = None
         self.queue: RequestQueue | None = None  # None: requests go to the load balancer as they come
         self.admission: StartupAdmission | None = None  # None: whatever finds a slot is admitted
 
@@ -84,10 +84,10 @@
 
     def use_affinity(self, affinity: Affinity) -> None:
         """Prefer an endpoint for requests with the same affinity key; call this before the first list."""
-        from plovertrail.decisions.affinity import Ring
+        from plovertrail.decisions.affinity import HashRing
 
         self.affinity = affinity
-        self.ring = Ring()
+        self.ring = HashRing()
 
     def apply(self, event: EndpointsUpdated) -> None:
         """Keep what new requests may go to in step with what the load balancer hears."""
--- a/tests/decisions/test_affinity.py
+++ b/tests/decisions/test_affinity.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from plovertrail.decisions.actions import Send
-from plovertrail.decisions.affinity import Affinity, AffinitySource, Ring
+from plovertrail.decisions.affinity import Affinity, AffinitySource, HashRing
 from plovertrail.decisions.events import (
     AttemptEnded,
     Endpoint,
@@ -27,14 +27,14 @@
 KEYS = [f"client{number}".encode() for number in range(4000)]
 
 
-def ring(*weights: float) -> Ring:
-    made = Ring()
+def ring(*weights: float) -> HashRing:
+    made = HashRing()
     for number, weight in enumerate(weights, 1):
         made.put(number, ("127.0.0.1", 9000 + number), weight)
     return made
 
 
-def firsts(made: Ring) -> dict[bytes, int]:
+def firsts(made: HashRing) -> dict[bytes, int]:
     return {key: made.preferred(key)[0] for key in KEYS}
 
 
@@ -55,7 +55,7 @@
 
 
 def test_instances_agree_whatever_numbers_servers_have() -> None:
-    one, other = ring(1, 1, 1), Ring()
+    one, other = ring(1, 1, 1), HashRing()
     for number in (3, 1, 2):
         other.put(number + 70, ("127.0.0.1", 9000 + number), 1.0)
     assert [tuple(server + 70 for server in one.preferred(key)) for key in KEYS] == [
@@ -65,7 +65,7 @@
 
 def test_what_has_no_key_and_a_ring_with_no_servers_prefer_nothing() -> None:
     assert ring(1, 1).preferred(b"") == ()
-    assert Ring().preferred(b"x") == ()
+    assert HashRing().preferred(b"x") == ()
     assert ring(1).preferred(b"x") == (1,)
 
 
