--- a/plovertrail/decisions/requests.py
+++ b/plovertrail/decisions/requests.py
@@ -18,7 +18,7 @@
     rewritten_path,
 )
 
-IDENT = re.compile(rb"[!-~]{1,128}")
+IDENTIFIER = re.compile(rb"[!-~]{1,128}")
 
 
 class RequestRejectedError(Exception):
@@ -232,6 +232,6 @@
 
     Hazard: without a key, servers could not drop a repeat.
     """
-    if key is None or not IDENT.fullmatch(key):
+    if key is None or not IDENTIFIER.fullmatch(key):
         raise RequestRejectedError(400, "this route needs a key header of 1 to 128 printable characters")
     return key
--- a/plovertrail/listeners/http_forwarding.py
+++ b/plovertrail/listeners/http_forwarding.py
@@ -9,7 +9,7 @@
 from plovertrail.clock import clock_us
 from plovertrail.config.setup import ListenerSetup
 from plovertrail.decisions.requests import (
-    IDENT,
+    IDENTIFIER,
     Routed,
     checked_key,
     client_of,
@@ -139,7 +139,7 @@
     def _request_id(self, request: _RoutedRequest) -> bytes:
         """Return the client's own id of a request, or a new one if it has none that is valid."""
         request_id = request.headers.get(self.listener.request_id_header.lower(), b"")
-        if IDENT.fullmatch(request_id):
+        if IDENTIFIER.fullmatch(request_id):
             return request_id
         return os.urandom(REQUEST_ID_BYTES).hex().encode()
 
