--- a/benchmarks/planted_fault_list.py
+++ b/benchmarks/planted_fault_list.py
@@ -217,8 +217,8 @@
     Fault(
         "precedence: the shortest prefix first",
         ROUTES,
-        'long = -self.path.rstrip("/").count("/")',
-        'long = self.path.rstrip("/").count("/")',
+        'prefix_depth = -self.path.rstrip("/").count("/")',
+        'prefix_depth = self.path.rstrip("/").count("/")',
     ),
     Fault(
         "methods are not looked at",
--- a/plovertrail/decisions/requests.py
+++ b/plovertrail/decisions/requests.py
@@ -14,7 +14,7 @@
     Route,
     RouteTable,
     TenantSource,
-    captured,
+    regex_groups,
     rewritten_path,
 )
 
@@ -112,7 +112,7 @@
         "request_id": ident.decode("latin-1"),
         "port": str(port),
     }
-    return told | {str(number): text for number, text in enumerate(captured(route, head.path), 1)}
+    return told | {str(number): text for number, text in enumerate(regex_groups(route, head.path), 1)}
 
 
 @dataclass(slots=True)
--- a/plovertrail/decisions/routes.py
+++ b/plovertrail/decisions/routes.py
@@ -20,7 +20,7 @@
 from plovertrail.decisions.templates import Template
 
 SAFE_METHODS = frozenset(("GET", "HEAD", "OPTIONS"))
-AUTOMATON_BYTES = 64 << 20  # of memory for the regular expressions of one host
+MAX_AUTOMATON_BYTES = 64 << 20  # of memory for the regular expressions of one host
 
 
 class PathKind(enum.IntEnum):
@@ -99,11 +99,11 @@
     max_body: int | None = None  # bytes; None: as long as the listeners take
     fixed_response: FixedResponse | None = None  # it sends its requests to no server
 
-    def rank(self, place: int) -> tuple[int, ...]:
+    def rank(self, position: int) -> tuple[int, ...]:
         """Its place among the routes of one host: the smallest goes first."""
-        long = -self.path.rstrip("/").count("/") if self.path_kind is PathKind.PREFIX else 0
-        named = (not self.methods, -len(self.headers), -len(self.query))
-        return (-self.priority, self.path_kind, long, *named, place)
+        prefix_depth = -self.path.rstrip("/").count("/") if self.path_kind is PathKind.PREFIX else 0
+        specificity = (not self.methods, -len(self.headers), -len(self.query))
+        return (-self.priority, self.path_kind, prefix_depth, *specificity, position)
 
 
 @dataclass(frozen=True, slots=True)
@@ -138,7 +138,7 @@
     allowed: frozenset[str] = frozenset()
 
 
-def parameters(query: bytes) -> dict[str, list[str]]:
+def query_parameters(query: bytes) -> dict[str, list[str]]:
     """The parameters of a query, undecoded."""
     found: dict[str, list[str]] = {}
     for part in query.decode("latin-1").split("&"):
@@ -153,7 +153,7 @@
     return path.startswith(prefix) and path[len(prefix) : len(prefix) + 1] in ("", "/")
 
 
-def prefixes(path: str) -> Iterator[str]:
+def path_prefixes(path: str) -> Iterator[str]:
     """All prefixes on segment borders, without a slash at their end, the longest first."""
     path = path.rstrip("/")
     while path:
@@ -172,21 +172,21 @@
         return Miss.PATH
     if route.methods and head.method not in route.methods:
         return Miss.METHOD
-    for wanted in route.headers:
-        value = head.headers.get(wanted.name.encode("latin-1"))
-        if value is None or (wanted.value is not None and value.decode("latin-1") != wanted.value):
+    for predicate in route.headers:
+        value = head.headers.get(predicate.name.encode("latin-1"))
+        if value is None or (predicate.value is not None and value.decode("latin-1") != predicate.value):
             return Miss.HEADER
     if route.query:
-        given = parameters(head.query)
-        for wanted in route.query:
-            values = given.get(wanted.name)
-            if values is None or (wanted.value is not None and wanted.value not in values):
+        parameters = query_parameters(head.query)
+        for predicate in route.query:
+            values = parameters.get(predicate.name)
+            if values is None or (predicate.value is not None and predicate.value not in values):
                 return Miss.QUERY
     return None
 
 
 @dataclass(slots=True)
-class Ranked:
+class RankedRoute:
     """A route and its place among those of its host."""
 
     rank: tuple[int, ...]
@@ -197,12 +197,12 @@
 class HostRoutes:
     """The routes of one host, laid out for lookup."""
 
-    exact: dict[str, list[Ranked]] = field(default_factory=dict)
-    prefix: dict[str, list[Ranked]] = field(default_factory=dict)
-    regex: list[Ranked] = field(default_factory=list)
+    exact: dict[str, list[RankedRoute]] = field(default_factory=dict)
+    prefix: dict[str, list[RankedRoute]] = field(default_factory=dict)
+    regex: list[RankedRoute] = field(default_factory=list)
     automaton: re2.Set | None = None
 
-    def add(self, entry: Ranked) -> None:
+    def add(self, entry: RankedRoute) -> None:
         """Add a route under its kind of path."""
         if entry.route.path_kind is PathKind.EXACT:
             self.exact.setdefault(entry.route.path, []).append(entry)
@@ -211,11 +211,11 @@
         else:
             self.regex.append(entry)
 
-    def close(self) -> None:
+    def compile_regexes(self) -> None:
         """All routes have been added."""
         if self.regex:
             options = re2.Options()
-            options.max_mem = AUTOMATON_BYTES
+            options.max_mem = MAX_AUTOMATON_BYTES
             options.log_errors = False
             automaton = re2.Set.FullMatchSet(options)
             for entry in self.regex:
@@ -223,13 +223,13 @@
             automaton.Compile()
             self.automaton = automaton
 
-    def by_path(self, path: str) -> list[Ranked]:
+    def by_path(self, path: str) -> list[RankedRoute]:
         """The routes whose path takes this one, in their order."""
         found = list(self.exact.get(path, ()))
         if self.automaton is not None:
             found += [self.regex[number] for number in self.automaton.Match(path) or ()]
         if self.prefix:
-            for prefix in prefixes(path):
+            for prefix in path_prefixes(path):
                 found += self.prefix.get(prefix, ())
         if len(found) > 1:
             found.sort(key=lambda entry: entry.rank)
@@ -244,30 +244,30 @@
         self.routes = tuple(routes)
         self._hosts: dict[str, HostRoutes] = {}
         self._host_regexes: list[tuple[Any, str]] = []  # in the order of the file
-        for place, route in enumerate(self.routes):
+        for position, route in enumerate(self.routes):
             for host in route.hosts or ("",):
-                self._hosts.setdefault(host, HostRoutes()).add(Ranked(route.rank(place), route))
+                self._hosts.setdefault(host, HostRoutes()).add(RankedRoute(route.rank(position), route))
         for host, group in self._hosts.items():
-            group.close()
+            group.compile_regexes()
             if host.startswith("~"):
                 self._host_regexes.append((re2.compile(host[1:]), host))
-        self._trailing = any(host.endswith(".*") for host in self._hosts)
+        self._has_trailing_wildcards = any(host.endswith(".*") for host in self._hosts)
 
-    def _groups(self, host: str) -> Iterator[HostRoutes]:
+    def _matching_groups(self, host: str) -> Iterator[HostRoutes]:
         """Those that take a host, the closest first."""
         if host:
             if host in self._hosts:
                 yield self._hosts[host]
-            below = host
-            while "." in below and not below.startswith("["):
-                below = below.partition(".")[2]
-                if "*." + below in self._hosts:
-                    yield self._hosts["*." + below]
-            above = host
-            while self._trailing and "." in above:
-                above = above.rpartition(".")[0]
-                if above + ".*" in self._hosts:
-                    yield self._hosts[above + ".*"]
+            suffix = host
+            while "." in suffix and not suffix.startswith("["):
+                suffix = suffix.partition(".")[2]
+                if "*." + suffix in self._hosts:
+                    yield self._hosts["*." + suffix]
+            prefix = host
+            while self._has_trailing_wildcards and "." in prefix:
+                prefix = prefix.rpartition(".")[0]
+                if prefix + ".*" in self._hosts:
+                    yield self._hosts[prefix + ".*"]
             for regex, name in self._host_regexes:
                 if regex.search(host):
                     yield self._hosts[name]
@@ -277,7 +277,7 @@
     def lookup(self, head: Head) -> Match:
         """The route that takes a request."""
         allowed: set[str] = set()
-        for group in self._groups(head.host):
+        for group in self._matching_groups(head.host):
             for entry in group.by_path(head.path):
                 miss = predicate_miss(entry.route, head)
                 if miss is None:
@@ -289,9 +289,9 @@
     def explain(self, head: Head) -> list[tuple[Route, Miss | None]]:
         """Every route with the reason why it doesn't take a request; None for the one that does. Goes through
         all routes one by one, so it is also the yardstick of `lookup`."""
-        told: list[tuple[Route, Miss | None]] = []
+        results: list[tuple[Route, Miss | None]] = []
         best: tuple[tuple[int, ...], int] | None = None
-        for place, route in enumerate(self.routes):
+        for position, route in enumerate(self.routes):
             host_rank = min(
                 (
                     self._host_order(host, head.host)
@@ -308,14 +308,14 @@
             else:
                 miss = predicate_miss(route, head)
                 if miss is None:
-                    rank = (host_rank, *route.rank(place))
+                    rank = (host_rank, *route.rank(position))
                     if best is None or rank < best[0]:
-                        best = rank, place
+                        best = rank, position
                     miss = Miss.OUTRANKED
-            told.append((route, miss))
+            results.append((route, miss))
         if best is not None:
-            told[best[1]] = told[best[1]][0], None
-        return told
+            results[best[1]] = results[best[1]][0], None
+        return results
 
     def _host_order(self, pattern: str, host: str) -> int:
         """Exact, then the longest wildcard at the front, the longest at the end, the first regular
@@ -380,19 +380,19 @@
 
 def unreachable(routes: Sequence[Route]) -> list[tuple[Route, Route]]:
     """The routes that never take a request, each with one that always goes first."""
-    groups: dict[str, list[Ranked]] = {}
-    for place, route in enumerate(routes):
+    groups: dict[str, list[RankedRoute]] = {}
+    for position, route in enumerate(routes):
         for host in route.hosts or ("",):
-            groups.setdefault(host, []).append(Ranked(route.rank(place), route))
+            groups.setdefault(host, []).append(RankedRoute(route.rank(position), route))
     shadowed: dict[str, list[tuple[Route, Route]]] = {}
     for group in groups.values():
         layout = HostRoutes()
         for entry in group:
             layout.add(entry)
-        layout.close()
+        layout.compile_regexes()
         for entry in group:
             candidates = _candidates(layout, entry.route)
-            by = next(
+            shadowing = next(
                 (
                     other.route
                     for other in candidates
@@ -400,20 +400,20 @@
                 ),
                 None,
             )
-            if by is not None:
-                shadowed.setdefault(entry.route.name, []).append((entry.route, by))
+            if shadowing is not None:
+                shadowed.setdefault(entry.route.name, []).append((entry.route, shadowing))
     # one that is reached by any of its hosts is reached
     return [found[0] for found in shadowed.values() if len(found) == max(1, len(found[0][0].hosts))]
 
 
-def _candidates(layout: HostRoutes, route: Route) -> list[Ranked]:
+def _candidates(layout: HostRoutes, route: Route) -> list[RankedRoute]:
     """The routes of a host that could take all of another's paths."""
     if route.path_kind is PathKind.REGEX:
         return layout.prefix.get("", []) + [entry for entry in layout.regex if entry.route.path == route.path]
     return layout.by_path(route.path)
 
 
-def captured(route: Route, path: str) -> list[str]:
+def regex_groups(route: Route, path: str) -> list[str]:
     """Nine groups of a route's regular expression in a path as rules see it; empty where there is none."""
     groups: list[str] = []
     if route.path_kind is PathKind.REGEX:
@@ -429,14 +429,14 @@
     if route.rewrite is None:
         return path
     if route.path_kind is PathKind.EXACT:
-        changed = route.rewrite
+        rewritten = route.rewrite
     elif route.path_kind is PathKind.PREFIX:
         depth = route.path.rstrip("/").count("/")
         rest = path.split("/")[1 + depth :]
-        changed = "/".join([route.rewrite.rstrip("/"), *rest]) if rest else route.rewrite
+        rewritten = "/".join([route.rewrite.rstrip("/"), *rest]) if rest else route.rewrite
     else:
-        as_seen = normalise_path(path.encode("latin-1"))[1]
-        changed = re2.sub(f"^(?:{route.path})$", route.rewrite, as_seen)
-    if not changed.startswith("/"):
+        matching_path = normalise_path(path.encode("latin-1"))[1]
+        rewritten = re2.sub(f"^(?:{route.path})$", route.rewrite, matching_path)
+    if not rewritten.startswith("/"):
         raise InvalidTargetError("rewritten to no path")
-    return normalise_path(changed.encode("latin-1"))[0]
+    return normalise_path(rewritten.encode("latin-1"))[0]
--- a/tests/decisions/test_routes.py
+++ b/tests/decisions/test_routes.py
@@ -273,7 +273,7 @@
     rng = random.Random(1)
     table = RouteTable([route(str(n), f"/s{n}/x", hosts=(f"h{n % 100}",)) for n in range(10_000)])
     for number in rng.sample(range(10_000), 50):
-        groups = list(table._groups(f"h{number % 100}"))
+        groups = list(table._matching_groups(f"h{number % 100}"))
         assert len(groups) == 1
         assert len(groups[0].by_path(f"/s{number}/x/y")) == 1
         assert winner(table, head(f"/s{number}/x/y", f"h{number % 100}")) == str(number)
