--- a/plovertrail/decisions/routes.py
+++ b/plovertrail/decisions/routes.py
@@ -1,9 +1,10 @@
-"""Which route a request takes: host, path and predicates, in a stated order of precedence.
+"""Route matching: selects the route of a request by its host, path and predicates.
 
-Of the routes that match, the first in this order wins: host (exact, the longest wildcard, any); priority (the
-highest); path (exact, regular expression, the longest prefix); a method named; more headers named; more query
-parameters named; place in the file. The order doesn't depend on the request, so the table is laid out once:
-a lookup asks a dictionary for the host, one for the whole path, one for each prefix of the path, and one
+Of the routes that match, the first in this order is selected: host (exact, the longest leading wildcard, the
+longest trailing wildcard, the first regular expression, any); priority (the highest); path (exact, regular
+expression, the longest prefix); a method predicate; more header predicates; more query predicates; position
+in the file. The order does not depend on the request, so the table is built once: a lookup makes one
+dictionary access for the host, one for the whole path and one for each prefix of the path, and runs one
 automaton for all regular expressions of the host.
 """
 
@@ -20,19 +21,19 @@
 from plovertrail.decisions.templates import Template
 
 SAFE_METHODS = frozenset(("GET", "HEAD", "OPTIONS"))
-MAX_AUTOMATON_BYTES = 64 << 20  # of memory for the regular expressions of one host
+MAX_AUTOMATON_BYTES = 64 << 20  # memory for the regular expressions of one host
 
 
 class PathKind(enum.IntEnum):
-    """How a route's path is meant; the order is that of precedence."""
+    """How the path of a route is matched; in order of precedence."""
 
     EXACT = 0
-    REGEX = 1  # of the whole path, as rules see it
-    PREFIX = 2  # on segment borders: /buy takes /buy and /buy/it, not /buyer
+    REGEX = 1  # matches the whole path
+    PREFIX = 2  # on segment boundaries: /buy matches /buy and /buy/it, not /buyer
 
 
 class TenantSource(enum.Enum):
-    """Where a request's tenant is read."""
+    """Where the tenant of a request is read from."""
 
     NONE = "none"
     HEADER = "header"
@@ -41,24 +42,24 @@
 
 
 class ClientSource(enum.Enum):
-    """Where it is read whose request it is, for shares and limits."""
+    """Where the client of a request is read from, for fair shares and rate limits."""
 
     ADDRESS = "address"
-    FORWARDED = "forwarded"  # the address that a trusted proxy in front tells; else that of the connection
+    FORWARDED = "forwarded"  # the address reported by a trusted proxy, otherwise that of the connection
     HEADER = "header"
 
 
 @dataclass(frozen=True, slots=True)
 class Predicate:
-    """Of a header or query parameter: it is there and, unless `value` is None, has this value."""
+    """Requires that a header or query parameter is present and, unless `value` is None, has this value."""
 
-    name: str  # of a header: in lower case
+    name: str  # in lower case if it is a header
     value: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class FixedResponse:
-    """What a route answers by itself."""
+    """The response of a route whose requests are not forwarded."""
 
     status: int
     location: Template | None = None
@@ -68,13 +69,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One rule, and what becomes of the requests that it takes."""
+    """A routing rule, and how the requests that match it are handled."""
 
     name: str
-    pools: tuple[str, ...]  # asked in this order
+    pools: tuple[str, ...]  # in the order in which they are tried
     class_name: str
-    # empty, or "": any; `*.a.example` takes all names below a.example, `www.a.*` all that begin so, and what
-    # begins with ~ is a regular expression that is searched for in the name
+    # Empty, or "": any host. `*.a.example` matches all names below a.example, `www.a.*` all names that begin
+    # with `www.a.`; after ~ comes a regular expression that is searched for in the name.
     hosts: tuple[str, ...] = ()
     path_kind: PathKind = PathKind.PREFIX
     path: str = "/"
@@ -82,25 +83,25 @@
     headers: tuple[Predicate, ...] = ()
     query: tuple[Predicate, ...] = ()
     priority: int = 0
-    deadline_us: int = 0  # 0 = the class's
-    rewrite: str | None = None  # of the prefix, of the whole path, or a replacement with \1 for the regex
-    keep_query: bool = True  # False: it doesn't go on to the server
+    deadline_us: int = 0  # 0 = that of the class
+    rewrite: str | None = None  # replaces the prefix or the whole path; may contain \1 if the path is a regex
+    keep_query: bool = True  # False: the query is not forwarded
     set_headers: tuple[tuple[bytes, bytes], ...] = ()
-    templated_headers: tuple[tuple[bytes, Template], ...] = ()  # set as well, with what the request tells
+    templated_headers: tuple[tuple[bytes, Template], ...] = ()  # also set, rendered from the request
     remove_headers: frozenset[bytes] = frozenset()  # in lower case
     tenant_from: TenantSource = TenantSource.NONE
     tenant_header: bytes = b""
     client_from: ClientSource = ClientSource.ADDRESS
     client_header: bytes = b""
-    websocket: str = ""  # the name of the limits of its sockets; empty: it opens none
+    websocket: str = ""  # name of the limits of its sessions; empty: it accepts no handshakes
     listeners: frozenset[str] = frozenset()  # empty: any
-    path_within: str = ""  # the path begins with this text,
-    path_except: tuple[str, ...] = ()  # and with none of these
-    max_body: int | None = None  # bytes; None: as long as the listeners take
-    fixed_response: FixedResponse | None = None  # it sends its requests to no server
+    path_within: str = ""  # the path has to begin with this text,
+    path_except: tuple[str, ...] = ()  # and with none of these texts
+    max_body: int | None = None  # bytes; None: the limit of the listeners
+    fixed_response: FixedResponse | None = None  # None: requests are forwarded to the pools
 
     def rank(self, position: int) -> tuple[int, ...]:
-        """Its place among the routes of one host: the smallest goes first."""
+        """Return the sort key among the routes of one host; the smallest has precedence."""
         prefix_depth = -self.path.rstrip("/").count("/") if self.path_kind is PathKind.PREFIX else 0
         specificity = (not self.methods, -len(self.headers), -len(self.query))
         return (-self.priority, self.path_kind, prefix_depth, *specificity, position)
@@ -108,38 +109,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """What routes look at."""
+    """The parts of a request that routes are matched against."""
 
     method: str
-    host: str  # normalised; empty if the request names none
-    path: str  # as rules see it
+    host: str  # normalised; empty if the request has none
+    path: str  # in the form for matching, see paths.py
     query: bytes
     headers: Mapping[bytes, bytes]  # names in lower case, values of one name joined by ", "
     listener: str = ""
 
 
 class Miss(enum.Enum):
-    """Why a route does not take a request."""
+    """Why a route was not selected for a request."""
 
     LISTENER = "another listener"
     HOST = "another host"
     PATH = "another path"
     METHOD = "another method"
-    HEADER = "a header is missing or other"
-    QUERY = "a query parameter is missing or other"
+    HEADER = "a header is missing or has another value"
+    QUERY = "a query parameter is missing or has another value"
     OUTRANKED = "matches, but another route goes first"
 
 
 @dataclass(slots=True)
 class Match:
-    """What a lookup found: a route, or the methods that would have been taken."""
+    """The result of a lookup: a route, or the methods that routes of this host and path accept."""
 
     route: Route | None
     allowed: frozenset[str] = frozenset()
 
 
 def query_parameters(query: bytes) -> dict[str, list[str]]:
-    """The parameters of a query, undecoded."""
+    """Return the values of each parameter of a query, without decoding them."""
     found: dict[str, list[str]] = {}
     for part in query.decode("latin-1").split("&"):
         name, _, value = part.partition("=")
@@ -148,13 +149,13 @@
 
 
 def covers_path(prefix: str, path: str) -> bool:
-    """Whether a path lies under a prefix, on a segment border."""
+    """Whether a path lies under a prefix, on a segment boundary."""
     prefix = prefix.rstrip("/")
     return path.startswith(prefix) and path[len(prefix) : len(prefix) + 1] in ("", "/")
 
 
 def path_prefixes(path: str) -> Iterator[str]:
-    """All prefixes on segment borders, without a slash at their end, the longest first."""
+    """Yield all prefixes on segment boundaries, without a trailing slash, the longest first."""
     path = path.rstrip("/")
     while path:
         yield path
@@ -163,7 +164,7 @@
 
 
 def predicate_miss(route: Route, head: Head) -> Miss | None:
-    """The first of a route's predicates that the request doesn't meet."""
+    """Return the first of a route's predicates that a request does not meet; None if it meets all."""
     if route.listeners and head.listener not in route.listeners:
         return Miss.LISTENER
     if not head.path.startswith(route.path_within) or (
@@ -187,7 +188,7 @@
 
 @dataclass(slots=True)
 class RankedRoute:
-    """A route and its place among those of its host."""
+    """A route and its sort key among the routes of its host."""
 
     rank: tuple[int, ...]
     route: Route
@@ -195,7 +196,7 @@
 
 @dataclass(slots=True)
 class HostRoutes:
-    """The routes of one host, laid out for lookup."""
+    """The routes of one host, indexed for lookup."""
 
     exact: dict[str, list[RankedRoute]] = field(default_factory=dict)
     prefix: dict[str, list[RankedRoute]] = field(default_factory=dict)
@@ -203,7 +204,7 @@
     automaton: re2.Set | None = None
 
     def add(self, entry: RankedRoute) -> None:
-        """Add a route under its kind of path."""
+        """Add a route to the index of its path kind."""
         if entry.route.path_kind is PathKind.EXACT:
             self.exact.setdefault(entry.route.path, []).append(entry)
         elif entry.route.path_kind is PathKind.PREFIX:
@@ -212,7 +213,7 @@
             self.regex.append(entry)
 
     def compile_regexes(self) -> None:
-        """All routes have been added."""
+        """Compile the regular expressions, once all routes have been added."""
         if self.regex:
             options = re2.Options()
             options.max_mem = MAX_AUTOMATON_BYTES
@@ -224,7 +225,7 @@
             self.automaton = automaton
 
     def by_path(self, path: str) -> list[RankedRoute]:
-        """The routes whose path takes this one, in their order."""
+        """Return the routes that match a path, in order of precedence."""
         found = list(self.exact.get(path, ()))
         if self.automaton is not None:
             found += [self.regex[number] for number in self.automaton.Match(path) or ()]
@@ -237,13 +238,15 @@
 
 
 class RouteTable:
-    """All routes. An immutable value: a change makes a new one. Paths and hosts must be normalised, regular
-    expressions valid (config/operator.py sees to both)."""
+    """All routes of a configuration, immutable: a change makes a new table.
+
+    Paths and hosts have to be normalised and regular expressions valid; config/operator.py ensures both.
+    """
 
     def __init__(self, routes: Sequence[Route]) -> None:
         self.routes = tuple(routes)
         self._hosts: dict[str, HostRoutes] = {}
-        self._host_regexes: list[tuple[Any, str]] = []  # in the order of the file
+        self._host_regexes: list[tuple[Any, str]] = []  # (compiled, pattern), in file order
         for position, route in enumerate(self.routes):
             for host in route.hosts or ("",):
                 self._hosts.setdefault(host, HostRoutes()).add(RankedRoute(route.rank(position), route))
@@ -254,7 +257,7 @@
         self._has_trailing_wildcards = any(host.endswith(".*") for host in self._hosts)
 
     def _matching_groups(self, host: str) -> Iterator[HostRoutes]:
-        """Those that take a host, the closest first."""
+        """Yield the groups of routes that match a host, in order of precedence."""
         if host:
             if host in self._hosts:
                 yield self._hosts[host]
@@ -275,7 +278,7 @@
             yield self._hosts[""]
 
     def lookup(self, head: Head) -> Match:
-        """The route that takes a request."""
+        """Return the route of a request, or the methods that would be accepted."""
         allowed: set[str] = set()
         for group in self._matching_groups(head.host):
             for entry in group.by_path(head.path):
@@ -287,8 +290,10 @@
         return Match(None, frozenset(allowed))
 
     def explain(self, head: Head) -> list[tuple[Route, Miss | None]]:
-        """Every route with the reason why it doesn't take a request; None for the one that does. Goes through
-        all routes one by one, so it is also the yardstick of `lookup`."""
+        """Return every route with the reason why it was not selected; None for the selected one.
+
+        This checks all routes one by one, so it is also the reference that `lookup` is tested against.
+        """
         results: list[tuple[Route, Miss | None]] = []
         best: tuple[tuple[int, ...], int] | None = None
         for position, route in enumerate(self.routes):
@@ -318,8 +323,7 @@
         return results
 
     def _host_order(self, pattern: str, host: str) -> int:
-        """Exact, then the longest wildcard at the front, the longest at the end, the first regular
-        expression, any."""
+        """Return the sort key of a host pattern that matches; the order is that of `_matching_groups`."""
         if pattern == "":
             return 1 << 30
         if pattern.startswith("~"):
@@ -331,7 +335,7 @@
 
 
 def host_matches(pattern: str, host: str) -> bool:
-    """Whether a route's host takes that of a request."""
+    """Whether a host pattern of a route matches the host of a request."""
     if pattern.startswith("~"):
         return bool(host) and re2.search(pattern[1:], host) is not None
     if pattern.endswith(".*"):
@@ -342,7 +346,7 @@
 
 
 def path_matches(route: Route, path: str) -> bool:
-    """Whether a route's path takes that of a request."""
+    """Whether the path of a route matches the path of a request."""
     if route.path_kind is PathKind.EXACT:
         return route.path == path
     if route.path_kind is PathKind.PREFIX:
@@ -351,8 +355,10 @@
 
 
 def shadows(first: Route, second: Route) -> bool:
-    """Whether `first`, which goes before `second`, takes all that `second` would. Sound, not complete: of two
-    regular expressions only equal ones are told."""
+    """Whether `first`, which has precedence, matches all requests that `second` matches.
+
+    Sound but not complete: two regular expressions are only compared for equality.
+    """
     if first.path_kind is PathKind.EXACT:
         covered = second.path_kind is PathKind.EXACT and first.path == second.path
     elif first.path_kind is PathKind.PREFIX:
@@ -363,7 +369,7 @@
         covered = path_matches(first, second.path)
     else:
         covered = second.path_kind is PathKind.REGEX and first.path == second.path
-    # what a path must begin with, or must not, is told from the second's own words alone
+    # path_within and path_except of the two routes are only compared with each other, not with their paths
     covered = (
         covered
         and second.path_within.startswith(first.path_within)
@@ -379,19 +385,19 @@
 
 
 def unreachable(routes: Sequence[Route]) -> list[tuple[Route, Route]]:
-    """The routes that never take a request, each with one that always goes first."""
+    """Return the routes that are never selected, each with one that always has precedence."""
     groups: dict[str, list[RankedRoute]] = {}
     for position, route in enumerate(routes):
         for host in route.hosts or ("",):
             groups.setdefault(host, []).append(RankedRoute(route.rank(position), route))
     shadowed: dict[str, list[tuple[Route, Route]]] = {}
     for group in groups.values():
-        layout = HostRoutes()
+        host_routes = HostRoutes()
         for entry in group:
-            layout.add(entry)
-        layout.compile_regexes()
+            host_routes.add(entry)
+        host_routes.compile_regexes()
         for entry in group:
-            candidates = _candidates(layout, entry.route)
+            candidates = _candidates(host_routes, entry.route)
             shadowing = next(
                 (
                     other.route
@@ -402,19 +408,21 @@
             )
             if shadowing is not None:
                 shadowed.setdefault(entry.route.name, []).append((entry.route, shadowing))
-    # one that is reached by any of its hosts is reached
+    # a route is unreachable only if it is shadowed on all of its hosts
     return [found[0] for found in shadowed.values() if len(found) == max(1, len(found[0][0].hosts))]
 
 
-def _candidates(layout: HostRoutes, route: Route) -> list[RankedRoute]:
-    """The routes of a host that could take all of another's paths."""
+def _candidates(host_routes: HostRoutes, route: Route) -> list[RankedRoute]:
+    """Return the routes of a host that could match all paths of another route."""
     if route.path_kind is PathKind.REGEX:
-        return layout.prefix.get("", []) + [entry for entry in layout.regex if entry.route.path == route.path]
-    return layout.by_path(route.path)
+        return host_routes.prefix.get("", []) + [
+            entry for entry in host_routes.regex if entry.route.path == route.path
+        ]
+    return host_routes.by_path(route.path)
 
 
 def regex_groups(route: Route, path: str) -> list[str]:
-    """Nine groups of a route's regular expression in a path as rules see it; empty where there is none."""
+    """Return nine groups of a route's regular expression in a path; empty strings for missing ones."""
     groups: list[str] = []
     if route.path_kind is PathKind.REGEX:
         found = re2.fullmatch(route.path, path)
@@ -423,9 +431,11 @@
 
 
 def rewritten_path(route: Route, path: str) -> str:
-    """The path that goes to the server, from the normalised one of the request; raises InvalidTargetError if
-    the route's replacement makes none. Prefixes are counted in segments, as the two forms of a path may
-    differ in length."""
+    """Return the path to forward, given the normalised path of a request in the form that is forwarded.
+
+    Raises InvalidTargetError if the rewrite does not result in a path. The prefix is cut off by counting
+    segments, because the two forms of a path may differ in length.
+    """
     if route.rewrite is None:
         return path
     if route.path_kind is PathKind.EXACT:
