--- a/plovertrail/decisions/requests.py
+++ b/plovertrail/decisions/requests.py
@@ -52,27 +52,27 @@
     """The head as routes see it, the path as it goes on, and the host as it was named. `hosts` are all values
     of Host. Raises RequestRejectedError (RFC 9112, section 3.2)."""
     try:
-        named, raw_path, query = split_target(target)
+        url_host, raw_path, query = split_target(target)
         if len(hosts) > 1:
             raise InvalidTargetError("more than one Host")
         if not hosts and version != "1.0":
             raise InvalidTargetError("no Host")
-        authority = named or (hosts[0] if hosts else b"")
+        authority = url_host or (hosts[0] if hosts else b"")
         host = normalise_host(authority) if authority else ""
-        path, seen = normalise_path(raw_path)
+        path, matching_path = normalise_path(raw_path)
     except InvalidTargetError as error:
         raise RequestRejectedError(400, str(error)) from None
-    return Head(method.decode("ascii"), host, seen, query, headers, listener), path, authority
+    return Head(method.decode("ascii"), host, matching_path, query, headers, listener), path, authority
 
 
-def route_request(table: RouteTable, head: Head, path: str, host: bytes, body: int = 0) -> Routed:
+def route_request(table: RouteTable, head: Head, path: str, host: bytes, body_size: int = 0) -> Routed:
     """The route that takes a request with so many bytes of body; raises RequestRejectedError."""
     match = table.lookup(head)
     if match.route is None:
         if match.allowed:
             raise RequestRejectedError(405, "no route takes this method here", match.allowed)
         raise RequestRejectedError(404, "no route")
-    if match.route.max_body is not None and body > match.route.max_body:
+    if match.route.max_body is not None and body_size > match.route.max_body:
         raise RequestRejectedError(413, "the body is longer than this route takes")
     try:
         target = rewritten_path(match.route, path).encode("latin-1")
@@ -87,32 +87,34 @@
     head: Head,
     path: str,
     authority: bytes,
-    sent: bytes,
+    raw_target: bytes,
     address: str,
     client: str,
-    ident: bytes,
+    request_id: bytes,
     port: int,
     route: Route,
 ) -> dict[str, str]:
     """What templates are filled with. `path` is the path as it goes on, `sent` the target as it came. All of
     it is what a head may hold: no control characters."""
     query = head.query.decode("latin-1")
-    before = head.headers.get(b"x-forwarded-for", b"").decode("latin-1")
-    told = {
+    earlier = head.headers.get(b"x-forwarded-for", b"").decode("latin-1")
+    values = {
         "host": head.host,
         "authority": authority.decode("latin-1"),
         "address": address,
         "client": client,
-        "forwarded_for": f"{before}, {address}" if before else address,
+        "forwarded_for": f"{earlier}, {address}" if earlier else address,
         "method": head.method,
         "path": path,
         "query": query,
         "args": f"?{query}" if query else "",
-        "uri": sent.decode("latin-1") if sent.startswith(b"/") else path + (f"?{query}" if query else ""),
-        "request_id": ident.decode("latin-1"),
+        "uri": raw_target.decode("latin-1")
+        if raw_target.startswith(b"/")
+        else path + (f"?{query}" if query else ""),
+        "request_id": request_id.decode("latin-1"),
         "port": str(port),
     }
-    return told | {str(number): text for number, text in enumerate(regex_groups(route, head.path), 1)}
+    return values | {str(number): text for number, text in enumerate(regex_groups(route, head.path), 1)}
 
 
 @dataclass(slots=True)
@@ -143,18 +145,18 @@
     """A request of HTTP/1.1 as a client at `address` sends it to a listener."""
     joined: dict[bytes, bytes] = {}
     for name, value in headers:
-        key, plain = name.lower().encode("latin-1"), value.encode("latin-1")
-        joined[key] = joined[key] + b", " + plain if key in joined else plain
-    sent, head = target.encode("latin-1"), None
+        lower_name, raw_value = name.lower().encode("latin-1"), value.encode("latin-1")
+        joined[lower_name] = joined[lower_name] + b", " + raw_value if lower_name in joined else raw_value
+    raw_target, head = target.encode("latin-1"), None
     try:
         head, path, authority = read_head(
-            method.encode(), sent, "1.1", [host.encode("latin-1")], joined, listener
+            method.encode(), raw_target, "1.1", [host.encode("latin-1")], joined, listener
         )
         routed = route_request(table, head, path, authority)
-    except RequestRejectedError as away:
-        return RequestPreview(away.status, away.why, head=head)
+    except RequestRejectedError as rejection:
+        return RequestPreview(rejection.status, rejection.why, head=head)
     route = routed.route
-    values = template_values(head, path, authority, sent, address, address, b"", port, route)
+    values = template_values(head, path, authority, raw_target, address, address, b"", port, route)
     if route.fixed_response is not None:
         fixed = route.fixed_response
         return RequestPreview(
@@ -190,17 +192,20 @@
     return b""
 
 
-def client_of(route: Route, head: Head, address: str, trusted: bytes) -> str:
-    """Whose request it is: `address` of its connection, or what its route reads instead. `trusted` names the
-    header in which the proxy in front tells addresses, in lower case; empty: none is trusted."""
+def client_of(route: Route, head: Head, address: str, trusted_header: bytes) -> str:
+    """Whose request it is: `address` of its connection, or what its route reads instead. `trusted_header`
+    names the header in which the proxy in front tells addresses, in lower case; empty: none is trusted."""
     if route.client_from is ClientSource.HEADER:
         return head.headers.get(route.client_header, b"").decode("latin-1")
-    if route.client_from is ClientSource.FORWARDED and trusted:
-        return forwarded_by(trusted, head.headers.get(trusted, b"").decode("latin-1")) or address
+    if route.client_from is ClientSource.FORWARDED and trusted_header:
+        return (
+            forwarded_address(trusted_header, head.headers.get(trusted_header, b"").decode("latin-1"))
+            or address
+        )
     return address
 
 
-def forwarded_by(header: bytes, value: str) -> str:
+def forwarded_address(header: bytes, value: str) -> str:
     """The address that the nearest proxy wrote, the last one (RFC 7239, section 4, or X-Forwarded-For); empty
     if it is none. Hazard: all before it may be the client's own invention."""
     last = value.rpartition(",")[2].strip()
@@ -217,14 +222,14 @@
         return ""
 
 
-def deadline_us(own: bytes | None, longest_us: int) -> int:
+def deadline_us(requested_ms: bytes | None, max_us: int) -> int:
     """How long a client waits: its own word, in whole milliseconds, may shorten the route's; raises
     RequestRejectedError."""
-    if own is None:
-        return longest_us
-    if not own.isdigit() or len(own) > 9 or int(own) == 0:
+    if requested_ms is None:
+        return max_us
+    if not requested_ms.isdigit() or len(requested_ms) > 9 or int(requested_ms) == 0:
         raise RequestRejectedError(400, "the deadline is no whole number of milliseconds above 0")
-    return min(int(own) * 1000, longest_us)
+    return min(int(requested_ms) * 1000, max_us)
 
 
 def checked_key(key: bytes | None) -> bytes:
--- a/tests/decisions/test_requests.py
+++ b/tests/decisions/test_requests.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from plovertrail.decisions.requests import client_of, forwarded_by
+from plovertrail.decisions.requests import client_of, forwarded_address
 from plovertrail.decisions.routes import ClientSource, Head, Route
 
 XFF, RFC = b"x-forwarded-for", b"forwarded"
@@ -28,7 +28,7 @@
     ],
 )
 def test_the_nearest_proxy_s_word_is_taken(header: bytes, value: str, address: str) -> None:
-    assert forwarded_by(header, value) == address
+    assert forwarded_address(header, value) == address
 
 
 @pytest.mark.parametrize(
