--- a/plovertrail/decisions/requests.py
+++ b/plovertrail/decisions/requests.py
@@ -1,4 +1,4 @@
-"""What a routed request is to its route: found by its head, or turned away with a status; no I/O."""
+"""Routes parsed requests, and reads the tenant, client, deadline and key that a route asks for. No I/O."""
 
 from __future__ import annotations
 
@@ -22,7 +22,10 @@
 
 
 class RequestRejectedError(Exception):
-    """A request that no route takes: the status to answer with, why, and the methods that would be taken."""
+    """A request has to be answered with an error status.
+
+    `why` is the text for the client, `allowed` has the methods that would be accepted if the status is 405.
+    """
 
     def __init__(self, status: int, why: str, allowed: frozenset[str] = frozenset()) -> None:
         super().__init__(why)
@@ -37,8 +40,8 @@
 
     route: Route
     head: Head
-    target: bytes  # for the server
-    host: bytes  # as the client named it
+    target: bytes  # as it is forwarded
+    host: bytes  # as the client sent it
 
 
 def read_head(
@@ -49,8 +52,10 @@
     headers: Mapping[bytes, bytes],
     listener: str = "",
 ) -> tuple[Head, str, bytes]:
-    """The head as routes see it, the path as it goes on, and the host as it was named. `hosts` are all values
-    of Host. Raises RequestRejectedError (RFC 9112, section 3.2)."""
+    """Return the head to match, the path to forward, and the host as the client sent it.
+
+    `hosts` has the values of all Host headers. Raises RequestRejectedError (RFC 9112, section 3.2).
+    """
     try:
         url_host, raw_path, query = split_target(target)
         if len(hosts) > 1:
@@ -66,7 +71,7 @@
 
 
 def route_request(table: RouteTable, head: Head, path: str, host: bytes, body_size: int = 0) -> Routed:
-    """The route that takes a request with so many bytes of body; raises RequestRejectedError."""
+    """Return a request with its route; raises RequestRejectedError."""
     match = table.lookup(head)
     if match.route is None:
         if match.allowed:
@@ -94,8 +99,11 @@
     port: int,
     route: Route,
 ) -> dict[str, str]:
-    """What templates are filled with. `path` is the path as it goes on, `sent` the target as it came. All of
-    it is what a head may hold: no control characters."""
+    """Return the values of all placeholders of templates.
+
+    `path` is the path to forward before a rewrite, `raw_target` the target as received. The values have no
+    control characters, because the head of a request has none.
+    """
     query = head.query.decode("latin-1")
     earlier = head.headers.get(b"x-forwarded-for", b"").decode("latin-1")
     values = {
@@ -119,17 +127,15 @@
 
 @dataclass(slots=True)
 class RequestPreview:
-    """What the routes make of a request, before a hook, a limit or a server has a say."""
+    """What routing alone decides for a request, without hooks, limits and endpoints."""
 
-    status: int = 0  # of the answer that it gets here; 0: it goes on to a server
+    status: int = 0  # of the response without an endpoint; 0: the request is forwarded
     body: str = ""
     location: str = ""
-    head: Head | None = None  # None: it is malformed
+    head: Head | None = None  # None: the request is malformed
     routed: Routed | None = None
     tenant: str = ""
-    forwarded_headers: dict[str, str] = field(
-        default_factory=dict
-    )  # the headers that go on, names in lower case
+    forwarded_headers: dict[str, str] = field(default_factory=dict)  # names in lower case
 
 
 def preview_request(
@@ -142,7 +148,7 @@
     port: int,
     address: str,
 ) -> RequestPreview:
-    """A request of HTTP/1.1 as a client at `address` sends it to a listener."""
+    """Route an HTTP/1.1 request from a client at `address` to a listener, without forwarding it."""
     joined: dict[bytes, bytes] = {}
     for name, value in headers:
         lower_name, raw_value = name.lower().encode("latin-1"), value.encode("latin-1")
@@ -182,7 +188,7 @@
 
 
 def tenant_of(route: Route, head: Head, address: str) -> bytes:
-    """The name of a request's tenant; empty where its route has none."""
+    """Return the name of a request's tenant; empty if its route reads none."""
     if route.tenant_from is TenantSource.HEADER:
         return head.headers.get(route.tenant_header, b"")
     if route.tenant_from is TenantSource.HOST:
@@ -193,8 +199,11 @@
 
 
 def client_of(route: Route, head: Head, address: str, trusted_header: bytes) -> str:
-    """Whose request it is: `address` of its connection, or what its route reads instead. `trusted_header`
-    names the header in which the proxy in front tells addresses, in lower case; empty: none is trusted."""
+    """Return the client of a request: the address of its connection, or what its route reads instead.
+
+    `trusted_header` is the header, in lower case, in which the proxy in front reports addresses; empty if no
+    proxy is trusted.
+    """
     if route.client_from is ClientSource.HEADER:
         return head.headers.get(route.client_header, b"").decode("latin-1")
     if route.client_from is ClientSource.FORWARDED and trusted_header:
@@ -206,8 +215,10 @@
 
 
 def forwarded_address(header: bytes, value: str) -> str:
-    """The address that the nearest proxy wrote, the last one (RFC 7239, section 4, or X-Forwarded-For); empty
-    if it is none. Hazard: all before it may be the client's own invention."""
+    """Return the last address of a Forwarded or X-Forwarded-For header; empty if that is no address.
+
+    The nearest proxy wrote the last one (RFC 7239, section 4); the client may have forged those before it.
+    """
     last = value.rpartition(",")[2].strip()
     if header == b"forwarded":
         pairs = (pair.partition("=") for pair in last.split(";"))
@@ -223,8 +234,10 @@
 
 
 def deadline_us(requested_ms: bytes | None, max_us: int) -> int:
-    """How long a client waits: its own word, in whole milliseconds, may shorten the route's; raises
-    RequestRejectedError."""
+    """Return the deadline of a request; a client may shorten that of its route but not extend it.
+
+    `requested_ms` is the client's header, in whole milliseconds. Raises RequestRejectedError.
+    """
     if requested_ms is None:
         return max_us
     if not requested_ms.isdigit() or len(requested_ms) > 9 or int(requested_ms) == 0:
@@ -233,9 +246,9 @@
 
 
 def checked_key(key: bytes | None) -> bytes:
-    """The key of a keyed request; raises RequestRejectedError.
+    """Return the idempotency key of a request; raises RequestRejectedError.
 
-    Hazard: without a key, servers could not drop a repeat.
+    A missing key is rejected because servers could not recognise a duplicate without it.
     """
     if key is None or not IDENTIFIER.fullmatch(key):
         raise RequestRejectedError(400, "this route needs a key header of 1 to 128 printable characters")
