--- a/plovertrail/decisions/verdicts.py
+++ b/plovertrail/decisions/verdicts.py
@@ -39,12 +39,13 @@
     )
 )
 PROTECTED_PREFIXES = (b"sec-websocket-", b"proxy-", b"x-forwarded-")
-REFUSALS = frozenset((*range(400, 408), *range(409, 421), *range(422, 500), 503))  # 408, 421: "send it again"
-MOST_HEADERS = 32  # set or removed by one verdict
-MOST_HEADER_BYTES = 8 << 10  # of names and values set by one verdict
-MOST_BODY = 4 << 10  # of a refusal
-MOST_LOGS = 4
-LONGEST_LOG = 256
+# not 408 and 421, which ask the client to send the request again
+REFUSAL_STATUSES = frozenset((*range(400, 408), *range(409, 421), *range(422, 500), 503))
+MAX_HEADERS = 32  # set or removed by one verdict
+MAX_HEADER_BYTES = 8 << 10  # of names and values set by one verdict
+MAX_BODY_BYTES = 4 << 10  # of a refusal
+MAX_LOG_LINES = 4
+MAX_LOG_LINE_BYTES = 256
 
 
 class InvalidVerdictError(Exception):
@@ -77,46 +78,46 @@
     counters: Collection[bytes] = ()  # the names that may be counted
 
 
-def at_least_as_strict(kind: RequestClass, base: RequestClass) -> bool:
-    """Whether a request of class `base` may be handled as one of `kind` (rule 2). Hazard: a keyed class that
-    remembers for longer, or in more places, than the other's servers do would let a repeat run."""
-    if kind.effect != base.effect:
-        return EFFECTS.index(kind.effect) > EFFECTS.index(base.effect)  # the stricter the later
-    if kind.effect != "deduplicated":
+def at_least_as_strict(candidate: RequestClass, base: RequestClass) -> bool:
+    """Whether a request of class `base` may be handled as one of `candidate` (rule 2). Hazard: a keyed class
+    that remembers for longer, or in more places, than the other's servers do would let a repeat run."""
+    if candidate.effect != base.effect:
+        return EFFECTS.index(candidate.effect) > EFFECTS.index(base.effect)  # the stricter the later
+    if candidate.effect != "deduplicated":
         return True
-    return kind.dedup_window_us <= base.dedup_window_us and kind.dedup_scope == base.dedup_scope
+    return candidate.dedup_window_us <= base.dedup_window_us and candidate.dedup_scope == base.dedup_scope
 
 
 def check_header_name(name: bytes, allowed: Allowed) -> None:
     """Raises InvalidVerdictError for a header that is not a hook's to change."""
     if not TOKEN.fullmatch(name):
-        raise InvalidVerdictError(f"{_shown(name)} is no header name")
+        raise InvalidVerdictError(f"{_quoted(name)} is no header name")
     lower = name.lower()
     if lower in PROTECTED or lower in allowed.protected or lower.startswith(PROTECTED_PREFIXES):
-        raise InvalidVerdictError(f"the header {_shown(name)} is not a hook's to change")
+        raise InvalidVerdictError(f"the header {_quoted(name)} is not a hook's to change")
 
 
 def check_common(verdict: Verdict, allowed: Allowed) -> None:
     """What holds in every phase; raises InvalidVerdictError."""
     for name, _ in verdict.counts:
         if name not in allowed.counters:
-            raise InvalidVerdictError(f"no counter is called {_shown(name)}")
-    if len(verdict.logs) > MOST_LOGS:
-        raise InvalidVerdictError(f"{len(verdict.logs)} log lines; at most {MOST_LOGS} are taken")
-    if any(len(text) > LONGEST_LOG for text in verdict.logs):
-        raise InvalidVerdictError(f"a log line of over {LONGEST_LOG} bytes")
+            raise InvalidVerdictError(f"no counter is called {_quoted(name)}")
+    if len(verdict.logs) > MAX_LOG_LINES:
+        raise InvalidVerdictError(f"{len(verdict.logs)} log lines; at most {MAX_LOG_LINES} are taken")
+    if any(len(text) > MAX_LOG_LINE_BYTES for text in verdict.logs):
+        raise InvalidVerdictError(f"a log line of over {MAX_LOG_LINE_BYTES} bytes")
 
 
 def check_headers(verdict: Verdict, allowed: Allowed) -> None:
     """Headers set and removed, of a request or an answer; raises InvalidVerdictError."""
-    if len(verdict.set_headers) + len(verdict.remove_headers) > MOST_HEADERS:
-        raise InvalidVerdictError(f"more than {MOST_HEADERS} headers set or removed")
-    if sum(len(name) + len(value) for name, value in verdict.set_headers) > MOST_HEADER_BYTES:
-        raise InvalidVerdictError(f"more than {MOST_HEADER_BYTES} bytes of headers")
+    if len(verdict.set_headers) + len(verdict.remove_headers) > MAX_HEADERS:
+        raise InvalidVerdictError(f"more than {MAX_HEADERS} headers set or removed")
+    if sum(len(name) + len(value) for name, value in verdict.set_headers) > MAX_HEADER_BYTES:
+        raise InvalidVerdictError(f"more than {MAX_HEADER_BYTES} bytes of headers")
     for name, value in verdict.set_headers:
         check_header_name(name, allowed)
         if not FIELD_VALUE.fullmatch(value):
-            raise InvalidVerdictError(f"the value of {_shown(name)} is not plain text")
+            raise InvalidVerdictError(f"the value of {_quoted(name)} is not plain text")
     for name in verdict.remove_headers:
         check_header_name(name, allowed)
 
@@ -125,17 +126,17 @@
     """A verdict on a request's head; raises InvalidVerdictError."""
     check_common(verdict, allowed)
     check_headers(verdict, allowed)
-    if verdict.refuse and verdict.refuse not in REFUSALS:
+    if verdict.refuse and verdict.refuse not in REFUSAL_STATUSES:
         raise InvalidVerdictError(f"a request can't be refused with {verdict.refuse}")
-    if len(verdict.body) > MOST_BODY:
-        raise InvalidVerdictError(f"a refusal's body of over {MOST_BODY} bytes")
+    if len(verdict.body) > MAX_BODY_BYTES:
+        raise InvalidVerdictError(f"a refusal's body of over {MAX_BODY_BYTES} bytes")
     if verdict.body and not verdict.refuse:
         raise InvalidVerdictError("a body without a refusal")
     if verdict.tenant is not None and not TENANT.fullmatch(verdict.tenant):
-        raise InvalidVerdictError(f"{_shown(verdict.tenant)} is no tenant")
+        raise InvalidVerdictError(f"{_quoted(verdict.tenant)} is no tenant")
     if verdict.class_name is not None and verdict.class_name not in allowed.classes:
         raise InvalidVerdictError(
-            f"{_shown(verdict.class_name)} is none of the classes that may be chosen here"
+            f"{_quoted(verdict.class_name)} is none of the classes that may be chosen here"
         )
 
 
@@ -161,9 +162,9 @@
 
 def changed_headers(headers: list[tuple[bytes, bytes]], verdict: Verdict) -> list[tuple[bytes, bytes]]:
     """Headers as a checked verdict leaves them: those that it names go, those that it sets come last."""
-    gone = named_headers(verdict)
-    return [pair for pair in headers if pair[0].lower() not in gone] + verdict.set_headers
+    named = named_headers(verdict)
+    return [pair for pair in headers if pair[0].lower() not in named] + verdict.set_headers
 
 
-def _shown(data: bytes) -> str:
+def _quoted(data: bytes) -> str:
     return ascii(data[:40].decode("latin-1"))
--- a/tests/decisions/test_verdicts.py
+++ b/tests/decisions/test_verdicts.py
@@ -8,7 +8,7 @@
 
 from plovertrail.decisions.settings import RequestClass
 from plovertrail.decisions.verdicts import (
-    MOST_HEADERS,
+    MAX_HEADERS,
     PROTECTED,
     Allowed,
     InvalidVerdictError,
@@ -86,8 +86,8 @@
 BAD = [
     Verdict(body=b"x"),
     Verdict(refuse=403, body=b"x" * 4097),
-    Verdict(set_headers=[(b"X-A", b"1")] * (MOST_HEADERS + 1)),
-    Verdict(remove_headers=[b"X-A"] * (MOST_HEADERS + 1)),
+    Verdict(set_headers=[(b"X-A", b"1")] * (MAX_HEADERS + 1)),
+    Verdict(remove_headers=[b"X-A"] * (MAX_HEADERS + 1)),
     Verdict(set_headers=[(b"X-%d" % n, b"x" * 1000) for n in range(9)]),
     Verdict(set_headers=[(b"", b"1")]),
     Verdict(set_headers=[(b"X A", b"1")]),
