--- a/tests/decisions/test_breaker.py
+++ b/tests/decisions/test_breaker.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from plovertrail.decisions.breaker import FIRST_OFF_US, LONGEST_OFF_US, CircuitBreaker
+from plovertrail.decisions.breaker import INITIAL_PAUSE_US, MAX_PAUSE_US, CircuitBreaker
 
 SECOND = 1_000_000
 
@@ -22,7 +22,7 @@
     assert breaker.record_success()
     assert breaker.allows_call(off)
     assert not breaker.record_success()
-    assert breaker.faults == 0.0
+    assert breaker.fault_share == 0.0
 
 
 def test_a_trial_that_fails_doubles_the_pause_up_to_a_bound() -> None:
@@ -34,8 +34,8 @@
         now = breaker.off_until_us
         assert breaker.record_fault(now, 10)
         pauses.append(breaker.off_until_us - now)
-    assert pauses[:3] == [2 * FIRST_OFF_US, 4 * FIRST_OFF_US, 8 * FIRST_OFF_US]
-    assert pauses[-1] == LONGEST_OFF_US
+    assert pauses[:3] == [2 * INITIAL_PAUSE_US, 4 * INITIAL_PAUSE_US, 8 * INITIAL_PAUSE_US]
+    assert pauses[-1] == MAX_PAUSE_US
 
 
 def test_a_few_faults_among_many_good_calls_leave_it_on() -> None:
