--- a/plovertrail/decisions/breaker.py
+++ b/plovertrail/decisions/breaker.py
@@ -1,29 +1,28 @@
-"""When a hook that faults too often is switched off, and when it is tried again (Nygard, "Release It!", 2007:
-the circuit breaker). No clock: each call is given the time.
+"""The circuit breaker of a hook (Nygard, "Release It!", 2007). It has no clock: calls are given the time.
 
-Off it goes when most of its last calls faulted, or when its faults take too much of the loop's time. A few
-faults among many good calls don't do it: else anyone who knows one input that it trips over could switch a
-route off.
+A hook is switched off when most of its recent calls faulted, or when its faults take too much of the event
+loop's time. A few faults among many successful calls do not switch it off: otherwise anyone who knows an
+input on which it faults could disable a route.
 """
 
 from __future__ import annotations
 
-# calls that make up the share of faults: eleven in a row from a good state are too many
+# calls of the moving average: eleven faults in a row after successful calls switch the hook off
 FAULT_AVERAGE_CALLS = 16
 MAX_FAULT_SHARE = 0.5
-MAX_TIME_SHARE = 0.05  # of the loop's time that faults may take in the long run,
-MAX_EXCESS_US = 250_000  # and what they may take beyond that
+MAX_TIME_SHARE = 0.05  # of the event loop's time that faults may take in the long run
+MAX_EXCESS_US = 250_000  # that faults may take beyond that share
 INITIAL_PAUSE_US = 10_000_000
-MAX_PAUSE_US = 600_000_000  # doubled for each trial that fails, up to this
+MAX_PAUSE_US = 600_000_000  # the pause doubles with each failed trial, up to this
 
 
 class CircuitBreaker:
-    """One hook's. Off, it lets one call through as a trial each time its pause is over."""
+    """The circuit breaker of one hook; while it is off, a trial call is allowed after each pause."""
 
     def __init__(self) -> None:
-        self.fault_share = 0.0  # share of the last calls
-        self.excess_us = 0.0  # by faults, beyond their share of the time
-        self.updated_us = 0  # when that was reckoned
+        self.fault_share = 0.0  # moving average over calls, from 0 to 1
+        self.excess_us = 0.0  # time taken by faults beyond their share
+        self.updated_us = 0  # when `excess_us` was updated
         self.off_until_us = 0  # 0 = on
         self.pause_us = INITIAL_PAUSE_US
 
@@ -32,11 +31,11 @@
         return now_us >= self.off_until_us
 
     def until_trial_us(self, now_us: int) -> int:
-        """Till the next trial, in microseconds."""
+        """Return the time until the next trial; 0 if calls are allowed."""
         return max(0, self.off_until_us - now_us)
 
     def record_success(self) -> bool:
-        """A call went well; whether that switches the hook on again."""
+        """Record a successful call; return whether it switches the hook on again."""
         self.fault_share -= self.fault_share / FAULT_AVERAGE_CALLS
         if not self.off_until_us:
             return False
@@ -45,7 +44,7 @@
         return True
 
     def record_fault(self, now_us: int, duration_us: int) -> bool:
-        """A call went wrong after so long; whether that switches the hook off."""
+        """Record a call that faulted; return whether it switches the hook off, or leaves it off."""
         self.fault_share += (1.0 - self.fault_share) / FAULT_AVERAGE_CALLS
         allowed_us = MAX_TIME_SHARE * (now_us - self.updated_us)
         self.excess_us, self.updated_us = max(0.0, self.excess_us - allowed_us) + duration_us, now_us
