--- a/plovertrail/decisions/affinity.py
+++ b/plovertrail/decisions/affinity.py
@@ -12,10 +12,10 @@
 from collections.abc import Callable, Hashable, Iterable
 from dataclasses import dataclass
 
-POINTS = 100  # of a server of weight 1: its part of the keys then lies within a tenth of what it should be
-MOST_POINTS = 1_000  # of one server, however large its weight
-MOST_IN_ALL = 10_000  # hazard: a ring of more takes so long to lay out that open requests would wait for it
-CHOICES = 2  # servers that a key prefers: the second one while the first has no free slot
+POINTS_PER_WEIGHT = 100  # of a server of weight 1: its part of the keys then lies within a tenth of its share
+MAX_POINTS_PER_ENDPOINT = 1_000  # of one server, however large its weight
+MAX_POINTS = 10_000  # hazard: a ring of more takes so long to lay out that open requests would wait for it
+PREFERRED_ENDPOINTS = 2  # servers that a key prefers: the second one while the first has no free slot
 
 
 class AffinitySource(enum.Enum):
@@ -54,43 +54,45 @@
         from hashlib import blake2b  # late: most hosts have no ring, and the platform's start is small
 
         self.digest: Callable[..., bytes] = lambda data: blake2b(data, digest_size=8).digest()
-        self.names: dict[int, tuple[Hashable, float]] = {}  # and weights
+        self.endpoints: dict[int, tuple[Hashable, float]] = {}  # and weights
         self.points: list[tuple[int, int]] = []  # (place, server), in the order of places
-        self.laid_out = True
+        self.built = True
 
-    def put(self, server: int, name: Hashable, weight: float) -> None:
+    def put(self, endpoint_id: int, name: Hashable, weight: float) -> None:
         """A server takes requests. Its name is the same for all instances; its number need not be."""
-        if self.names.get(server) != (name, weight):
-            self.names[server] = name, weight
-            self.laid_out = False
+        if self.endpoints.get(endpoint_id) != (name, weight):
+            self.endpoints[endpoint_id] = name, weight
+            self.built = False
 
-    def discard(self, server: int) -> None:
+    def discard(self, endpoint_id: int) -> None:
         """A server takes requests no more; nothing happens if the ring does not have it."""
-        if self.names.pop(server, None) is not None:
-            self.laid_out = False
+        if self.endpoints.pop(endpoint_id, None) is not None:
+            self.built = False
 
     def preferred(self, key: bytes) -> tuple[int, ...]:
         """The servers that a key prefers, the first one first."""
-        if not self.laid_out:
-            self._lay_out()
+        if not self.built:
+            self._build()
         if not key or not self.points:
             return ()
         found: list[int] = []
-        at = bisect_left(self.points, (int.from_bytes(self.digest(key)), 0))
+        start = bisect_left(self.points, (int.from_bytes(self.digest(key)), 0))
         for step in range(len(self.points)):
-            server = self.points[(at + step) % len(self.points)][1]
-            if server not in found:
-                found.append(server)
-                if len(found) == min(CHOICES, len(self.names)):
+            endpoint_id = self.points[(start + step) % len(self.points)][1]
+            if endpoint_id not in found:
+                found.append(endpoint_id)
+                if len(found) == min(PREFERRED_ENDPOINTS, len(self.endpoints)):
                     break
         return tuple(found)
 
-    def _lay_out(self) -> None:
-        self.laid_out = True
-        whole = sum(weight for _, weight in self.names.values())
-        each = min(float(POINTS), MOST_IN_ALL / whole) if whole > 0.0 else 0.0
+    def _build(self) -> None:
+        self.built = True
+        total_weight = sum(weight for _, weight in self.endpoints.values())
+        points_per_weight = (
+            min(float(POINTS_PER_WEIGHT), MAX_POINTS / total_weight) if total_weight > 0.0 else 0.0
+        )
         self.points = sorted(
-            (int.from_bytes(self.digest(f"{name} {number}".encode())), server)
-            for server, (name, weight) in self.names.items()
-            for number in range(max(1, min(MOST_POINTS, round(each * weight))))
+            (int.from_bytes(self.digest(f"{name} {number}".encode())), endpoint_id)
+            for endpoint_id, (name, weight) in self.endpoints.items()
+            for number in range(max(1, min(MAX_POINTS_PER_ENDPOINT, round(points_per_weight * weight))))
         )
