--- a/plovertrail/decisions/affinity.py
+++ b/plovertrail/decisions/affinity.py
@@ -1,8 +1,9 @@
-"""Which server a client, tenant or path prefers, so that its requests meet while that server has a free slot.
+"""Endpoint affinity by consistent hashing, so that related requests reach the same endpoint. No I/O.
 
-A ring of points (Karger et al., "Consistent Hashing and Random Trees", STOC 1997), each server with points in
-proportion to its weight: a server that comes or goes moves only its own part of the keys. A preference is no
-promise: what has no free slot there goes to any other, and so does every further attempt. Pure.
+Each endpoint has points on a hash ring in proportion to its weight (Karger et al., "Consistent Hashing and
+Random Trees", STOC 1997), so adding or removing an endpoint moves only its own part of the keys. A
+preference is not a guarantee: if the preferred endpoints have no free slot, a request goes to any other, and
+so does each retry.
 """
 
 from __future__ import annotations
@@ -12,14 +13,14 @@
 from collections.abc import Callable, Hashable, Iterable
 from dataclasses import dataclass
 
-POINTS_PER_WEIGHT = 100  # of a server of weight 1: its part of the keys then lies within a tenth of its share
-MAX_POINTS_PER_ENDPOINT = 1_000  # of one server, however large its weight
-MAX_POINTS = 10_000  # hazard: a ring of more takes so long to lay out that open requests would wait for it
-PREFERRED_ENDPOINTS = 2  # servers that a key prefers: the second one while the first has no free slot
+POINTS_PER_WEIGHT = 100  # keeps the keys of an endpoint of weight 1 within a tenth of its share
+MAX_POINTS_PER_ENDPOINT = 1_000  # however large the weight
+MAX_POINTS = 10_000  # open requests wait while the ring is built; a larger one would take too long
+PREFERRED_ENDPOINTS = 2  # per key; the second is used while the first has no free slot
 
 
 class AffinitySource(enum.Enum):
-    """What requests have in common that should meet at one server."""
+    """What requests have in common that should reach the same endpoint."""
 
     CLIENT = "client"
     TENANT = "tenant"
@@ -29,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Affinity:
-    """What a pool's operator wants to meet."""
+    """The affinity that is configured for a pool."""
 
     source: AffinitySource
     header: bytes = b""  # in lower case
@@ -37,7 +38,7 @@
     def key_of(
         self, client: str, tenant: str, target: bytes, headers: Iterable[tuple[bytes, bytes]]
     ) -> bytes:
-        """What of a request is hashed; empty: it prefers no server."""
+        """Return the key of a request that is hashed; empty: it prefers no endpoint."""
         if self.source is AffinitySource.CLIENT:
             return client.encode("utf-8", "surrogateescape")
         if self.source is AffinitySource.TENANT:
@@ -48,29 +49,29 @@
 
 
 class HashRing:
-    """The servers that take requests, by their numbers, each at the points of its name."""
+    """The endpoints that accept requests, each at the points that its name hashes to."""
 
     def __init__(self) -> None:
-        from hashlib import blake2b  # late: most hosts have no ring, and the platform's start is small
+        from hashlib import blake2b  # imported late, as most processes have no ring and have to start small
 
         self.digest: Callable[..., bytes] = lambda data: blake2b(data, digest_size=8).digest()
-        self.endpoints: dict[int, tuple[Hashable, float]] = {}  # and weights
-        self.points: list[tuple[int, int]] = []  # (place, server), in the order of places
+        self.endpoints: dict[int, tuple[Hashable, float]] = {}  # name and weight by id
+        self.points: list[tuple[int, int]] = []  # (hash, endpoint id), sorted
         self.built = True
 
     def put(self, endpoint_id: int, name: Hashable, weight: float) -> None:
-        """A server takes requests. Its name is the same for all instances; its number need not be."""
+        """Add an endpoint or change its weight; its name is the same on all instances, its id need not be."""
         if self.endpoints.get(endpoint_id) != (name, weight):
             self.endpoints[endpoint_id] = name, weight
             self.built = False
 
     def discard(self, endpoint_id: int) -> None:
-        """A server takes requests no more; nothing happens if the ring does not have it."""
+        """Remove an endpoint, if the ring has it."""
         if self.endpoints.pop(endpoint_id, None) is not None:
             self.built = False
 
     def preferred(self, key: bytes) -> tuple[int, ...]:
-        """The servers that a key prefers, the first one first."""
+        """Return the endpoints that a key prefers, the first choice first."""
         if not self.built:
             self._build()
         if not key or not self.points:
