--- a/plovertrail/decisions/paths.py
+++ b/plovertrail/decisions/paths.py
@@ -12,57 +12,57 @@
 import re
 
 UNRESERVED = frozenset(b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
-IN_SEGMENTS = UNRESERVED | frozenset(b"!$&'()*+,;=:@")
-PLAIN = re.compile(r"(?:/(?!\.|/)[A-Za-z0-9\-_~][A-Za-z0-9\-._~]*)+/?|/")  # is its own normal form
+SEGMENT_CHARACTERS = UNRESERVED | frozenset(b"!$&'()*+,;=:@")
+NORMAL_PATH = re.compile(r"(?:/(?!\.|/)[A-Za-z0-9\-_~][A-Za-z0-9\-._~]*)+/?|/")  # is its own normal form
 ESCAPE = re.compile(rb"%([0-9A-Fa-f]{2})")
 HOST = re.compile(r"[a-z0-9_](?:[a-z0-9_.-]*[a-z0-9_-])?|\[[0-9a-f:.]+\]")
-LONGEST_HOST = 255
-PORT = re.compile(r"(.*?)(?::([0-9]{0,5}))?", re.S)
+MAX_HOST_LENGTH = 255
+HOST_AND_PORT = re.compile(r"(.*?)(?::([0-9]{0,5}))?", re.S)
 
 
 class InvalidTargetError(ValueError):
     """A target or host that can't be routed; the text says why."""
 
 
-def _plain(raw: bytes, decoded: frozenset[int]) -> str:
-    """Characters in `decoded` as they are, all others as upper-case escapes."""
+def _decode_escapes(raw: bytes, decodable: frozenset[int]) -> str:
+    """Characters in `decodable` as they are, all others as upper-case escapes."""
     parts: list[str] = []
-    at = 0
-    while at < len(raw):
-        byte = raw[at]
+    index = 0
+    while index < len(raw):
+        byte = raw[index]
         if byte == 0x25:
-            found = ESCAPE.match(raw, at)
+            found = ESCAPE.match(raw, index)
             if found is None:
                 raise InvalidTargetError("a % that begins no escape")
-            byte, at = int(found[1], 16), at + 3
+            byte, index = int(found[1], 16), index + 3
             if byte in b"/\\":
                 raise InvalidTargetError("an encoded slash or backslash")
-            parts.append(chr(byte) if byte in decoded else f"%{byte:02X}")
+            parts.append(chr(byte) if byte in decodable else f"%{byte:02X}")
         else:
-            at += 1
+            index += 1
             if byte == 0x5C:
                 raise InvalidTargetError("a backslash")
             # what stands plain though it may not is escaped; what may stand plain is kept
-            parts.append(chr(byte) if byte in IN_SEGMENTS or byte == 0x2F else f"%{byte:02X}")
+            parts.append(chr(byte) if byte in SEGMENT_CHARACTERS or byte == 0x2F else f"%{byte:02X}")
         if byte < 0x20 or byte == 0x7F:
             raise InvalidTargetError("a control character")
     return "".join(parts)
 
 
-def _resolve(path: str) -> str:
+def _resolve_segments(path: str) -> str:
     """Doubled slashes merged, then dot segments removed."""
-    kept: list[str] = []
+    resolved: list[str] = []
     segments = [segment for segment in path.split("/") if segment]
     for segment in segments:
         if segment.startswith((".;", "..;", ".%3B", "..%3B")):
             raise InvalidTargetError("a dot segment with parameters")
         if segment == "..":
-            if kept:
-                kept.pop()
+            if resolved:
+                resolved.pop()
         elif segment != ".":
-            kept.append(segment)
-    closed = path.endswith("/") or (bool(segments) and segments[-1] in (".", ".."))
-    return "/" + "/".join(kept) + ("/" if closed and kept else "")
+            resolved.append(segment)
+    trailing_slash = path.endswith("/") or (bool(segments) and segments[-1] in (".", ".."))
+    return "/" + "/".join(resolved) + ("/" if trailing_slash and resolved else "")
 
 
 def normalise_path(raw: bytes) -> tuple[str, str]:
@@ -70,9 +70,11 @@
     if not raw.startswith(b"/"):
         raise InvalidTargetError("a path that does not begin with /")
     text = raw.decode("latin-1")
-    if PLAIN.fullmatch(text):
+    if NORMAL_PATH.fullmatch(text):
         return text, text
-    return _resolve(_plain(raw, UNRESERVED)), _resolve(_plain(raw, IN_SEGMENTS))
+    return _resolve_segments(_decode_escapes(raw, UNRESERVED)), _resolve_segments(
+        _decode_escapes(raw, SEGMENT_CHARACTERS)
+    )
 
 
 def split_target(target: bytes) -> tuple[bytes, bytes, bytes]:
@@ -84,8 +86,8 @@
         scheme, separator, rest = target.partition(b"://")
         if not separator or scheme.lower() not in (b"http", b"https"):
             raise InvalidTargetError("neither a path nor an http URL")
-        cut = min((at for at in (rest.find(b"/"), rest.find(b"?")) if at >= 0), default=len(rest))
-        host, target = rest[:cut], rest[cut:]
+        end = min((at for at in (rest.find(b"/"), rest.find(b"?")) if at >= 0), default=len(rest))
+        host, target = rest[:end], rest[end:]
         if not host or b"@" in host:
             raise InvalidTargetError("a URL with no host, or with a user")
         if not target.startswith(b"/"):
@@ -98,9 +100,9 @@
 def normalise_host(raw: bytes) -> str:
     """Lower case, with no port and no dot at its end; raises InvalidTargetError on what is no host."""
     text = raw.decode("latin-1").strip(" \t").lower()
-    found = PORT.fullmatch(text)
+    found = HOST_AND_PORT.fullmatch(text)
     host = found[1] if found is not None else text
     host = host.removesuffix(".")
-    if len(host) > LONGEST_HOST or not HOST.fullmatch(host) or ".." in host:
+    if len(host) > MAX_HOST_LENGTH or not HOST.fullmatch(host) or ".." in host:
         raise InvalidTargetError("a Host that is no host")
     return host
