--- a/plovertrail/decisions/paths.py
+++ b/plovertrail/decisions/paths.py
@@ -1,9 +1,9 @@
-"""Hosts and paths in one form, so that a rule can't be passed by writing a path in another way.
+"""Normalises hosts and paths, so that no route can be bypassed by writing a path in another way.
 
-Two forms of a path, with the same segments (RFC 3986, sections 6.2.2 and 5.2.4): what goes to the server has
-only its unreserved characters decoded; what rules are matched against has all other characters of a segment
-decoded too. Hazards: a server behind decodes once more or not, merges slashes or not, takes `..;` for `..` or
-not; what could then mean another path there than here is refused.
+A path has two forms with the same segments (RFC 3986, sections 6.2.2 and 5.2.4). In the form that is
+forwarded only the unreserved characters are decoded; in the form for matching all other characters of a
+segment are decoded too. Servers differ in whether they decode once more, merge slashes or read `..;` as
+`..`, so a path that could mean another one to a server is rejected.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 UNRESERVED = frozenset(b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
 SEGMENT_CHARACTERS = UNRESERVED | frozenset(b"!$&'()*+,;=:@")
-NORMAL_PATH = re.compile(r"(?:/(?!\.|/)[A-Za-z0-9\-_~][A-Za-z0-9\-._~]*)+/?|/")  # is its own normal form
+NORMAL_PATH = re.compile(r"(?:/(?!\.|/)[A-Za-z0-9\-_~][A-Za-z0-9\-._~]*)+/?|/")  # the same in both forms
 ESCAPE = re.compile(rb"%([0-9A-Fa-f]{2})")
 HOST = re.compile(r"[a-z0-9_](?:[a-z0-9_.-]*[a-z0-9_-])?|\[[0-9a-f:.]+\]")
 MAX_HOST_LENGTH = 255
@@ -21,11 +21,11 @@
 
 
 class InvalidTargetError(ValueError):
-    """A target or host that can't be routed; the text says why."""
+    """A request target or host cannot be routed; the message says why."""
 
 
 def _decode_escapes(raw: bytes, decodable: frozenset[int]) -> str:
-    """Characters in `decodable` as they are, all others as upper-case escapes."""
+    """Decode the escapes of the characters in `decodable`, and write all other escapes in upper case."""
     parts: list[str] = []
     index = 0
     while index < len(raw):
@@ -42,7 +42,7 @@
             index += 1
             if byte == 0x5C:
                 raise InvalidTargetError("a backslash")
-            # what stands plain though it may not is escaped; what may stand plain is kept
+            # characters that are not allowed in a path are escaped, the others stay
             parts.append(chr(byte) if byte in SEGMENT_CHARACTERS or byte == 0x2F else f"%{byte:02X}")
         if byte < 0x20 or byte == 0x7F:
             raise InvalidTargetError("a control character")
@@ -50,7 +50,7 @@
 
 
 def _resolve_segments(path: str) -> str:
-    """Doubled slashes merged, then dot segments removed."""
+    """Merge repeated slashes, then remove dot segments."""
     resolved: list[str] = []
     segments = [segment for segment in path.split("/") if segment]
     for segment in segments:
@@ -66,7 +66,7 @@
 
 
 def normalise_path(raw: bytes) -> tuple[str, str]:
-    """The path as it goes to the server, and as rules see it; raises InvalidTargetError."""
+    """Return a path in the form to forward and in the form for matching; raises InvalidTargetError."""
     if not raw.startswith(b"/"):
         raise InvalidTargetError("a path that does not begin with /")
     text = raw.decode("latin-1")
@@ -78,7 +78,10 @@
 
 
 def split_target(target: bytes) -> tuple[bytes, bytes, bytes]:
-    """Host (empty but in the absolute form, RFC 9112 section 3.2.2), path and query of a request's target."""
+    """Return the host, path and query of a request target; raises InvalidTargetError.
+
+    The host is empty except in the absolute form (RFC 9112, section 3.2.2).
+    """
     if b"#" in target:
         raise InvalidTargetError("a fragment")
     host = b""
@@ -98,7 +101,7 @@
 
 @functools.lru_cache(maxsize=1024)
 def normalise_host(raw: bytes) -> str:
-    """Lower case, with no port and no dot at its end; raises InvalidTargetError on what is no host."""
+    """Return a host in lower case, without its port and a trailing dot; raises InvalidTargetError."""
     text = raw.decode("latin-1").strip(" \t").lower()
     found = HOST_AND_PORT.fullmatch(text)
     host = found[1] if found is not None else text
