--- a/plovertrail/decisions/templates.py
+++ b/plovertrail/decisions/templates.py
@@ -28,7 +28,7 @@
         *"123456789",  # groups of the route's regular expression
     )
 )
-PLACE = re.compile(r"\{\{|\}\}|\{([a-z_]+|[1-9])\}|[{}]")
+PLACEHOLDER = re.compile(r"\{\{|\}\}|\{([a-z_]+|[1-9])\}|[{}]")
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,26 +45,26 @@
 
     def render(self, values: Mapping[str, str]) -> str:
         """The text with the values filled in; `values` has each of `names`."""
-        return "".join(plain + (values[name] if name else "") for plain, name in self.pieces)
+        return "".join(literal + (values[name] if name else "") for literal, name in self.pieces)
 
 
 def parse_template(text: str) -> Template:
     """Take a text apart; raises ValueError on a place that isn't known, or a brace that stands alone."""
     pieces: list[tuple[str, str]] = []
-    plain, at = "", 0
-    for found in PLACE.finditer(text):
-        plain += text[at : found.start()]
-        at = found.end()
-        if found[0] in ("{{", "}}"):
-            plain += found[0][0]
-        elif found[1] is None:
+    literal, position = "", 0
+    for match in PLACEHOLDER.finditer(text):
+        literal += text[position : match.start()]
+        position = match.end()
+        if match[0] in ("{{", "}}"):
+            literal += match[0][0]
+        elif match[1] is None:
             raise ValueError("a brace that stands alone")
-        elif found[1] not in PLACEHOLDERS:
-            raise ValueError(f"{found[0]} is not known")
+        elif match[1] not in PLACEHOLDERS:
+            raise ValueError(f"{match[0]} is not known")
         else:
-            pieces.append((plain, found[1]))
-            plain = ""
-    return Template((*pieces, (plain + text[at:], "")), text)
+            pieces.append((literal, match[1]))
+            literal = ""
+    return Template((*pieces, (literal + text[position:], "")), text)
 
 
 def escaped(text: str) -> str:
