--- a/plovertrail/decisions/templates.py
+++ b/plovertrail/decisions/templates.py
@@ -1,7 +1,7 @@
-"""Texts with places for what a request tells: values of headers, where a redirect leads.
+"""Templates for header values, redirect locations and response bodies, rendered from a request.
 
-`{host}`, `{uri}` and the like are filled in, `{{` and `}}` are braces. Nothing else is looked at, so what a
-client sends is never read as a template.
+Placeholders such as `{host}` and `{uri}` are replaced by values, `{{` and `}}` by braces. The values
+themselves are not parsed, so what a client sends is never read as a template.
 """
 
 from __future__ import annotations
@@ -10,19 +10,19 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-# what each place is filled with, as docs/operator.md tells it
+# docs/operator.md has the same list for operators
 PLACEHOLDERS = frozenset(
     (
         "host",  # without a port, in lower case
-        "authority",  # the host as it was sent
+        "authority",  # the host as the client sent it
         "address",  # of the client's connection
-        "client",  # whose request it is, as its route reads that
-        "forwarded_for",  # the client's X-Forwarded-For with its address behind it
+        "client",  # as the route reads it
+        "forwarded_for",  # X-Forwarded-For of the client, followed by its address
         "method",
-        "path",  # as it goes on, before a rewrite
+        "path",  # as it is forwarded, before a rewrite
         "query",
-        "args",  # "?" and the query, or nothing
-        "uri",  # path and query as they were sent
+        "args",  # "?" and the query, or empty
+        "uri",  # path and query as the client sent them
         "request_id",
         "port",  # of the listener
         *"123456789",  # groups of the route's regular expression
@@ -33,23 +33,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Template:
-    """A text, taken apart: plain pieces, and the names of what comes behind each."""
+    """A parsed template: literal pieces, each followed by a placeholder."""
 
-    pieces: tuple[tuple[str, str], ...]  # (plain, name); an empty name: nothing comes
-    text: str = ""  # as it was written
+    pieces: tuple[tuple[str, str], ...]  # (literal, placeholder); an empty placeholder: none follows
+    text: str = ""  # the unparsed template
 
     @property
     def names(self) -> frozenset[str]:
-        """The names of the values that the template needs."""
+        """The placeholders of the template."""
         return frozenset(name for _, name in self.pieces if name)
 
     def render(self, values: Mapping[str, str]) -> str:
-        """The text with the values filled in; `values` has each of `names`."""
+        """Return the text with all placeholders replaced; `values` needs all of `names`."""
         return "".join(literal + (values[name] if name else "") for literal, name in self.pieces)
 
 
 def parse_template(text: str) -> Template:
-    """Take a text apart; raises ValueError on a place that isn't known, or a brace that stands alone."""
+    """Parse a template; raises ValueError if a placeholder is unknown or a brace is unmatched."""
     pieces: list[tuple[str, str]] = []
     literal, position = "", 0
     for match in PLACEHOLDER.finditer(text):
@@ -58,7 +58,7 @@
         if match[0] in ("{{", "}}"):
             literal += match[0][0]
         elif match[1] is None:
-            raise ValueError("a brace that stands alone")
+            raise ValueError("unmatched brace")
         elif match[1] not in PLACEHOLDERS:
             raise ValueError(f"{match[0]} is not known")
         else:
@@ -68,5 +68,5 @@
 
 
 def escaped(text: str) -> str:
-    """A text as a template that is filled with just that."""
+    """Return a template that renders to just this text."""
     return text.replace("{", "{{").replace("}", "}}")
