--- a/plovertrail/decisions/websocket_capacity.py
+++ b/plovertrail/decisions/websocket_capacity.py
@@ -1,4 +1,4 @@
-"""How many WebSocket sessions endpoints, pools and tenants have, and whether they may have one more."""
+"""Counts the WebSocket sessions of endpoints, pools and tenants, and bounds those of endpoints and pools."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class SessionCapacity:
-    """The sessions of each endpoint, pool and tenant, and the bounds of the first two."""
+    """The sessions of each endpoint, pool and tenant, and the bounds for endpoints and pools."""
 
     def __init__(self) -> None:
         self.by_endpoint: dict[EndpointKey, dict[int, WebSocketSession]] = {}
@@ -20,7 +20,7 @@
         self._full: dict[str, set[int]] = {}  # endpoints without capacity, by pool
 
     def configure(self, per_endpoint: Mapping[str, int], per_pool: Mapping[str, int]) -> None:
-        """Put other bounds into force, by pool; open sessions beyond them stay."""
+        """Apply new bounds, by pool; open sessions beyond them stay."""
         self.max_per_endpoint = per_endpoint
         self.max_per_pool = per_pool
         for endpoint_ids in self._full.values():
@@ -52,7 +52,7 @@
         return True
 
     def release(self, session: WebSocketSession) -> None:
-        """Take a session off its endpoint, if it has one."""
+        """Stop counting a session at its endpoint, if it has one."""
         endpoint = session.endpoint
         if endpoint is None:
             return
@@ -68,7 +68,7 @@
         self.by_tenant[tenant] = self.by_tenant.get(tenant, 0) + 1
 
     def remove_from_tenant(self, tenant: bytes) -> None:
-        """A session of a tenant has ended."""
+        """Stop counting a session of a tenant."""
         self.by_tenant[tenant] -= 1
         if not self.by_tenant[tenant]:
             del self.by_tenant[tenant]
