--- a/plovertrail/decisions/websocket_closing.py
+++ b/plovertrail/decisions/websocket_closing.py
@@ -19,14 +19,14 @@
 
 
 def begin(session: WebSocketSession, cause: CloseCause, now_us: int) -> None:
-    """Enter the closing phase; the session is aborted if it takes too long."""
+    """Enter the closing phase; the session is aborted if that takes too long."""
     session.phase = Phase.CLOSING
     session.cause = cause
     session.abort_us = now_us + session.limits.close_timeout_us
 
 
 def send_close(session: WebSocketSession, side: Side, code: int, reason: str) -> list[SendClose]:
-    """Return the close frame for a peer, unless it has had one or is lost."""
+    """Return the close frame for a peer, unless one has been sent or its connection is lost."""
     peer = session.peers[side]
     if peer.close_sent or peer.connection_lost:
         return []
@@ -37,7 +37,7 @@
 def send_both_closes(
     session: WebSocketSession, cause: CloseCause, violation: ProtocolViolated | None, planner: ClosePlanner
 ) -> list[SendClose]:
-    """Return the close frames with which this process ends a session, each peer with its own code."""
+    """Return the close frames with which this process ends a session; each peer has its own code."""
     client_code: int
     server_code: int
     client_code, server_code = CLOSE_CODES[cause]
@@ -58,7 +58,7 @@
 
 
 def answer_close(session: WebSocketSession, side: Side) -> list[SendClose]:
-    """Return the answer to the close frame of a peer whose other side will not answer any more."""
+    """Return the reply to the close frame of a peer if the other peer will no longer send one."""
     code = session.peers[side].close_received or CloseCode.GOING_AWAY
     return send_close(session, side, code, "")
 
