--- a/plovertrail/decisions/websocket_messages.py
+++ b/plovertrail/decisions/websocket_messages.py
@@ -1,4 +1,4 @@
-"""The vocabulary of WebSocket sessions: close causes and codes, limits, events in and actions out.
+"""Data types of WebSocket sessions: close causes and codes, limits, events in and actions out.
 
 Close codes are those of RFC 6455, section 7.4.1, and of its IANA registry. Times are whole microseconds on
 the process's own monotonic clock.
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from plovertrail.decisions.websocket_session import WebSocketSession
 
-EndpointKey = tuple[str, int]  # a pool's name, and an endpoint's id there
+EndpointKey = tuple[str, int]  # (pool name, endpoint id)
 
 
 class CloseCode(enum.IntEnum):
@@ -46,7 +46,7 @@
 
 
 class CloseCause(enum.Enum):
-    """Why a session ended; the values stand in its log line."""
+    """Why a session ended; the values are written to its log line."""
 
     CLIENT_CLOSED = "closed by the client"
     SERVER_CLOSED = "closed by the server"
@@ -75,7 +75,7 @@
     CLIENT_LEFT_HANDSHAKE = "the client left in the handshake"
 
 
-# the codes for the client and the server where the other peer has not sent one
+# the codes for the client and the server if this process ends the session
 CLOSE_CODES = {
     CloseCause.CLIENT_LOST: (CloseCode.GOING_AWAY, CloseCode.GOING_AWAY),
     CloseCause.SERVER_LOST: (CloseCode.SERVICE_RESTART, CloseCode.GOING_AWAY),
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionLimits:
-    """What a route allows its sessions; 0 = unlimited where that is said."""
+    """The limits of a route's sessions; 0 means unlimited only where noted."""
 
     max_message: int = 64 * 1024  # bytes
     messages_per_s: float = 100.0  # of the client, control frames included; 0 = unlimited
@@ -111,14 +111,14 @@
     idle_us: int = 300_000_000  # without a message in either direction
     ping_interval_us: int = 20_000_000  # without a byte from a peer
     pong_timeout_us: int = 10_000_000
-    write_timeout_us: int = 10_000_000  # for a peer to read what is buffered for it
-    drain_grace_us: int = 5_000_000  # for sessions to end by themselves after a drain or stop
-    close_spread_us: int = 10_000_000  # over which the others are closed then
+    write_timeout_us: int = 10_000_000  # for a peer to read buffered data
+    drain_grace_us: int = 5_000_000  # for sessions to end by themselves after a drain or shutdown
+    close_spread_us: int = 10_000_000  # after the grace period, over which the remaining ones are closed
     close_timeout_us: int = 5_000_000  # for the closing handshake, and for the end of a message before it
 
     @property
     def max_drain_us(self) -> int:
-        """The time from a drain or stop until the last session has been aborted."""
+        """The time from a drain or shutdown until the last session has been aborted."""
         return self.drain_grace_us + self.close_spread_us + 2 * self.close_timeout_us
 
 
@@ -132,7 +132,7 @@
     session_id: int
     limits: SessionLimits
     tenant: bytes = b""
-    log_full: bool = False  # the line on its end could not be written
+    log_full: bool = False  # no log line could be written at its end
 
 
 @dataclass(slots=True)
@@ -181,7 +181,7 @@
 
 @dataclass(slots=True)
 class CloseReceived:
-    """A close frame has come; `code` is 1005 if it had none."""
+    """A close frame has been received; `code` is 1005 if it had none."""
 
     session_id: int
     side: Side
@@ -199,7 +199,7 @@
 
 @dataclass(slots=True)
 class ProtocolViolated:
-    """A peer did what it may not; `code` is the parser's, or 0 for that of the cause."""
+    """A peer broke the protocol or a limit; `code` is from the parser, or 0 for that of the cause."""
 
     session_id: int
     cause: CloseCause
@@ -209,7 +209,7 @@
 
 @dataclass(slots=True)
 class WritingPaused:
-    """A peer no longer reads what is buffered for it."""
+    """A peer has stopped reading the data that is buffered for it."""
 
     session_id: int
     side: Side
@@ -217,14 +217,14 @@
 
 @dataclass(slots=True)
 class WritingResumed:
-    """A peer reads again what is buffered for it."""
+    """A peer is reading the data that is buffered for it again."""
 
     session_id: int
     side: Side
 
 
 class EndpointChange(enum.Enum):
-    """What became of an endpoint."""
+    """The new state of an endpoint."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -278,7 +278,7 @@
 
 @dataclass(slots=True)
 class RejectHandshake:
-    """Answer the client that no session is possible now; nothing has run."""
+    """Tell the client that no session is possible now; no endpoint has seen the handshake."""
 
     session_id: int
     cause: CloseCause
@@ -287,7 +287,7 @@
 
 @dataclass(slots=True)
 class DeclineEndpoint:
-    """Do not open the session at this endpoint: do not send the handshake, or close what it brought."""
+    """Do not open the session at this endpoint: do not send the handshake, or close the new connection."""
 
     session_id: int
 
@@ -327,14 +327,14 @@
 
 @dataclass(slots=True)
 class SessionEnded:
-    """A session is over; the only and last action that says so."""
+    """A session has ended; the last action of a session, sent once."""
 
     session: WebSocketSession
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Deliver `TimerFired` at `at_us`; it replaces an earlier timer."""
+    """Deliver `TimerFired` at `at_us`; replaces the timer set before."""
 
     at_us: int
 
