--- a/plovertrail/decisions/websocket_schedule.py
+++ b/plovertrail/decisions/websocket_schedule.py
@@ -1,4 +1,4 @@
-"""When WebSocket sessions are checked and when they are closed after a drain.
+"""Schedules the checks of WebSocket sessions, and their closing after a drain.
 
 Times are whole microseconds on the process's own monotonic clock.
 """
@@ -12,7 +12,7 @@
 from plovertrail.decisions.websocket_messages import CloseCause, SessionLimits
 from plovertrail.decisions.websocket_session import Phase, WebSocketSession
 
-BATCH_INTERVAL_US = 1_000  # between two timers, so that batches of checks leave time for others
+BATCH_INTERVAL_US = 1_000  # between two timers, so that batches of checks leave time for other work
 MIN_RECONNECT_US = 1_000_000
 
 
@@ -24,7 +24,7 @@
         self.timer_us = 0  # the timer that is set; 0 = none
 
     def add(self, session: WebSocketSession, at_us: int) -> None:
-        """Check a session at a time, or earlier if it is scheduled for an earlier one."""
+        """Schedule the check of a session, unless an earlier one is scheduled."""
         if not session.next_check_us or at_us < session.next_check_us:
             session.next_check_us = at_us
             heapq.heappush(self.heap, (at_us, session.session_id))
@@ -40,7 +40,7 @@
         return None
 
     def timer_to_set_us(self, now_us: int) -> int | None:
-        """Return the time of a timer that has to be set now; None if the present one is early enough."""
+        """Return the time of a timer that has to be set now; None if the current one is early enough."""
         if not self.heap or (self.timer_us and self.heap[0][0] >= self.timer_us):
             return None
         self.timer_us = max(self.heap[0][0], now_us + BATCH_INTERVAL_US)
@@ -55,18 +55,18 @@
         self.checks = checks
 
     def close_at(self, session: WebSocketSession, at_us: int, cause: CloseCause) -> None:
-        """Plan to close a session at a time."""
+        """Plan to close a session at a time, in place of an earlier plan."""
         session.close_at_us = at_us
         session.close_at_cause = cause
         self.checks.add(session, at_us)
 
     def close_no_later_than(self, session: WebSocketSession, at_us: int, cause: CloseCause) -> None:
-        """Plan to close a session at a time, unless it is to be closed earlier."""
+        """Plan to close a session at a time, unless it is planned to be closed earlier."""
         if not session.close_at_us or at_us < session.close_at_us:
             self.close_at(session, at_us, cause)
 
     def drain(self, session: WebSocketSession, cause: CloseCause, now_us: int) -> None:
-        """Let a session end by itself, or close it at a random time after the grace."""
+        """Let a session end by itself, or close it at a random time after the grace period."""
         if session.phase is not Phase.OPEN:
             session.close_at_cause = cause  # it is drained once it has opened
             return
@@ -75,7 +75,7 @@
         self.close_no_later_than(session, at_us, cause)
 
     def cancel_drain(self, session: WebSocketSession) -> None:
-        """Go back to the planned end of the session's lifetime, if it has one."""
+        """Close the session only at the end of its lifetime again, if that is limited."""
         session.close_at_us = 0
         session.close_at_cause = None
         self.close_at_lifetime(session)
@@ -87,5 +87,5 @@
             self.close_at(session, ends_us, CloseCause.MAX_LIFETIME)
 
     def reconnect_after_us(self, limits: SessionLimits) -> int:
-        """Return when a client may reconnect, spread so that those that left together return apart."""
+        """Return a random delay before a client reconnects, so that clients do not all return at once."""
         return MIN_RECONNECT_US + int(limits.close_spread_us * self.random.random())
