--- a/plovertrail/decisions/websocket_session.py
+++ b/plovertrail/decisions/websocket_session.py
@@ -19,7 +19,7 @@
 
 
 class Phase(enum.Enum):
-    """How far a session has come."""
+    """The phases of a session, in their order."""
 
     REQUESTED = "requested"
     ASSIGNED = "assigned"  # an endpoint has been selected
@@ -31,15 +31,15 @@
 
 @dataclass(slots=True)
 class PeerState:
-    """What is known of one peer of a session."""
+    """The state of one peer of a session."""
 
     bytes_received: int = 0  # of messages
     messages_received: int = 0
     partial_bytes: int = 0  # of the message that is being received
     in_message: bool = False
     last_received_us: int = 0
-    pinged_us: int = 0  # 0 = no ping is unanswered
-    blocked_us: int = 0  # since when it does not read; 0 = it reads
+    pinged_us: int = 0  # when the unanswered ping was sent; 0 = none
+    blocked_us: int = 0  # since when it has not been reading; 0 = it reads
     close_received: int = 0  # the code; 0 = none
     close_sent: int = 0  # the code; 0 = none
     connection_lost: bool = False
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerCheck:
-    """What a check of a peer found."""
+    """The result of checking a peer."""
 
     next_check_us: int
     ping: bool = False
@@ -77,13 +77,13 @@
     last_message_us: int = 0
     tokens: float = 0.0  # messages that the client may send now
     tokens_us: int = 0  # when `tokens` was updated
-    close_at_us: int = 0  # when this process closes it; 0 = not planned
+    close_at_us: int = 0  # when this process will close it; 0 = not planned
     close_at_cause: CloseCause | None = None
-    abort_us: int = 0  # when the closing handshake has taken too long
+    abort_us: int = 0  # when the closing handshake times out
     next_check_us: int = 0
 
     def received(self, side: Side, now_us: int) -> None:
-        """Bytes of a peer have come."""
+        """Record that bytes of a peer have been received."""
         peer = self.peers[side]
         peer.last_received_us = now_us
         peer.pinged_us = 0
@@ -106,7 +106,7 @@
         return self.count_message(side, now_us)
 
     def count_message(self, side: Side, now_us: int) -> CloseCause | None:
-        """Hold a message or control frame against the client's token bucket; return why to close, or None."""
+        """Take a token for a message or control frame of the client; return why to close, or None."""
         rate = self.limits.messages_per_s
         if side is SERVER or not rate:
             return None
@@ -116,7 +116,7 @@
         return CloseCause.MESSAGE_RATE_EXCEEDED if self.tokens < 0.0 else None
 
     def open(self, now_us: int) -> None:
-        """Start the clocks of an open session."""
+        """Enter the open phase and start its timeouts."""
         self.phase = Phase.OPEN
         self.opened_us = now_us
         self.last_message_us = now_us
@@ -139,7 +139,7 @@
         if peer.blocked_us:
             return self._check_blocked(side, now_us)
         if self.peers[side.other].blocked_us:
-            # it is not read, so nothing can come from it
+            # this peer is not read while the other one is blocked, so it cannot answer pings
             return PeerCheck(now_us + limits.ping_interval_us)
         if peer.pinged_us:
             late_us = peer.pinged_us + limits.pong_timeout_us
