--- a/plovertrail/decisions/websocket_sessions.py
+++ b/plovertrail/decisions/websocket_sessions.py
@@ -1,8 +1,8 @@
-"""The life of WebSocket sessions: handshake, open, closing, ended with a cause.
+"""The lifecycle of WebSocket sessions: handshake, open, closing, ended with a cause.
 
 Which endpoint a handshake goes to and whether it is retried is decided by the load balancer, as for any
-request. This module decides the rest: whether there is capacity for one more session, what its peers may
-do, when they are pinged, and how a session ends when its endpoint drains or is removed, the daemon stops,
+request. This module decides the rest: whether there is capacity for one more session, what its peers may do,
+when they are pinged, and how a session ends when its endpoint drains or is removed, the daemon shuts down,
 or its route is no longer configured. Events in, actions out. Times are whole microseconds on the process's
 own monotonic clock.
 """
@@ -19,7 +19,7 @@
 from plovertrail.decisions.websocket_schedule import BATCH_INTERVAL_US, CheckSchedule, ClosePlanner
 from plovertrail.decisions.websocket_session import Phase, WebSocketSession
 
-BATCH = 32  # sessions that one call checks; thousands at once would block all others
+BATCH = 32  # sessions checked in one call; checking thousands at once would block the event loop
 MESSAGE_END_CHECK_US = 20_000  # between checks for the end of a message that a close waits for
 
 
@@ -64,7 +64,7 @@
         return self.capacity.full_endpoints(pool)
 
     def handle(self, now_us: int, event: messages.Event) -> list[messages.Action]:
-        """Handle one event; the actions are to be carried out in their order."""
+        """Handle one event; return the actions to carry out, in order."""
         self.now_us = now_us
         self.actions = []
         handler = self._handlers.get(type(event))
@@ -119,7 +119,7 @@
 
     def _on_handshake_accepted(self, session: WebSocketSession, _: messages.HandshakeAccepted) -> None:
         if session.endpoint_declined or session.phase is not Phase.HANDSHAKE:
-            # a draining endpoint gets no new session
+            # a draining or removed endpoint gets no new session
             self.actions.append(messages.DeclineEndpoint(session.session_id))
 
     def _on_handshake_abandoned(self, session: WebSocketSession, event: messages.HandshakeAbandoned) -> None:
@@ -169,8 +169,8 @@
         if session.phase is Phase.OPEN:
             self._close(session, event.cause, event)
         elif event.cause in (CloseCause.CLIENT_PROTOCOL_ERROR, CloseCause.SERVER_PROTOCOL_ERROR):
-            # A peer that breaks the protocol while it closes would be read until the abort. One that only
-            # sends too much is not aborted, as it would lose the close frame that says so.
+            # A peer that breaks the protocol in the closing phase would otherwise be read until that times
+            # out. One that only exceeds a limit is not aborted: it would lose the close frame that says so.
             self._abort(session)
 
     def _close(
@@ -202,7 +202,7 @@
         if session.phase is Phase.OPEN:
             self._close(session, CloseCause.CLIENT_LOST if event.side is CLIENT else CloseCause.SERVER_LOST)
         elif session.phase is Phase.CLOSING:
-            # the lost peer cannot answer any more, and the other must not wait for that
+            # the lost peer cannot reply any more, so the other one gets its reply from here
             self.actions += closing.answer_close(session, event.side.other)
             self._finish_closing(session)
 
@@ -216,7 +216,7 @@
         self._end(session, session.cause or CloseCause.CLIENT_LOST)
 
     def _end(self, session: WebSocketSession, cause: CloseCause) -> None:
-        """End a session; the only place that does."""
+        """End a session; nothing else does."""
         session.phase = Phase.ENDED
         session.cause = cause
         session.ended_us = self.now_us
@@ -233,7 +233,7 @@
 
     def _on_writing_resumed(self, session: WebSocketSession, event: messages.WritingResumed) -> None:
         session.peers[event.side].blocked_us = 0
-        # the other peer was not read meanwhile, so it is not unresponsive
+        # the other peer was not read in the meantime, so its silence does not count
         session.received(event.side.other, self.now_us)
 
     def _on_timer(self, _: messages.TimerFired) -> None:
@@ -255,7 +255,7 @@
         if self.now_us < session.abort_us:
             self.checks.add(session, session.abort_us)
             return
-        # a peer that closed in order gets its answer although the other one is unresponsive
+        # a peer that sent a close frame gets its reply although the other one is unresponsive
         for side in Side:
             self.actions += closing.answer_close(session, side)
         self._abort(session)
