--- a/plovertrail/decisions/websocket_session.py
+++ b/plovertrail/decisions/websocket_session.py
@@ -142,9 +142,9 @@
             # this peer is not read while the other one is blocked, so it cannot answer pings
             return PeerCheck(now_us + limits.ping_interval_us)
         if peer.pinged_us:
-            late_us = peer.pinged_us + limits.pong_timeout_us
-            if now_us < late_us:
-                return PeerCheck(late_us)
+            pong_due_us = peer.pinged_us + limits.pong_timeout_us
+            if now_us < pong_due_us:
+                return PeerCheck(pong_due_us)
             unresponsive = (
                 CloseCause.CLIENT_UNRESPONSIVE if side is CLIENT else CloseCause.SERVER_UNRESPONSIVE
             )
@@ -156,7 +156,7 @@
         return PeerCheck(now_us + limits.pong_timeout_us, ping=True)
 
     def _check_blocked(self, side: Side, now_us: int) -> PeerCheck:
-        slow_us = self.peers[side].blocked_us + self.limits.write_timeout_us
-        if now_us < slow_us:
-            return PeerCheck(slow_us)
+        write_due_us = self.peers[side].blocked_us + self.limits.write_timeout_us
+        if now_us < write_due_us:
+            return PeerCheck(write_due_us)
         return PeerCheck(0, close=CloseCause.CLIENT_SLOW if side is CLIENT else CloseCause.SERVER_SLOW)
--- a/plovertrail/decisions/websocket_sessions.py
+++ b/plovertrail/decisions/websocket_sessions.py
@@ -19,7 +19,7 @@
 from plovertrail.decisions.websocket_schedule import BATCH_INTERVAL_US, CheckSchedule, ClosePlanner
 from plovertrail.decisions.websocket_session import Phase, WebSocketSession
 
-BATCH = 32  # sessions checked in one call; checking thousands at once would block the event loop
+BATCH_SIZE = 32  # sessions checked in one call; checking thousands at once would block the event loop
 MESSAGE_END_CHECK_US = 20_000  # between checks for the end of a message that a close waits for
 
 
@@ -148,7 +148,7 @@
             elif session.phase is not Phase.OPEN:
                 continue
             elif event.change is EndpointChange.REMOVED:
-                at_us = self.now_us + index // BATCH * BATCH_INTERVAL_US
+                at_us = self.now_us + index // BATCH_SIZE * BATCH_INTERVAL_US
                 self.closes.close_no_later_than(session, at_us, CloseCause.ENDPOINT_REMOVED)
             elif session.close_at_cause is CloseCause.ENDPOINT_DRAINING:
                 self.closes.cancel_drain(session)
@@ -238,7 +238,7 @@
 
     def _on_timer(self, _: messages.TimerFired) -> None:
         self.checks.timer_us = 0
-        for _check in range(BATCH):
+        for _check in range(BATCH_SIZE):
             session = self.checks.pop_due(self.sessions, self.now_us)
             if session is None:
                 return
--- a/tests/decisions/test_websocket_sessions.py
+++ b/tests/decisions/test_websocket_sessions.py
@@ -43,7 +43,7 @@
     WritingResumed,
 )
 from plovertrail.decisions.websocket_session import Phase
-from plovertrail.decisions.websocket_sessions import BATCH, WebSocketSessions
+from plovertrail.decisions.websocket_sessions import BATCH_SIZE, WebSocketSessions
 
 S = 1_000_000
 LIMITS = SessionLimits(
@@ -351,7 +351,7 @@
     times = [at_us for at_us, code in world.closes(CLIENT) if code == 1012]
     assert len(times) == 2000
     assert max(times) - word_us < 200_000
-    assert max(times.count(at_us) for at_us in set(times)) <= BATCH
+    assert max(times.count(at_us) for at_us in set(times)) <= BATCH_SIZE
 
 
 def test_a_removal_waits_neither_for_a_message_nor_for_a_drain() -> None:
