--- a/tests/decisions/test_routes.py
+++ b/tests/decisions/test_routes.py
@@ -1,4 +1,4 @@
-"""Which route takes a request: precedence, predicates, rewriting, unreachable routes."""
+"""Route matching: precedence, predicates, rewriting, unreachable routes."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 )
 
 
-def route(name: str, path: str = "/", kind: PathKind = PathKind.PREFIX, **more: object) -> Route:
-    return Route(name, ("p",), "c", path_kind=kind, path=path, **more)  # type: ignore[arg-type]
+def route(name: str, path: str = "/", kind: PathKind = PathKind.PREFIX, **fields: object) -> Route:
+    return Route(name, ("p",), "c", path_kind=kind, path=path, **fields)  # type: ignore[arg-type]
 
 
 def head(path: str = "/", host: str = "h", method: str = "GET", query: bytes = b"", **headers: str) -> Head:
@@ -40,8 +40,8 @@
     )
 
 
-def winner(table: RouteTable, asked: Head) -> str | None:
-    found = table.lookup(asked).route
+def selected_name(table: RouteTable, request_head: Head) -> str | None:
+    found = table.lookup(request_head).route
     return found.name if found is not None else None
 
 
@@ -65,7 +65,7 @@
             route("one", "/h", headers=(Predicate("a"),)),
         ]
     )
-    for asked, name in [
+    for request_head, name in [
         (head("/a/b"), "exact"),
         (head("/a/bc"), "regex"),
         (head("/a/b1"), "later regex"),
@@ -86,10 +86,10 @@
         (head("/h", a="1"), "one"),
         (head("/h"), "any"),
     ]:
-        assert winner(table, asked) == name, asked
+        assert selected_name(table, request_head) == name, request_head
 
 
-def test_headers_and_query_are_matched_whole() -> None:
+def test_header_and_query_values_are_compared_as_a_whole() -> None:
     table = RouteTable(
         [
             route("beta", headers=(Predicate("x-beta", "1"),)),
@@ -97,11 +97,15 @@
             route("given", query=(Predicate("flag"),)),
         ]
     )
-    assert winner(table, head(x_beta="1")) == "beta"
-    assert winner(table, head(x_beta="11")) is None
-    assert winner(table, head(query=b"v=1&v=2")) == "query"
-    assert winner(table, head(query=b"v=22")) is None
-    assert winner(table, head(query=b"flag")) == winner(table, head(query=b"flag=x&a=b")) == "given"
+    assert selected_name(table, head(x_beta="1")) == "beta"
+    assert selected_name(table, head(x_beta="11")) is None
+    assert selected_name(table, head(query=b"v=1&v=2")) == "query"
+    assert selected_name(table, head(query=b"v=22")) is None
+    assert (
+        selected_name(table, head(query=b"flag"))
+        == selected_name(table, head(query=b"flag=x&a=b"))
+        == "given"
+    )
 
 
 paths = st.sampled_from(["/", "/a", "/a/b", "/a/b/c", "/b", "/ab", "/a/"])
@@ -142,39 +146,41 @@
 
 @given(tables(), heads)
 @settings(max_examples=400)
-def test_a_lookup_finds_what_going_through_all_routes_finds(table: RouteTable, asked: Head) -> None:
-    told = [each for each, miss in table.explain(asked) if miss is None]
-    found = table.lookup(asked).route
-    assert [found] == told if found is not None else told == []
+def test_lookup_selects_the_same_route_as_checking_all_routes(table: RouteTable, request_head: Head) -> None:
+    selected = [each for each, miss in table.explain(request_head) if miss is None]
+    found = table.lookup(request_head).route
+    assert [found] == selected if found is not None else selected == []
 
 
 @given(tables(), st.lists(heads, min_size=20, max_size=60))
 @settings(max_examples=200)
-def test_a_route_called_unreachable_is_never_reached(table: RouteTable, asked: list[Head]) -> None:
-    dead = {late.name for late, _ in unreachable(table.routes)}
-    assert not dead & {winner(table, each) for each in asked}
-
-
-def test_routes_that_another_always_beats_are_found() -> None:
-    def dead(*routes: Route) -> list[tuple[str, str]]:
-        return [(late.name, first.name) for late, first in unreachable(routes)]
-
-    assert dead(route("a", "/x"), route("b", "/x")) == [("b", "a")]
-    assert (
-        dead(route("a", "/x"), route("b", "/x", methods=frozenset(("GET",)))) == []
-    )  # goes first: more named
-    assert dead(route("a", "/x", priority=1), route("b", "/x/y")) == [("b", "a")]
-    assert dead(route("a", "/x", priority=1), route("b", "/xy")) == []
-    assert dead(route("a", "/x.*", PathKind.REGEX, priority=1), route("b", "/xy", PathKind.EXACT)) == [
+def test_a_route_reported_as_unreachable_is_never_selected(
+    table: RouteTable, request_heads: list[Head]
+) -> None:
+    shadowed = {second.name for second, _ in unreachable(table.routes)}
+    assert not shadowed & {selected_name(table, each) for each in request_heads}
+
+
+def test_shadowed_routes_are_reported_as_unreachable() -> None:
+    def shadowed(*routes: Route) -> list[tuple[str, str]]:
+        return [(second.name, first.name) for second, first in unreachable(routes)]
+
+    assert shadowed(route("a", "/x"), route("b", "/x")) == [("b", "a")]
+    # b has precedence: it has a method predicate
+    assert shadowed(route("a", "/x"), route("b", "/x", methods=frozenset(("GET",)))) == []
+    assert shadowed(route("a", "/x", priority=1), route("b", "/x/y")) == [("b", "a")]
+    assert shadowed(route("a", "/x", priority=1), route("b", "/xy")) == []
+    assert shadowed(route("a", "/x.*", PathKind.REGEX, priority=1), route("b", "/xy", PathKind.EXACT)) == [
         ("b", "a")
     ]
-    assert dead(route("a", "/r", PathKind.REGEX), route("b", "/r", PathKind.REGEX)) == [("b", "a")]
-    assert dead(route("a", "/x", hosts=("h",)), route("b", "/x", hosts=("h", "i"))) == []  # i is left
-    assert dead(route("a", "/x", hosts=("h", "i")), route("b", "/x", hosts=("i",))) == [("b", "a")]
-    assert dead(route("a", "/x", headers=(Predicate("q"),)), route("b", "/x")) == []
+    assert shadowed(route("a", "/r", PathKind.REGEX), route("b", "/r", PathKind.REGEX)) == [("b", "a")]
+    # b is still reachable on host i
+    assert shadowed(route("a", "/x", hosts=("h",)), route("b", "/x", hosts=("h", "i"))) == []
+    assert shadowed(route("a", "/x", hosts=("h", "i")), route("b", "/x", hosts=("i",))) == [("b", "a")]
+    assert shadowed(route("a", "/x", headers=(Predicate("q"),)), route("b", "/x")) == []
 
 
-def test_a_method_that_no_route_takes_is_told_from_a_path() -> None:
+def test_a_method_that_no_route_accepts_is_405_and_an_unknown_path_404() -> None:
     table = RouteTable([route("a", "/a", methods=frozenset(("POST", "PUT")))])
     with pytest.raises(RequestRejectedError) as caught:
         route_request(table, head("/a"), "/a", b"")
@@ -184,7 +190,7 @@
     assert caught.value.status == 404
 
 
-def test_why_each_candidate_lost() -> None:
+def test_explain_gives_the_reason_for_each_route() -> None:
     table = RouteTable(
         [
             route("host", hosts=("i",)),
@@ -208,37 +214,32 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "path", "rewrite", "asked", "target"),
+    ("kind", "path", "rewrite", "request_path", "target"),
     [
         (PathKind.PREFIX, "/api", "/", "/api/v1/x", "/v1/x"),
         (PathKind.PREFIX, "/api", "/", "/api", "/"),
         (PathKind.PREFIX, "/api", "/v2/in", "/api/x/", "/v2/in/x/"),
         (PathKind.PREFIX, "/", "/all", "/x", "/all/x"),
-        (
-            PathKind.PREFIX,
-            "/a+b",
-            "/c",
-            "/a%2Bb/x%2B",
-            "/c/x%2B",
-        ),  # by segments, as the forms differ in length
+        # cut off by segments, as the forms differ in length
+        (PathKind.PREFIX, "/a+b", "/c", "/a%2Bb/x%2B", "/c/x%2B"),
         (PathKind.EXACT, "/a", "/b", "/a", "/b"),
         (PathKind.REGEX, r"/u/(\d+)(/.*)?", r"/user\2/\1", "/u/7/pic", "/user/pic/7"),
         (PathKind.REGEX, r"/(.*)", r"/.\1", "/./x", "/.x"),
     ],
 )
-def test_rewriting(kind: PathKind, path: str, rewrite: str, asked: str, target: str) -> None:
-    assert rewritten_path(route("r", path, kind, rewrite=rewrite), asked) == target
+def test_rewritten_paths(kind: PathKind, path: str, rewrite: str, request_path: str, target: str) -> None:
+    assert rewritten_path(route("r", path, kind, rewrite=rewrite), request_path) == target
 
 
-def test_a_rewritten_path_is_normal_or_refused() -> None:
-    climbing = route("r", r"/(.*)", PathKind.REGEX, rewrite=r"/private/.\1")
-    assert rewritten_path(climbing, "/./x") == "/private/.x"
-    assert rewritten_path(climbing, "/.a") == "/private/..a"
+def test_a_rewritten_path_is_normalised_or_rejected() -> None:
+    dot_rewrite = route("r", r"/(.*)", PathKind.REGEX, rewrite=r"/private/.\1")
+    assert rewritten_path(dot_rewrite, "/./x") == "/private/.x"
+    assert rewritten_path(dot_rewrite, "/.a") == "/private/..a"
     with pytest.raises(InvalidTargetError):
         rewritten_path(route("r", r"/(.*)", PathKind.REGEX, rewrite=r"/private/.\1"), "/.;x")
 
 
-def test_the_head_of_a_request() -> None:
+def test_reading_the_head_of_a_request() -> None:
     def read(target: bytes, *named: bytes, version: str = "1.1") -> tuple[str, str, bytes]:
         found, path, authority = read_head(b"GET", target, version, list(named), {})
         return found.host, path, authority
@@ -268,18 +269,18 @@
             checked_key(key)
 
 
-def test_ten_thousand_routes_are_found_by_the_same_steps() -> None:
-    """Not timed (benchmarks/routes.py does that): each request meets few candidates."""
+def test_lookup_among_ten_thousand_routes_checks_few_candidates() -> None:
+    """Counts the candidates of a lookup; benchmarks/routes.py measures the time."""
     rng = random.Random(1)
     table = RouteTable([route(str(n), f"/s{n}/x", hosts=(f"h{n % 100}",)) for n in range(10_000)])
     for number in rng.sample(range(10_000), 50):
         groups = list(table._matching_groups(f"h{number % 100}"))
         assert len(groups) == 1
         assert len(groups[0].by_path(f"/s{number}/x/y")) == 1
-        assert winner(table, head(f"/s{number}/x/y", f"h{number % 100}")) == str(number)
+        assert selected_name(table, head(f"/s{number}/x/y", f"h{number % 100}")) == str(number)
 
 
-def test_hosts_are_found_in_nginxs_order_too() -> None:
+def test_hosts_have_the_precedence_of_nginx_server_names() -> None:
     table = RouteTable(
         [
             route("any"),
@@ -303,18 +304,18 @@
         ("", "any"),
         ("zip", "any"),
     ]:
-        asked = head(host=host)
-        assert winner(table, asked) == name, host
-        assert [each.name for each, miss in table.explain(asked) if miss is None] == [name], host
+        request_head = head(host=host)
+        assert selected_name(table, request_head) == name, host
+        assert [each.name for each, miss in table.explain(request_head) if miss is None] == [name], host
 
 
-def test_a_host_of_its_own_and_any_other() -> None:
+def test_a_route_may_have_both_an_exact_host_and_any_host() -> None:
     table = RouteTable([route("default", hosts=("a.b", "")), route("wild", hosts=("*.b",))])
     for host, name in [("a.b", "default"), ("c.b", "wild"), ("d", "default"), ("", "default")]:
-        assert winner(table, head(host=host)) == name
+        assert selected_name(table, head(host=host)) == name
 
 
-def test_a_path_may_have_to_begin_with_a_text_and_with_none_of_others() -> None:
+def test_path_within_and_path_except_restrict_the_paths_of_a_route() -> None:
     table = RouteTable(
         [
             route("part", path_within="/a/b", path_except=("/a/bad", "/a/b/c"), priority=1),
@@ -330,28 +331,28 @@
         ("/a/b/cd", "rest"),
         ("/a", "rest"),
     ]:
-        assert winner(table, head(path)) == name, path
+        assert selected_name(table, head(path)) == name, path
         assert [each.name for each, miss in table.explain(head(path)) if miss is None] == [name]
-    # what goes first for a part only takes nothing away
+    # a route that has precedence on some of the paths only shadows no other
     assert not unreachable(table.routes)
-    same = [
+    overlapping = [
         route("first", path_within="/a", priority=1),
         route("second", path_within="/a/b", path_except=("/x",)),
     ]
-    assert [(lost.name, by.name) for lost, by in unreachable(same)] == [("second", "first")]
+    assert [(second.name, first.name) for second, first in unreachable(overlapping)] == [("second", "first")]
 
 
-def test_a_route_may_be_of_some_listeners_only() -> None:
+def test_a_route_may_be_restricted_to_some_listeners() -> None:
     table = RouteTable([route("inner", listeners=frozenset(("in",))), route("other", priority=-1)])
     for listener, name in [("in", "inner"), ("out", "other"), ("", "other")]:
-        asked = Head("GET", "h", "/", b"", {}, listener)
-        assert winner(table, asked) == name
+        request_head = Head("GET", "h", "/", b"", {}, listener)
+        assert selected_name(table, request_head) == name
     assert (table.routes[0], Miss.LISTENER) in table.explain(head())
     assert not unreachable(table.routes)
     assert unreachable([route("all"), route("lost", listeners=frozenset(("in",)))])
 
 
-def test_a_body_may_be_too_long_for_a_route() -> None:
+def test_a_body_that_is_too_long_for_its_route_is_rejected() -> None:
     table = RouteTable([route("short", "/s", max_body=3), route("none", "/n", max_body=0), route("any")])
     for path, size, fits in [
         ("/s", 3, True),
