--- a/tests/decisions/test_verdicts.py
+++ b/tests/decisions/test_verdicts.py
@@ -1,4 +1,4 @@
-"""What a hook may ask for: each check by itself, and that no verdict at all loosens anything."""
+"""Verdicts of hooks: each check by itself, and that no verdict changes protected headers."""
 
 from __future__ import annotations
 
@@ -26,31 +26,31 @@
 UNSAFE = RequestClass("buy", 1, 1, effect="at_most_once")
 
 
-def keyed(group: str = "cell", memory_us: int = 8) -> RequestClass:
-    return RequestClass("mark", 1, 1, effect="deduplicated", dedup_scope=group, dedup_window_us=memory_us)
+def deduplicated(scope: str = "cell", window_us: int = 8) -> RequestClass:
+    return RequestClass("mark", 1, 1, effect="deduplicated", dedup_scope=scope, dedup_window_us=window_us)
 
 
 @pytest.mark.parametrize(
-    ("kind", "base", "strict"),
+    ("candidate", "base", "strict"),
     [
         (SAFE, SAFE, True),
-        (keyed(), SAFE, True),
+        (deduplicated(), SAFE, True),
         (UNSAFE, SAFE, True),
-        (UNSAFE, keyed(), True),
-        (SAFE, keyed(), False),
+        (UNSAFE, deduplicated(), True),
+        (SAFE, deduplicated(), False),
         (SAFE, UNSAFE, False),
-        (keyed(), UNSAFE, False),
-        (keyed(memory_us=8), keyed(memory_us=9), True),
-        (keyed(memory_us=9), keyed(memory_us=8), False),
-        (keyed("all"), keyed("cell"), False),
-        (keyed("zone"), keyed("cell"), False),
+        (deduplicated(), UNSAFE, False),
+        (deduplicated(window_us=8), deduplicated(window_us=9), True),
+        (deduplicated(window_us=9), deduplicated(window_us=8), False),
+        (deduplicated("all"), deduplicated("cell"), False),
+        (deduplicated("zone"), deduplicated("cell"), False),
     ],
 )
-def test_which_class_may_take_anothers_place(kind: RequestClass, base: RequestClass, strict: bool) -> None:
-    assert at_least_as_strict(kind, base) is strict
+def test_which_class_may_replace_another(candidate: RequestClass, base: RequestClass, strict: bool) -> None:
+    assert at_least_as_strict(candidate, base) is strict
 
 
-def test_a_good_verdict_passes() -> None:
+def test_a_valid_verdict_passes() -> None:
     check_request(
         Verdict(
             set_headers=[(b"X-A", b"1 2\t3"), (b"X-Empty", b"")],
@@ -78,12 +78,12 @@
 
 
 @pytest.mark.parametrize("status", [-1, 1, 100, 200, 204, 301, 399, 408, 421, 500, 502, 504, 600, 65_535])
-def test_a_refusal_is_no_success_no_redirect_and_no_leave_to_send_again(status: int) -> None:
+def test_a_refusal_may_not_be_a_success_a_redirect_or_an_invitation_to_retry(status: int) -> None:
     with pytest.raises(InvalidVerdictError):
         check_request(Verdict(refuse=status), ALLOWED)
 
 
-BAD = [
+INVALID_VERDICTS = [
     Verdict(body=b"x"),
     Verdict(refuse=403, body=b"x" * 4097),
     Verdict(set_headers=[(b"X-A", b"1")] * (MAX_HEADERS + 1)),
@@ -103,8 +103,8 @@
 ]
 
 
-@pytest.mark.parametrize("verdict", BAD)
-def test_a_bad_verdict_is_refused_whole(verdict: Verdict) -> None:
+@pytest.mark.parametrize("verdict", INVALID_VERDICTS)
+def test_an_invalid_verdict_is_rejected(verdict: Verdict) -> None:
     with pytest.raises(InvalidVerdictError):
         check_request(verdict, ALLOWED)
 
@@ -112,13 +112,13 @@
 @pytest.mark.parametrize(
     "verdict", [Verdict(refuse=403), Verdict(tenant=b"a"), Verdict(class_name=b"buy"), Verdict(body=b"x")]
 )
-def test_later_phases_change_nothing_of_the_request(verdict: Verdict) -> None:
+def test_later_phases_cannot_change_the_request(verdict: Verdict) -> None:
     for check in (check_answer, check_end):
         with pytest.raises(InvalidVerdictError):
             check(verdict, ALLOWED)
 
 
-def test_the_end_changes_no_header() -> None:
+def test_no_header_can_be_changed_at_the_end() -> None:
     for verdict in (Verdict(set_headers=[(b"X-A", b"1")]), Verdict(remove_headers=[b"X-A"])):
         with pytest.raises(InvalidVerdictError):
             check_end(verdict, ALLOWED)
@@ -133,27 +133,29 @@
     st.lists(NAMES, max_size=4),
     st.lists(st.tuples(NAMES, st.just(b"own")), max_size=6),
 )
-def test_whatever_is_asked_protected_headers_arrive_as_they_were(
-    wanted: list[tuple[bytes, bytes]], gone: list[bytes], given_headers: list[tuple[bytes, bytes]]
+def test_no_valid_verdict_changes_protected_headers(
+    set_headers: list[tuple[bytes, bytes]],
+    removed_headers: list[bytes],
+    request_headers: list[tuple[bytes, bytes]],
 ) -> None:
-    verdict = Verdict(set_headers=wanted, remove_headers=gone)
+    verdict = Verdict(set_headers=set_headers, remove_headers=removed_headers)
     try:
         check_request(verdict, ALLOWED)
     except InvalidVerdictError:
         return
-    after = changed_headers(given_headers, verdict)
-    for kept in (b"idempotency-key", b"x-request-id", b"host"):
-        assert [pair for pair in after if pair[0].lower() == kept] == [
-            pair for pair in given_headers if pair[0].lower() == kept
+    forwarded_headers = changed_headers(request_headers, verdict)
+    for protected in (b"idempotency-key", b"x-request-id", b"host"):
+        assert [pair for pair in forwarded_headers if pair[0].lower() == protected] == [
+            pair for pair in request_headers if pair[0].lower() == protected
         ]
-    named = {name.lower() for name, _ in wanted} | {name.lower() for name in gone}
-    assert [pair for pair in after if pair[0].lower() not in named] == [
-        pair for pair in given_headers if pair[0].lower() not in named
+    named = {name.lower() for name, _ in set_headers} | {name.lower() for name in removed_headers}
+    assert [pair for pair in forwarded_headers if pair[0].lower() not in named] == [
+        pair for pair in request_headers if pair[0].lower() not in named
     ]
-    assert all(b"\r" not in value and b"\n" not in value for _, value in after)
+    assert all(b"\r" not in value and b"\n" not in value for _, value in forwarded_headers)
 
 
-# The binary form
+# The binary encoding
 
 
 VERDICTS = st.builds(
@@ -169,12 +171,12 @@
 
 
 @given(VERDICTS)
-def test_a_verdict_is_read_as_it_was_written(verdict: Verdict) -> None:
+def test_a_verdict_is_decoded_as_it_was_encoded(verdict: Verdict) -> None:
     assert abi.read_verdict(abi.write_verdict(verdict)) == verdict
 
 
 @given(st.binary(max_size=200))
-def test_noise_is_a_verdict_or_a_bad_one_and_nothing_else(data: bytes) -> None:
+def test_random_bytes_decode_to_a_verdict_or_raise_an_invalid_verdict_error(data: bytes) -> None:
     try:
         verdict = abi.read_verdict(data)
     except InvalidVerdictError:
@@ -182,6 +184,6 @@
     assert sum(len(value) for _, value in verdict.set_headers) <= len(data)
 
 
-def test_numbers_beyond_32_bits_are_told_as_the_most() -> None:
+def test_numbers_beyond_32_bits_are_encoded_as_the_maximum() -> None:
     ((_, name, value),) = abi.records(abi.number(abi.Read.COUNTER, 1 << 40, b"seen"))
     assert (name, value) == (b"seen", b"\xff" * 4)
