--- a/tests/decisions/test_templates.py
+++ b/tests/decisions/test_templates.py
@@ -1,4 +1,4 @@
-"""Texts with places for what a request tells."""
+"""Parsing and rendering of templates."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from plovertrail.decisions.templates import PLACEHOLDERS, escaped, parse_template
 
 
-def test_places_are_filled_and_doubled_braces_are_braces() -> None:
-    made = parse_template("https://{host}{uri}?{{x}}={1}")
-    assert made.names == {"host", "uri", "1"}
-    assert made.render({"host": "a.b", "uri": "/c{host}", "1": "{{"}) == "https://a.b/c{host}?{x}={{"
+def test_placeholders_are_replaced_and_doubled_braces_are_literal() -> None:
+    template = parse_template("https://{host}{uri}?{{x}}={1}")
+    assert template.names == {"host", "uri", "1"}
+    assert template.render({"host": "a.b", "uri": "/c{host}", "1": "{{"}) == "https://a.b/c{host}?{x}={{"
 
 
 @pytest.mark.parametrize("text", ["{", "}", "{nothing}", "a}b", "{host", "{0}", "{}", "{host }", "{{{"])
-def test_what_is_no_template_is_refused(text: str) -> None:
+def test_invalid_templates_are_rejected(text: str) -> None:
     with pytest.raises(ValueError, match="brace|not known"):
         parse_template(text)
 
 
 @given(st.text())
-def test_an_escaped_text_is_filled_with_itself(text: str) -> None:
-    made = parse_template(escaped(text))
-    assert made.render({}) == text
-    assert not made.names
+def test_an_escaped_text_renders_to_itself(text: str) -> None:
+    template = parse_template(escaped(text))
+    assert template.render({}) == text
+    assert not template.names
 
 
 @given(
@@ -36,7 +36,7 @@
         )
     )
 )
-def test_a_template_says_what_it_was_made_of(parts: list[tuple[str, str]]) -> None:
-    text = "".join(f"{{{name}}}" if name else escaped(plain) for plain, name in parts)
+def test_a_template_renders_its_literals_and_placeholders(parts: list[tuple[str, str]]) -> None:
+    text = "".join(f"{{{name}}}" if name else escaped(literal) for literal, name in parts)
     values = {name: f"<{name}>" for name in PLACEHOLDERS}
-    assert parse_template(text).render(values) == "".join(f"<{n}>" if n else plain for plain, n in parts)
+    assert parse_template(text).render(values) == "".join(f"<{n}>" if n else literal for literal, n in parts)
