--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -1,4 +1,4 @@
-"""Affinity in a daemon: a client's requests meet at one server, and move when that one drains."""
+"""Affinity in a daemon: the requests of a client reach one endpoint, and another one when that drains."""
 
 from __future__ import annotations
 
@@ -17,10 +17,12 @@
 """
 
 
-async def met(it: Running, servers: list[WebServer], clients: int) -> dict[str, set[int]]:
-    """The servers that each client's requests reached, three of each."""
+async def servers_by_client(
+    running_daemon: Running, servers: list[WebServer], clients: int
+) -> dict[str, set[int]]:
+    """Send three requests for each client; return the numbers of the servers that they reached."""
     found: dict[str, set[int]] = defaultdict(set)
-    connection = await it.connect()
+    connection = await running_daemon.connect()
     for server in servers:
         server.arrivals.clear()
     for number in range(3 * clients):
@@ -33,28 +35,30 @@
     return found
 
 
-def test_a_client_meets_its_server_till_that_one_drains(tmp_path: Path) -> None:
+def test_a_client_stays_with_its_endpoint_until_that_drains(tmp_path: Path) -> None:
     async def test() -> None:
         servers = [WebServer(), WebServer(), WebServer()]
-        async with running(tmp_path, {"main": servers}, routes=ROUTE, pool_extra='affinity = "client"') as it:
-            before = await met(it, servers, 20)
-            assert all(len(where) == 1 for where in before.values())
+        async with running(
+            tmp_path, {"main": servers}, routes=ROUTE, pool_extra='affinity = "client"'
+        ) as running_daemon:
+            before = await servers_by_client(running_daemon, servers, 20)
+            assert all(len(reached) == 1 for reached in before.values())
             assert len(before) == 20
-            assert len({next(iter(where)) for where in before.values()}) == 3
-            assert it.daemon.drain("main", "main1", True) == ""
-            during = await met(it, servers, 20)
-            for client, where in before.items():
-                assert during[client] == where if where != {1} else 1 not in during[client]
-            assert it.daemon.drain("main", "main1", False) == ""
+            assert len({next(iter(reached)) for reached in before.values()}) == 3
+            assert running_daemon.daemon.drain("main", "main1", True) == ""
+            during = await servers_by_client(running_daemon, servers, 20)
+            for client, reached in before.items():
+                assert during[client] == reached if reached != {1} else 1 not in during[client]
+            assert running_daemon.daemon.drain("main", "main1", False) == ""
 
     run(test)
 
 
-def test_without_it_requests_meet_by_chance(tmp_path: Path) -> None:
+def test_without_affinity_requests_of_a_client_reach_several_endpoints(tmp_path: Path) -> None:
     async def test() -> None:
         servers = [WebServer(), WebServer(), WebServer()]
-        async with running(tmp_path, {"main": servers}, routes=ROUTE) as it:
-            found = await met(it, servers, 20)
-            assert any(len(where) > 1 for where in found.values())
+        async with running(tmp_path, {"main": servers}, routes=ROUTE) as running_daemon:
+            found = await servers_by_client(running_daemon, servers, 20)
+            assert any(len(reached) > 1 for reached in found.values())
 
     run(test)
