--- a/tests/decisions/test_paths.py
+++ b/tests/decisions/test_paths.py
@@ -88,7 +88,7 @@
         (b"/%252e%252e/admin", "/%252e%252e/admin"),  # decoded once, never twice
     ],
 )
-def test_path_traversal_is_resolved(raw: bytes, matching: str) -> None:
+def test_paths_are_normalised_before_matching(raw: bytes, matching: str) -> None:
     assert normalise_path(raw)[1] == matching
 
 
