--- a/plovertrail/decisions/paths.py
+++ b/plovertrail/decisions/paths.py
@@ -24,7 +24,7 @@
     """A request target or host cannot be routed; the message says why."""
 
 
-def _decode_escapes(raw: bytes, decodable: frozenset[int]) -> str:
+def _unescape(raw: bytes, decodable: frozenset[int]) -> str:
     """Decode the escapes of the characters in `decodable`, and write all other escapes in upper case."""
     parts: list[str] = []
     index = 0
@@ -49,7 +49,7 @@
     return "".join(parts)
 
 
-def _resolve_segments(path: str) -> str:
+def _resolve_dots(path: str) -> str:
     """Merge repeated slashes, then remove dot segments."""
     resolved: list[str] = []
     segments = [segment for segment in path.split("/") if segment]
@@ -72,9 +72,7 @@
     text = raw.decode("latin-1")
     if NORMAL_PATH.fullmatch(text):
         return text, text
-    return _resolve_segments(_decode_escapes(raw, UNRESERVED)), _resolve_segments(
-        _decode_escapes(raw, SEGMENT_CHARACTERS)
-    )
+    return _resolve_dots(_unescape(raw, UNRESERVED)), _resolve_dots(_unescape(raw, SEGMENT_CHARACTERS))
 
 
 def split_target(target: bytes) -> tuple[bytes, bytes, bytes]:
