--- a/plovertrail/decisions/templates.py
+++ b/plovertrail/decisions/templates.py
@@ -28,7 +28,7 @@
         *"123456789",  # groups of the route's regular expression
     )
 )
-PLACEHOLDER = re.compile(r"\{\{|\}\}|\{([a-z_]+|[1-9])\}|[{}]")
+PLACEHOLDER_PATTERN = re.compile(r"\{\{|\}\}|\{([a-z_]+|[1-9])\}|[{}]")
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
     """Parse a template; raises ValueError if a placeholder is unknown or a brace is unmatched."""
     pieces: list[tuple[str, str]] = []
     literal, position = "", 0
-    for match in PLACEHOLDER.finditer(text):
+    for match in PLACEHOLDER_PATTERN.finditer(text):
         literal += text[position : match.start()]
         position = match.end()
         if match[0] in ("{{", "}}"):
