--- a/plovertrail/decisions/requests.py
+++ b/plovertrail/decisions/requests.py
@@ -92,7 +92,7 @@
     head: Head,
     path: str,
     authority: bytes,
-    raw_target: bytes,
+    target: bytes,
     address: str,
     client: str,
     request_id: bytes,
@@ -101,7 +101,7 @@
 ) -> dict[str, str]:
     """Return the values of all placeholders of templates.
 
-    `path` is the path to forward before a rewrite, `raw_target` the target as received. The values have no
+    `path` is the path to forward before a rewrite, `target` the target as received. The values have no
     control characters, because the head of a request has none.
     """
     query = head.query.decode("latin-1")
@@ -116,9 +116,7 @@
         "path": path,
         "query": query,
         "args": f"?{query}" if query else "",
-        "uri": raw_target.decode("latin-1")
-        if raw_target.startswith(b"/")
-        else path + (f"?{query}" if query else ""),
+        "uri": target.decode("latin-1") if target.startswith(b"/") else path + (f"?{query}" if query else ""),
         "request_id": request_id.decode("latin-1"),
         "port": str(port),
     }
