--- a/plovertrail/decisions/verdicts.py
+++ b/plovertrail/decisions/verdicts.py
@@ -86,9 +86,8 @@
     reach a server that has forgotten the key, or never had it, and run again.
     """
     if candidate.effect != base.effect:
-        return EFFECTS.index(candidate.effect) > EFFECTS.index(
-            base.effect
-        )  # the list is in order of strictness
+        # EFFECTS is ordered by strictness
+        return EFFECTS.index(candidate.effect) > EFFECTS.index(base.effect)
     if candidate.effect != "deduplicated":
         return True
     return candidate.dedup_window_us <= base.dedup_window_us and candidate.dedup_scope == base.dedup_scope
