--- a/plovertrail/cli/route.py
+++ b/plovertrail/cli/route.py
@@ -13,8 +13,8 @@
     client_of,
     read_head,
     route_request,
+    template_values,
     tenant_of,
-    told_by,
 )
 
 
@@ -55,10 +55,12 @@
     else:
         taken = True
         won = routed.route
-        if won.answers is not None:
-            told = told_by(head, path, authority, url.encode(), address, address, b"", 0, won)
-            where = won.answers.location.filled(told) if won.answers.location is not None else ""
-            click.echo(f"route     {won.name}\nanswers   {won.answers.status} {where}".rstrip())
+        if won.fixed_response is not None:
+            told = template_values(head, path, authority, url.encode(), address, address, b"", 0, won)
+            where = (
+                won.fixed_response.location.render(told) if won.fixed_response.location is not None else ""
+            )
+            click.echo(f"route     {won.name}\nanswers   {won.fixed_response.status} {where}".rstrip())
             return
         effects = {ours: word for word, ours in EFFECTS.items()}
         kind = setup.classes[setup.class_index(won.class_name)]
@@ -73,7 +75,7 @@
             click.echo(f"hooks     {', then '.join(hooked.hooks)} (without one it {policy}; not asked here)")
         for name_, value_ in won.set_headers:
             click.echo(f"          {name_.decode()}: {value_.decode()}")
-        for name_, template in won.filled_headers:
+        for name_, template in won.templated_headers:
             click.echo(f"          {name_.decode()}: {template.text}")
         for name_ in sorted(won.remove_headers):
             click.echo(f"          without {name_.decode()}")
--- a/plovertrail/dispatch/server_pool.py
+++ b/plovertrail/dispatch/server_pool.py
@@ -16,7 +16,7 @@
 from plovertrail.dispatch.types import Address, EndpointTransport, ProxyRequest
 
 if TYPE_CHECKING:  # imported only where configured, to keep the platform's sidecar (__main__.py) small
-    from plovertrail.decisions.affinity import Affinity, Ring
+    from plovertrail.decisions.affinity import Affinity, HashRing
     from plovertrail.decisions.fair_queue import FairQueue, FairQueueSettings
     from plovertrail.decisions.startup_admission import StartupAdmission
     from plovertrail.decisions.subsetting import EndpointSubset
@@ -69,7 +69,7 @@
         self.retired = False
         self.connect_timer: asyncio.TimerHandle | None = None  # fires when the next connection may be made
         self.affinity: Affinity | None = None  # None: requests prefer no endpoint
-        self.ring: Ring | None = None
+        self.ring: HashRing | None = None
         self.queue: RequestQueue | None = None  # None: requests go straight to the load balancer
         self.admission: StartupAdmission | None = None  # None: admission depends on free slots alone
 
@@ -84,10 +84,10 @@
 
     def use_affinity(self, affinity: Affinity) -> None:
         """Prefer one endpoint for requests with the same affinity key; to be called before the first list."""
-        from plovertrail.decisions.affinity import Ring
+        from plovertrail.decisions.affinity import HashRing
 
         self.affinity = affinity
-        self.ring = Ring()
+        self.ring = HashRing()
 
     def apply(self, event: EndpointsUpdated) -> None:
         """Update which endpoints may get new requests, by an event that the load balancer gets too."""
--- a/plovertrail/hooks/chain.py
+++ b/plovertrail/hooks/chain.py
@@ -13,7 +13,7 @@
 
 from plovertrail.decisions.settings import RequestClass
 from plovertrail.decisions.verdicts import (
-    NOTHING,
+    EMPTY_VERDICT,
     Allowed,
     Verdict,
     at_least_as_strict,
@@ -134,9 +134,9 @@
         """The first phase; raises RequestRefusedError."""
         chain, seen, changes = self.chain, self.seen, self.changes
         for hook in chain.hooks:  # also those that would be asked later: then the request has run
-            if not chain.passes and not hook.breaker.may(self.began_us):
+            if not chain.passes and not hook.breaker.allows_call(self.began_us):
                 hook.figures.skipped += 1
-                raise RequestRefusedError(503, SWITCHED_OFF, hook.breaker.left_us(self.began_us))
+                raise RequestRefusedError(503, SWITCHED_OFF, hook.breaker.until_trial_us(self.began_us))
         self.facts = self._facts()
         headers, told_headers = seen.headers, abi.headers(seen.headers)
         for number, hook in enumerate(chain.hooks):
@@ -153,7 +153,7 @@
                 raise RequestRefusedError(
                     431 if too_long else 500, TOO_LONG if too_long else FAILED
                 ) from None
-            if verdict is NOTHING:
+            if verdict is EMPTY_VERDICT:
                 continue
             if verdict.refuse:
                 raise RequestRefusedError(verdict.refuse, verdict.body)
@@ -179,7 +179,7 @@
                     if not chain.passes:
                         raise AnswerWithheldError from None
                 else:
-                    headers = headers if verdict is NOTHING else changed_headers(headers, verdict)
+                    headers = headers if verdict is EMPTY_VERDICT else changed_headers(headers, verdict)
         return headers
 
     def end(self, outcome: bytes, status: int) -> None:
@@ -208,7 +208,7 @@
         After the end nobody waits."""
         now_us = self.clock_us()
         left_us = self.due_us - now_us
-        if not hook.breaker.may(now_us) or (phase != "on_end" and left_us <= LONGEST_CALL_US):
+        if not hook.breaker.allows_call(now_us) or (phase != "on_end" and left_us <= LONGEST_CALL_US):
             hook.figures.skipped += 1
             raise HookError("not asked")
         told = self.facts + told + abi.number(Read.REMAINING_MS, left_us // 1000)
--- a/plovertrail/hooks/hook.py
+++ b/plovertrail/hooks/hook.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from plovertrail.config.hooks import HookSetup
-from plovertrail.decisions.breaker import Breaker
-from plovertrail.decisions.verdicts import NOTHING, Allowed, InvalidVerdictError, Verdict
+from plovertrail.decisions.breaker import CircuitBreaker
+from plovertrail.decisions.verdicts import EMPTY_VERDICT, Allowed, InvalidVerdictError, Verdict
 from plovertrail.hooks import abi
 from plovertrail.hooks.bounds import HookError, RequestTooLongError
 from plovertrail.hooks.engine import Bounds, Compiled, Instance, Runtime
@@ -51,7 +51,7 @@
         self.clock_us = clock_us
         self.setup = setup
         self.compiled = compiled
-        self.breaker = Breaker()
+        self.breaker = CircuitBreaker()
         self.figures = Figures(counters={name.encode(): 0 for name in setup.counters})
         self.counter_names = frozenset(self.figures.counters)
         self.told_own = self._own()
@@ -70,7 +70,7 @@
         self.figures.calls += 1
         try:
             verdict = self._call(phase, told)
-            if verdict is not NOTHING:
+            if verdict is not EMPTY_VERDICT:
                 check(verdict, allowed)
         except RequestTooLongError as fault:
             self.figures.too_long += 1
@@ -82,10 +82,10 @@
             # hazard: a fault of the engine's own must end neither the request nor the daemon
             log.exception("hook %s: the engine failed", self.setup.name)
             raise self._faulted(f"{phase}: the engine failed: {error!r}", began_us) from None
-        if self.breaker.worked():
+        if self.breaker.record_success():
             log.warning("hook %s is on again", self.setup.name)
         self.figures.mean_us += (self.clock_us() - began_us - self.figures.mean_us) / MEAN_MEMORY
-        if verdict is not NOTHING:
+        if verdict is not EMPTY_VERDICT:
             self._take(verdict, began_us)
         return verdict
 
@@ -99,7 +99,7 @@
         answer = instance.call(phase, told + self.told_own)
         if self.served >= self.setup.reuse or (self.served % LOOK_EACH == 0 and self._grown(instance)):
             self.instance = None
-        return abi.read_verdict(answer) if answer else NOTHING
+        return abi.read_verdict(answer) if answer else EMPTY_VERDICT
 
     def _grown(self, instance: Instance) -> bool:
         size = instance.memory_bytes()
@@ -117,11 +117,11 @@
         self.figures.faults += 1
         self.figures.last_fault = why[:MOST_KEPT_FAULT]
         now_us = self.clock_us()
-        if self.breaker.faulted(now_us, now_us - began_us):
+        if self.breaker.record_fault(now_us, now_us - began_us):
             log.error(
                 "hook %s is switched off for %d s: it faults too often; the last time: %s",
                 self.setup.name,
-                self.breaker.left_us(now_us) // A_SECOND_US,
+                self.breaker.until_trial_us(now_us) // A_SECOND_US,
                 self.figures.last_fault,
             )
         elif self._may_log(now_us):
@@ -164,6 +164,6 @@
             "mean_us": round(figures.mean_us, 1),
             "logs_dropped": figures.logs_dropped,
             "last_fault": figures.last_fault,
-            "off_for_s": round(self.breaker.left_us(self.clock_us()) / 1e6, 1),
+            "off_for_s": round(self.breaker.until_trial_us(self.clock_us()) / 1e6, 1),
             "counters": {name.decode(): count for name, count in figures.counters.items()},
         }
--- a/plovertrail/listeners/http_forwarding.py
+++ b/plovertrail/listeners/http_forwarding.py
@@ -9,17 +9,17 @@
 from plovertrail.clock import clock_us
 from plovertrail.config.setup import ListenerSetup
 from plovertrail.decisions.requests import (
-    IDENT,
+    IDENTIFIER,
     Routed,
     checked_key,
     client_of,
     deadline_us,
     read_head,
     route_request,
+    template_values,
     tenant_of,
-    told_by,
 )
-from plovertrail.decisions.routes import FixedAnswer, Head
+from plovertrail.decisions.routes import FixedResponse, Head
 from plovertrail.dispatch.types import ProxyRequest
 from plovertrail.generation import Generation, RoutePlan, headers_replaced_by
 from plovertrail.hooks.chain import Seen, Trail
@@ -84,9 +84,9 @@
         """
         request = self._route(exchange, generation, client)
         route = request.routed.route
-        if route.answers is not None:
+        if route.fixed_response is not None:
             values = self._template_values(request, b"", client.address)
-            return fixed_response(route.answers, values)
+            return fixed_response(route.fixed_response, values)
         plan = generation.plans[route.name]
         wait_us = deadline_us(request.headers.get(self.listener.deadline_header), plan.deadline_us)
         tenant_name = tenant_of(route, request.head, client.address)
@@ -139,7 +139,7 @@
     def _request_id(self, request: _RoutedRequest) -> bytes:
         """Return the client's own id of a request, or a new one if it has none that is valid."""
         request_id = request.headers.get(self.listener.request_id_header.lower(), b"")
-        if IDENT.fullmatch(request_id):
+        if IDENTIFIER.fullmatch(request_id):
             return request_id
         return os.urandom(REQUEST_ID_BYTES).hex().encode()
 
@@ -183,10 +183,10 @@
         if plan.templated_headers or plan.host_template is not None:
             values = self._template_values(request, request_id, client_name)
             headers.extend(
-                (name, value.filled(values).encode("latin-1")) for name, value in plan.templated_headers
+                (name, value.render(values).encode("latin-1")) for name, value in plan.templated_headers
             )
             if plan.host_template is not None:
-                host = plan.host_template.filled(values).encode("latin-1")
+                host = plan.host_template.render(values).encode("latin-1")
         return headers, host
 
     def _forwarded_header(self, request: _RoutedRequest) -> tuple[bytes, bytes]:
@@ -206,7 +206,7 @@
     ) -> dict[str, str]:
         """Return what the route's templates are filled with."""
         routed = request.routed
-        return told_by(
+        return template_values(
             routed.head,
             request.path,
             routed.host,
@@ -230,11 +230,11 @@
         exchange.handshake = self.websockets.request(context, client_key, offered)
 
 
-def fixed_response(fixed: FixedAnswer, values: dict[str, str]) -> LocalResponse:
+def fixed_response(fixed: FixedResponse, values: dict[str, str]) -> LocalResponse:
     """Return the response of a route that answers by itself."""
-    body = fixed.body.filled(values).encode() if fixed.body is not None else b""
+    body = fixed.body.render(values).encode() if fixed.body is not None else b""
     headers: Headers = [(b"Content-Type", fixed.content_type.encode("latin-1"))] if body else []
     if fixed.location is not None:
-        headers.append((b"Location", fixed.location.filled(values).encode("latin-1")))
+        headers.append((b"Location", fixed.location.render(values).encode("latin-1")))
     has_length = fixed.status not in STATUSES_WITHOUT_BODY
     return LocalResponse(fixed.status, body, headers, has_length=has_length)
