--- a/fakes/cluster/instances.py
+++ b/fakes/cluster/instances.py
@@ -36,7 +36,7 @@
     me, number = self.reporter_id, self.sequence
     return [HealthReport(me, number, key, 4000.0, 4000.0, 0.0, 0.0, 0) for key in keys]
 OutlierDetector.reports_to_send = lie
-OutlierDetector.accused = lambda self, now_us: set(self.own.by_key)
+OutlierDetector.unhealthy_keys = lambda self, now_us: set(self.own.by_key)
 main(["serve", sys.argv[1]])
 """
 TALK_PORT = 7400
--- a/plovertrail/decisions/outlier_detection.py
+++ b/plovertrail/decisions/outlier_detection.py
@@ -133,7 +133,7 @@
 
     # Reports to peers
 
-    def accused(self, now_us: int) -> set[EvidenceKey]:
+    def unhealthy_keys(self, now_us: int) -> set[EvidenceKey]:
         """Return the endpoints and classes that this instance or a peer finds unhealthy."""
         found = {
             key
@@ -176,7 +176,7 @@
         self.sequence += 1
         windows = [
             (key, self.own.by_key[key])
-            for key in self.accused(now_us)
+            for key in self.unhealthy_keys(now_us)
             if key in self.own.by_key and self.own.by_key[key].attempts >= MIN_ATTEMPTS
         ]
         windows.sort(key=lambda pair: -pair[1].unsuccessful)
--- a/plovertrail/health_reporter.py
+++ b/plovertrail/health_reporter.py
@@ -193,7 +193,7 @@
                 if member.endpoint_id in keys.endpoints
             }
             classes = {key: each.name for key, each in zip(keys.classes, pool.settings.classes, strict=True)}
-            for key in detector.accused(now_us):
+            for key in detector.unhealthy_keys(now_us):
                 if key[0] in endpoints and key[1] in classes:
                     by_class = found.setdefault(registry.name, {}).setdefault(endpoints[key[0]], {})
                     by_class[classes[key[1]]] = self._status_of(detector, key, now_us)
