--- a/plovertrail/decisions/health_evidence.py
+++ b/plovertrail/decisions/health_evidence.py
@@ -146,7 +146,7 @@
         return self.failures + self.timeouts + self.rejections
 
     @property
-    def is_accusation(self) -> bool:
+    def finds_unhealthy(self) -> bool:
         """Whether the reporter finds the endpoint unhealthy for the class."""
         return self.unsuccessful >= FAULT_THRESHOLD
 
@@ -221,7 +221,7 @@
         else:
             self.count += 1
         observed_us = now_us - report.age_us
-        unhealthy_since_us = observed_us if report.is_accusation else None
+        unhealthy_since_us = observed_us if report.finds_unhealthy else None
         earlier_us = previous.unhealthy_since_us if previous is not None else None
         if unhealthy_since_us is not None and earlier_us is not None:
             # A reporter that repeats an accusation each moment would otherwise make every success that others
--- a/plovertrail/decisions/outlier_detection.py
+++ b/plovertrail/decisions/outlier_detection.py
@@ -122,8 +122,8 @@
         previous = self.peer_reports.get(report.key, report.reporter)
         if not self.peer_reports.merge(report, now_us):
             return False
-        newly = previous is None or not previous.report.is_accusation
-        self.has_urgent_report |= report.is_accusation and newly
+        newly_unhealthy = previous is None or not previous.report.finds_unhealthy
+        self.has_urgent_report |= report.finds_unhealthy and newly_unhealthy
         return True
 
     def sweep(self, now_us: int) -> None:
@@ -222,14 +222,16 @@
         endpoint, request_class = key
         classes = self.peer_reports.classes.get(endpoint, set()) | {request_class}
         changed_us = self.changed_at_us(endpoint, classes, now_us)
-        peers, accusers = self._peer_evidence(key, classes, changed_us, now_us)
-        own, own_accuses = self._own_evidence(key, changed_us, now_us)
-        confirmed = len(accusers) >= MIN_REPORTERS or (bool(accusers) and own_accuses)
+        peers, unhealthy_reporters = self._peer_evidence(key, classes, changed_us, now_us)
+        own, own_finds_unhealthy = self._own_evidence(key, changed_us, now_us)
+        confirmed = len(unhealthy_reporters) >= MIN_REPORTERS or (
+            bool(unhealthy_reporters) and own_finds_unhealthy
+        )
         penalty = 0.0
         if confirmed:
             attempts = peers.attempts + own.attempts + PRIOR_SUCCESSES
             penalty = penalty_of((peers.unsuccessful + own.unsuccessful) / attempts, baseline_failure_rate)
-        return EndpointHealth(penalty, len(accusers), peers, own, baseline_failure_rate)
+        return EndpointHealth(penalty, len(unhealthy_reporters), peers, own, baseline_failure_rate)
 
     def _peer_evidence(
         self, key: EvidenceKey, classes: Iterable[int], changed_us: float, now_us: int
@@ -237,7 +239,7 @@
         """What peers' reports weigh together, and the reporters that find the endpoint unhealthy."""
         endpoint, request_class = key
         by_zone: dict[str, WeightedAttempts] = {}
-        accusers: set[int] = set()
+        unhealthy_reporters: set[int] = set()
         for each_class in classes:
             weight = 1.0 if each_class == request_class else OTHER_CLASS_WEIGHT
             for stored in self._trusted_reports((endpoint, each_class), now_us):
@@ -252,13 +254,13 @@
                 scale = weight * min(1.0, MAX_ATTEMPTS_PER_REPORTER / attempts)
                 by_zone.setdefault(zone, WeightedAttempts()).add(attempts, unsuccessful, scale)
                 if stored.unhealthy_since_us is not None and unsuccessful > UNHEALTHY_FAILURE_RATE * attempts:
-                    accusers.add(reporter)
+                    unhealthy_reporters.add(reporter)
         total = WeightedAttempts()
         for zone, evidence in by_zone.items():
             zone_weight = 1.0 if zone == self.zone else OTHER_ZONE_WEIGHT
             scale = min(1.0, MAX_ATTEMPTS_PER_ZONE / evidence.attempts) * zone_weight
             total.add(evidence.attempts, evidence.unsuccessful, scale)
-        return total, accusers
+        return total, unhealthy_reporters
 
     def _own_evidence(
         self, key: EvidenceKey, changed_us: float, now_us: int
