--- a/plovertrail/decisions/health_evidence.py
+++ b/plovertrail/decisions/health_evidence.py
@@ -102,7 +102,7 @@
         window.record(result, now_us)
         return unsuccessful_before < FAULT_THRESHOLD <= window.unsuccessful
 
-    def sees_all_unhealthy(self, now_us: int) -> bool:
+    def suspects_itself(self, now_us: int) -> bool:
         """Whether so many endpoints fail for this instance that it suspects itself."""
         attempts: dict[int, float] = {}
         unsuccessful: dict[int, float] = {}
--- a/plovertrail/decisions/outlier_detection.py
+++ b/plovertrail/decisions/outlier_detection.py
@@ -155,7 +155,7 @@
         """
         found: list[HealthReport] = []
         paused = now_us < self.reports_paused_until_us
-        if not (is_unhealthy or paused or self.own.sees_all_unhealthy(now_us)):
+        if not (is_unhealthy or paused or self.own.suspects_itself(now_us)):
             found = self._own_reports(
                 max(1, limit * OWN_REPORTS_NUMERATOR // OWN_REPORTS_DENOMINATOR), now_us
             )
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -208,7 +208,7 @@
     for server in range(6):
         for _ in range(3):
             detector.record_attempt((server, READ), result_of(server < 4), 0)
-    assert detector.own.sees_all_unhealthy(0)
+    assert detector.own.suspects_itself(0)
     assert detector.reports_to_send(30, 24, False, 0) == []
     detector.own.by_key.clear()
     for server in range(6):
