--- a/plovertrail/decisions/outlier_detection.py
+++ b/plovertrail/decisions/outlier_detection.py
@@ -221,9 +221,9 @@
         """Combine all evidence on an endpoint and class."""
         endpoint, request_class = key
         classes = self.peer_reports.classes.get(endpoint, set()) | {request_class}
-        changed_us = self.changed_at_us(endpoint, classes, now_us)
-        peers, unhealthy_reporters = self._peer_evidence(key, classes, changed_us, now_us)
-        own, own_finds_unhealthy = self._own_evidence(key, changed_us, now_us)
+        confirmed_us = self.confirmed_unhealthy_us(endpoint, classes, now_us)
+        peers, unhealthy_reporters = self._peer_evidence(key, classes, confirmed_us, now_us)
+        own, own_finds_unhealthy = self._own_evidence(key, confirmed_us, now_us)
         confirmed = len(unhealthy_reporters) >= MIN_REPORTERS or (
             bool(unhealthy_reporters) and own_finds_unhealthy
         )
@@ -234,7 +234,7 @@
         return EndpointHealth(penalty, len(unhealthy_reporters), peers, own, baseline_failure_rate)
 
     def _peer_evidence(
-        self, key: EvidenceKey, classes: Iterable[int], changed_us: float, now_us: int
+        self, key: EvidenceKey, classes: Iterable[int], confirmed_us: float, now_us: int
     ) -> tuple[WeightedAttempts, set[int]]:
         """What peers' reports weigh together, and the reporters that find the endpoint unhealthy."""
         endpoint, request_class = key
@@ -244,7 +244,7 @@
             weight = 1.0 if each_class == request_class else OTHER_CLASS_WEIGHT
             for stored in self._trusted_reports((endpoint, each_class), now_us):
                 successes, unsuccessful = stored.decayed(now_us)
-                if stored.last_success_us < changed_us:
+                if stored.last_success_us < confirmed_us:
                     successes *= STALE_SUCCESS_WEIGHT
                 attempts = successes + unsuccessful
                 if attempts < MIN_ATTEMPTS:
@@ -263,14 +263,14 @@
         return total, unhealthy_reporters
 
     def _own_evidence(
-        self, key: EvidenceKey, changed_us: float, now_us: int
+        self, key: EvidenceKey, confirmed_us: float, now_us: int
     ) -> tuple[WeightedAttempts, bool]:
         """What this instance's attempts weigh, and whether they accuse the endpoint."""
         window = self.own.by_key.get(key)
         if window is None:
             return WeightedAttempts(), False
         window.decay(now_us)
-        stale = window.last_success_us < changed_us
+        stale = window.last_success_us < confirmed_us
         attempts = window.successes * (STALE_SUCCESS_WEIGHT if stale else 1.0) + window.unsuccessful
         scale = OWN_WEIGHT * min(1.0, MAX_OWN_ATTEMPTS / max(attempts, MIN_ATTEMPTS))
         evidence = WeightedAttempts()
@@ -286,7 +286,7 @@
             and now_us - stored.observed_us <= MAX_REPORT_AGE_US
         ]
 
-    def changed_at_us(self, endpoint: int, classes: Set[int], now_us: int) -> float:
+    def confirmed_unhealthy_us(self, endpoint: int, classes: Set[int], now_us: int) -> float:
         """Return when MIN_REPORTERS, this instance among them, had found an endpoint unhealthy.
 
         Successes before that are old news. Minus infinity: they have not.
