--- a/plovertrail/decisions/outlier_detection.py
+++ b/plovertrail/decisions/outlier_detection.py
@@ -65,15 +65,17 @@
     baseline_failure_rate: float  # of all endpoints together
 
 
-def max_forged_failure_rate(liars: int, honest: int, attempts_each: float) -> float:
+def max_forged_failure_rate(false_reporters: int, honest_reporters: int, attempts_each: float) -> float:
     """Return the highest failure rate that lying reporters can give a healthy endpoint.
 
     `honest` others have tried it `attempts_each` times. The bound on what the lies do is
     `penalty_of(max_forged_failure_rate(...), 0.0)`; it is stated for reporters of one zone, with no attempts
     of this instance.
     """
-    forged = liars * MAX_ATTEMPTS_PER_REPORTER
-    return forged / (forged + honest * min(MAX_ATTEMPTS_PER_REPORTER, attempts_each) + PRIOR_SUCCESSES)
+    forged = false_reporters * MAX_ATTEMPTS_PER_REPORTER
+    return forged / (
+        forged + honest_reporters * min(MAX_ATTEMPTS_PER_REPORTER, attempts_each) + PRIOR_SUCCESSES
+    )
 
 
 def penalty_of(failure_rate: float, baseline_failure_rate: float) -> float:
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -163,17 +163,20 @@
     )
 
 
-@pytest.mark.parametrize(("liars", "honest"), [(1, 23), (2, 22), (8, 16)])
-def test_false_reports_do_no_more_than_the_stated_bound(liars: int, honest: int) -> None:
+@pytest.mark.parametrize(("false_reporters", "honest_reporters"), [(1, 23), (2, 22), (8, 16)])
+def test_false_reports_do_no_more_than_the_stated_bound(false_reporters: int, honest_reporters: int) -> None:
     for attempts in (1.0, 4.0, 40.0):
         detector = new_detector()
-        for reporter in range(honest):
+        for reporter in range(honest_reporters):
             detector.merge_report(report_of(reporter, failures=0.0, attempts=attempts), 0)
-        for reporter in range(honest, honest + liars):
+        for reporter in range(honest_reporters, honest_reporters + false_reporters):
             detector.merge_report(report_of(reporter, failures=1_000.0, attempts=1_000.0), 0)
         penalty = detector.health_of((0, READ), 0, 0.0).penalty
-        assert penalty <= penalty_of(max_forged_failure_rate(liars, honest, attempts), 0.0) + 1e-9
-        if liars <= honest // 10 and attempts >= MAX_ATTEMPTS_PER_REPORTER:
+        assert (
+            penalty
+            <= penalty_of(max_forged_failure_rate(false_reporters, honest_reporters, attempts), 0.0) + 1e-9
+        )
+        if false_reporters <= honest_reporters // 10 and attempts >= MAX_ATTEMPTS_PER_REPORTER:
             assert penalty == 0.0  # a tenth has no effect at all where the others have tried it
 
 
