--- a/plovertrail/decisions/membership.py
+++ b/plovertrail/decisions/membership.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 Address = tuple[str, int]
-NOWHERE: Address = ("0.0.0.0", 0)
+NO_ADDRESS: Address = ("0.0.0.0", 0)
 INDIRECT_PROBES = 3  # members that are asked to ping one that did not answer
 # The shortest suspicion in periods, times log10 of the cluster's size (Lifeguard, section IV).
 SUSPICION_FACTOR = 4.0
@@ -79,7 +79,7 @@
     probe_number: int = 0  # as the prober counts
     subject: str = ""  # PING_REQUEST and NACK: whom
     recipient: str = ""  # the name at that address, if it is known
-    subject_address: Address = NOWHERE
+    subject_address: Address = NO_ADDRESS
 
 
 def suspicion_timeout_us(size: int, period_us: int, confirmations: int) -> int:
--- a/plovertrail/decisions/prober.py
+++ b/plovertrail/decisions/prober.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from plovertrail.decisions.membership import (
-    NOWHERE,
+    NO_ADDRESS,
     Address,
     MemberRecord,
     MembershipMessage,
@@ -151,7 +151,7 @@
 
     def relay(self, request: MembershipMessage, now_us: int) -> list[MembershipMessage]:
         """Ping a member on behalf of the sender of a request."""
-        if len(self._relayed) >= MAX_RELAYED or request.subject_address == NOWHERE:
+        if len(self._relayed) >= MAX_RELAYED or request.subject_address == NO_ADDRESS:
             return []
         self.probes_sent += 1
         self._relayed[self.probes_sent] = RelayedProbe(
--- a/tests/decisions/test_cluster_members.py
+++ b/tests/decisions/test_cluster_members.py
@@ -18,7 +18,7 @@
 )
 from plovertrail.decisions.member_table import MAX_GOSSIP_RECORDS, MAX_MEMBERS
 from plovertrail.decisions.membership import (
-    NOWHERE,
+    NO_ADDRESS,
     Address,
     MemberRecord,
     MembershipMessage,
@@ -264,7 +264,7 @@
     )
     assert (probe.kind, probe.address, probe.recipient) == (MessageKind.PING, other, "c")
     (answer,) = cluster.handle_message(
-        MembershipMessage(MessageKind.ACK, other, probe.probe_number, "", subject_address=NOWHERE), 100
+        MembershipMessage(MessageKind.ACK, other, probe.probe_number, "", subject_address=NO_ADDRESS), 100
     )
     assert (answer.kind, answer.address, answer.probe_number) == (MessageKind.ACK, asker, 77)
     cluster.handle_message(
