--- a/plovertrail/peers/service.py
+++ b/plovertrail/peers/service.py
@@ -70,7 +70,7 @@
             self.stop()
             return None
         transport = self.transport
-        if transport is not None and transport.fits(setup):
+        if transport is not None and transport.is_compatible_with(setup):
             transport.configure(setup)
         else:
             transport = self._replace_transport(setup, sock)
--- a/plovertrail/peers/transport.py
+++ b/plovertrail/peers/transport.py
@@ -101,7 +101,7 @@
         self._next_tick = self.loop.time()
         self._timer = self.loop.call_soon(self._tick)
 
-    def fits(self, setup: PeersSetup) -> bool:
+    def is_compatible_with(self, setup: PeersSetup) -> bool:
         """Whether it can go on under another setup with its counters."""
         current = self.setup
         return (current.name, current.address, current.listed_as, current.window) == (
@@ -125,7 +125,9 @@
 
     def follow_membership(self, setup: MembershipSetup | None) -> None:
         """Start, reconfigure or stop cluster membership."""
-        if self.membership is not None and (setup is None or not self.membership.fits(self.setup, setup)):
+        if self.membership is not None and (
+            setup is None or not self.membership.is_compatible_with(self.setup, setup)
+        ):
             self.membership.stop()
             self.membership = None
         if setup is None:
