--- a/plovertrail/decisions/prober.py
+++ b/plovertrail/decisions/prober.py
@@ -82,7 +82,7 @@
             due_us.append(self.probe.sent_us + self.ack_timeout_us)
         return min(due_us, default=None)
 
-    def unanswered(self, now_us: int) -> Probe | None:
+    def timed_out_probe(self, now_us: int) -> Probe | None:
         """Return the probe if its direct ping has had no answer in time."""
         probe = self.probe
         if probe is None or probe.is_indirect or now_us < probe.sent_us + self.ack_timeout_us:
