--- a/plovertrail/health_reporter.py
+++ b/plovertrail/health_reporter.py
@@ -33,7 +33,7 @@
 EVALUATION = BackgroundTask(
     "opinions", Priority.PEERS, interval_us=200_000, max_delay_us=1_000_000, loop_fraction=0.02
 )
-RESULTS = {
+ATTEMPT_RESULTS = {
     Outcome.OK: AttemptResult.SUCCESS,
     Outcome.ERROR: AttemptResult.FAILURE,
     Outcome.RESET: AttemptResult.FAILURE,
@@ -122,7 +122,7 @@
         """Record an attempt; a timeout after the latency objective was recorded at the objective."""
         objective_us = pool.settings.classes[class_index].latency_objective_us
         recorded = outcome is Outcome.TIMEOUT and elapsed_us >= objective_us
-        result = RESULTS.get(outcome)
+        result = ATTEMPT_RESULTS.get(outcome)
         if result is not None and not recorded:
             self._record(pool, endpoint_id, class_index, result)
 
--- a/plovertrail/peers/counter_gossip.py
+++ b/plovertrail/peers/counter_gossip.py
@@ -54,7 +54,7 @@
         self._position = 0  # in the order of peers; 0: a round begins
         self._period = 0
         self._keys: list[int] = []  # that go out in this round
-        self._fitting = 0  # of them, in the datagrams of this round so far
+        self._fitting_count = 0  # of them, in the datagrams of this round so far
         self._keys_per_datagram = 0  # that fitted when last not all did; 0: all do
 
     def set_peers(self, addresses: Sequence[Address], fan_out: int) -> None:
@@ -78,7 +78,7 @@
         if self._position == 0:
             fitting = self._keys_per_datagram or MAX_ROWS_SENT
             self._keys = self.counters.keys_to_send(MAX_ROWS_SENT, fitting)
-            self._fitting = len(self._keys)
+            self._fitting_count = len(self._keys)
         rows = self._encode_rows(now_us)
         receivers = self.order[self._position : self._position + self.fan_out]
         datagrams = [(peer.address, self._encode(peer, rows, now_us)) for peer in receivers]
@@ -91,7 +91,7 @@
         """Encode as many of the round's keys as fit."""
         rows: list[bytes] = []  # an empty one where a key has no counts any more
         room = self.codec.room_for_rows(self.counters.name)
-        for key in self._keys[: self._fitting]:
+        for key in self._keys[: self._fitting_count]:
             row = self.counters.encoded_row(key, now_us)
             encoded = encode_row(row) if row is not None else b""
             if len(encoded) > room:
@@ -99,7 +99,7 @@
             room -= len(encoded)
             rows.append(encoded)
         # A key that outgrows the datagram in mid-round has not gone to all, and comes first in the next one.
-        self._fitting = len(rows)
+        self._fitting_count = len(rows)
         return rows
 
     def _encode(self, peer: Peer, rows: list[bytes], now_us: int) -> bytes:
@@ -113,8 +113,8 @@
 
     def _end_round(self) -> None:
         self._position = 0
-        self.counters.sent(self._keys[: self._fitting])
-        self._keys_per_datagram = self._fitting if self._fitting < len(self._keys) else 0
+        self.counters.sent(self._keys[: self._fitting_count])
+        self._keys_per_datagram = self._fitting_count if self._fitting_count < len(self._keys) else 0
 
     def receive(self, data: bytes, address: Address, now_us: int) -> DropReason | None:
         """Handle a datagram; returns why it was dropped, if it was."""
