--- a/plovertrail/decisions/outlier_detection.py
+++ b/plovertrail/decisions/outlier_detection.py
@@ -1,8 +1,9 @@
-"""Outlier detection from the evidence of several instances: the penalty of each endpoint.
+"""Outlier detection from the evidence of several instances: computes the penalty of each endpoint.
 
-An endpoint's health is how much worse it does than all endpoints together, as far as two reporters or more
-have seen it; the penalty that follows stays within the bounds below, whatever peers report. What is shared is
-evidence, never a verdict. Pure: times are arguments, in microseconds.
+An endpoint is penalized by how far its failure rate exceeds that of all endpoints together, and only if at
+least two reporters find it unhealthy. The constants below bound the penalty whatever peers report. Instances
+share what they measured, never a decision; each computes penalties by itself. Pure: times are arguments, in
+microseconds.
 """
 
 from __future__ import annotations
@@ -25,40 +26,41 @@
     PeerReports,
 )
 
-MAX_PENALIZED_FRACTION = 1 / 3  # of the endpoints, for one class, the worst: the others are always usable
-MAX_ATTEMPTS_PER_REPORTER = 4.0  # that count, for one endpoint and class
-MAX_ATTEMPTS_PER_ZONE = 24.0  # that count, of all reporters of one zone together
-OTHER_ZONE_WEIGHT = 0.3  # what cuts their zone off from an endpoint need not cut off ours
-OWN_WEIGHT = 3.0  # of this instance's attempts beside a peer's
-MAX_OWN_ATTEMPTS = 16.0  # that count
-PRIOR_SUCCESSES = 2.0  # assumed, so that a single failure causes no penalty
-MIN_REPORTERS = 2  # what one instance alone cannot reach may be its own fault
+# At most this fraction of the endpoints, the worst ones, is penalized for one class: enough stay usable.
+MAX_PENALIZED_FRACTION = 1 / 3
+MAX_ATTEMPTS_PER_REPORTER = 4.0  # counted from one reporter, for one endpoint and class
+MAX_ATTEMPTS_PER_ZONE = 24.0  # counted from all reporters of one zone together
+OTHER_ZONE_WEIGHT = 0.3  # an endpoint that another zone cannot reach may be reachable from this one
+OWN_WEIGHT = 3.0  # of this instance's attempts, relative to a peer's
+MAX_OWN_ATTEMPTS = 16.0  # counted from this instance, for one endpoint and class
+PRIOR_SUCCESSES = 2.0  # added to the attempts, so that a single failure causes no penalty
+MIN_REPORTERS = 2  # failures that only one instance sees may be its own fault
 STALE_SUCCESS_WEIGHT = 0.1  # of successes before MIN_REPORTERS had found the endpoint unhealthy
 OTHER_CLASS_WEIGHT = 0.25  # of evidence on other classes of the endpoint
-MIN_EXCESS_FAILURE_RATE = 0.15  # over the baseline; less than this is chance
-PENALTY_SLOPE = 1.5  # the penalty is complete at a failure rate of about two thirds over the baseline
-FORWARD_FACTOR = 2.0  # times log2 of the cluster's size: how often a peer's report is forwarded
-OWN_REPORTS_NUMERATOR, OWN_REPORTS_DENOMINATOR = 2, 3  # of the room in a datagram, for own reports
+MIN_EXCESS_FAILURE_RATE = 0.15  # over the baseline; a smaller excess may be chance
+PENALTY_SLOPE = 1.5  # the penalty is 1 from about two thirds of the way between the baseline and all failing
+FORWARD_FACTOR = 2.0  # a peer's report is forwarded this often, times log2 of the cluster's size
+OWN_REPORTS_NUMERATOR, OWN_REPORTS_DENOMINATOR = 2, 3  # fraction of a datagram's reports that are own ones
 
 
 @dataclass(slots=True)
 class WeightedAttempts:
-    """Attempts, and the unsuccessful ones of them, by the weight that they count with."""
+    """Weighted sums of attempts and of the unsuccessful ones among them."""
 
     attempts: float = 0.0
     unsuccessful: float = 0.0
 
     def add(self, attempts: float, unsuccessful: float, weight: float) -> None:
-        """Add evidence with a weight."""
+        """Add attempts, multiplied by a weight."""
         self.attempts += attempts * weight
         self.unsuccessful += unsuccessful * weight
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointHealth:
-    """The penalty of one endpoint and class, with the evidence that it follows from."""
+    """The penalty of one endpoint and class, with the evidence it was computed from."""
 
-    penalty: float  # 0: as any other; 1: everything known failed, and nothing elsewhere does
+    penalty: float  # 0: none; 1: the highest
     reporters: int  # peers that find it unhealthy
     peers: WeightedAttempts
     own: WeightedAttempts
@@ -66,11 +68,11 @@
 
 
 def max_forged_failure_rate(false_reporters: int, honest_reporters: int, attempts_each: float) -> float:
-    """Return the highest failure rate that lying reporters can give a healthy endpoint.
+    """Return the highest failure rate that false reports can give a healthy endpoint.
 
-    `honest` others have tried it `attempts_each` times. The bound on what the lies do is
-    `penalty_of(max_forged_failure_rate(...), 0.0)`; it is stated for reporters of one zone, with no attempts
-    of this instance.
+    The honest reporters have tried it `attempts_each` times each. False reports then cause a penalty of at
+    most `penalty_of(max_forged_failure_rate(...), 0.0)`. The bound holds for reporters of one zone, without
+    attempts of this instance.
     """
     forged = false_reporters * MAX_ATTEMPTS_PER_REPORTER
     return forged / (
@@ -79,7 +81,7 @@
 
 
 def penalty_of(failure_rate: float, baseline_failure_rate: float) -> float:
-    """Return the penalty from 0 to 1 for a failure rate, beside that of all endpoints."""
+    """Return the penalty, from 0 to 1, for a failure rate compared with that of all endpoints."""
     floor = min(1.0, baseline_failure_rate + MIN_EXCESS_FAILURE_RATE)
     if floor >= 1.0:
         return 0.0
@@ -87,35 +89,36 @@
 
 
 class OutlierDetector:
-    """The evidence of one instance, its own and its peers', and the health that follows from it."""
+    """Holds one instance's evidence, its own and its peers', and computes endpoint health from it."""
 
     def __init__(self, reporter_id: int, now_us: int, sequence: int = 0) -> None:
-        self.reporter_id = reporter_id  # this instance, as all instances know it
-        self.sequence = sequence
+        self.reporter_id = reporter_id  # of this instance, the same on all instances
+        self.sequence = sequence  # of the latest own report
         self.own = OwnEvidence()
         self.peer_reports = PeerReports()
         self.zone = ""  # of this instance
-        self.reporter_zones: dict[int, str] = {}  # as far as they are known
-        self.untrusted_reporters: set[int] = set()  # their own health is poor: their reports do not count
-        self.reports_paused_until_us = now_us  # no own reports until then
-        self.has_urgent_report = False  # an endpoint turned unhealthy, here or at a peer
+        self.reporter_zones: dict[int, str] = {}  # by reporter, where known
+        self.untrusted_reporters: set[int] = set()  # say that they are unhealthy; their reports do not count
+        self.reports_paused_until_us = now_us  # no own reports are sent before
+        self.has_urgent_report = False  # this instance or a peer has just found an endpoint unhealthy
 
     # Evidence
 
     def record_attempt(self, key: EvidenceKey, result: AttemptResult, now_us: int) -> None:
         """Count an attempt of this instance.
 
-        Attempts that the client cancelled, or that could not be sent, are no evidence.
+        Callers leave out attempts that the client cancelled or that could not be sent: they say nothing about
+        the endpoint.
         """
         self.has_urgent_report |= self.own.record(key, result, now_us)
 
     def process_paused(self, now_us: int) -> None:
-        """Drop own evidence after a pause of the process: failures then tell of the process itself."""
+        """Drop own evidence after a pause of the process, which may have caused the failures itself."""
         self.own.by_key.clear()
         self.reports_paused_until_us = now_us + FAILURE_HALF_LIFE_US
 
     def merge_report(self, report: HealthReport, now_us: int) -> bool:
-        """Merge a report that a peer has sent or forwarded; returns whether it was new."""
+        """Merge a report that a peer sent or forwarded; returns whether it was new."""
         if report.reporter == self.reporter_id:
             return False
         if not report.is_valid:
@@ -129,7 +132,7 @@
         return True
 
     def sweep(self, now_us: int) -> None:
-        """Drop evidence that has decayed; each call looks at a bounded number of entries."""
+        """Drop evidence that has decayed; each call checks a bounded number of entries."""
         self.peer_reports.sweep(now_us)
         self.own.sweep(now_us)
 
@@ -151,9 +154,9 @@
     def reports_to_send(
         self, limit: int, cluster_size: int, is_unhealthy: bool, now_us: int
     ) -> list[HealthReport]:
-        """Choose at most `limit` reports for a datagram: own ones first, then peers' forwarded least often.
+        """Choose at most `limit` reports for a datagram: own ones first, then peers' least forwarded ones.
 
-        An instance whose own health is poor reports nothing of its own.
+        An instance that is unhealthy itself sends no own reports.
         """
         found: list[HealthReport] = []
         paused = now_us < self.reports_paused_until_us
@@ -165,7 +168,7 @@
         fresh = [
             stored for stored in self.peer_reports.latest_first() if stored.times_forwarded < max_forwards
         ]
-        # only the latest are sorted, so that the cost of a datagram stays bounded
+        # Only the latest are sorted, which bounds the cost of a datagram.
         candidates = sorted(fresh[: 4 * limit], key=lambda stored: stored.times_forwarded)
         for stored in candidates[: limit - len(found)]:
             if now_us - stored.observed_us <= MAX_REPORT_AGE_US:
@@ -174,7 +177,7 @@
         return found
 
     def _own_reports(self, limit: int, now_us: int) -> list[HealthReport]:
-        """Own evidence on accused endpoints, the worst first."""
+        """Return own evidence on unhealthy endpoints, most unsuccessful attempts first."""
         self.sequence += 1
         windows = [
             (key, self.own.by_key[key])
@@ -197,12 +200,12 @@
             for key, window in windows[:limit]
         ]
 
-    # The health that follows
+    # Endpoint health
 
     def baseline_failure_rate(self, request_class: int, now_us: int) -> float:
-        """Return the failure rate of this instance's own attempts of a class, the worst third left out.
+        """Return the failure rate of this instance's attempts of a class, leaving out the worst third.
 
-        What strikes all endpoints alike is the fault of none of them.
+        Failures that affect all endpoints alike are not held against any of them.
         """
         rates = []
         for (_, window_class), window in self.own.by_key.items():
@@ -238,7 +241,7 @@
     def _peer_evidence(
         self, key: EvidenceKey, classes: Iterable[int], confirmed_us: float, now_us: int
     ) -> tuple[WeightedAttempts, set[int]]:
-        """What peers' reports weigh together, and the reporters that find the endpoint unhealthy."""
+        """Return the weighted sum of peers' reports, and the reporters that find the endpoint unhealthy."""
         endpoint, request_class = key
         by_zone: dict[str, WeightedAttempts] = {}
         unhealthy_reporters: set[int] = set()
@@ -267,7 +270,7 @@
     def _own_evidence(
         self, key: EvidenceKey, confirmed_us: float, now_us: int
     ) -> tuple[WeightedAttempts, bool]:
-        """What this instance's attempts weigh, and whether they accuse the endpoint."""
+        """Return this instance's weighted attempts, and whether they show the endpoint as unhealthy."""
         window = self.own.by_key.get(key)
         if window is None:
             return WeightedAttempts(), False
@@ -280,7 +283,7 @@
         return evidence, window.unsuccessful >= FAULT_THRESHOLD
 
     def _trusted_reports(self, key: EvidenceKey, now_us: int) -> list[PeerReport]:
-        """The reports on an endpoint and class that count."""
+        """Return the reports on an endpoint and class that are recent and from trusted reporters."""
         return [
             stored
             for stored in self.peer_reports.on(key)
@@ -289,9 +292,10 @@
         ]
 
     def confirmed_unhealthy_us(self, endpoint: int, classes: Set[int], now_us: int) -> float:
-        """Return when MIN_REPORTERS, this instance among them, had found an endpoint unhealthy.
+        """Return when MIN_REPORTERS, counting this instance, had found an endpoint unhealthy.
 
-        Successes before that are old news. Minus infinity: they have not.
+        Successes before that time say little about its present health. Minus infinity if fewer have found it
+        unhealthy.
         """
         since: dict[int, int] = {}
         for request_class in classes:
@@ -308,9 +312,9 @@
         return times[MIN_REPORTERS - 1] if len(times) >= MIN_REPORTERS else -math.inf
 
     def all_health(self, endpoints: Set[int], now_us: int) -> dict[EvidenceKey, EndpointHealth]:
-        """Return the health of all of these endpoints that peers report on, penalized or not.
+        """Return the health of those of these endpoints that peers report on, penalized or not.
 
-        Of one class at most MAX_PENALIZED_FRACTION of the endpoints are penalized.
+        For each class at most MAX_PENALIZED_FRACTION of the endpoints are penalized.
         """
         found: dict[EvidenceKey, EndpointHealth] = {}
         penalized: dict[int, list[tuple[float, EvidenceKey]]] = {}
@@ -334,10 +338,10 @@
 
 @dataclass(slots=True)
 class PoolKeys:
-    """The keys that instances share of a pool's endpoints and classes, by the pool's own ids."""
+    """Maps a pool's endpoint ids and class indexes to the keys that are the same on all instances."""
 
-    endpoints: Mapping[int, int]  # the shared key, by endpoint id
-    classes: tuple[int, ...]  # the shared key, by class index
+    endpoints: Mapping[int, int]  # shared key by endpoint id
+    classes: tuple[int, ...]  # shared key by class index
     endpoint_ids: dict[int, int] = field(default_factory=dict)  # by shared key
 
     def __post_init__(self) -> None:
@@ -348,7 +352,7 @@
 def penalties_for_pool(
     health: Mapping[EvidenceKey, EndpointHealth], keys: PoolKeys
 ) -> dict[tuple[int, int], float]:
-    """Return the penalties by a pool's own endpoint ids and class indexes."""
+    """Return the penalties by the pool's own endpoint id and class index."""
     found = {}
     for (endpoint, request_class), each in health.items():
         endpoint_id = keys.endpoint_ids.get(endpoint)
