--- a/plovertrail/decisions/health_evidence.py
+++ b/plovertrail/decisions/health_evidence.py
@@ -1,8 +1,8 @@
 """Evidence on the health of endpoints: this instance's attempts, and the reports that peers gossip.
 
-Each instance counts how its attempts end, by endpoint and request class, in a window that decays. What peers
-report is merged by the latest report of each reporter, so that order, duplicates and paths make no
-difference; it decays by the receiver's own clock. Pure: times are arguments, in microseconds.
+Each instance counts the results of its attempts by endpoint and request class, with exponential decay. Of
+peers' reports the latest of each reporter is kept, so the merge does not depend on their order, on duplicates
+or on the path they took; they decay by the receiver's own clock. Pure: times are arguments, in microseconds.
 """
 
 from __future__ import annotations
@@ -12,29 +12,29 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-FAILURE_HALF_LIFE_US = 8_000_000  # an endpoint that has recovered is used again within some of these
-# Successes decay faster: the many successes of a moment ago would otherwise hide the first failures, which is
-# when peers' reports are worth most.
+FAILURE_HALF_LIFE_US = 8_000_000  # an endpoint that has recovered is used again after a few half-lives
+# Successes decay faster: many recent successes would otherwise hide the first failures, which is when peers'
+# reports are most useful.
 SUCCESS_HALF_LIFE_US = 2_000_000
-MAX_REPORT_AGE_US = 30_000_000  # a wrong accusation lasts no longer than this after the last report of it
+MAX_REPORT_AGE_US = 30_000_000  # a wrong report has no effect for longer than this after it was last sent
 MAX_PEER_REPORTS = 4_096  # the reports received longest ago are dropped first
-FAULT_THRESHOLD = 0.5  # unsuccessful attempts, decayed, from which on an endpoint is reported
-SELF_SUSPICION_FRACTION = 0.5  # of its endpoints unhealthy: the fault may be the instance's own
-SELF_SUSPICION_MIN_ENDPOINTS = 4
+FAULT_THRESHOLD = 0.5  # decayed unsuccessful attempts from which on an endpoint is reported as unhealthy
+SELF_SUSPICION_FRACTION = 0.5  # if more of its endpoints look unhealthy, the instance may be at fault itself
+SELF_SUSPICION_MIN_ENDPOINTS = 4  # with fewer endpoints tried it never suspects itself
 UNHEALTHY_FAILURE_RATE = 0.3
-MIN_ATTEMPTS = 0.05  # decayed attempts below this are no evidence
+MIN_ATTEMPTS = 0.05  # fewer decayed attempts do not count as evidence
 MAX_OWN_WINDOWS = 4_096  # the windows used longest ago are dropped first
-SWEEP_BATCH = 256  # entries that one sweep looks at
-EvidenceKey = tuple[int, int]  # an endpoint and a request class, as all instances know them
+SWEEP_BATCH = 256  # entries that one sweep checks
+EvidenceKey = tuple[int, int]  # endpoint and request class, by keys that are the same on all instances
 
 
 class AttemptResult(enum.Enum):
-    """How an attempt ended, as far as it tells of the endpoint's health."""
+    """How an attempt ended, as evidence of the endpoint's health."""
 
     SUCCESS = enum.auto()
-    FAILURE = enum.auto()  # failed at once, or the response was malformed
+    FAILURE = enum.auto()  # an error, a failed connection or a malformed response
     TIMEOUT = enum.auto()  # no response in time
-    REJECTION = enum.auto()  # rejected by the endpoint, as it is at capacity
+    REJECTION = enum.auto()  # rejected by the endpoint because it is at capacity
 
 
 @dataclass(slots=True)
@@ -49,7 +49,7 @@
     last_success_us: int = 0
 
     def decay(self, now_us: int) -> None:
-        """Let earlier attempts count less, by the half-lives."""
+        """Reduce the counts by the time since the last update."""
         age_us = max(0, now_us - self.updated_us)
         remaining = math.exp2(-age_us / FAILURE_HALF_LIFE_US)
         self.successes *= math.exp2(-age_us / SUCCESS_HALF_LIFE_US)
@@ -59,7 +59,7 @@
         self.updated_us = max(self.updated_us, now_us)
 
     def record(self, result: AttemptResult, now_us: int) -> None:
-        """Count an attempt that has ended now."""
+        """Count an attempt that ended now; call `decay` first."""
         if result is AttemptResult.SUCCESS:
             self.successes += 1.0
             self.last_success_us = now_us
@@ -70,7 +70,7 @@
             self.timeouts += 1.0
         else:
             self.rejections += 1.0
-        self.successes /= 2.0  # successes before a failure say less of what follows
+        self.successes /= 2.0  # successes before a failure say less about the attempts after it
 
     @property
     def unsuccessful(self) -> float:
@@ -90,7 +90,7 @@
         self.by_key: dict[EvidenceKey, AttemptWindow] = {}  # the window used last is at the end
 
     def record(self, key: EvidenceKey, result: AttemptResult, now_us: int) -> bool:
-        """Count an attempt; returns whether the endpoint turned unhealthy by it."""
+        """Count an attempt; returns whether it made the endpoint unhealthy."""
         window = self.by_key.pop(key, None)
         if window is None:
             if len(self.by_key) >= MAX_OWN_WINDOWS:
@@ -103,7 +103,7 @@
         return unsuccessful_before < FAULT_THRESHOLD <= window.unsuccessful
 
     def suspects_itself(self, now_us: int) -> bool:
-        """Whether so many endpoints fail for this instance that it suspects itself."""
+        """Whether so many endpoints fail for this instance that the fault may be its own."""
         attempts: dict[int, float] = {}
         unsuccessful: dict[int, float] = {}
         for (endpoint, _), window in self.by_key.items():
@@ -118,7 +118,7 @@
         return tried >= SELF_SUSPICION_MIN_ENDPOINTS and unhealthy > SELF_SUSPICION_FRACTION * tried
 
     def sweep(self, now_us: int) -> None:
-        """Drop windows that have decayed; each call looks at a bounded number."""
+        """Drop windows that have decayed; each call checks a bounded number."""
         for key in list(self.by_key)[:SWEEP_BATCH]:
             window = self.by_key[key]
             window.decay(now_us)
@@ -128,17 +128,17 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthReport:
-    """What one instance has seen of one endpoint and class, `age_us` before the report arrived here."""
+    """One instance's evidence on one endpoint and class, `age_us` before the report arrived here."""
 
-    reporter: int  # as all instances know it
-    sequence: int  # grows over the reporter's restarts; its highest report counts
+    reporter: int  # its key, the same on all instances
+    sequence: int  # increases, also over the reporter's restarts; the highest one wins
     key: EvidenceKey
     attempts: float
     failures: float
     timeouts: float
     rejections: float
     age_us: int
-    last_success_age_us: int = 0  # how long before that its last successful attempt had ended
+    last_success_age_us: int = 0  # from the end of its last successful attempt until that time
 
     @property
     def unsuccessful(self) -> float:
@@ -152,7 +152,7 @@
 
     @property
     def is_valid(self) -> bool:
-        """Whether its figures are consistent and recent enough to count."""
+        """Whether its numbers are consistent and recent enough to be used."""
         parts = self.failures, self.timeouts, self.rejections
         return (
             self.attempts >= 0.0
@@ -166,20 +166,20 @@
 
 @dataclass(slots=True)
 class PeerReport:
-    """The latest report of one reporter, as it is stored here."""
+    """The latest report of one reporter, as this instance stores it."""
 
     report: HealthReport
-    observed_us: int  # when it was true, by this instance's clock: its age has been subtracted
-    unhealthy_since_us: int | None = None  # since when the reporter accuses the endpoint, as far as known
+    observed_us: int  # by this instance's clock: the time of arrival less the report's age
+    unhealthy_since_us: int | None = None  # earliest known time of the reporter's unbroken unhealthy reports
     times_forwarded: int = 0
 
     @property
     def last_success_us(self) -> int:
-        """When the reporter's last successful attempt had ended, by this instance's clock."""
+        """When the reporter's last successful attempt ended, by this instance's clock."""
         return self.observed_us - self.report.last_success_age_us
 
     def decayed(self, now_us: int) -> tuple[float, float]:
-        """Successful and unsuccessful attempts, as they count by now."""
+        """Return the successful and unsuccessful attempts, decayed until now."""
         age_us = max(0, now_us - self.observed_us)
         unsuccessful = self.report.unsuccessful
         successes = max(0.0, self.report.attempts - unsuccessful)
@@ -189,7 +189,7 @@
         )
 
     def forwarded(self, now_us: int) -> HealthReport:
-        """The report as it is passed on now: the same figures, with the age that they have here."""
+        """Return the report to forward: the same numbers, with their present age."""
         return replace(self.report, age_us=now_us - self.observed_us)
 
 
@@ -198,17 +198,17 @@
 
     def __init__(self) -> None:
         self.by_key: dict[EvidenceKey, dict[int, PeerReport]] = {}  # then by reporter
-        self.classes: dict[int, set[int]] = {}  # by endpoint, those that there are reports on
+        self.classes: dict[int, set[int]] = {}  # by endpoint, the classes that there are reports on
         self.count = 0
         self.dropped = 0  # reports that were invalid, or evicted by later ones
-        self._arrivals: dict[tuple[EvidenceKey, int], None] = {}  # the latest to arrive is last
+        self._arrivals: dict[tuple[EvidenceKey, int], None] = {}  # ordered: the latest to arrive is last
 
     def get(self, key: EvidenceKey, reporter: int) -> PeerReport | None:
-        """The report that is stored of a reporter, if any."""
+        """Return the stored report of a reporter, if any."""
         return self.by_key.get(key, {}).get(reporter)
 
     def on(self, key: EvidenceKey) -> Iterator[PeerReport]:
-        """All reports on an endpoint and class."""
+        """Return all reports on an endpoint and class."""
         return iter(self.by_key.get(key, {}).values())
 
     def merge(self, report: HealthReport, now_us: int) -> bool:
@@ -224,8 +224,8 @@
         unhealthy_since_us = observed_us if report.finds_unhealthy else None
         earlier_us = previous.unhealthy_since_us if previous is not None else None
         if unhealthy_since_us is not None and earlier_us is not None:
-            # A reporter that repeats an accusation each moment would otherwise make every success that others
-            # have seen since appear to precede it.
+            # Otherwise each repeated unhealthy report would move this time forward, and all successes that
+            # others have seen meanwhile would seem to precede it.
             unhealthy_since_us = min(unhealthy_since_us, earlier_us)
         stored = PeerReport(report, observed_us, unhealthy_since_us)
         self.by_key.setdefault(report.key, {})[report.reporter] = stored
@@ -238,11 +238,11 @@
         return True
 
     def latest_first(self) -> Iterator[PeerReport]:
-        """All reports, the latest to arrive first."""
+        """Return all reports, the latest to arrive first."""
         return (self.by_key[key][reporter] for key, reporter in reversed(self._arrivals))
 
     def sweep(self, now_us: int) -> None:
-        """Remove reports that are too old to count; each call looks at a bounded number."""
+        """Remove reports that are too old to count; each call checks a bounded number."""
         for key, reporter in list(self._arrivals)[:SWEEP_BATCH]:
             if now_us - self.by_key[key][reporter].observed_us > MAX_REPORT_AGE_US:
                 self._remove(key, reporter)
