--- a/plovertrail/decisions/membership.py
+++ b/plovertrail/decisions/membership.py
@@ -13,38 +13,39 @@
 Address = tuple[str, int]
 NO_ADDRESS: Address = ("0.0.0.0", 0)
 INDIRECT_PROBES = 3  # members that are asked to ping one that did not answer
-# The shortest suspicion in periods, times log10 of the cluster's size (Lifeguard, section IV).
+# The shortest suspicion timeout is this many periods times log10 of the cluster's size (Lifeguard, section
+# IV).
 SUSPICION_FACTOR = 4.0
-MAX_SUSPICION_MULTIPLIER = 6.0  # of the shortest, while only one member suspects
-CONFIRMATIONS = 3  # further members whose suspicion makes it the shortest
-# Transmissions of a record, times log2 of the cluster's size: it reaches all with high probability (SWIM,
-# section 4).
+MAX_SUSPICION_MULTIPLIER = 6.0  # of the shortest timeout, while only one member suspects
+CONFIRMATIONS = 3  # further members that must suspect for the shortest timeout
+# A record is sent this many times log2 of the cluster's size, so that it reaches all members with high
+# probability (SWIM, section 4).
 GOSSIP_FACTOR = 4.0
 
 
 class MemberState(enum.IntEnum):
-    """A member's state; at the same incarnation the larger value overrides. The values are the wire's."""
+    """A member's state; at equal incarnations the larger value wins. The values are sent in datagrams."""
 
     ALIVE = 0
     SUSPECT = 1
-    DEAD = 2  # it did not refute a suspicion in time
-    LEFT = 3  # it said that it leaves
+    DEAD = 2  # did not refute a suspicion in time
+    LEFT = 3  # announced that it leaves
 
 
 class MessageKind(enum.IntEnum):
-    """The kinds of messages between members. The values are the wire's."""
+    """The kinds of messages between members. The values are sent in datagrams."""
 
     PING = 1
     ACK = 2
-    PING_REQUEST = 3  # ping that member for me
-    NACK = 4  # the requested ping had no answer
-    JOIN = 5  # to a seed: I am new; answered as a ping is
-    GOSSIP = 6  # records and health reports alone
+    PING_REQUEST = 3  # asks the receiver to ping a third member
+    NACK = 4  # the requested ping got no answer
+    JOIN = 5  # announces a new member to a seed; answered like a ping
+    GOSSIP = 6  # carries only records and health reports
 
 
 @dataclass(frozen=True, slots=True)
 class MemberRecord:
-    """The state of one member at one incarnation, as it is gossiped."""
+    """The state of one member at one incarnation, as members gossip it."""
 
     name: str
     address: Address
@@ -54,7 +55,7 @@
 
     @property
     def precedence(self) -> tuple[int, int]:
-        """Of two records of one member the one with the larger precedence holds."""
+        """Of two records of one member the one with the larger precedence is kept."""
         return self.incarnation, self.state
 
 
@@ -64,26 +65,26 @@
 
     record: MemberRecord
     state_since_us: int
-    last_heard_us: int = 0  # of its own last datagram; 0: never
+    last_heard_us: int = 0  # when its last own datagram arrived; 0: never
     suspected_at_us: int = 0
     suspected_by: set[str] = field(default_factory=set)
-    paused_us: int = 0  # by which its suspicion is longer, as this process was paused
+    paused_us: int = 0  # how long this process was paused meanwhile; extends the timeouts of this member
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipMessage:
-    """A message to or from one member; the records beside it are chosen as it is sent."""
+    """A message to or from one member; records and reports are added when it is encoded."""
 
     kind: MessageKind
     address: Address  # of the other side
-    probe_number: int = 0  # as the prober counts
-    subject: str = ""  # PING_REQUEST and NACK: whom
-    recipient: str = ""  # the name at that address, if it is known
+    probe_number: int = 0  # numbered by the instance that sent the ping or the ping request
+    subject: str = ""  # PING_REQUEST and NACK: the member to ping
+    recipient: str = ""  # the member at that address, if known
     subject_address: Address = NO_ADDRESS
 
 
 def suspicion_timeout_us(size: int, period_us: int, confirmations: int) -> int:
-    """Return for how long a suspect may refute: the less, the more members suspect it."""
+    """Return how long a suspect has to refute; the more members suspect it, the shorter."""
     shortest = SUSPICION_FACTOR * max(1.0, math.log10(max(1, size))) * period_us
     longest = MAX_SUSPICION_MULTIPLIER * shortest
     fraction = math.log(min(confirmations, CONFIRMATIONS) + 1) / math.log(CONFIRMATIONS + 1)
@@ -91,10 +92,10 @@
 
 
 def longest_detection_us(size: int, period_us: int, loss: float = 0.0, probability: float = 1e-3) -> int:
-    """Return by when a dead member is known to be dead, except with `probability`.
+    """Return the time within which a dead member is detected, except with `probability`.
 
-    Two rounds, in each of which every member is probed once in random order (2 N - 1 periods: SWIM, section
-    4.3), the spread of the news, and the longest suspicion.
+    It is the sum of two rounds in each of which every member is probed once in random order (2 N - 1 periods:
+    SWIM, section 4.3), the time in which gossip spreads, and the longest suspicion timeout.
     """
     round_periods = 2 * max(1, size - 1) - 1
     delivered = max(1e-9, 1.0 - loss)
@@ -105,7 +106,7 @@
 def false_suspicion_probability(loss: float, indirect_probes: int = INDIRECT_PROBES) -> float:
     """Return the probability that one probe of a live member raises a suspicion (SWIM, section 3.1).
 
-    The direct ping and its ack are lost, and so is one of the four datagrams of each indirect probe.
+    The direct ping or its ack is lost, and so is at least one of the four datagrams of each indirect probe.
     """
     direct = 1.0 - (1.0 - loss) ** 2
     indirect = 1.0 - (1.0 - loss) ** 4
