--- a/plovertrail/peers/__init__.py
+++ b/plovertrail/peers/__init__.py
@@ -1,1 +1,4 @@
-"""Datagrams between instances: usage by key, counted over all of them. Never on the platform."""
+"""UDP datagrams between instances: shared counters, cluster membership and health reports.
+
+Not used on the platform.
+"""
--- a/plovertrail/peers/address.py
+++ b/plovertrail/peers/address.py
@@ -6,6 +6,6 @@
 
 
 def format_address(address: Address) -> str:
-    """Return `host:port`, for logs and as the text that digests of addresses are made of."""
+    """Return `host:port`, as it is logged and as digests of addresses are computed from it."""
     host, port = address
     return f"{host}:{port}"
--- a/plovertrail/peers/counter_codec.py
+++ b/plovertrail/peers/counter_codec.py
@@ -1,10 +1,12 @@
-"""Datagrams of shared counters: version 1 of what an envelope (peers/envelope.py) holds.
+"""Datagrams of shared counters: version 1 of the body of an envelope (peers/envelope.py).
 
-    8 the sender's incarnation, 8 sequence, 8 the sender's time since its start (us), 4 bucket (us), 2
-    buckets, 1 length of the name, the name, 2 rows; each row: 8 the key, varint its newest bucket, varint how
-    many counts, varint each, the newest first.
+Field sizes in bytes:
 
-Varints are LEB128.
+    8 the sender's incarnation, 8 sequence, 8 the sender's time since its start (us), 4 bucket length (us),
+    2 number of buckets, 1 length of the name, the name, 2 number of rows; each row: 8 the key, varint its
+    newest bucket, varint number of counts, a varint for each count, the newest first.
+
+Integers are big-endian, varints are LEB128.
 """
 
 from __future__ import annotations
@@ -25,7 +27,7 @@
 
 
 def encode_varint(value: int) -> bytes:
-    """Return a non-negative integer as LEB128: seven bits a byte, the lowest first."""
+    """Return a non-negative integer as LEB128: seven bits per byte, the lowest first."""
     found = bytearray()
     while value > 127:
         found.append(value & 127 | 128)
@@ -35,7 +37,7 @@
 
 
 def decode_varint(data: bytes, position: int) -> tuple[int, int]:
-    """Return the value at a position, and the position after it; raises BadDatagramError."""
+    """Return the varint at a position and the position after it; raises BadDatagramError if malformed."""
     value = 0
     for number in range(MAX_VARINT_BYTES):
         if position + number >= len(data):
@@ -48,7 +50,7 @@
 
 
 def encode_row(row: EncodedRow) -> bytes:
-    """Return one row as the module's docstring has it."""
+    """Return one row in the format given at the head of the module."""
     key, newest, counts = row
     varints = map(encode_varint, counts)
     return b"".join([KEY.pack(key), encode_varint(newest), encode_varint(len(counts)), *varints])
@@ -62,11 +64,11 @@
         self.window = window
 
     def room_for_rows(self, name: str) -> int:
-        """Return the bytes that a datagram of this sender has for rows."""
+        """Return how many bytes a datagram of this sender has for rows."""
         return MAX_BODY_BYTES - HEADER.size - len(name.encode()) - ROW_COUNT.size
 
     def encode(self, receiver: bytes, message: CounterMessage, rows: Iterable[bytes]) -> bytes:
-        """Return a datagram with the head of `message` and with encoded rows, which fit `room_for_rows`."""
+        """Return a datagram of the header of `message` and encoded rows, which fit into `room_for_rows`."""
         name = message.name.encode()
         encoded = list(rows)
         header = HEADER.pack(
@@ -81,7 +83,7 @@
         return self.envelope.seal(VERSION, receiver, body)
 
     def decode(self, datagram: bytes, own_address: bytes) -> CounterMessage:
-        """Return the message of a datagram to our address; raises BadDatagramError."""
+        """Return the message of a datagram to this instance; raises BadDatagramError if it is not valid."""
         data = self.envelope.open(VERSION, datagram, (own_address,))
         if len(data) < HEADER.size + ROW_COUNT.size:
             raise BadDatagramError(DropReason.MALFORMED)
