--- a/plovertrail/peers/counter_gossip.py
+++ b/plovertrail/peers/counter_gossip.py
@@ -1,4 +1,4 @@
-"""The datagrams of shared counters, sent to and received from peers, with no socket and no clock."""
+"""Builds and handles the datagrams of shared counters; has neither a socket nor a clock of its own."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from plovertrail.peers.counter_codec import CounterCodec, encode_row
 from plovertrail.peers.envelope import BadDatagramError, DropReason, TrafficStats, digest
 
-MAX_DATAGRAMS_PER_PERIOD = 8  # of one peer, that are read; a peer sends one in most periods
-MAX_ROWS_SENT = 120  # more never fit a datagram
-MAX_STATED_LOSS = 0.95  # for which an error bound is computed: beyond it a peer is silent
+MAX_DATAGRAMS_PER_PERIOD = 8  # read from one peer; it sends at most one in most periods
+MAX_ROWS_SENT = 120  # more never fit into a datagram
+MAX_STATED_LOSS = 0.95  # highest loss with an error bound; a peer with a higher one counts as silent
 
 
 @dataclass(slots=True)
@@ -25,18 +25,18 @@
 
     address: Address
     receiver: bytes  # the digest of the address
-    sequence: int = 0  # of what was sent to it
-    name: str = ""  # as last heard from there
-    incarnation: int = 0
-    heard_us: int = 0  # 0: never
-    period: int = -1  # in which `read_in_period` datagrams were read
+    sequence: int = 0  # of the last datagram sent to it
+    name: str = ""  # in the last datagram from it
+    incarnation: int = 0  # likewise
+    heard_us: int = 0  # when the last datagram arrived; 0: never
+    period: int = -1  # the period that `read_in_period` counts
     read_in_period: int = 0
 
 
 class CounterGossip:
-    """Sends own counts to the next `fan_out` peers each period, in a fixed order that is drawn once.
+    """Sends own counts to the next `fan_out` peers each period, in a random order that stays the same.
 
-    So each peer hears of each instance once a round. docs/shared-counts.md has the alternatives.
+    So each peer receives each instance's counts once a round. docs/shared-counts.md has the alternatives.
     """
 
     def __init__(
@@ -53,12 +53,12 @@
         self._own_digest = digest(format_address(address))
         self._position = 0  # in the order of peers; 0: a round begins
         self._period = 0
-        self._keys: list[int] = []  # that go out in this round
-        self._fitting_count = 0  # of them, in the datagrams of this round so far
-        self._keys_per_datagram = 0  # that fitted when last not all did; 0: all do
+        self._keys: list[int] = []  # keys to send in this round
+        self._fitting_count = 0  # how many of them, from the first on, are sent in this round
+        self._keys_per_datagram = 0  # how many fitted in the last round; 0: all did
 
     def set_peers(self, addresses: Sequence[Address], fan_out: int) -> None:
-        """Use these peers from now on; our own address among them is skipped."""
+        """Use these peers from now on; this instance's own address is skipped."""
         others = [address for address in dict.fromkeys(addresses) if address != self.address]
         self.peers = {
             each: self.peers.get(each) or Peer(each, digest(format_address(each))) for each in others
@@ -70,7 +70,7 @@
         self.counters.cluster_size = len(others) + 1
 
     def tick(self, now_us: int) -> list[tuple[Address, bytes]]:
-        """Return the datagrams of the period that begins now."""
+        """Return the datagrams to send in the period that begins now."""
         self._period += 1
         self.counters.sweep(now_us)
         if not self.order:
@@ -88,8 +88,8 @@
         return datagrams
 
     def _encode_rows(self, now_us: int) -> list[bytes]:
-        """Encode as many of the round's keys as fit."""
-        rows: list[bytes] = []  # an empty one where a key has no counts any more
+        """Encode as many of the round's keys as fit into a datagram."""
+        rows: list[bytes] = []  # empty for a key that has no counts any more
         room = self.codec.room_for_rows(self.counters.name)
         for key in self._keys[: self._fitting_count]:
             row = self.counters.encoded_row(key, now_us)
@@ -98,7 +98,7 @@
                 break
             room -= len(encoded)
             rows.append(encoded)
-        # A key that outgrows the datagram in mid-round has not gone to all, and comes first in the next one.
+        # A key that stops fitting in the middle of a round has not reached all peers: it counts as not sent.
         self._fitting_count = len(rows)
         return rows
 
@@ -140,7 +140,7 @@
         return None
 
     def _is_over_limit(self, peer: Peer) -> bool:
-        """Count a datagram of a peer; verifying a flood of them would take all of a core."""
+        """Count a datagram of a peer; without a limit, verifying a flood of them would use up a core."""
         if peer.period != self._period:
             peer.period = self._period
             peer.read_in_period = 0
@@ -148,11 +148,11 @@
         return peer.read_in_period > MAX_DATAGRAMS_PER_PERIOD
 
     def loss_from(self, peer: Peer) -> float:
-        """Return the fraction of a peer's datagrams that did not arrive."""
+        """Return the fraction of a peer's datagrams that were lost."""
         return self.counters.peers.loss_of(peer.name, peer.incarnation)
 
     def bound(self, parameters: GossipParameters) -> ErrorBound:
-        """Return the error bound as it is now: with the observed losses if they exceed the stated ones."""
+        """Return the present error bound: with the highest observed loss if it exceeds the configured one."""
         observed = max((self.loss_from(peer) for peer in self.peers.values() if peer.heard_us), default=0.0)
         keys = max(1, len(self.counters.own))
         return error_bound(
