--- a/plovertrail/peers/envelope.py
+++ b/plovertrail/peers/envelope.py
@@ -1,9 +1,12 @@
-"""The envelope of all datagrams between instances: which fleet, for whom, and authenticated.
+"""The envelope of all datagrams between instances: names the fleet and the receiver, and authenticates.
 
-    2 bytes "pt", 1 version, 8 the fleet, 4 which key signs, 8 the receiver's address, then what the version
-    says; 16 bytes of HMAC-SHA256 (RFC 2104, truncated as its section 5 allows) over all before it.
+Field sizes in bytes:
 
-Names and addresses are there as digests of 8 bytes where only equality counts.
+    2 "pt", 1 version, 8 the fleet, 4 the id of the signing key, 8 the receiver's address, the body, whose
+    format depends on the version, 16 HMAC-SHA256 (RFC 2104, truncated as its section 5 allows) over all
+    fields before it.
+
+The fleet's name and the receiver's address are only compared, so they are sent as digests of 8 bytes.
 """
 
 from __future__ import annotations
@@ -16,7 +19,7 @@
 from collections.abc import Container, Sequence
 from dataclasses import dataclass, field
 
-MAX_DATAGRAM_BYTES = 1_200  # which no common path fragments
+MAX_DATAGRAM_BYTES = 1_200  # small enough not to be fragmented on common network paths
 PREFIX = struct.Struct(">2sB8s4s8s")
 MAC_BYTES = 16
 MAX_BODY_BYTES = MAX_DATAGRAM_BYTES - PREFIX.size - MAC_BYTES
@@ -38,11 +41,11 @@
 
 
 class PeerError(Exception):
-    """Base of the errors of this package."""
+    """Base class of this package's errors."""
 
 
 class BadDatagramError(PeerError):
-    """A datagram that must not be used."""
+    """A datagram was invalid and has to be dropped."""
 
     def __init__(self, reason: DropReason) -> None:
         super().__init__(reason.value)
@@ -51,7 +54,7 @@
 
 @dataclass(slots=True)
 class TrafficStats:
-    """What an instance has sent and received since its start."""
+    """Counts what an instance has sent and received since its start."""
 
     datagrams_sent: int = 0
     bytes_sent: int = 0
@@ -59,7 +62,7 @@
     dropped: Counter[DropReason] = field(default_factory=Counter)
 
     def count_sent(self, data: bytes) -> None:
-        """Count a datagram that goes out."""
+        """Count a datagram that is sent."""
         self.datagrams_sent += 1
         self.bytes_sent += len(data)
 
@@ -72,12 +75,12 @@
 
 
 def digest(text: str) -> bytes:
-    """Return eight bytes that stand for a name or an address."""
+    """Return an 8-byte digest of a name or an address."""
     return hashlib.blake2b(text.encode(), digest_size=8).digest()
 
 
 def key_id(key: bytes) -> bytes:
-    """Return which of several keys signed; nothing can be learnt of the key by it."""
+    """Return the id of a key; it reveals nothing about the key itself."""
     return hashlib.sha256(b"plovertrail counts" + key).digest()[:4]
 
 
@@ -93,14 +96,14 @@
         self._signing_key_id = key_id(keys[0])
 
     def seal(self, version: int, receiver: bytes, body: bytes) -> bytes:
-        """Return a datagram; the body is no longer than MAX_BODY_BYTES."""
+        """Return a signed datagram; the body must not be longer than MAX_BODY_BYTES."""
         signed = PREFIX.pack(b"pt", version, self._fleet, self._signing_key_id, receiver) + body
         return signed + hmac.digest(self._keys[self._signing_key_id], signed, "sha256")[:MAC_BYTES]
 
     def open(self, version: int, data: bytes, own_addresses: Container[bytes]) -> bytes:
-        """Return the body of a datagram to one of our addresses; raises BadDatagramError.
+        """Return the body of a datagram to one of these addresses; raises BadDatagramError if invalid.
 
-        Nothing of the body is used before its code has been verified, in constant time.
+        The authentication code is verified, in constant time, before anything of the body is used.
         """
         if len(data) < PREFIX.size + MAC_BYTES or len(data) > MAX_DATAGRAM_BYTES or data[:2] != b"pt":
             raise BadDatagramError(DropReason.MALFORMED)
