--- a/plovertrail/decisions/member_table.py
+++ b/plovertrail/decisions/member_table.py
@@ -1,4 +1,4 @@
-"""The members that one instance knows, by state, and which of their records are still to be gossiped."""
+"""The members that one instance knows, by state, and the queue of records to gossip."""
 
 from __future__ import annotations
 
@@ -17,50 +17,50 @@
     MemberState,
 )
 
-MAX_MEMBERS = 8_192  # whatever is gossiped; the dead are forgotten first
-RANDOM_RECORDS = 4  # that fill a datagram up, so that members converge even if gossip was lost
-MAX_GOSSIP_RECORDS = 1_024  # the others are spread by the records that are sampled at random
+MAX_MEMBERS = 8_192  # a full table removes departed members first, and rejects records if there are none
+RANDOM_RECORDS = 4  # added to a datagram at random, so that members converge even if gossip was lost
+MAX_GOSSIP_RECORDS = 1_024  # queued; records beyond it still spread as random records
 
 
 class MergeResult(enum.Enum):
-    """What became of a record that was merged into the table."""
+    """The result of merging a record into the table."""
 
     OUTDATED = enum.auto()
-    CONFLICT = enum.auto()  # the same record from another address: a name is used twice
+    CONFLICT = enum.auto()  # equal precedence but another address: two instances use one name
     REJECTED = enum.auto()  # the table is full
     ADDED = enum.auto()
     UPDATED = enum.auto()
 
 
 class GossipQueue:
-    """Names whose records are gossiped, each until it went out often enough."""
+    """Names of members whose records are gossiped, each until it was sent often enough."""
 
     def __init__(self) -> None:
-        self._sent: dict[str, int] = {}  # how often each went out
+        self._sent: dict[str, int] = {}  # how often each was sent
 
     def __len__(self) -> int:
-        """Count the names that are queued."""
+        """Return the number of queued names."""
         return len(self._sent)
 
     def add(self, name: str) -> None:
-        """Queue a name, or begin again with one that is queued."""
+        """Queue a name; one that is queued already starts again from zero transmissions."""
         self._sent[name] = 0
 
     def trim(self) -> None:
-        """Drop a name that went out most often if there are too many."""
+        """Drop the name that was sent most often if there are too many."""
         if len(self._sent) > MAX_GOSSIP_RECORDS:
             del self._sent[max(self._sent, key=lambda name: self._sent[name])]
 
     def discard(self, name: str) -> None:
-        """Drop a name that is forgotten."""
+        """Remove a name if it is queued."""
         self._sent.pop(name, None)
 
     def clear(self) -> None:
-        """Drop all."""
+        """Remove all names."""
         self._sent.clear()
 
     def take(self, limit: int, cluster_size: int) -> Iterator[str]:
-        """Yield at most `limit` names that went out least often, and count that they go out now."""
+        """Yield at most `limit` names that were sent least often, and count them as sent."""
         max_sent = GOSSIP_FACTOR * math.log2(cluster_size + 1)
         for name in sorted(self._sent, key=lambda each: self._sent[each])[:limit]:
             self._sent[name] += 1
@@ -70,9 +70,9 @@
 
 
 class MemberTable:
-    """The record of this instance and those of the other members, and which of them are gossiped.
+    """The record of this instance, those of the other members, and the queue of records to gossip.
 
-    Sets by state spare each period and each datagram a look at all members of a large cluster.
+    Sets by state save each period and each datagram a scan of all members of a large cluster.
     """
 
     def __init__(self, me: MemberRecord, rng: random.Random) -> None:
@@ -83,20 +83,20 @@
         self.suspects: set[str] = set()
         self.departed: set[str] = set()  # dead or left
         self.gossip_queue = GossipQueue()
-        self.name_conflicts: dict[str, Address] = {}  # addresses that use a name that is taken
-        self.rejected = 0  # records that were invalid, or found no room
-        self.refuted = 0  # suspicions, by those that were suspected
-        self._live_index: dict[str, int] = {}  # places in `live`
+        self.name_conflicts: dict[str, Address] = {}  # by name, the address that uses it as well
+        self.rejected = 0  # records that were invalid, or that the full table had no room for
+        self.refuted = 0  # suspicions that the suspected members refuted
+        self._live_index: dict[str, int] = {}  # positions in `live`
 
     @property
     def size(self) -> int:
-        """Instances that are alive or suspect, this one among them."""
+        """The number of instances that are alive or suspect, this one included."""
         return 1 + len(self.live)
 
     # Merging
 
     def merge(self, record: MemberRecord, now_us: int) -> MergeResult:
-        """Take another member's record if it overrides the one that is known."""
+        """Store another member's record if it overrides the known one."""
         result = self._merge(record, now_us)
         if result is MergeResult.CONFLICT:
             self.name_conflicts[record.name] = record.address
@@ -114,7 +114,7 @@
         if member is not None and member.record.precedence == suspect.precedence:
             if reporter not in member.suspected_by and len(member.suspected_by) <= CONFIRMATIONS:
                 member.suspected_by.add(reporter)
-                self.gossip_queue.add(record.name)  # each confirmation is gossiped on
+                self.gossip_queue.add(record.name)  # each new confirmation is gossiped
             return MergeResult.OUTDATED
         result = self.merge(suspect, now_us)
         if result in (MergeResult.ADDED, MergeResult.UPDATED):
@@ -153,7 +153,7 @@
 
     def _add(self, record: MemberRecord, now_us: int) -> MergeResult:
         if record.state >= MemberState.DEAD:
-            return MergeResult.OUTDATED  # it is unknown here, so there is nothing to forget
+            return MergeResult.OUTDATED  # an unknown member need not be added as departed
         if len(self.members) >= MAX_MEMBERS and not self._make_room():
             return MergeResult.REJECTED
         self.members[record.name] = Member(record, now_us)
@@ -163,14 +163,15 @@
     # Reading
 
     def sample(self, limit: int) -> list[MemberRecord]:
-        """Return at most `limit` records of live members at random."""
+        """Return at most `limit` records of live members, chosen at random."""
         names = self.rng.sample(self.live, min(limit, len(self.live)))
         return [self.members[name].record for name in names]
 
     def updates_to_gossip(self, limit: int, recipient: str = "") -> list[MemberRecord]:
         """Choose at most `limit` records for a datagram.
 
-        First the recipient's own record if it is not alive, then the least transmitted, then random ones.
+        First the recipient's record unless it is alive, then queued ones that were sent least often, then
+        random ones.
         """
         found: dict[str, MemberRecord] = {}
         member = self.members.get(recipient)
@@ -191,7 +192,7 @@
         return member.record if member is not None else None
 
     def dead_records(self) -> list[MemberRecord]:
-        """Return the records of members that are dead, and have not left, by name."""
+        """Return the records of members that are dead, but not of those that left, sorted by name."""
         records = [self.members[name].record for name in sorted(self.departed)]
         return [record for record in records if record.state is MemberState.DEAD]
 
@@ -202,7 +203,7 @@
         return True
 
     def _index(self, record: MemberRecord) -> None:
-        """Move a member to the sets of its state."""
+        """Put a member into the sets for its state, and remove it from the others."""
         name = record.name
         is_live = record.state < MemberState.DEAD
         if is_live and name not in self._live_index:
@@ -220,7 +221,7 @@
             self.departed.add(name)
 
     def _remove_live(self, name: str) -> None:
-        """Remove a name from `live` in constant time: the last one takes its place."""
+        """Remove a name from `live` in constant time by moving the last one to its position."""
         index = self._live_index.pop(name)
         last = self.live.pop()
         if last != name:
