--- a/plovertrail/daemon/configuration_apply.py
+++ b/plovertrail/daemon/configuration_apply.py
@@ -84,7 +84,7 @@
     def _apply_peers(self, prepared: PreparedConfiguration) -> SharedCounters | None:
         """Exchange counts with other instances as configured; returns the counts of all instances."""
         services, setup = self.services, prepared.setup
-        counts = services.peers.follow(setup.peers, prepared.peer_socket, setup.membership)
+        counts = services.peers.apply_setup(setup.peers, prepared.peer_socket, setup.membership)
         if counts is not None:
             services.warm_state.restore_counters(counts)
         services.dispatcher.tenant_use = None
--- a/plovertrail/peers/service.py
+++ b/plovertrail/peers/service.py
@@ -62,7 +62,7 @@
             )
             raise ConfigError(setup.path, [problem]) from None
 
-    def follow(
+    def apply_setup(
         self, setup: PeersSetup | None, sock: socket.socket | None, membership: MembershipSetup | None
     ) -> SharedCounters | None:
         """Apply a setup; `sock` is there if its address is new. Returns the shared counters."""
@@ -74,7 +74,7 @@
             transport.configure(setup)
         else:
             transport = self._replace_transport(setup, sock)
-        transport.follow_membership(membership)
+        transport.apply_membership(membership)
         return transport.counters
 
     def _replace_transport(self, setup: PeersSetup, sock: socket.socket | None) -> PeerTransport:
--- a/plovertrail/peers/transport.py
+++ b/plovertrail/peers/transport.py
@@ -123,7 +123,7 @@
             self._listed = ()
         self._update_peers()
 
-    def follow_membership(self, setup: MembershipSetup | None) -> None:
+    def apply_membership(self, setup: MembershipSetup | None) -> None:
         """Start, reconfigure or stop cluster membership."""
         if self.membership is not None and (
             setup is None or not self.membership.is_compatible_with(self.setup, setup)
@@ -142,7 +142,7 @@
 
     def stop(self) -> None:
         """Leave the cluster, stop the timer and the watch on the list of peers, and close the socket."""
-        self.follow_membership(None)
+        self.apply_membership(None)
         self.loop.remove_reader(self.sock)
         self._timer.cancel()
         self._list.stop()
