--- a/plovertrail/peers/service.py
+++ b/plovertrail/peers/service.py
@@ -1,4 +1,4 @@
-"""The exchange with other instances as the daemon sees it: off or on, and kept through reloads."""
+"""The daemon's interface to the exchange with other instances; reloads keep the transport if they can."""
 
 from __future__ import annotations
 
@@ -21,31 +21,31 @@
 
 
 class PeerService:
-    """The transport to other instances, where one is configured."""
+    """Owns the transport to other instances, if peers are configured."""
 
     def __init__(self, new_seed: Callable[[], int], lists: ListReader | None = None) -> None:
         self.transport: PeerTransport | None = None
         self._new_seed = new_seed
-        self._lists = lists  # reads the list of peers
+        self._lists = lists  # reads the peer list
 
     @property
     def counts(self) -> SharedCounters | None:
-        """The shared counters; None where no peers are configured."""
+        """The shared counters; None if no peers are configured."""
         return self.transport.counters if self.transport is not None else None
 
     @property
     def membership(self) -> MembershipTransport | None:
-        """Cluster membership; None where it is not configured."""
+        """Cluster membership; None if it is not configured."""
         return self.transport.membership if self.transport is not None else None
 
     @property
     def outlier_detector(self) -> OutlierDetector | None:
-        """The health evidence that instances exchange; None where they exchange none."""
+        """The exchanged health evidence; None if none is exchanged."""
         membership = self.membership
         return membership.outlier_detector if membership is not None else None
 
     def bind(self, setup: Setup) -> socket.socket | None:
-        """Return the socket of a setup whose address is new; raises ConfigError."""
+        """Return a bound socket if the setup has a new address; raises ConfigError if binding fails."""
         peers = setup.peers
         if peers is None or (self.transport is not None and self.transport.setup.address == peers.address):
             return None
@@ -65,7 +65,7 @@
     def apply_setup(
         self, setup: PeersSetup | None, sock: socket.socket | None, membership: MembershipSetup | None
     ) -> SharedCounters | None:
-        """Apply a setup; `sock` is there if its address is new. Returns the shared counters."""
+        """Apply a setup, with the socket from `bind` if its address is new; returns the shared counters."""
         if setup is None:
             self.stop()
             return None
@@ -78,7 +78,7 @@
         return transport.counters
 
     def _replace_transport(self, setup: PeersSetup, sock: socket.socket | None) -> PeerTransport:
-        """Start anew: under another name, or with another window, all is counted anew."""
+        """Start a new transport with empty counters, as a changed name, address or window requires."""
         from plovertrail.peers.transport import PeerTransport
 
         if sock is None:
@@ -89,31 +89,31 @@
         return self.transport
 
     def report_urgently(self, on_urgent_report: Callable[[], None]) -> None:
-        """Send urgent reports now, and call `on_urgent_report` with each, own or a peer's."""
+        """Gossip urgent reports at once, and call `on_urgent_report` for each, own or a peer's."""
         membership = self.membership
         if membership is not None:
             membership.report_urgently(on_urgent_report)
 
     def process_paused(self, pause_us: int) -> None:
-        """Pass on a pause of this process to cluster membership, if that is configured."""
+        """Tell cluster membership, if configured, of a pause of this process."""
         membership = self.membership
         if membership is not None:
             membership.process_paused(pause_us)
 
     def stop(self) -> None:
-        """Stop the exchange, if there is one, and close its socket; its counters are given up."""
+        """Stop the transport, if there is one: close its socket and drop its counters."""
         transport = self.transport
         self.transport = None
         if transport is not None:
             transport.stop()
 
     def membership_status(self) -> dict[str, Any]:
-        """Return the members; empty where membership is not configured."""
+        """Return the status of membership; empty if it is not configured."""
         membership = self.membership
         return membership.status() if membership is not None else {}
 
     def status(self, setup: Setup, limiters: Mapping[str, RateLimiter]) -> dict[str, Any]:
-        """Return which peers are heard, and the usage of tenants and limiters."""
+        """Return the status of the peers and the usage of tenants and limiters; empty without peers."""
         if self.transport is None:
             return {}
         from plovertrail.decisions.counter_rows import key_of
