--- a/plovertrail/peers/transport.py
+++ b/plovertrail/peers/transport.py
@@ -1,8 +1,8 @@
-"""The UDP socket to other instances, read and written without waiting: shared counters and membership.
+"""The non-blocking UDP socket that shared counters and cluster membership use to reach other instances.
 
-Status keys, translated here: `twins` are names that two instances use, `heard` the peers that are not
-silent, `without_place` counts of keys without room, `refused_keys` rejected keys of peers, `taken` accepted
-datagrams.
+Status keys that differ from the names in the code: `twins` are names that two instances use, `heard` the
+number of peers that are not silent, `without_place` counts of keys that there was no room for, `refused_keys`
+rejected keys of peers, `taken` accepted datagrams.
 """
 
 from __future__ import annotations
@@ -35,19 +35,19 @@
 
 MEMBERSHIP_VERSION = b"\x02"  # the third byte of membership datagrams (peers/membership_codec.py)
 VERSION_BYTE = slice(2, 3)
-READS_PER_TURN = 64  # datagrams in one turn of the event loop; the others wait in the socket's buffer
-LOG_INTERVAL_S = 10.0  # between two lines of one kind
+READS_PER_TURN = 64  # datagrams read per turn of the event loop; others wait in the socket's buffer
+LOG_INTERVAL_S = 10.0  # between two lines of the same kind
 
 
 class RateLimitedLog:
-    """Logs at most one line of a kind in LOG_INTERVAL_S, with how often it happened since the last one."""
+    """Logs at most one line of a kind per LOG_INTERVAL_S, with the number of events since the last one."""
 
     def __init__(self) -> None:
         self._next: dict[object, float] = {}
         self._counts: dict[object, int] = {}
 
     def warn(self, kind: object, text: str) -> None:
-        """Count an event and log it if it is time; `kind` is one of few."""
+        """Count an event, and log it if the interval has passed; there must be few values of `kind`."""
         now = time.monotonic()
         self._counts[kind] = self._counts.get(kind, 0) + 1
         if now >= self._next.get(kind, 0.0):
@@ -56,7 +56,7 @@
 
 
 def bind(address: Address) -> socket.socket:
-    """Return a socket for datagrams; raises OSError."""
+    """Return a bound, non-blocking datagram socket; raises OSError."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     try:
         sock.setblocking(False)
@@ -68,16 +68,16 @@
 
 
 def new_counters(setup: PeersSetup) -> SharedCounters:
-    """Return counters that begin now.
+    """Return empty counters.
 
-    The incarnation is the wall clock's time, so that it grows from start to start; where that clock has
-    stepped back it is another one all the same, and nothing else depends on it.
+    The incarnation is the wall clock's time, so it grows with each start. If the clock was set back, the
+    incarnation is still a different one, and nothing else depends on it.
     """
     return SharedCounters(setup.name, time.time_ns() // 1_000, setup.window, clock_us())
 
 
 class PeerTransport:
-    """This instance among its peers, from its start to its stop."""
+    """This instance's exchange with its peers, from start to stop."""
 
     def __init__(
         self, setup: PeersSetup, sock: socket.socket, seed: int, lists: ListReader | None = None
@@ -92,7 +92,7 @@
         self.unsent = 0  # datagrams that the socket refused
         self._seed = seed
         self._warnings = RateLimitedLog()
-        self._listed: tuple[Address, ...] = ()  # by the list's file
+        self._listed: tuple[Address, ...] = ()  # addresses from the peer list file
         self._list = InstanceList("peers", self._peers_listed, lists)
         self._list.follow(setup.list_path)
         self._logged_conflicts: set[str] = set()
@@ -102,7 +102,7 @@
         self._timer = self.loop.call_soon(self._tick)
 
     def is_compatible_with(self, setup: PeersSetup) -> bool:
-        """Whether it can go on under another setup with its counters."""
+        """Whether `configure` can apply this setup; otherwise the counters have to start again."""
         current = self.setup
         return (current.name, current.address, current.listed_as, current.window) == (
             setup.name,
@@ -112,10 +112,10 @@
         )
 
     def configure(self, setup: PeersSetup) -> None:
-        """Go on with other peers, keys or times and the same counters.
+        """Use other peers, keys and times from now on, and keep the counters.
 
-        A key that is changed in one step would cut the fleet in two until all have it; so the old one stays
-        listed meanwhile.
+        To change a key, operators list the old and the new one until all instances have both: changing it in
+        one step would partition the fleet meanwhile.
         """
         self.setup = setup
         self.gossip.codec = CounterCodec(setup.fleet, setup.keys, setup.window)
@@ -141,7 +141,7 @@
             self.membership.set_seeds(self._seeds())
 
     def stop(self) -> None:
-        """Leave the cluster, stop the timer and the watch on the list of peers, and close the socket."""
+        """Leave the cluster, stop the timer and watching the peer list, and close the socket."""
         self.apply_membership(None)
         self.loop.remove_reader(self.sock)
         self._timer.cancel()
@@ -172,7 +172,7 @@
     def _tick(self) -> None:
         now = self.loop.time()
         period_s = self.setup.period_us / 1e6
-        # Missed turns are skipped, or a loop that was delayed would send a burst of datagrams.
+        # Missed periods are skipped: after a delay of the event loop they would send a burst of datagrams.
         self._next_tick = max(self._next_tick + period_s, now + period_s / 2)
         self._timer = self.loop.call_at(self._next_tick, self._tick)
         for address, data in self.gossip.tick(clock_us()):
@@ -183,14 +183,14 @@
         conflicts = self.counters.peers.name_conflicts
         for name in conflicts.keys() - self._logged_conflicts:
             who = "this instance and another" if name == self.counters.name else "two others"
-            log.error("peer name used twice name=%r by=%s: give each a name of its own", name, who)
+            log.error("peer name used twice name=%r by=%s: give each instance its own name", name, who)
         self._logged_conflicts = set(conflicts)
 
     def _send(self, data: bytes, address: Address) -> None:
         try:
             self.sock.sendto(data, address)
         except OSError as error:
-            # As a lost datagram: what it said goes out again.
+            # Like a lost datagram: its counts are sent again later.
             self.unsent += 1
             reason = f"address={format_address(address)} reason={error.strerror!r}"
             self._warnings.warn("unsent", f"peer datagram not sent {reason}")
@@ -203,7 +203,7 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:
-                if error.errno != errno.ECONNREFUSED:  # of an earlier datagram that nobody received
+                if error.errno != errno.ECONNREFUSED:  # ICMP error for a datagram that was sent earlier
                     self._warnings.warn("unread", f"peer datagrams not read reason={error.strerror!r}")
                 return
             self._receive(data, address, now_us)
@@ -220,7 +220,7 @@
     # Status
 
     def status(self, names: dict[int, str]) -> dict[str, Any]:
-        """Return what is heard and counted; `names` are of the keys whose usage is shown."""
+        """Return the status of peers and counters; `names` has the keys whose usage is shown."""
         now_us = clock_us()
         counters = self.counters
         gossip = self.gossip
