--- a/plovertrail/health_reporter.py
+++ b/plovertrail/health_reporter.py
@@ -1,8 +1,8 @@
-"""Feeds outlier detection with the attempts of all pools, and their load balancers with what follows from it.
+"""Records the attempts of all pools for outlier detection, and passes the penalties to the load balancers.
 
-Status keys, translated here: `held_back` is the penalty, `found_wrong_by` the number of reporters, `wrong`
-unsuccessful attempts, `everywhere` the baseline failure rate; of own attempts `faults` are failures, `silent`
-timeouts and `full` rejections.
+Status keys that differ from the names in the code: `held_back` is the penalty, `found_wrong_by` the number of
+reporters, `wrong` unsuccessful attempts, `everywhere` the baseline failure rate; of own attempts `faults` are
+failures, `silent` timeouts and `full` rejections.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from plovertrail.dispatch.server_pool import ServerPool
 from plovertrail.endpoint_registry import EndpointRegistry
 
-# Evidence is gossiped five times a second as a rule, so health is evaluated as often.
+# Evidence is gossiped five times a second by default, so health is evaluated as often.
 EVALUATION = BackgroundTask(
     "opinions", Priority.PEERS, interval_us=200_000, max_delay_us=1_000_000, loop_fraction=0.02
 )
@@ -41,30 +41,30 @@
     Outcome.CONNECT_FAILED: AttemptResult.FAILURE,
     Outcome.REJECTED: AttemptResult.REJECTION,
     Outcome.TIMEOUT: AttemptResult.TIMEOUT,
-}  # other outcomes tell nothing of the endpoint's health
+}  # other outcomes say nothing about the endpoint's health
 Registries = Callable[[], Mapping[str, EndpointRegistry]]
 
 
 class EvidenceExchange(Protocol):
-    """What exchanges evidence with other instances."""
+    """The interface to the exchange of evidence with other instances."""
 
     @property
     def outlier_detector(self) -> OutlierDetector | None:
-        """The evidence; None while nothing is exchanged."""
+        """The evidence; None if none is exchanged."""
 
     def report_urgently(self, on_urgent_report: Callable[[], None]) -> None:
-        """Send urgent reports now, and call `on_urgent_report` with each, own or a peer's."""
+        """Gossip urgent reports at once, and call `on_urgent_report` for each, own or a peer's."""
 
 
-# Digests of 10,000 ids at each change of a list would delay the event loop.
+# Without the cache, computing 10,000 digests at each change of a list would delay the event loop.
 @lru_cache(maxsize=16_384)
 def endpoint_key(pool: str, endpoint_name: str) -> int:
-    """Return the key of an endpoint among all instances: by its listed id, as addresses may differ."""
+    """Return an endpoint's key, the same on all instances: by its listed id, as addresses may differ."""
     return key_of("server", pool, endpoint_name)
 
 
 def class_key(name: str) -> int:
-    """Return the key of a request class among all instances, in 32 bits."""
+    """Return a request class's 32-bit key, the same on all instances."""
     return key_of("class", name) >> 32
 
 
@@ -76,12 +76,12 @@
         self.registries = registries
         self.exchange = exchange
         self.runner: BackgroundRunner | None = None
-        self.health: dict[EvidenceKey, EndpointHealth] = {}  # as last evaluated
+        self.health: dict[EvidenceKey, EndpointHealth] = {}  # from the last evaluation
         self._registry_of: dict[ServerPool, EndpointRegistry] = {}
-        self._keys: dict[
-            ServerPool, tuple[EndpointListState, PoolKeys]
-        ] = {}  # of this state of the pool's list
-        self._penalties: dict[ServerPool, Mapping[tuple[int, int], float]] = {}  # as last passed on
+        # The keys, and the state of the pool's endpoint list that they were computed for.
+        self._keys: dict[ServerPool, tuple[EndpointListState, PoolKeys]] = {}
+        # By endpoint id and class index, as last passed to the load balancer.
+        self._penalties: dict[ServerPool, Mapping[tuple[int, int], float]] = {}
 
     def apply(self, runner: BackgroundRunner) -> None:
         """Apply the pools and settings of a new configuration."""
@@ -104,7 +104,7 @@
             self._clear()
 
     def _clear(self) -> None:
-        """Withdraw all penalties."""
+        """Remove all penalties."""
         self.health = {}
         for pool, penalties in self._penalties.items():
             if penalties:
@@ -112,14 +112,14 @@
         self._penalties = {}
 
     def evaluate_soon(self) -> None:
-        """Evaluate before the regular time, as an endpoint has turned unhealthy."""
+        """Evaluate before the regular time, because an endpoint turned unhealthy."""
         if self.runner is not None and EVALUATION.name in self.runner.start_run:
             self.runner.make_due(EVALUATION.name)
 
     def attempt_ended(
         self, pool: ServerPool, endpoint_id: int, class_index: int, outcome: Outcome, elapsed_us: int
     ) -> None:
-        """Record an attempt; a timeout after the latency objective was recorded at the objective."""
+        """Record an attempt, except a timeout later than the latency objective: `no_response` recorded it."""
         objective_us = pool.settings.classes[class_index].latency_objective_us
         recorded = outcome is Outcome.TIMEOUT and elapsed_us >= objective_us
         result = ATTEMPT_RESULTS.get(outcome)
@@ -148,7 +148,7 @@
         return (endpoint, keys.classes[class_index]) if endpoint is not None else None
 
     def _keys_of(self, pool: ServerPool, registry: EndpointRegistry) -> PoolKeys:
-        """The shared keys of a pool, computed anew when its list has changed."""
+        """Return the shared keys of a pool; they are computed again when its endpoint list changes."""
         cached = self._keys.get(pool)
         if cached is not None and cached[0] is registry.state:
             return cached[1]
@@ -161,7 +161,7 @@
         return keys
 
     def evaluate(self) -> Iterator[None]:
-        """Evaluate the health of all endpoints once, a pool a slice."""
+        """Evaluate the health of all endpoints once, one pool per time slice."""
         detector = self.exchange.outlier_detector
         if detector is None:
             return
@@ -175,7 +175,7 @@
                 self._penalties[pool] = penalties
                 self.dispatcher.pools.update_peer_health(pool, penalties)
             yield
-        # replaced and not updated, or it would keep all endpoints that ever were
+        # Replaced rather than updated, or it would keep endpoints that are no longer listed.
         self.health = found
 
     def status(self) -> dict[str, Any]:
@@ -200,7 +200,7 @@
         return found
 
     def _status_of(self, detector: OutlierDetector, key: EvidenceKey, now_us: int) -> dict[str, Any]:
-        """One endpoint's health for operators, under the keys that stay."""
+        """Return one endpoint's health for one class, by status key."""
         health = self.health.get(key)
         if health is None:
             health = detector.health_of(key, now_us, detector.baseline_failure_rate(key[1], now_us))
