--- a/benchmarks/cluster_membership.py
+++ b/benchmarks/cluster_membership.py
@@ -42,8 +42,8 @@
     for seed in range(seeds):
         fleet = MembershipModel(size, seed=seed, loss=loss, judge=False)
         fleet.run(30)
-        suspected += sum(ship.cluster.suspicions_raised for ship in fleet.ships)
-        probes += sum(ship.cluster.prober.probes_sent for ship in fleet.ships)
+        suspected += sum(instance.cluster.suspicions_raised for instance in fleet.instances)
+        probes += sum(instance.cluster.prober.probes_sent for instance in fleet.instances)
         fleet.kill(0)
         begun_us = fleet.now_us
         while fleet.states(0)[MemberState.DEAD] < size - 1 and fleet.now_us < begun_us + 2 * stated_s * S:
@@ -64,14 +64,14 @@
             for n in range(size - real)
         ]
         self.by_address = {record.address: record for record in self.rest}
-        for number, ship in enumerate(self.ships):
-            ship.cluster.merge_records(
-                [other.cluster.me for other in self.ships if other is not ship],
+        for number, instance in enumerate(self.instances):
+            instance.cluster.merge_records(
+                [other.cluster.me for other in self.instances if other is not instance],
                 "",
                 self.local_us(number),
             )
-            ship.cluster.merge_records(self.rest, "", self.local_us(number))
-            ship.cluster.table.gossip_queue.clear()
+            instance.cluster.merge_records(self.rest, "", self.local_us(number))
+            instance.cluster.table.gossip_queue.clear()
             self.at(int(self.rng.random() * S), self.probed, number)
 
     def probed(self, number: int) -> None:
--- a/fakes/membership_model.py
+++ b/fakes/membership_model.py
@@ -62,14 +62,16 @@
         self.datagrams: Counter[int] = Counter()
         self.octets: Counter[int] = Counter()
         self.codec = MembershipCodec("model", [KEY])
-        self.ships = [self.start(number) for number in range(size)]
+        self.instances = [self.start(number) for number in range(size)]
         if known:
-            records = [ship.cluster.me for ship in self.ships]
-            for ship in self.ships:
-                ship.cluster.merge_records(records, "", self.local_us(self.numbers[ship.cluster.me.address]))
-                ship.cluster.table.gossip_queue.clear()
+            records = [instance.cluster.me for instance in self.instances]
+            for instance in self.instances:
+                instance.cluster.merge_records(
+                    records, "", self.local_us(self.numbers[instance.cluster.me.address])
+                )
+                instance.cluster.table.gossip_queue.clear()
         for number in range(size):
-            self.tick(number, self.ships[number])
+            self.tick(number, self.instances[number])
 
     def local_us(self, number: int) -> int:
         """An instance's own clock: monotonic, and far from all others."""
@@ -94,8 +96,8 @@
         """It forgets all, and its clock begins elsewhere; what it sent is still on its way."""
         self.alive[number] = True
         self.skews_us[number] = self.rng.randrange(1, 10**12)
-        self.ships[number] = self.start(number, wall_off_us)
-        self.tick(number, self.ships[number])
+        self.instances[number] = self.start(number, wall_off_us)
+        self.tick(number, self.instances[number])
 
     def kill(self, number: int) -> None:
         """Kill an instance: it says and hears nothing any more."""
@@ -108,15 +110,15 @@
 
     def wake(self, number: int) -> None:
         """and woken: it notices, and then reads what lies there."""
-        ship, slept_us = self.ships[number], self.now_us - self.asleep.pop(number)
-        ship.process_paused(slept_us, self.local_us(number))
+        instance, slept_us = self.instances[number], self.now_us - self.asleep.pop(number)
+        instance.process_paused(slept_us, self.local_us(number))
         for data, sender in self.inbox.pop(number)[-256:]:
             self.deliver(number, data, sender)
-        self.tick(number, ship)
+        self.tick(number, instance)
 
     def leave(self, number: int) -> None:
         """It stops as on SIGTERM."""
-        self.send(number, self.ships[number].leave(self.local_us(number)))
+        self.send(number, self.instances[number].leave(self.local_us(number)))
         self.alive[number] = False
 
     def at(self, at_us: int, what: Callable[..., None], *arguments: object) -> None:
@@ -124,13 +126,13 @@
         self.order += 1
         heapq.heappush(self.due, (at_us, self.order, what, arguments))
 
-    def tick(self, number: int, ship: MembershipProtocol) -> None:
+    def tick(self, number: int, instance: MembershipProtocol) -> None:
         """Let an instance do what is due, and again when it says so; void for an earlier process of it."""
-        if self.ships[number] is not ship or not self.alive[number] or number in self.asleep:
+        if self.instances[number] is not instance or not self.alive[number] or number in self.asleep:
             return
-        self.send(number, ship.tick(self.local_us(number)))
-        wait_us = max(1_000, ship.next_wakeup_us() - self.local_us(number))
-        self.at(self.now_us + wait_us, self.tick, number, ship)
+        self.send(number, instance.tick(self.local_us(number)))
+        wait_us = max(1_000, instance.next_wakeup_us() - self.local_us(number))
+        self.at(self.now_us + wait_us, self.tick, number, instance)
 
     def send(self, number: int, out: list[tuple[Address, bytes]]) -> None:
         """Send datagrams over the model's network, which loses, repeats and delays them."""
@@ -148,7 +150,7 @@
         if to in self.asleep:
             self.inbox[to].append((data, sender))
         elif self.alive[to]:
-            _, out = self.ships[to].receive(data, sender, self.local_us(to))
+            _, out = self.instances[to].receive(data, sender, self.local_us(to))
             self.send(to, out)
 
     def run(self, seconds: float, look: Callable[[], None] | None = None, every_s: float = 0.1) -> None:
@@ -166,7 +168,7 @@
 
     def state(self, at: int, of: int) -> MemberState | None:
         """What one thinks of another; None: it isn't known there."""
-        member = self.ships[at].cluster.table.members.get(f"i{of}")
+        member = self.instances[at].cluster.table.members.get(f"i{of}")
         return member.record.state if member is not None else None
 
     def states(self, of: int) -> Counter[MemberState | None]:
@@ -179,6 +181,6 @@
 
     def outlier_detector(self, number: int) -> OutlierDetector:
         """What an instance has been told of servers."""
-        found = self.ships[number].detector
+        found = self.instances[number].detector
         assert found is not None
         return found
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -207,8 +207,8 @@
     model.run(300)
     assert all(
         name in (f"i{number}" for number in range(at % 2, 8, 2))
-        for at, ship in enumerate(model.ships)
-        for name in ship.cluster.table.members
+        for at, instance in enumerate(model.instances)
+        for name in instance.cluster.table.members
     )
 
 
--- a/tests/decisions/test_cluster_members.py
+++ b/tests/decisions/test_cluster_members.py
@@ -105,7 +105,7 @@
 
     fleet.run(60, count_dead, 0.5)
     assert declared_dead == 0
-    suspected = sum(ship.cluster.suspicions_raised for ship in fleet.ships)
+    suspected = sum(instance.cluster.suspicions_raised for instance in fleet.instances)
     probes = 60 * 16
     assert suspected <= probes * (
         2 * false_suspicion_probability(loss) + 0.01
@@ -129,14 +129,14 @@
     fleet.run(90)
     for number in range(15):
         here = sum(1 for other in range(15) if (other < 4) == (number < 4)) - 1
-        states = fleet.ships[number].cluster.live_records()
+        states = fleet.instances[number].cluster.live_records()
         assert len(states) == here  # each side sees itself, and the other one as dead
     fleet.delivers = lambda *_: True
     fleet.datagrams.clear()
     fleet.run(60)
     assert all(fleet.states(number) == {ALIVE: 14} for number in range(15))
     assert max(fleet.datagrams.values()) < 60 * 30  # a second each: pings, acks, gossip to three five times
-    incarnations = [ship.cluster.me.incarnation - fleet.wall_us for ship in fleet.ships]
+    incarnations = [instance.cluster.me.incarnation - fleet.wall_us for instance in fleet.instances]
     assert max(incarnations) < 5  # nobody refuted again and again
 
 
@@ -145,7 +145,7 @@
     fleet.run(3)
     fleet.delivers = lambda sender, receiver: 0 not in (sender, receiver)
     fleet.run(100)
-    isolated = fleet.ships[0].cluster
+    isolated = fleet.instances[0].cluster
     assert isolated.is_isolated(fleet.local_us(0))
     assert isolated.is_unhealthy
     assert all(member.record.state < DEAD for member in isolated.table.members.values())
@@ -169,7 +169,7 @@
         ),
     )
     assert not declared_dead
-    assert fleet.ships[7].cluster.prober.health_score == MAX_HEALTH_SCORE
+    assert fleet.instances[7].cluster.prober.health_score == MAX_HEALTH_SCORE
 
 
 def test_a_paused_member_accuses_nobody_and_refutes_when_it_resumes() -> None:
@@ -179,7 +179,7 @@
     fleet.run(60)
     assert fleet.states(2) == {DEAD: 9}
     fleet.wake(2)
-    assert fleet.ships[2].cluster.is_unhealthy
+    assert fleet.instances[2].cluster.is_unhealthy
     fleet.run(20)
     assert all(fleet.states(number) == {ALIVE: 9} for number in range(10))
 
@@ -211,21 +211,21 @@
     for size in (1, 2, 20):
         fleet = MembershipModel(size, seed=9, known=False)
         fleet.run(20)
-        assert all(ship.cluster.size == size for ship in fleet.ships)
+        assert all(instance.cluster.size == size for instance in fleet.instances)
     for seed in range(20):  # all list all: pairs that join each other first do not stay separate
         fleet = MembershipModel(4, seed=seed, known=False, all_seeds=True, loss=0.3)
         fleet.run(15)
-        assert all(ship.cluster.size == 4 for ship in fleet.ships), seed
+        assert all(instance.cluster.size == 4 for instance in fleet.instances), seed
 
 
 def test_two_instances_under_one_name_are_reported_and_do_not_refute_each_other() -> None:
     fleet = MembershipModel(6, seed=10)
-    twin = fleet.ships[5].cluster
+    twin = fleet.instances[5].cluster
     twin.table.me = MemberRecord("i4", twin.me.address, twin.me.incarnation, ALIVE)
     fleet.run(30)
-    assert any(ship.cluster.table.name_conflicts.keys() == {"i4"} for ship in fleet.ships)
+    assert any(instance.cluster.table.name_conflicts.keys() == {"i4"} for instance in fleet.instances)
     assert twin.me.incarnation - fleet.wall_us < 10
-    assert all(fleet.ships[0].cluster.table.members[f"i{n}"].record.state is ALIVE for n in (1, 2, 3))
+    assert all(fleet.instances[0].cluster.table.members[f"i{n}"].record.state is ALIVE for n in (1, 2, 3))
 
 
 def test_the_load_of_a_member_does_not_depend_on_the_cluster_size() -> None:
