--- a/benchmarks/capacity/membership_role.py
+++ b/benchmarks/capacity/membership_role.py
@@ -221,13 +221,13 @@
     """Bytes a second of one member where all of a cluster are whole: what the crowd is held against."""
     model = MembershipModel(MODEL_SIZE, seed=1, judge=False, zones=ZONES)
     model.run(SETTLE_S)
-    model.octets.clear()
+    model.bytes_sent.clear()
     if restarts:
         for number in range(MODEL_SIZE):
             if number % RESTART_PART == RESTART_PART - 1:
                 model.restart(number)
     model.run(MODEL_STRETCH_S)
-    return model.octets.total() / MODEL_SIZE / MODEL_STRETCH_S
+    return model.bytes_sent.total() / MODEL_SIZE / MODEL_STRETCH_S
 
 
 @dataclass(frozen=True, slots=True)
--- a/benchmarks/cluster_membership.py
+++ b/benchmarks/cluster_membership.py
@@ -91,7 +91,7 @@
                 super().send(number, [(address, data)])
                 continue
             self.datagrams[number] += 1
-            self.octets[number] += len(data)
+            self.bytes_sent[number] += len(data)
             asked = self.codec.decode(data, frozenset({digest(format_address(address))}))
             if asked.kind is MessageKind.PING:
                 answer = self.codec.encode(
@@ -105,14 +105,14 @@
     """Datagrams, bytes and ms of CPU a second of one instance; the model's own CPU is in it."""
     fleet.run(3)
     fleet.datagrams.clear()
-    fleet.octets.clear()
+    fleet.bytes_sent.clear()
     for number in random.Random(1).sample(range(1, fleet.size), restarted):
         fleet.restart(number)
     began = time.process_time()
     fleet.run(seconds)
     cpu_s = time.process_time() - began
     whole = fleet.size * seconds
-    return sum(fleet.datagrams.values()) / whole, sum(fleet.octets.values()) / whole, cpu_s * 1e3 / whole
+    return sum(fleet.datagrams.values()) / whole, sum(fleet.bytes_sent.values()) / whole, cpu_s * 1e3 / whole
 
 
 def main() -> int:
--- a/benchmarks/shared_counts.py
+++ b/benchmarks/shared_counts.py
@@ -326,7 +326,7 @@
     before = time.process_time()
     model.run(int(seconds * SECOND_US))
     used = time.process_time() - before
-    return used * 1e3 / size / seconds, model.octets.total() / size / seconds
+    return used * 1e3 / size / seconds, model.bytes_sent.total() / size / seconds
 
 
 def request_cost() -> tuple[float, float]:
--- a/fakes/membership_model.py
+++ b/fakes/membership_model.py
@@ -60,7 +60,7 @@
         self.asleep: dict[int, int] = {}  # since when
         self.inbox: dict[int, list[tuple[bytes, Address]]] = {}  # of those asleep
         self.datagrams: Counter[int] = Counter()
-        self.octets: Counter[int] = Counter()
+        self.bytes_sent: Counter[int] = Counter()
         self.codec = MembershipCodec("model", [KEY])
         self.instances = [self.start(number) for number in range(size)]
         if known:
@@ -139,7 +139,7 @@
         for address, data in out:
             to = self.numbers.get(address)
             self.datagrams[number] += 1
-            self.octets[number] += len(data)
+            self.bytes_sent[number] += len(data)
             for _ in range(1 + (self.rng.random() < self.repeats)):
                 if to is not None and self.delivers(number, to) and self.rng.random() >= self.loss:
                     delay_us = int(self.rng.random() * self.delay_s * SECOND_US)
--- a/fakes/peers_model.py
+++ b/fakes/peers_model.py
@@ -44,7 +44,7 @@
         self.alive = [True] * talk.size
         self.truth: dict[int, list[int]] = {}  # by key, when each request came
         self.incarnations = 0
-        self.octets: Counter[int] = Counter()
+        self.bytes_sent: Counter[int] = Counter()
         for number in range(talk.size):
             self.gossips.append(self.start(number))
             self.at(int(self.rng.random() * talk.period_s * 1e6), self.tick, number)
@@ -90,7 +90,7 @@
             return
         for address, data in self.gossips[number].tick(self.local_us(number)):
             to = self.numbers[address]
-            self.octets[number] += len(data)
+            self.bytes_sent[number] += len(data)
             copies = 1 + (self.rng.random() < self.repeats)
             for _ in range(copies):
                 if self.delivers(number, to) and self.rng.random() >= self.talk.loss:
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -166,13 +166,13 @@
     """Bytes of one member, quiet; both with names and zones of the same length."""
     model = MembershipModel(60, seed=1, judge=False, zones=8)
     model.run(3)
-    model.octets.clear()
+    model.bytes_sent.clear()
     model.run(30)
     crowd = MemberCrowd(CrowdPlan(60, 16, name_prefix="i"))
     crowd.queue.run(3)
     crowd.reset()
     crowd.queue.run(30)
-    assert crowd.traffic.octets.total() / 16 == pytest.approx(model.octets.total() / 60, rel=0.05)
+    assert crowd.traffic.octets.total() / 16 == pytest.approx(model.bytes_sent.total() / 60, rel=0.05)
 
 
 def test_restarted_members_are_known_to_all_by_their_new_records() -> None:
