--- a/fakes/membership_model.py
+++ b/fakes/membership_model.py
@@ -31,7 +31,7 @@
         period_s: float = 1.0,
         loss: float = 0.0,
         delay_s: float = 0.02,
-        repeats: float = 0.0,
+        duplicate_rate: float = 0.0,
         known: bool = True,
         judge: bool = True,
         zones: int = 1,
@@ -42,7 +42,7 @@
         self.period_us = int(period_s * SECOND_US)
         self.loss = loss
         self.delay_s = delay_s
-        self.repeats = repeats
+        self.duplicate_rate = duplicate_rate
         self.judge = judge
         self.all_seeds = all_seeds  # each lists all, as an operator's file does
         self.zones = zones
@@ -140,7 +140,7 @@
             to = self.numbers.get(address)
             self.datagrams[number] += 1
             self.bytes_sent[number] += len(data)
-            for _ in range(1 + (self.rng.random() < self.repeats)):
+            for _ in range(1 + (self.rng.random() < self.duplicate_rate)):
                 if to is not None and self.delivers(number, to) and self.rng.random() >= self.loss:
                     delay_us = int(self.rng.random() * self.delay_s * SECOND_US)
                     self.at(self.now_us + delay_us, self.deliver, to, data, self.addresses[number])
--- a/fakes/peers_model.py
+++ b/fakes/peers_model.py
@@ -26,12 +26,12 @@
     """`size` instances, numbered from 0; their clocks began at times of their own."""
 
     def __init__(
-        self, talk: GossipParameters, *, seed: int = 1, repeats: float = 0.0, alone_share: bool = True
+        self, talk: GossipParameters, *, seed: int = 1, duplicate_rate: float = 0.0, alone_share: bool = True
     ) -> None:
         self.talk = talk
         self.rng = random.Random(seed)
         self.window = CountingWindow(round(talk.window_s * 1e6), round(talk.window_s / talk.bucket_s))
-        self.repeats = repeats
+        self.duplicate_rate = duplicate_rate
         self.alone_share = alone_share
         self.now_us = 0
         self.due: list[tuple[int, int, Callable[..., None], tuple[object, ...]]] = []
@@ -91,7 +91,7 @@
         for address, data in self.gossips[number].tick(self.local_us(number)):
             to = self.numbers[address]
             self.bytes_sent[number] += len(data)
-            copies = 1 + (self.rng.random() < self.repeats)
+            copies = 1 + (self.rng.random() < self.duplicate_rate)
             for _ in range(copies):
                 if self.delivers(number, to) and self.rng.random() >= self.talk.loss:
                     delay_us = int(self.rng.random() * self.talk.delay_s * 1e6)
--- a/tests/decisions/test_cluster_members.py
+++ b/tests/decisions/test_cluster_members.py
@@ -90,7 +90,7 @@
 
 @pytest.mark.parametrize("loss", [0.0, 0.1, 0.3])
 def test_under_loss_dead_members_are_detected_and_no_live_one_is_declared_dead(loss: float) -> None:
-    fleet = MembershipModel(16, seed=2, loss=loss, repeats=0.1)
+    fleet = MembershipModel(16, seed=2, loss=loss, duplicate_rate=0.1)
     declared_dead = 0
 
     def count_dead() -> None:
--- a/tests/decisions/test_counter_error_bound.py
+++ b/tests/decisions/test_counter_error_bound.py
@@ -84,7 +84,7 @@
 
 
 def test_twenty_instances_stay_within_the_bound_under_loss_delay_and_repeats() -> None:
-    model = PeersModel(GOSSIP, seed=5, repeats=0.1)
+    model = PeersModel(GOSSIP, seed=5, duplicate_rate=0.1)
     rates = {1: 60.0, 2: 20.0, 3: 5.0}
     outside, samples, worst_ratio = measure_errors(model, error_bound(GOSSIP), rates, 20)
     assert outside <= 1e-3 * samples
