--- a/benchmarks/capacity/membership_role.py
+++ b/benchmarks/capacity/membership_role.py
@@ -219,7 +219,7 @@
 
 def whole_cluster_bytes(restarts: bool) -> float:
     """Bytes a second of one member where all of a cluster are whole: what the crowd is held against."""
-    model = MembershipModel(MODEL_SIZE, seed=1, judge=False, zones=ZONES)
+    model = MembershipModel(MODEL_SIZE, seed=1, exchange_health=False, zones=ZONES)
     model.run(SETTLE_S)
     model.bytes_sent.clear()
     if restarts:
--- a/benchmarks/cluster_membership.py
+++ b/benchmarks/cluster_membership.py
@@ -40,7 +40,7 @@
     took, given_up, suspected, probes = [], 0, 0, 0
     stated_s = longest_detection_us(size, S, loss) / S
     for seed in range(seeds):
-        fleet = MembershipModel(size, seed=seed, loss=loss, judge=False)
+        fleet = MembershipModel(size, seed=seed, loss=loss, exchange_health=False)
         fleet.run(30)
         suspected += sum(instance.cluster.suspicions_raised for instance in fleet.instances)
         probes += sum(instance.cluster.prober.probes_sent for instance in fleet.instances)
@@ -58,7 +58,7 @@
     of that size would."""
 
     def __init__(self, size: int, real: int, seed: int) -> None:
-        super().__init__(real, seed=seed, known=False, judge=False)
+        super().__init__(real, seed=seed, known=False, exchange_health=False)
         self.rest = [
             MemberRecord(f"x{n}", (f"11.{n >> 16}.{n >> 8 & 255}.{n & 255}", 7400), 1, MemberState.ALIVE)
             for n in range(size - real)
@@ -155,7 +155,7 @@
     table(["", "dead to silent s", "worst", "stated", "suspected", "SWIM", "given up"], rows)
     rows, loads = [], {}
     fleets: list[tuple[str, MembershipModel]] = [
-        (f"{size}", MembershipModel(size, seed=1, judge=False))
+        (f"{size}", MembershipModel(size, seed=1, exchange_health=False))
         for size in (SIZES[:2] if asked.short else SIZES)
     ]
     if not asked.short:
--- a/fakes/membership_model.py
+++ b/fakes/membership_model.py
@@ -33,7 +33,7 @@
         delay_s: float = 0.02,
         duplicate_rate: float = 0.0,
         known: bool = True,
-        judge: bool = True,
+        exchange_health: bool = True,
         zones: int = 1,
         all_seeds: bool = False,
     ) -> None:
@@ -43,7 +43,7 @@
         self.loss = loss
         self.delay_s = delay_s
         self.duplicate_rate = duplicate_rate
-        self.judge = judge
+        self.exchange_health = exchange_health
         self.all_seeds = all_seeds  # each lists all, as an operator's file does
         self.zones = zones
         self.now_us = 0
@@ -87,7 +87,7 @@
         seeds = self.addresses if self.all_seeds else self.addresses[:1]
         settings = MembershipSettings(self.period_us, tuple(seeds))
         cluster = ClusterMembers(me, settings, random.Random(self.rng.random()), now_us)
-        detector = OutlierDetector(reporter_key(me.name), now_us, wall_us) if self.judge else None
+        detector = OutlierDetector(reporter_key(me.name), now_us, wall_us) if self.exchange_health else None
         return MembershipProtocol(
             cluster, detector, self.codec, GossipSettings(self.period_us // 5, 3), now_us
         )
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -164,7 +164,7 @@
 
 def test_a_crowd_sends_what_a_cluster_of_whole_members_sends() -> None:
     """Bytes of one member, quiet; both with names and zones of the same length."""
-    model = MembershipModel(60, seed=1, judge=False, zones=8)
+    model = MembershipModel(60, seed=1, exchange_health=False, zones=8)
     model.run(3)
     model.bytes_sent.clear()
     model.run(30)
@@ -201,7 +201,7 @@
 def test_regions_that_were_cut_for_five_minutes_have_forgotten_each_other() -> None:
     """Why the crowd begins with two halves that know their own side only."""
     assert FORGET_US < 300_000_000
-    model = MembershipModel(8, seed=1, judge=False)
+    model = MembershipModel(8, seed=1, exchange_health=False)
     model.run(3)
     model.delivers = lambda sender, receiver: sender % 2 == receiver % 2
     model.run(300)
