--- a/fakes/membership_model.py
+++ b/fakes/membership_model.py
@@ -57,7 +57,7 @@
         self.skews_us = [self.rng.randrange(1, 10**12) for _ in range(size)]
         self.wall_us = 50 * 365 * DAY_US
         self.alive = [True] * size
-        self.asleep: dict[int, int] = {}  # since when
+        self.paused: dict[int, int] = {}  # since when
         self.inbox: dict[int, list[tuple[bytes, Address]]] = {}  # of those asleep
         self.datagrams: Counter[int] = Counter()
         self.bytes_sent: Counter[int] = Counter()
@@ -103,14 +103,14 @@
         """Kill an instance: it says and hears nothing any more."""
         self.alive[number] = False
 
-    def sleep(self, number: int) -> None:
+    def pause(self, number: int) -> None:
         """Its process is stopped,"""
-        self.asleep[number] = self.now_us
+        self.paused[number] = self.now_us
         self.inbox[number] = []
 
-    def wake(self, number: int) -> None:
+    def resume(self, number: int) -> None:
         """and woken: it notices, and then reads what lies there."""
-        instance, slept_us = self.instances[number], self.now_us - self.asleep.pop(number)
+        instance, slept_us = self.instances[number], self.now_us - self.paused.pop(number)
         instance.process_paused(slept_us, self.local_us(number))
         for data, sender in self.inbox.pop(number)[-256:]:
             self.deliver(number, data, sender)
@@ -128,7 +128,7 @@
 
     def tick(self, number: int, instance: MembershipProtocol) -> None:
         """Let an instance do what is due, and again when it says so; void for an earlier process of it."""
-        if self.instances[number] is not instance or not self.alive[number] or number in self.asleep:
+        if self.instances[number] is not instance or not self.alive[number] or number in self.paused:
             return
         self.send(number, instance.tick(self.local_us(number)))
         wait_us = max(1_000, instance.next_wakeup_us() - self.local_us(number))
@@ -147,7 +147,7 @@
 
     def deliver(self, to: int, data: bytes, sender: Address) -> None:
         """Bring a datagram to an instance; one that is stopped finds it when it goes on."""
-        if to in self.asleep:
+        if to in self.paused:
             self.inbox[to].append((data, sender))
         elif self.alive[to]:
             _, out = self.instances[to].receive(data, sender, self.local_us(to))
@@ -176,7 +176,7 @@
         return Counter(
             self.state(at, of)
             for at in range(self.size)
-            if at != of and self.alive[at] and at not in self.asleep
+            if at != of and self.alive[at] and at not in self.paused
         )
 
     def outlier_detector(self, number: int) -> OutlierDetector:
--- a/tests/decisions/test_cluster_members.py
+++ b/tests/decisions/test_cluster_members.py
@@ -175,10 +175,10 @@
 def test_a_paused_member_accuses_nobody_and_refutes_when_it_resumes() -> None:
     fleet = MembershipModel(10, seed=6)
     fleet.run(3)
-    fleet.sleep(2)
+    fleet.pause(2)
     fleet.run(60)
     assert fleet.states(2) == {DEAD: 9}
-    fleet.wake(2)
+    fleet.resume(2)
     assert fleet.instances[2].cluster.is_unhealthy
     fleet.run(20)
     assert all(fleet.states(number) == {ALIVE: 9} for number in range(10))
@@ -317,7 +317,7 @@
 @given(
     st.lists(
         st.tuples(
-            st.sampled_from(["kill", "sleep", "cut", "heal", "wait"]), st.integers(0, 6), st.integers(1, 40)
+            st.sampled_from(["kill", "pause", "cut", "heal", "wait"]), st.integers(0, 6), st.integers(1, 40)
         ),
         max_size=6,
     ),
@@ -336,15 +336,15 @@
             cut.discard(number)
             if not fleet.alive[number]:
                 fleet.restart(number)
-            elif number in fleet.asleep:
-                fleet.wake(number)
+            elif number in fleet.paused:
+                fleet.resume(number)
             del history.unreachable_since[number]
         elif (
-            do in ("kill", "sleep", "cut")
+            do in ("kill", "pause", "cut")
             and number not in history.unreachable_since
             and len(history.unreachable_since) < 3
         ):
-            {"kill": fleet.kill, "sleep": fleet.sleep, "cut": cut.add}[do](number)
+            {"kill": fleet.kill, "pause": fleet.pause, "cut": cut.add}[do](number)
             history.unreachable_since[number] = fleet.now_us
         fleet.run(wait_s)
     # a round in which each is pinged, the longest periods by the health score, and the spread of gossip
