--- a/fakes/membership_model.py
+++ b/fakes/membership_model.py
@@ -47,14 +47,14 @@
         self.all_seeds = all_seeds  # each lists all, as an operator's file does
         self.zones = zones
         self.now_us = 0
-        self.due: list[tuple[int, int, Callable[..., None], tuple[object, ...]]] = []
-        self.order = 0
+        self.events: list[tuple[int, int, Callable[..., None], tuple[object, ...]]] = []
+        self.event_count = 0
         self.delivers: Callable[[int, int], bool] = lambda sender, receiver: True
         self.addresses: list[Address] = [
             (f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}", 7400) for n in range(size)
         ]
         self.numbers = {address: number for number, address in enumerate(self.addresses)}
-        self.skews_us = [self.rng.randrange(1, 10**12) for _ in range(size)]
+        self.clock_offsets_us = [self.rng.randrange(1, 10**12) for _ in range(size)]
         self.wall_us = 50 * 365 * DAY_US
         self.alive = [True] * size
         self.paused: dict[int, int] = {}  # since when
@@ -75,11 +75,11 @@
 
     def local_us(self, number: int) -> int:
         """An instance's own clock: monotonic, and far from all others."""
-        return self.now_us + self.skews_us[number]
+        return self.now_us + self.clock_offsets_us[number]
 
-    def start(self, number: int, wall_off_us: int = 0) -> MembershipProtocol:
+    def start(self, number: int, wall_clock_offset_us: int = 0) -> MembershipProtocol:
         """An instance that knows nobody; its wall clock may be off."""
-        wall_us = self.wall_us + self.now_us + wall_off_us
+        wall_us = self.wall_us + self.now_us + wall_clock_offset_us
         me = MemberRecord(
             f"i{number}", self.addresses[number], wall_us, MemberState.ALIVE, f"z{number % self.zones}"
         )
@@ -92,11 +92,11 @@
             cluster, detector, self.codec, GossipSettings(self.period_us // 5, 3), now_us
         )
 
-    def restart(self, number: int, wall_off_us: int = 0) -> None:
+    def restart(self, number: int, wall_clock_offset_us: int = 0) -> None:
         """It forgets all, and its clock begins elsewhere; what it sent is still on its way."""
         self.alive[number] = True
-        self.skews_us[number] = self.rng.randrange(1, 10**12)
-        self.instances[number] = self.start(number, wall_off_us)
+        self.clock_offsets_us[number] = self.rng.randrange(1, 10**12)
+        self.instances[number] = self.start(number, wall_clock_offset_us)
         self.tick(number, self.instances[number])
 
     def kill(self, number: int) -> None:
@@ -110,8 +110,8 @@
 
     def resume(self, number: int) -> None:
         """and woken: it notices, and then reads what lies there."""
-        instance, slept_us = self.instances[number], self.now_us - self.paused.pop(number)
-        instance.process_paused(slept_us, self.local_us(number))
+        instance, pause_us = self.instances[number], self.now_us - self.paused.pop(number)
+        instance.process_paused(pause_us, self.local_us(number))
         for data, sender in self.inbox.pop(number)[-256:]:
             self.deliver(number, data, sender)
         self.tick(number, instance)
@@ -121,10 +121,10 @@
         self.send(number, self.instances[number].leave(self.local_us(number)))
         self.alive[number] = False
 
-    def at(self, at_us: int, what: Callable[..., None], *arguments: object) -> None:
+    def at(self, at_us: int, callback: Callable[..., None], *arguments: object) -> None:
         """Call `what` with the arguments at a time on the model's clock."""
-        self.order += 1
-        heapq.heappush(self.due, (at_us, self.order, what, arguments))
+        self.event_count += 1
+        heapq.heappush(self.events, (at_us, self.event_count, callback, arguments))
 
     def tick(self, number: int, instance: MembershipProtocol) -> None:
         """Let an instance do what is due, and again when it says so; void for an earlier process of it."""
@@ -153,30 +153,30 @@
             _, out = self.instances[to].receive(data, sender, self.local_us(to))
             self.send(to, out)
 
-    def run(self, seconds: float, look: Callable[[], None] | None = None, every_s: float = 0.1) -> None:
+    def run(self, seconds: float, observe: Callable[[], None] | None = None, interval_s: float = 0.1) -> None:
         """So much longer; `look` is called now and then."""
         ends_us = self.now_us + int(seconds * SECOND_US)
         next_us = self.now_us
         while self.now_us < ends_us:
-            until_us = min(ends_us, next_us + int(every_s * SECOND_US)) if look else ends_us
-            while self.due and self.due[0][0] <= until_us:
-                self.now_us, _, what, arguments = heapq.heappop(self.due)
-                what(*arguments)
+            until_us = min(ends_us, next_us + int(interval_s * SECOND_US)) if observe else ends_us
+            while self.events and self.events[0][0] <= until_us:
+                self.now_us, _, callback, arguments = heapq.heappop(self.events)
+                callback(*arguments)
             self.now_us = next_us = until_us
-            if look is not None:
-                look()
+            if observe is not None:
+                observe()
 
-    def state(self, at: int, of: int) -> MemberState | None:
+    def state(self, observer: int, subject: int) -> MemberState | None:
         """What one thinks of another; None: it isn't known there."""
-        member = self.instances[at].cluster.table.members.get(f"i{of}")
+        member = self.instances[observer].cluster.table.members.get(f"i{subject}")
         return member.record.state if member is not None else None
 
-    def states(self, of: int) -> Counter[MemberState | None]:
+    def states(self, subject: int) -> Counter[MemberState | None]:
         """What all others that live and are awake think of one."""
         return Counter(
-            self.state(at, of)
-            for at in range(self.size)
-            if at != of and self.alive[at] and at not in self.paused
+            self.state(observer, subject)
+            for observer in range(self.size)
+            if observer != subject and self.alive[observer] and observer not in self.paused
         )
 
     def outlier_detector(self, number: int) -> OutlierDetector:
--- a/fakes/peers_model.py
+++ b/fakes/peers_model.py
@@ -26,20 +26,25 @@
     """`size` instances, numbered from 0; their clocks began at times of their own."""
 
     def __init__(
-        self, talk: GossipParameters, *, seed: int = 1, duplicate_rate: float = 0.0, alone_share: bool = True
+        self,
+        talk: GossipParameters,
+        *,
+        seed: int = 1,
+        duplicate_rate: float = 0.0,
+        share_when_alone: bool = True,
     ) -> None:
         self.talk = talk
         self.rng = random.Random(seed)
         self.window = CountingWindow(round(talk.window_s * 1e6), round(talk.window_s / talk.bucket_s))
         self.duplicate_rate = duplicate_rate
-        self.alone_share = alone_share
+        self.share_when_alone = share_when_alone
         self.now_us = 0
-        self.due: list[tuple[int, int, Callable[..., None], tuple[object, ...]]] = []
-        self.order = 0
+        self.events: list[tuple[int, int, Callable[..., None], tuple[object, ...]]] = []
+        self.event_count = 0
         self.delivers: Deliver = lambda sender, receiver: True
         self.addresses: list[Address] = [(f"10.1.{n >> 8}.{n & 255}", 7400) for n in range(talk.size)]
         self.numbers = {address: number for number, address in enumerate(self.addresses)}
-        self.skews_us = [self.rng.randrange(1, 10**12) for _ in range(talk.size)]
+        self.clock_offsets_us = [self.rng.randrange(1, 10**12) for _ in range(talk.size)]
         self.gossips: list[CounterGossip] = []
         self.alive = [True] * talk.size
         self.truth: dict[int, list[int]] = {}  # by key, when each request came
@@ -51,18 +56,18 @@
 
     def local_us(self, number: int) -> int:
         """An instance's own clock: monotonic, and far from all others."""
-        return self.now_us + self.skews_us[number]
+        return self.now_us + self.clock_offsets_us[number]
 
     def start(self, number: int, name: str = "") -> CounterGossip:
         """An instance that knows nothing yet, under its old name."""
         self.incarnations += 1
-        silent_us = int(8 * self.talk.round_s * 1e6 + self.talk.delay_s * 1e6)
+        silence_timeout_us = int(8 * self.talk.round_s * 1e6 + self.talk.delay_s * 1e6)
         counts = SharedCounters(
             name or f"i{number}",
             self.incarnations,
             self.window,
             self.local_us(number),
-            CounterLimits(silence_timeout_us=silent_us, share_when_alone=self.alone_share),
+            CounterLimits(silence_timeout_us=silence_timeout_us, share_when_alone=self.share_when_alone),
         )
         gossip = CounterGossip(
             counts,
@@ -75,13 +80,13 @@
 
     def restart(self, number: int) -> None:
         """It forgets all, and its clock begins elsewhere; what it sent is still on its way."""
-        self.skews_us[number] = self.rng.randrange(1, 10**12)
+        self.clock_offsets_us[number] = self.rng.randrange(1, 10**12)
         self.gossips[number] = self.start(number)
 
-    def at(self, at_us: int, what: Callable[..., None], *arguments: object) -> None:
+    def at(self, at_us: int, callback: Callable[..., None], *arguments: object) -> None:
         """Call `what` with the arguments at a time on the model's clock."""
-        self.order += 1
-        heapq.heappush(self.due, (at_us, self.order, what, arguments))
+        self.event_count += 1
+        heapq.heappush(self.events, (at_us, self.event_count, callback, arguments))
 
     def tick(self, number: int) -> None:
         """Let an instance send what is due in its round, and again one period later."""
@@ -104,9 +109,9 @@
 
     def run(self, until_us: int) -> None:
         """Play until this time."""
-        while self.due and self.due[0][0] <= until_us:
-            self.now_us, _, what, arguments = heapq.heappop(self.due)
-            what(*arguments)
+        while self.events and self.events[0][0] <= until_us:
+            self.now_us, _, callback, arguments = heapq.heappop(self.events)
+            callback(*arguments)
         self.now_us = until_us
 
     def count(self, number: int, key: int) -> None:
@@ -126,10 +131,10 @@
     def load(self, seconds: float, rates: dict[int, float], to: Callable[[], int] | None = None) -> None:
         """Requests of keys at these rates a second, over all instances at random or where `to` says."""
         end_us = self.now_us + int(seconds * SECOND_US)
-        whole = sum(rates.values())
+        total_rate = sum(rates.values())
         keys, weights = list(rates), list(rates.values())
         while True:
-            at_us = self.now_us + int(self.rng.expovariate(whole / SECOND_US)) if whole else end_us
+            at_us = self.now_us + int(self.rng.expovariate(total_rate / SECOND_US)) if total_rate else end_us
             if at_us >= end_us:
                 break
             self.run(at_us)
