--- a/fakes/membership_model.py
+++ b/fakes/membership_model.py
@@ -1,5 +1,8 @@
-"""Instances that know one another over a network of this file's own, on a virtual clock: loss, delay,
-repeats, cuts one way or both, stops, restarts and liars, all drawn from a seed."""
+"""Simulates cluster membership on a virtual clock, over a simulated network.
+
+Loss, delays, duplicates, one-way and two-way partitions, kills, pauses and restarts can be simulated. All
+random choices follow from a seed.
+"""
 
 from __future__ import annotations
 
@@ -20,8 +23,11 @@
 
 
 class MembershipModel:
-    """`size` instances, numbered from 0, whose clocks began at times of their own; if `known`, all know one
-    another at first, else one seed, number 0."""
+    """Simulates `size` instances, numbered from 0, each with a clock of its own.
+
+    If `known`, all instances know each other from the start; otherwise they join by their seeds, which are
+    instance 0 or, with `all_seeds`, all instances.
+    """
 
     def __init__(
         self,
@@ -44,7 +50,7 @@
         self.delay_s = delay_s
         self.duplicate_rate = duplicate_rate
         self.exchange_health = exchange_health
-        self.all_seeds = all_seeds  # each lists all, as an operator's file does
+        self.all_seeds = all_seeds  # each instance has all as seeds, as in an operator's file
         self.zones = zones
         self.now_us = 0
         self.events: list[tuple[int, int, Callable[..., None], tuple[object, ...]]] = []
@@ -57,8 +63,8 @@
         self.clock_offsets_us = [self.rng.randrange(1, 10**12) for _ in range(size)]
         self.wall_us = 50 * 365 * DAY_US
         self.alive = [True] * size
-        self.paused: dict[int, int] = {}  # since when
-        self.inbox: dict[int, list[tuple[bytes, Address]]] = {}  # of those asleep
+        self.paused: dict[int, int] = {}  # time of the pause by instance
+        self.inbox: dict[int, list[tuple[bytes, Address]]] = {}  # datagrams that wait for paused instances
         self.datagrams: Counter[int] = Counter()
         self.bytes_sent: Counter[int] = Counter()
         self.codec = MembershipCodec("model", [KEY])
@@ -74,11 +80,11 @@
             self.tick(number, self.instances[number])
 
     def local_us(self, number: int) -> int:
-        """An instance's own clock: monotonic, and far from all others."""
+        """Return the time of an instance's monotonic clock, which is far from those of all others."""
         return self.now_us + self.clock_offsets_us[number]
 
     def start(self, number: int, wall_clock_offset_us: int = 0) -> MembershipProtocol:
-        """An instance that knows nobody; its wall clock may be off."""
+        """Return a new instance that knows no other; its wall clock is off by `wall_clock_offset_us`."""
         wall_us = self.wall_us + self.now_us + wall_clock_offset_us
         me = MemberRecord(
             f"i{number}", self.addresses[number], wall_us, MemberState.ALIVE, f"z{number % self.zones}"
@@ -93,23 +99,23 @@
         )
 
     def restart(self, number: int, wall_clock_offset_us: int = 0) -> None:
-        """It forgets all, and its clock begins elsewhere; what it sent is still on its way."""
+        """Restart an instance with no state and another clock; datagrams that it sent before still arrive."""
         self.alive[number] = True
         self.clock_offsets_us[number] = self.rng.randrange(1, 10**12)
         self.instances[number] = self.start(number, wall_clock_offset_us)
         self.tick(number, self.instances[number])
 
     def kill(self, number: int) -> None:
-        """Kill an instance: it says and hears nothing any more."""
+        """Kill an instance: it sends and receives nothing any more."""
         self.alive[number] = False
 
     def pause(self, number: int) -> None:
-        """Its process is stopped,"""
+        """Pause an instance's process; datagrams to it wait."""
         self.paused[number] = self.now_us
         self.inbox[number] = []
 
     def resume(self, number: int) -> None:
-        """and woken: it notices, and then reads what lies there."""
+        """Resume a paused instance: it notices the pause, then reads the last datagrams that waited."""
         instance, pause_us = self.instances[number], self.now_us - self.paused.pop(number)
         instance.process_paused(pause_us, self.local_us(number))
         for data, sender in self.inbox.pop(number)[-256:]:
@@ -117,17 +123,17 @@
         self.tick(number, instance)
 
     def leave(self, number: int) -> None:
-        """It stops as on SIGTERM."""
+        """Stop an instance in order, as on SIGTERM: it announces that it leaves."""
         self.send(number, self.instances[number].leave(self.local_us(number)))
         self.alive[number] = False
 
     def at(self, at_us: int, callback: Callable[..., None], *arguments: object) -> None:
-        """Call `what` with the arguments at a time on the model's clock."""
+        """Schedule a callback for a time on the model's clock."""
         self.event_count += 1
         heapq.heappush(self.events, (at_us, self.event_count, callback, arguments))
 
     def tick(self, number: int, instance: MembershipProtocol) -> None:
-        """Let an instance do what is due, and again when it says so; void for an earlier process of it."""
+        """Call an instance's `tick` and schedule its next one; ignored for an instance that was replaced."""
         if self.instances[number] is not instance or not self.alive[number] or number in self.paused:
             return
         self.send(number, instance.tick(self.local_us(number)))
@@ -135,7 +141,7 @@
         self.at(self.now_us + wait_us, self.tick, number, instance)
 
     def send(self, number: int, out: list[tuple[Address, bytes]]) -> None:
-        """Send datagrams over the model's network, which loses, repeats and delays them."""
+        """Send datagrams over the simulated network, which loses, duplicates and delays them."""
         for address, data in out:
             to = self.numbers.get(address)
             self.datagrams[number] += 1
@@ -146,7 +152,7 @@
                     self.at(self.now_us + delay_us, self.deliver, to, data, self.addresses[number])
 
     def deliver(self, to: int, data: bytes, sender: Address) -> None:
-        """Bring a datagram to an instance; one that is stopped finds it when it goes on."""
+        """Deliver a datagram to an instance; a paused one reads it when it resumes."""
         if to in self.paused:
             self.inbox[to].append((data, sender))
         elif self.alive[to]:
@@ -154,7 +160,7 @@
             self.send(to, out)
 
     def run(self, seconds: float, observe: Callable[[], None] | None = None, interval_s: float = 0.1) -> None:
-        """So much longer; `look` is called now and then."""
+        """Advance the clock by `seconds`; `observe` is called once per interval."""
         ends_us = self.now_us + int(seconds * SECOND_US)
         next_us = self.now_us
         while self.now_us < ends_us:
@@ -167,12 +173,12 @@
                 observe()
 
     def state(self, observer: int, subject: int) -> MemberState | None:
-        """What one thinks of another; None: it isn't known there."""
+        """Return the state of the subject as the observer has it; None if it does not know the subject."""
         member = self.instances[observer].cluster.table.members.get(f"i{subject}")
         return member.record.state if member is not None else None
 
     def states(self, subject: int) -> Counter[MemberState | None]:
-        """What all others that live and are awake think of one."""
+        """Count the states of the subject over all other running instances."""
         return Counter(
             self.state(observer, subject)
             for observer in range(self.size)
@@ -180,7 +186,7 @@
         )
 
     def outlier_detector(self, number: int) -> OutlierDetector:
-        """What an instance has been told of servers."""
+        """Return an instance's outlier detector."""
         found = self.instances[number].detector
         assert found is not None
         return found
--- a/fakes/peers_model.py
+++ b/fakes/peers_model.py
@@ -1,5 +1,8 @@
-"""Instances that count together over a network of this file's own, on a virtual clock: loss, delay, repeats,
-partitions and restarts, all drawn from a seed; and the true counts beside them."""
+"""Simulates shared counters of several instances on a virtual clock, over a simulated network.
+
+Loss, delays, duplicates, partitions and restarts can be simulated, and the true counts are recorded for
+comparison. All random choices follow from a seed.
+"""
 
 from __future__ import annotations
 
@@ -19,11 +22,11 @@
 
 SECOND_US = 1_000_000
 KEY = b"a key that all instances share"
-Deliver = Callable[[int, int], bool]  # whether what one sends comes to another at all
+Deliver = Callable[[int, int], bool]  # whether datagrams from the first instance reach the second
 
 
 class PeersModel:
-    """`size` instances, numbered from 0; their clocks began at times of their own."""
+    """Simulates instances, numbered from 0, each with a clock of its own."""
 
     def __init__(
         self,
@@ -47,7 +50,7 @@
         self.clock_offsets_us = [self.rng.randrange(1, 10**12) for _ in range(talk.size)]
         self.gossips: list[CounterGossip] = []
         self.alive = [True] * talk.size
-        self.truth: dict[int, list[int]] = {}  # by key, when each request came
+        self.truth: dict[int, list[int]] = {}  # by key, the times of all requests
         self.incarnations = 0
         self.bytes_sent: Counter[int] = Counter()
         for number in range(talk.size):
@@ -55,11 +58,11 @@
             self.at(int(self.rng.random() * talk.period_s * 1e6), self.tick, number)
 
     def local_us(self, number: int) -> int:
-        """An instance's own clock: monotonic, and far from all others."""
+        """Return the time of an instance's monotonic clock, which is far from those of all others."""
         return self.now_us + self.clock_offsets_us[number]
 
     def start(self, number: int, name: str = "") -> CounterGossip:
-        """An instance that knows nothing yet, under its old name."""
+        """Return a new instance with empty counters, under its usual name unless `name` is given."""
         self.incarnations += 1
         silence_timeout_us = int(8 * self.talk.round_s * 1e6 + self.talk.delay_s * 1e6)
         counts = SharedCounters(
@@ -79,17 +82,17 @@
         return gossip
 
     def restart(self, number: int) -> None:
-        """It forgets all, and its clock begins elsewhere; what it sent is still on its way."""
+        """Restart an instance with no state and another clock; datagrams that it sent before still arrive."""
         self.clock_offsets_us[number] = self.rng.randrange(1, 10**12)
         self.gossips[number] = self.start(number)
 
     def at(self, at_us: int, callback: Callable[..., None], *arguments: object) -> None:
-        """Call `what` with the arguments at a time on the model's clock."""
+        """Schedule a callback for a time on the model's clock."""
         self.event_count += 1
         heapq.heappush(self.events, (at_us, self.event_count, callback, arguments))
 
     def tick(self, number: int) -> None:
-        """Let an instance send what is due in its round, and again one period later."""
+        """Let an instance send this period's datagrams, and schedule its next period."""
         self.at(self.now_us + int(self.talk.period_s * 1e6), self.tick, number)
         if not self.alive[number]:
             return
@@ -103,33 +106,33 @@
                     self.at(self.now_us + delay_us, self.deliver, to, data, self.addresses[number])
 
     def deliver(self, to: int, data: bytes, sender: Address) -> None:
-        """Bring a datagram to an instance, if it lives."""
+        """Deliver a datagram to an instance, if it is alive."""
         if self.alive[to]:
             self.gossips[to].receive(data, sender, self.local_us(to))
 
     def run(self, until_us: int) -> None:
-        """Play until this time."""
+        """Run all events until a time on the model's clock."""
         while self.events and self.events[0][0] <= until_us:
             self.now_us, _, callback, arguments = heapq.heappop(self.events)
             callback(*arguments)
         self.now_us = until_us
 
     def count(self, number: int, key: int) -> None:
-        """A request comes to an instance now."""
+        """Count a request at an instance, and record it as true."""
         self.gossips[number].counters.add(key, self.local_us(number))
         self.truth.setdefault(key, []).append(self.now_us)
 
     def true_count(self, key: int) -> int:
-        """What has really been counted under a key within the window."""
+        """Return the true count of a key within the window."""
         times = self.truth.get(key, [])
         return len(times) - bisect_right(times, self.now_us - self.window.span_us)
 
     def estimate(self, number: int, key: int) -> float:
-        """What an instance takes the count of all for."""
+        """Return an instance's estimate of a key's count over all instances."""
         return self.gossips[number].counters.estimate(key, self.local_us(number))
 
     def load(self, seconds: float, rates: dict[int, float], to: Callable[[], int] | None = None) -> None:
-        """Requests of keys at these rates a second, over all instances at random or where `to` says."""
+        """Simulate requests at these rates per second by key, at random instances or where `to` says."""
         end_us = self.now_us + int(seconds * SECOND_US)
         total_rate = sum(rates.values())
         keys, weights = list(rates), list(rates.values())
