--- a/tests/peers/__init__.py
+++ b/tests/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Shared counts."""
+"""Tests of the exchange between instances: shared counters, cluster membership and health reports."""
--- a/tests/peers/test_counter_codec.py
+++ b/tests/peers/test_counter_codec.py
@@ -1,4 +1,4 @@
-"""Datagrams of shared counts: what is written is read, and nothing else is taken."""
+"""Datagrams of shared counters: the round trip, and dropping what is invalid or meant for others."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from plovertrail.peers.envelope import MAX_DATAGRAM_BYTES, PREFIX, BadDatagramError, DropReason, digest
 
 WINDOW = CountingWindow(10_000_000, 20)
-KEY, OTHER = b"k" * 32, b"o" * 32
-ME = digest("127.0.0.1:7400")
+KEY, OTHER_KEY = b"k" * 32, b"o" * 32
+OWN_ADDRESS = digest("127.0.0.1:7400")
 Rows = list[tuple[int, int, list[int]]]
 
 
@@ -23,13 +23,13 @@
     return CounterCodec(fleet, keys or (KEY,), window)
 
 
-def encoded(by: CounterCodec, rows: list[bytes] | None = None, to: bytes = ME) -> bytes:
+def encoded(by: CounterCodec, rows: list[bytes] | None = None, to: bytes = OWN_ADDRESS) -> bytes:
     return by.encode(to, CounterMessage("a", 77, 5, 1_234, ()), rows or [])
 
 
-def reason_if_dropped(reader: CounterCodec, datagram: bytes) -> DropReason | None:
+def drop_reason_or_none(reader: CounterCodec, datagram: bytes) -> DropReason | None:
     try:
-        reader.decode(datagram, ME)
+        reader.decode(datagram, OWN_ADDRESS)
     except BadDatagramError as error:
         return error.reason
     return None
@@ -37,7 +37,7 @@
 
 def drop_reason(data: bytes, reader: CounterCodec | None = None) -> DropReason:
     with pytest.raises(BadDatagramError) as caught:
-        (reader or codec()).decode(data, ME)
+        (reader or codec()).decode(data, OWN_ADDRESS)
     return caught.value.reason
 
 
@@ -49,24 +49,24 @@
 @given(rows)
 def test_a_message_decodes_to_what_was_encoded(found: Rows) -> None:
     plain = [(key, newest, tuple(each)) for key, newest, each in found]
-    message = codec().decode(encoded(codec(), [encode_row(row) for row in plain]), ME)
+    message = codec().decode(encoded(codec(), [encode_row(row) for row in plain]), OWN_ADDRESS)
     assert list(message.rows) == plain
     assert (message.name, message.incarnation, message.sequence, message.sent_us) == ("a", 77, 5, 1_234)
 
 
-def test_each_foreign_datagram_has_its_drop_reason() -> None:
+def test_each_kind_of_invalid_datagram_has_its_drop_reason() -> None:
     good = encoded(codec())
     for garbage in (b"", good[: PREFIX.size], b"x" * 200, good + b"x" * MAX_DATAGRAM_BYTES):
         assert drop_reason(garbage) is DropReason.MALFORMED
     assert drop_reason(good[:2] + b"\x09" + good[3:]) is DropReason.OTHER_VERSION
     assert drop_reason(encoded(codec(fleet="stage"))) is DropReason.OTHER_FLEET
-    assert drop_reason(encoded(codec(OTHER))) is DropReason.UNKNOWN_KEY
+    assert drop_reason(encoded(codec(OTHER_KEY))) is DropReason.UNKNOWN_KEY
     assert drop_reason(good[:-1] + bytes([good[-1] ^ 1])) is DropReason.FORGED
     assert drop_reason(encoded(codec(), to=digest("127.0.0.1:7401"))) is DropReason.OTHER_RECEIVER
     assert drop_reason(encoded(codec(window=CountingWindow(5_000_000, 20)))) is DropReason.OTHER_WINDOW
 
 
-def test_a_datagram_that_is_changed_or_cut_anywhere_is_not_taken() -> None:
+def test_a_datagram_that_is_changed_or_cut_off_anywhere_is_dropped() -> None:
     good = encoded(codec(), [encode_row((key_of("x"), 9, (1, 2, 300)))])
     for at in range(len(good)):
         changed = bytearray(good)
@@ -75,17 +75,17 @@
         assert drop_reason(good[:at]) is not None
 
 
-def test_a_key_is_changed_with_the_old_one_good_for_a_while() -> None:
-    before, between, after = codec(KEY), codec(OTHER, KEY), codec(OTHER)
+def test_a_key_can_be_rotated_while_the_old_one_is_still_accepted() -> None:
+    before, between, after = codec(KEY), codec(OTHER_KEY, KEY), codec(OTHER_KEY)
     for sender, receiver in ((before, between), (between, between), (between, after)):
-        assert receiver.decode(encoded(sender), ME)
-    assert codec(KEY, OTHER).decode(encoded(codec(OTHER)), ME)
+        assert receiver.decode(encoded(sender), OWN_ADDRESS)
+    assert codec(KEY, OTHER_KEY).decode(encoded(codec(OTHER_KEY)), OWN_ADDRESS)
     assert drop_reason(encoded(before), after) is DropReason.UNKNOWN_KEY
 
 
-def test_signed_nonsense_is_garbage_and_raises_nothing_else() -> None:
-    """Whoever has the key may still be broken."""
-    rng, mine = random.Random(1), codec()
+def test_a_signed_malformed_body_is_dropped() -> None:
+    """A sender that has the key may still be faulty."""
+    rng, receiver = random.Random(1), codec()
     name = HEADER.pack(1, 1, 1, WINDOW.bucket_us, 20, 1) + b"a"
     bodies = [
         struct.pack(">H", 3),
@@ -97,8 +97,8 @@
     ]
     bodies += [rng.randbytes(rng.randrange(2, 300)) for _ in range(500)]
     for body in bodies:
-        datagram = mine.envelope.seal(1, ME, name + body)
-        assert reason_if_dropped(mine, datagram) in (None, DropReason.MALFORMED)
+        datagram = receiver.envelope.seal(1, OWN_ADDRESS, name + body)
+        assert drop_reason_or_none(receiver, datagram) in (None, DropReason.MALFORMED)
     bad_name = HEADER.pack(1, 1, 1, WINDOW.bucket_us, 20, 1) + b"\xff\0\0"
-    assert drop_reason(mine.envelope.seal(1, ME, bad_name)) is DropReason.MALFORMED
-    assert drop_reason(mine.envelope.seal(1, ME, b"short")) is DropReason.MALFORMED
+    assert drop_reason(receiver.envelope.seal(1, OWN_ADDRESS, bad_name)) is DropReason.MALFORMED
+    assert drop_reason(receiver.envelope.seal(1, OWN_ADDRESS, b"short")) is DropReason.MALFORMED
