--- a/tests/peers/test_membership_codec.py
+++ b/tests/peers/test_membership_codec.py
@@ -1,4 +1,4 @@
-"""Datagrams between members: the round trip, what fits, and malformed bodies."""
+"""Datagrams between members: the round trip, size limits, and malformed bodies."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 )
 
 KEY = b"0123456789abcdef"
-ME = digest("127.0.0.1:7400")
-MINE = frozenset({ME})
+OWN_ADDRESS = digest("127.0.0.1:7400")
+OWN_ADDRESSES = frozenset({OWN_ADDRESS})
 ports = st.integers(0, 65_535)
 records = st.builds(
     MemberRecord,
@@ -65,14 +65,16 @@
 )
 def test_a_datagram_decodes_to_what_was_encoded(datagram: MembershipDatagram) -> None:
     codec = MembershipCodec("fleet", [KEY])
-    assert codec.decode(codec.encode(ME, datagram), MINE) == datagram
+    assert codec.decode(codec.encode(OWN_ADDRESS, datagram), OWN_ADDRESSES) == datagram
 
 
 def test_a_long_zone_is_cut_between_characters() -> None:
     codec = MembershipCodec("fleet", [KEY])
-    me = MemberRecord("n", ("10.0.0.1", 1), 1, MemberState.ALIVE, "a" + "é" * 31)
+    sender = MemberRecord("n", ("10.0.0.1", 1), 1, MemberState.ALIVE, "a" + "é" * 31)
     assert (
-        codec.decode(codec.encode(ME, MembershipDatagram(MessageKind.PING, 1, me)), MINE).sender.zone
+        codec.decode(
+            codec.encode(OWN_ADDRESS, MembershipDatagram(MessageKind.PING, 1, sender)), OWN_ADDRESSES
+        ).sender.zone
         == "a" + "é" * 15
     )
 
@@ -84,21 +86,21 @@
     )
     health_reports = tuple(HealthReport(number, 1, (1, 1), 2.0, 1.0, 0.0, 0.0, 0) for number in range(90))
     data = codec.encode(
-        ME, MembershipDatagram(MessageKind.GOSSIP, 0, many[0], records=many, reports=health_reports)
+        OWN_ADDRESS, MembershipDatagram(MessageKind.GOSSIP, 0, many[0], records=many, reports=health_reports)
     )
-    found = codec.decode(data, MINE)
+    found = codec.decode(data, OWN_ADDRESSES)
     assert len(data) <= MAX_DATAGRAM_BYTES
     assert 5 < len(found.records) < MAX_RECORDS
     assert found.records == many[: len(found.records)]
     plain = MembershipDatagram(MessageKind.GOSSIP, 0, many[0], reports=health_reports)
-    found = codec.decode(codec.encode(ME, plain), MINE)
+    found = codec.decode(codec.encode(OWN_ADDRESS, plain), OWN_ADDRESSES)
     assert codec.room_for_reports(plain) <= len(found.reports) <= codec.room_for_reports(plain) + 1
     assert len(found.reports) > 20
 
 
 def drop_reason(codec: MembershipCodec, body: bytes) -> DropReason | None:
     try:
-        codec.decode(codec.envelope.seal(VERSION, ME, body), MINE)
+        codec.decode(codec.envelope.seal(VERSION, OWN_ADDRESS, body), OWN_ADDRESSES)
     except BadDatagramError as error:
         return error.reason
     return None
@@ -109,18 +111,21 @@
     rng = random.Random(2)
     codec = MembershipCodec("fleet", [KEY])
     sender = MemberRecord("a", ("10.0.0.1", 1), 1, MemberState.ALIVE)
-    me = encode_record(sender)
+    encoded_sender = encode_record(sender)
     bodies = [
         b"",
         b"x",
-        HEADER.pack(9, 0, 1) + me,
+        HEADER.pack(9, 0, 1) + encoded_sender,
         HEADER.pack(1, 0, 1) + b"\xff" * 40,
-        HEADER.pack(1, 0, 1) + me[:-2] + b"\x09" + me[-1:],
+        HEADER.pack(1, 0, 1) + encoded_sender[:-2] + b"\x09" + encoded_sender[-1:],
     ]
     bodies += [
-        HEADER.pack(rng.randrange(8), 0, 1) + me + rng.randbytes(rng.randrange(200)) for _ in range(400)
+        HEADER.pack(rng.randrange(8), 0, 1) + encoded_sender + rng.randbytes(rng.randrange(200))
+        for _ in range(400)
     ]
     for body in bodies:
         assert drop_reason(codec, body) in (None, DropReason.MALFORMED)
     with pytest.raises(BadDatagramError, match="another receiver"):
-        codec.decode(codec.encode(digest("10.0.0.2:1"), MembershipDatagram(MessageKind.ACK, 1, sender)), MINE)
+        codec.decode(
+            codec.encode(digest("10.0.0.2:1"), MembershipDatagram(MessageKind.ACK, 1, sender)), OWN_ADDRESSES
+        )
