--- a/plovertrail/decisions/member_table.py
+++ b/plovertrail/decisions/member_table.py
@@ -173,17 +173,17 @@
         First the recipient's record unless it is alive, then queued ones that were sent least often, then
         random ones.
         """
-        found: dict[str, MemberRecord] = {}
+        chosen: dict[str, MemberRecord] = {}
         member = self.members.get(recipient)
         if member is not None and member.record.state is not MemberState.ALIVE:
-            found[recipient] = member.record
-        for name in self.gossip_queue.take(limit - len(found), self.size):
+            chosen[recipient] = member.record
+        for name in self.gossip_queue.take(limit - len(chosen), self.size):
             record = self._record_to_gossip(name)
             if record is not None:
-                found[name] = record
-        for record in self.sample(min(limit - len(found), RANDOM_RECORDS)):
-            found.setdefault(record.name, record)
-        return list(found.values())[:limit]
+                chosen[name] = record
+        for record in self.sample(min(limit - len(chosen), RANDOM_RECORDS)):
+            chosen.setdefault(record.name, record)
+        return list(chosen.values())[:limit]
 
     def _record_to_gossip(self, name: str) -> MemberRecord | None:
         if name == self.me.name:
--- a/plovertrail/decisions/outlier_detection.py
+++ b/plovertrail/decisions/outlier_detection.py
@@ -140,7 +140,7 @@
 
     def unhealthy_keys(self, now_us: int) -> set[EvidenceKey]:
         """Return the endpoints and classes that this instance or a peer finds unhealthy."""
-        found = {
+        keys = {
             key
             for key, reports in self.peer_reports.by_key.items()
             if any(stored.decayed(now_us)[1] >= FAULT_THRESHOLD for stored in reports.values())
@@ -148,8 +148,8 @@
         for key, window in self.own.by_key.items():
             window.decay(now_us)
             if window.unsuccessful >= FAULT_THRESHOLD:
-                found.add(key)
-        return found
+                keys.add(key)
+        return keys
 
     def reports_to_send(
         self, limit: int, cluster_size: int, is_unhealthy: bool, now_us: int
@@ -158,10 +158,10 @@
 
         An instance that is unhealthy itself sends no own reports.
         """
-        found: list[HealthReport] = []
+        chosen: list[HealthReport] = []
         paused = now_us < self.reports_paused_until_us
         if not (is_unhealthy or paused or self.own.suspects_itself(now_us)):
-            found = self._own_reports(
+            chosen = self._own_reports(
                 max(1, limit * OWN_REPORTS_NUMERATOR // OWN_REPORTS_DENOMINATOR), now_us
             )
         max_forwards = FORWARD_FACTOR * math.log2(cluster_size + 1)
@@ -170,11 +170,11 @@
         ]
         # Only the latest are sorted, which bounds the cost of a datagram.
         candidates = sorted(fresh[: 4 * limit], key=lambda stored: stored.times_forwarded)
-        for stored in candidates[: limit - len(found)]:
+        for stored in candidates[: limit - len(chosen)]:
             if now_us - stored.observed_us <= MAX_REPORT_AGE_US:
                 stored.times_forwarded += 1
-                found.append(stored.forwarded(now_us))
-        return found
+                chosen.append(stored.forwarded(now_us))
+        return chosen
 
     def _own_reports(self, limit: int, now_us: int) -> list[HealthReport]:
         """Return own evidence on unhealthy endpoints, most unsuccessful attempts first."""
@@ -275,8 +275,8 @@
         if window is None:
             return WeightedAttempts(), False
         window.decay(now_us)
-        stale = window.last_success_us < confirmed_us
-        attempts = window.successes * (STALE_SUCCESS_WEIGHT if stale else 1.0) + window.unsuccessful
+        is_stale = window.last_success_us < confirmed_us
+        attempts = window.successes * (STALE_SUCCESS_WEIGHT if is_stale else 1.0) + window.unsuccessful
         scale = OWN_WEIGHT * min(1.0, MAX_OWN_ATTEMPTS / max(attempts, MIN_ATTEMPTS))
         evidence = WeightedAttempts()
         evidence.add(attempts, window.unsuccessful, scale)
@@ -316,7 +316,7 @@
 
         For each class at most MAX_PENALIZED_FRACTION of the endpoints are penalized.
         """
-        found: dict[EvidenceKey, EndpointHealth] = {}
+        health_by_key: dict[EvidenceKey, EndpointHealth] = {}
         penalized: dict[int, list[tuple[float, EvidenceKey]]] = {}
         baselines: dict[int, float] = {}
         classes = {key[1] for key in (*self.peer_reports.by_key, *self.own.by_key)}
@@ -326,14 +326,14 @@
             if request_class not in baselines:
                 baselines[request_class] = self.baseline_failure_rate(request_class, now_us)
             health = self.health_of(key, now_us, baselines[request_class])
-            found[key] = health
+            health_by_key[key] = health
             if health.penalty:
                 penalized.setdefault(request_class, []).append((health.penalty, key))
         max_penalized = int(MAX_PENALIZED_FRACTION * len(endpoints))
         for candidates in penalized.values():
             for _, key in sorted(candidates, reverse=True)[max_penalized:]:
-                found[key] = replace(found[key], penalty=0.0)
-        return found
+                health_by_key[key] = replace(health_by_key[key], penalty=0.0)
+        return health_by_key
 
 
 @dataclass(slots=True)
@@ -353,9 +353,9 @@
     health: Mapping[EvidenceKey, EndpointHealth], keys: PoolKeys
 ) -> dict[tuple[int, int], float]:
     """Return the penalties by the pool's own endpoint id and class index."""
-    found = {}
+    penalties = {}
     for (endpoint, request_class), each in health.items():
         endpoint_id = keys.endpoint_ids.get(endpoint)
         if endpoint_id is not None and each.penalty and request_class in keys.classes:
-            found[endpoint_id, keys.classes.index(request_class)] = each.penalty
-    return found
+            penalties[endpoint_id, keys.classes.index(request_class)] = each.penalty
+    return penalties
--- a/plovertrail/health_reporter.py
+++ b/plovertrail/health_reporter.py
@@ -127,7 +127,7 @@
             self._record(pool, endpoint_id, class_index, result)
 
     def no_response(self, pool: ServerPool, server: EndpointState, class_index: int) -> None:
-        """Record an attempt that has had no response for longer than one takes."""
+        """Record an attempt that is overdue: no response within the latency objective."""
         self._record(pool, server.listed.id, class_index, AttemptResult.TIMEOUT)
 
     def _record(self, pool: ServerPool, endpoint_id: int, class_index: int, result: AttemptResult) -> None:
@@ -165,18 +165,18 @@
         detector = self.exchange.outlier_detector
         if detector is None:
             return
-        found: dict[EvidenceKey, EndpointHealth] = {}
+        health_by_key: dict[EvidenceKey, EndpointHealth] = {}
         for pool, registry in list(self._registry_of.items()):
             keys = self._keys_of(pool, registry)
             health = detector.all_health(keys.endpoint_ids.keys(), clock_us())
-            found |= health
+            health_by_key |= health
             penalties = penalties_for_pool(health, keys)
             if penalties != self._penalties.get(pool, {}):
                 self._penalties[pool] = penalties
                 self.dispatcher.pools.update_peer_health(pool, penalties)
             yield
         # Replaced rather than updated, or it would keep endpoints that are no longer listed.
-        self.health = found
+        self.health = health_by_key
 
     def status(self) -> dict[str, Any]:
         """Return the penalty and the evidence by pool, endpoint and class."""
@@ -184,7 +184,7 @@
         if detector is None:
             return {}
         now_us = clock_us()
-        found: dict[str, Any] = {}
+        by_pool: dict[str, Any] = {}
         for pool, registry in self._registry_of.items():
             keys = self._keys_of(pool, registry)
             endpoints = {
@@ -195,9 +195,9 @@
             classes = {key: each.name for key, each in zip(keys.classes, pool.settings.classes, strict=True)}
             for key in detector.unhealthy_keys(now_us):
                 if key[0] in endpoints and key[1] in classes:
-                    by_class = found.setdefault(registry.name, {}).setdefault(endpoints[key[0]], {})
+                    by_class = by_pool.setdefault(registry.name, {}).setdefault(endpoints[key[0]], {})
                     by_class[classes[key[1]]] = self._status_of(detector, key, now_us)
-        return found
+        return by_pool
 
     def _status_of(self, detector: OutlierDetector, key: EvidenceKey, now_us: int) -> dict[str, Any]:
         """Return one endpoint's health for one class, by status key."""
--- a/plovertrail/peers/counter_codec.py
+++ b/plovertrail/peers/counter_codec.py
@@ -28,12 +28,12 @@
 
 def encode_varint(value: int) -> bytes:
     """Return a non-negative integer as LEB128: seven bits per byte, the lowest first."""
-    found = bytearray()
+    encoded = bytearray()
     while value > 127:
-        found.append(value & 127 | 128)
+        encoded.append(value & 127 | 128)
         value >>= 7
-    found.append(value)
-    return bytes(found)
+    encoded.append(value)
+    return bytes(encoded)
 
 
 def decode_varint(data: bytes, position: int) -> tuple[int, int]:
