--- a/benchmarks/cluster_membership.py
+++ b/benchmarks/cluster_membership.py
@@ -40,10 +40,10 @@
     took, given_up, suspected, probes = [], 0, 0, 0
     stated_s = longest_detection_us(size, S, loss) / S
     for seed in range(seeds):
-        fleet = MembershipModel(size, seed=seed, loss=loss, judge=False)
+        fleet = MembershipModel(size, seed=seed, loss=loss, exchange_health=False)
         fleet.run(30)
-        suspected += sum(ship.cluster.suspicions_raised for ship in fleet.ships)
-        probes += sum(ship.cluster.prober.probes_sent for ship in fleet.ships)
+        suspected += sum(instance.cluster.suspicions_raised for instance in fleet.instances)
+        probes += sum(instance.cluster.prober.probes_sent for instance in fleet.instances)
         fleet.kill(0)
         begun_us = fleet.now_us
         while fleet.states(0)[MemberState.DEAD] < size - 1 and fleet.now_us < begun_us + 2 * stated_s * S:
@@ -58,20 +58,20 @@
     of that size would."""
 
     def __init__(self, size: int, real: int, seed: int) -> None:
-        super().__init__(real, seed=seed, known=False, judge=False)
+        super().__init__(real, seed=seed, known=False, exchange_health=False)
         self.rest = [
             MemberRecord(f"x{n}", (f"11.{n >> 16}.{n >> 8 & 255}.{n & 255}", 7400), 1, MemberState.ALIVE)
             for n in range(size - real)
         ]
         self.by_address = {record.address: record for record in self.rest}
-        for number, ship in enumerate(self.ships):
-            ship.cluster.merge_records(
-                [other.cluster.me for other in self.ships if other is not ship],
+        for number, instance in enumerate(self.instances):
+            instance.cluster.merge_records(
+                [other.cluster.me for other in self.instances if other is not instance],
                 "",
                 self.local_us(number),
             )
-            ship.cluster.merge_records(self.rest, "", self.local_us(number))
-            ship.cluster.table.gossip_queue.clear()
+            instance.cluster.merge_records(self.rest, "", self.local_us(number))
+            instance.cluster.table.gossip_queue.clear()
             self.at(int(self.rng.random() * S), self.probed, number)
 
     def probed(self, number: int) -> None:
@@ -91,7 +91,7 @@
                 super().send(number, [(address, data)])
                 continue
             self.datagrams[number] += 1
-            self.octets[number] += len(data)
+            self.bytes_sent[number] += len(data)
             asked = self.codec.decode(data, frozenset({digest(format_address(address))}))
             if asked.kind is MessageKind.PING:
                 answer = self.codec.encode(
@@ -105,14 +105,14 @@
     """Datagrams, bytes and ms of CPU a second of one instance; the model's own CPU is in it."""
     fleet.run(3)
     fleet.datagrams.clear()
-    fleet.octets.clear()
+    fleet.bytes_sent.clear()
     for number in random.Random(1).sample(range(1, fleet.size), restarted):
         fleet.restart(number)
     began = time.process_time()
     fleet.run(seconds)
     cpu_s = time.process_time() - began
     whole = fleet.size * seconds
-    return sum(fleet.datagrams.values()) / whole, sum(fleet.octets.values()) / whole, cpu_s * 1e3 / whole
+    return sum(fleet.datagrams.values()) / whole, sum(fleet.bytes_sent.values()) / whole, cpu_s * 1e3 / whole
 
 
 def main() -> int:
@@ -155,7 +155,7 @@
     table(["", "dead to silent s", "worst", "stated", "suspected", "SWIM", "given up"], rows)
     rows, loads = [], {}
     fleets: list[tuple[str, MembershipModel]] = [
-        (f"{size}", MembershipModel(size, seed=1, judge=False))
+        (f"{size}", MembershipModel(size, seed=1, exchange_health=False))
         for size in (SIZES[:2] if asked.short else SIZES)
     ]
     if not asked.short:
--- a/fakes/membership_model.py
+++ b/fakes/membership_model.py
@@ -1,5 +1,8 @@
-"""Instances that know one another over a network of this file's own, on a virtual clock: loss, delay,
-repeats, cuts one way or both, stops, restarts and liars, all drawn from a seed."""
+"""Simulates cluster membership on a virtual clock, over a simulated network.
+
+Loss, delays, duplicates, one-way and two-way partitions, kills, pauses and restarts can be simulated. All
+random choices follow from a seed.
+"""
 
 from __future__ import annotations
 
@@ -20,8 +23,11 @@
 
 
 class MembershipModel:
-    """`size` instances, numbered from 0, whose clocks began at times of their own; if `known`, all know one
-    another at first, else one seed, number 0."""
+    """Simulates `size` instances, numbered from 0, each with a clock of its own.
+
+    If `known`, all instances know each other from the start; otherwise they join by their seeds, which are
+    instance 0 or, with `all_seeds`, all instances.
+    """
 
     def __init__(
         self,
@@ -31,9 +37,9 @@
         period_s: float = 1.0,
         loss: float = 0.0,
         delay_s: float = 0.02,
-        repeats: float = 0.0,
+        duplicate_rate: float = 0.0,
         known: bool = True,
-        judge: bool = True,
+        exchange_health: bool = True,
         zones: int = 1,
         all_seeds: bool = False,
     ) -> None:
@@ -42,42 +48,44 @@
         self.period_us = int(period_s * SECOND_US)
         self.loss = loss
         self.delay_s = delay_s
-        self.repeats = repeats
-        self.judge = judge
-        self.all_seeds = all_seeds  # each lists all, as an operator's file does
+        self.duplicate_rate = duplicate_rate
+        self.exchange_health = exchange_health
+        self.all_seeds = all_seeds  # each instance has all as seeds, as in an operator's file
         self.zones = zones
         self.now_us = 0
-        self.due: list[tuple[int, int, Callable[..., None], tuple[object, ...]]] = []
-        self.order = 0
+        self.events: list[tuple[int, int, Callable[..., None], tuple[object, ...]]] = []
+        self.event_count = 0
         self.delivers: Callable[[int, int], bool] = lambda sender, receiver: True
         self.addresses: list[Address] = [
             (f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}", 7400) for n in range(size)
         ]
         self.numbers = {address: number for number, address in enumerate(self.addresses)}
-        self.skews_us = [self.rng.randrange(1, 10**12) for _ in range(size)]
+        self.clock_offsets_us = [self.rng.randrange(1, 10**12) for _ in range(size)]
         self.wall_us = 50 * 365 * DAY_US
         self.alive = [True] * size
-        self.asleep: dict[int, int] = {}  # since when
-        self.inbox: dict[int, list[tuple[bytes, Address]]] = {}  # of those asleep
+        self.paused: dict[int, int] = {}  # time of the pause by instance
+        self.inbox: dict[int, list[tuple[bytes, Address]]] = {}  # datagrams that wait for paused instances
         self.datagrams: Counter[int] = Counter()
-        self.octets: Counter[int] = Counter()
+        self.bytes_sent: Counter[int] = Counter()
         self.codec = MembershipCodec("model", [KEY])
-        self.ships = [self.start(number) for number in range(size)]
+        self.instances = [self.start(number) for number in range(size)]
         if known:
-            records = [ship.cluster.me for ship in self.ships]
-            for ship in self.ships:
-                ship.cluster.merge_records(records, "", self.local_us(self.numbers[ship.cluster.me.address]))
-                ship.cluster.table.gossip_queue.clear()
+            records = [instance.cluster.me for instance in self.instances]
+            for instance in self.instances:
+                instance.cluster.merge_records(
+                    records, "", self.local_us(self.numbers[instance.cluster.me.address])
+                )
+                instance.cluster.table.gossip_queue.clear()
         for number in range(size):
-            self.tick(number, self.ships[number])
+            self.tick(number, self.instances[number])
 
     def local_us(self, number: int) -> int:
-        """An instance's own clock: monotonic, and far from all others."""
-        return self.now_us + self.skews_us[number]
+        """Return the time of an instance's monotonic clock, which is far from those of all others."""
+        return self.now_us + self.clock_offsets_us[number]
 
-    def start(self, number: int, wall_off_us: int = 0) -> MembershipProtocol:
-        """An instance that knows nobody; its wall clock may be off."""
-        wall_us = self.wall_us + self.now_us + wall_off_us
+    def start(self, number: int, wall_clock_offset_us: int = 0) -> MembershipProtocol:
+        """Return a new instance that knows no other; its wall clock is off by `wall_clock_offset_us`."""
+        wall_us = self.wall_us + self.now_us + wall_clock_offset_us
         me = MemberRecord(
             f"i{number}", self.addresses[number], wall_us, MemberState.ALIVE, f"z{number % self.zones}"
         )
@@ -85,100 +93,100 @@
         seeds = self.addresses if self.all_seeds else self.addresses[:1]
         settings = MembershipSettings(self.period_us, tuple(seeds))
         cluster = ClusterMembers(me, settings, random.Random(self.rng.random()), now_us)
-        detector = OutlierDetector(reporter_key(me.name), now_us, wall_us) if self.judge else None
+        detector = OutlierDetector(reporter_key(me.name), now_us, wall_us) if self.exchange_health else None
         return MembershipProtocol(
             cluster, detector, self.codec, GossipSettings(self.period_us // 5, 3), now_us
         )
 
-    def restart(self, number: int, wall_off_us: int = 0) -> None:
-        """It forgets all, and its clock begins elsewhere; what it sent is still on its way."""
+    def restart(self, number: int, wall_clock_offset_us: int = 0) -> None:
+        """Restart an instance with no state and another clock; datagrams that it sent before still arrive."""
         self.alive[number] = True
-        self.skews_us[number] = self.rng.randrange(1, 10**12)
-        self.ships[number] = self.start(number, wall_off_us)
-        self.tick(number, self.ships[number])
+        self.clock_offsets_us[number] = self.rng.randrange(1, 10**12)
+        self.instances[number] = self.start(number, wall_clock_offset_us)
+        self.tick(number, self.instances[number])
 
     def kill(self, number: int) -> None:
-        """Kill an instance: it says and hears nothing any more."""
+        """Kill an instance: it sends and receives nothing any more."""
         self.alive[number] = False
 
-    def sleep(self, number: int) -> None:
-        """Its process is stopped,"""
-        self.asleep[number] = self.now_us
+    def pause(self, number: int) -> None:
+        """Pause an instance's process; datagrams to it wait."""
+        self.paused[number] = self.now_us
         self.inbox[number] = []
 
-    def wake(self, number: int) -> None:
-        """and woken: it notices, and then reads what lies there."""
-        ship, slept_us = self.ships[number], self.now_us - self.asleep.pop(number)
-        ship.process_paused(slept_us, self.local_us(number))
+    def resume(self, number: int) -> None:
+        """Resume a paused instance: it notices the pause, then reads the last datagrams that waited."""
+        instance, pause_us = self.instances[number], self.now_us - self.paused.pop(number)
+        instance.process_paused(pause_us, self.local_us(number))
         for data, sender in self.inbox.pop(number)[-256:]:
             self.deliver(number, data, sender)
-        self.tick(number, ship)
+        self.tick(number, instance)
 
     def leave(self, number: int) -> None:
-        """It stops as on SIGTERM."""
-        self.send(number, self.ships[number].leave(self.local_us(number)))
+        """Stop an instance in order, as on SIGTERM: it announces that it leaves."""
+        self.send(number, self.instances[number].leave(self.local_us(number)))
         self.alive[number] = False
 
-    def at(self, at_us: int, what: Callable[..., None], *arguments: object) -> None:
-        """Call `what` with the arguments at a time on the model's clock."""
-        self.order += 1
-        heapq.heappush(self.due, (at_us, self.order, what, arguments))
+    def at(self, at_us: int, callback: Callable[..., None], *arguments: object) -> None:
+        """Schedule a callback for a time on the model's clock."""
+        self.event_count += 1
+        heapq.heappush(self.events, (at_us, self.event_count, callback, arguments))
 
-    def tick(self, number: int, ship: MembershipProtocol) -> None:
-        """Let an instance do what is due, and again when it says so; void for an earlier process of it."""
-        if self.ships[number] is not ship or not self.alive[number] or number in self.asleep:
+    def tick(self, number: int, instance: MembershipProtocol) -> None:
+        """Call an instance's `tick` and schedule its next one; ignored for an instance that was replaced."""
+        if self.instances[number] is not instance or not self.alive[number] or number in self.paused:
             return
-        self.send(number, ship.tick(self.local_us(number)))
-        wait_us = max(1_000, ship.next_wakeup_us() - self.local_us(number))
-        self.at(self.now_us + wait_us, self.tick, number, ship)
+        self.send(number, instance.tick(self.local_us(number)))
+        wait_us = max(1_000, instance.next_wakeup_us() - self.local_us(number))
+        self.at(self.now_us + wait_us, self.tick, number, instance)
 
     def send(self, number: int, out: list[tuple[Address, bytes]]) -> None:
-        """Send datagrams over the model's network, which loses, repeats and delays them."""
+        """Send datagrams over the simulated network, which loses, duplicates and delays them."""
         for address, data in out:
             to = self.numbers.get(address)
             self.datagrams[number] += 1
-            self.octets[number] += len(data)
-            for _ in range(1 + (self.rng.random() < self.repeats)):
+            self.bytes_sent[number] += len(data)
+            for _ in range(1 + (self.rng.random() < self.duplicate_rate)):
                 if to is not None and self.delivers(number, to) and self.rng.random() >= self.loss:
                     delay_us = int(self.rng.random() * self.delay_s * SECOND_US)
                     self.at(self.now_us + delay_us, self.deliver, to, data, self.addresses[number])
 
     def deliver(self, to: int, data: bytes, sender: Address) -> None:
-        """Bring a datagram to an instance; one that is stopped finds it when it goes on."""
-        if to in self.asleep:
+        """Deliver a datagram to an instance; a paused one reads it when it resumes."""
+        if to in self.paused:
             self.inbox[to].append((data, sender))
         elif self.alive[to]:
-            _, out = self.ships[to].receive(data, sender, self.local_us(to))
+            _, out = self.instances[to].receive(data, sender, self.local_us(to))
             self.send(to, out)
 
-    def run(self, seconds: float, look: Callable[[], None] | None = None, every_s: float = 0.1) -> None:
-        """So much longer; `look` is called now and then."""
+    def run(self, seconds: float, observe: Callable[[], None] | None = None, interval_s: float = 0.1) -> None:
+        """Advance the clock by `seconds`; `observe` is called once per interval."""
         ends_us = self.now_us + int(seconds * SECOND_US)
         next_us = self.now_us
         while self.now_us < ends_us:
-            until_us = min(ends_us, next_us + int(every_s * SECOND_US)) if look else ends_us
-            while self.due and self.due[0][0] <= until_us:
-                self.now_us, _, what, arguments = heapq.heappop(self.due)
-                what(*arguments)
+            until_us = min(ends_us, next_us + int(interval_s * SECOND_US)) if observe else ends_us
+            while self.events and self.events[0][0] <= until_us:
+                self.now_us, _, callback, arguments = heapq.heappop(self.events)
+                callback(*arguments)
             self.now_us = next_us = until_us
-            if look is not None:
-                look()
+            if observe is not None:
+                observe()
 
-    def state(self, at: int, of: int) -> MemberState | None:
-        """What one thinks of another; None: it isn't known there."""
-        member = self.ships[at].cluster.table.members.get(f"i{of}")
+    def state(self, observer: int, subject: int) -> MemberState | None:
+        """Return the state of the subject as the observer has it; None if it does not know the subject."""
+        member = self.instances[observer].cluster.table.members.get(f"i{subject}")
         return member.record.state if member is not None else None
 
-    def states(self, of: int) -> Counter[MemberState | None]:
-        """What all others that live and are awake think of one."""
+    def states(self, subject: int) -> Counter[MemberState | None]:
+        """Count the states of the subject over all other running instances."""
         return Counter(
-            self.state(at, of)
-            for at in range(self.size)
-            if at != of and self.alive[at] and at not in self.asleep
+            self.state(observer, subject)
+            for observer in range(self.size)
+            if observer != subject and self.alive[observer] and observer not in self.paused
         )
 
     def outlier_detector(self, number: int) -> OutlierDetector:
-        """What an instance has been told of servers."""
-        found = self.ships[number].detector
+        """Return an instance's outlier detector."""
+        found = self.instances[number].detector
         assert found is not None
         return found
--- a/plovertrail/decisions/outlier_detection.py
+++ b/plovertrail/decisions/outlier_detection.py
@@ -1,8 +1,9 @@
-"""Outlier detection from the evidence of several instances: the penalty of each endpoint.
+"""Outlier detection from the evidence of several instances: computes the penalty of each endpoint.
 
-An endpoint's health is how much worse it does than all endpoints together, as far as two reporters or more
-have seen it; the penalty that follows stays within the bounds below, whatever peers report. What is shared is
-evidence, never a verdict. Pure: times are arguments, in microseconds.
+An endpoint is penalized by how far its failure rate exceeds that of all endpoints together, and only if at
+least two reporters find it unhealthy. The constants below bound the penalty whatever peers report. Instances
+share what they measured, never a decision; each computes penalties by itself. Pure: times are arguments, in
+microseconds.
 """
 
 from __future__ import annotations
@@ -25,59 +26,62 @@
     PeerReports,
 )
 
-MAX_PENALIZED_FRACTION = 1 / 3  # of the endpoints, for one class, the worst: the others are always usable
-MAX_ATTEMPTS_PER_REPORTER = 4.0  # that count, for one endpoint and class
-MAX_ATTEMPTS_PER_ZONE = 24.0  # that count, of all reporters of one zone together
-OTHER_ZONE_WEIGHT = 0.3  # what cuts their zone off from an endpoint need not cut off ours
-OWN_WEIGHT = 3.0  # of this instance's attempts beside a peer's
-MAX_OWN_ATTEMPTS = 16.0  # that count
-PRIOR_SUCCESSES = 2.0  # assumed, so that a single failure causes no penalty
-MIN_REPORTERS = 2  # what one instance alone cannot reach may be its own fault
+# At most this fraction of the endpoints, the worst ones, is penalized for one class: enough stay usable.
+MAX_PENALIZED_FRACTION = 1 / 3
+MAX_ATTEMPTS_PER_REPORTER = 4.0  # counted from one reporter, for one endpoint and class
+MAX_ATTEMPTS_PER_ZONE = 24.0  # counted from all reporters of one zone together
+OTHER_ZONE_WEIGHT = 0.3  # an endpoint that another zone cannot reach may be reachable from this one
+OWN_WEIGHT = 3.0  # of this instance's attempts, relative to a peer's
+MAX_OWN_ATTEMPTS = 16.0  # counted from this instance, for one endpoint and class
+PRIOR_SUCCESSES = 2.0  # added to the attempts, so that a single failure causes no penalty
+MIN_REPORTERS = 2  # failures that only one instance sees may be its own fault
 STALE_SUCCESS_WEIGHT = 0.1  # of successes before MIN_REPORTERS had found the endpoint unhealthy
 OTHER_CLASS_WEIGHT = 0.25  # of evidence on other classes of the endpoint
-MIN_EXCESS_FAILURE_RATE = 0.15  # over the baseline; less than this is chance
-PENALTY_SLOPE = 1.5  # the penalty is complete at a failure rate of about two thirds over the baseline
-FORWARD_FACTOR = 2.0  # times log2 of the cluster's size: how often a peer's report is forwarded
-OWN_REPORTS_NUMERATOR, OWN_REPORTS_DENOMINATOR = 2, 3  # of the room in a datagram, for own reports
+MIN_EXCESS_FAILURE_RATE = 0.15  # over the baseline; a smaller excess may be chance
+PENALTY_SLOPE = 1.5  # the penalty is 1 from about two thirds of the way between the baseline and all failing
+FORWARD_FACTOR = 2.0  # a peer's report is forwarded this often, times log2 of the cluster's size
+OWN_REPORTS_NUMERATOR, OWN_REPORTS_DENOMINATOR = 2, 3  # fraction of a datagram's reports that are own ones
 
 
 @dataclass(slots=True)
 class WeightedAttempts:
-    """Attempts, and the unsuccessful ones of them, by the weight that they count with."""
+    """Weighted sums of attempts and of the unsuccessful ones among them."""
 
     attempts: float = 0.0
     unsuccessful: float = 0.0
 
     def add(self, attempts: float, unsuccessful: float, weight: float) -> None:
-        """Add evidence with a weight."""
+        """Add attempts, multiplied by a weight."""
         self.attempts += attempts * weight
         self.unsuccessful += unsuccessful * weight
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointHealth:
-    """The penalty of one endpoint and class, with the evidence that it follows from."""
+    """The penalty of one endpoint and class, with the evidence it was computed from."""
 
-    penalty: float  # 0: as any other; 1: everything known failed, and nothing elsewhere does
+    penalty: float  # 0: none; 1: the highest
     reporters: int  # peers that find it unhealthy
     peers: WeightedAttempts
     own: WeightedAttempts
     baseline_failure_rate: float  # of all endpoints together
 
 
-def max_forged_failure_rate(liars: int, honest: int, attempts_each: float) -> float:
-    """Return the highest failure rate that lying reporters can give a healthy endpoint.
+def max_forged_failure_rate(false_reporters: int, honest_reporters: int, attempts_each: float) -> float:
+    """Return the highest failure rate that false reports can give a healthy endpoint.
 
-    `honest` others have tried it `attempts_each` times. The bound on what the lies do is
-    `penalty_of(max_forged_failure_rate(...), 0.0)`; it is stated for reporters of one zone, with no attempts
-    of this instance.
+    The honest reporters have tried it `attempts_each` times each. False reports then cause a penalty of at
+    most `penalty_of(max_forged_failure_rate(...), 0.0)`. The bound holds for reporters of one zone, without
+    attempts of this instance.
     """
-    forged = liars * MAX_ATTEMPTS_PER_REPORTER
-    return forged / (forged + honest * min(MAX_ATTEMPTS_PER_REPORTER, attempts_each) + PRIOR_SUCCESSES)
+    forged = false_reporters * MAX_ATTEMPTS_PER_REPORTER
+    return forged / (
+        forged + honest_reporters * min(MAX_ATTEMPTS_PER_REPORTER, attempts_each) + PRIOR_SUCCESSES
+    )
 
 
 def penalty_of(failure_rate: float, baseline_failure_rate: float) -> float:
-    """Return the penalty from 0 to 1 for a failure rate, beside that of all endpoints."""
+    """Return the penalty, from 0 to 1, for a failure rate compared with that of all endpoints."""
     floor = min(1.0, baseline_failure_rate + MIN_EXCESS_FAILURE_RATE)
     if floor >= 1.0:
         return 0.0
@@ -85,35 +89,36 @@
 
 
 class OutlierDetector:
-    """The evidence of one instance, its own and its peers', and the health that follows from it."""
+    """Holds one instance's evidence, its own and its peers', and computes endpoint health from it."""
 
     def __init__(self, reporter_id: int, now_us: int, sequence: int = 0) -> None:
-        self.reporter_id = reporter_id  # this instance, as all instances know it
-        self.sequence = sequence
+        self.reporter_id = reporter_id  # of this instance, the same on all instances
+        self.sequence = sequence  # of the latest own report
         self.own = OwnEvidence()
         self.peer_reports = PeerReports()
         self.zone = ""  # of this instance
-        self.reporter_zones: dict[int, str] = {}  # as far as they are known
-        self.untrusted_reporters: set[int] = set()  # their own health is poor: their reports do not count
-        self.reports_paused_until_us = now_us  # no own reports until then
-        self.has_urgent_report = False  # an endpoint turned unhealthy, here or at a peer
+        self.reporter_zones: dict[int, str] = {}  # by reporter, where known
+        self.untrusted_reporters: set[int] = set()  # say that they are unhealthy; their reports do not count
+        self.reports_paused_until_us = now_us  # no own reports are sent before
+        self.has_urgent_report = False  # this instance or a peer has just found an endpoint unhealthy
 
     # Evidence
 
     def record_attempt(self, key: EvidenceKey, result: AttemptResult, now_us: int) -> None:
         """Count an attempt of this instance.
 
-        Attempts that the client cancelled, or that could not be sent, are no evidence.
+        Callers leave out attempts that the client cancelled or that could not be sent: they say nothing about
+        the endpoint.
         """
         self.has_urgent_report |= self.own.record(key, result, now_us)
 
     def process_paused(self, now_us: int) -> None:
-        """Drop own evidence after a pause of the process: failures then tell of the process itself."""
+        """Drop own evidence after a pause of the process, which may have caused the failures itself."""
         self.own.by_key.clear()
         self.reports_paused_until_us = now_us + FAILURE_HALF_LIFE_US
 
     def merge_report(self, report: HealthReport, now_us: int) -> bool:
-        """Merge a report that a peer has sent or forwarded; returns whether it was new."""
+        """Merge a report that a peer sent or forwarded; returns whether it was new."""
         if report.reporter == self.reporter_id:
             return False
         if not report.is_valid:
@@ -122,20 +127,20 @@
         previous = self.peer_reports.get(report.key, report.reporter)
         if not self.peer_reports.merge(report, now_us):
             return False
-        newly = previous is None or not previous.report.is_accusation
-        self.has_urgent_report |= report.is_accusation and newly
+        newly_unhealthy = previous is None or not previous.report.finds_unhealthy
+        self.has_urgent_report |= report.finds_unhealthy and newly_unhealthy
         return True
 
     def sweep(self, now_us: int) -> None:
-        """Drop evidence that has decayed; each call looks at a bounded number of entries."""
+        """Drop evidence that has decayed; each call checks a bounded number of entries."""
         self.peer_reports.sweep(now_us)
         self.own.sweep(now_us)
 
     # Reports to peers
 
-    def accused(self, now_us: int) -> set[EvidenceKey]:
+    def unhealthy_keys(self, now_us: int) -> set[EvidenceKey]:
         """Return the endpoints and classes that this instance or a peer finds unhealthy."""
-        found = {
+        keys = {
             key
             for key, reports in self.peer_reports.by_key.items()
             if any(stored.decayed(now_us)[1] >= FAULT_THRESHOLD for stored in reports.values())
@@ -143,40 +148,40 @@
         for key, window in self.own.by_key.items():
             window.decay(now_us)
             if window.unsuccessful >= FAULT_THRESHOLD:
-                found.add(key)
-        return found
+                keys.add(key)
+        return keys
 
     def reports_to_send(
         self, limit: int, cluster_size: int, is_unhealthy: bool, now_us: int
     ) -> list[HealthReport]:
-        """Choose at most `limit` reports for a datagram: own ones first, then peers' forwarded least often.
+        """Choose at most `limit` reports for a datagram: own ones first, then peers' least forwarded ones.
 
-        An instance whose own health is poor reports nothing of its own.
+        An instance that is unhealthy itself sends no own reports.
         """
-        found: list[HealthReport] = []
+        chosen: list[HealthReport] = []
         paused = now_us < self.reports_paused_until_us
-        if not (is_unhealthy or paused or self.own.sees_all_unhealthy(now_us)):
-            found = self._own_reports(
+        if not (is_unhealthy or paused or self.own.suspects_itself(now_us)):
+            chosen = self._own_reports(
                 max(1, limit * OWN_REPORTS_NUMERATOR // OWN_REPORTS_DENOMINATOR), now_us
             )
         max_forwards = FORWARD_FACTOR * math.log2(cluster_size + 1)
         fresh = [
             stored for stored in self.peer_reports.latest_first() if stored.times_forwarded < max_forwards
         ]
-        # only the latest are sorted, so that the cost of a datagram stays bounded
+        # Only the latest are sorted, which bounds the cost of a datagram.
         candidates = sorted(fresh[: 4 * limit], key=lambda stored: stored.times_forwarded)
-        for stored in candidates[: limit - len(found)]:
+        for stored in candidates[: limit - len(chosen)]:
             if now_us - stored.observed_us <= MAX_REPORT_AGE_US:
                 stored.times_forwarded += 1
-                found.append(stored.forwarded(now_us))
-        return found
+                chosen.append(stored.forwarded(now_us))
+        return chosen
 
     def _own_reports(self, limit: int, now_us: int) -> list[HealthReport]:
-        """Own evidence on accused endpoints, the worst first."""
+        """Return own evidence on unhealthy endpoints, most unsuccessful attempts first."""
         self.sequence += 1
         windows = [
             (key, self.own.by_key[key])
-            for key in self.accused(now_us)
+            for key in self.unhealthy_keys(now_us)
             if key in self.own.by_key and self.own.by_key[key].attempts >= MIN_ATTEMPTS
         ]
         windows.sort(key=lambda pair: -pair[1].unsuccessful)
@@ -195,12 +200,12 @@
             for key, window in windows[:limit]
         ]
 
-    # The health that follows
+    # Endpoint health
 
     def baseline_failure_rate(self, request_class: int, now_us: int) -> float:
-        """Return the failure rate of this instance's own attempts of a class, the worst third left out.
+        """Return the failure rate of this instance's attempts of a class, leaving out the worst third.
 
-        What strikes all endpoints alike is the fault of none of them.
+        Failures that affect all endpoints alike are not held against any of them.
         """
         rates = []
         for (_, window_class), window in self.own.by_key.items():
@@ -221,28 +226,30 @@
         """Combine all evidence on an endpoint and class."""
         endpoint, request_class = key
         classes = self.peer_reports.classes.get(endpoint, set()) | {request_class}
-        changed_us = self.changed_at_us(endpoint, classes, now_us)
-        peers, accusers = self._peer_evidence(key, classes, changed_us, now_us)
-        own, own_accuses = self._own_evidence(key, changed_us, now_us)
-        confirmed = len(accusers) >= MIN_REPORTERS or (bool(accusers) and own_accuses)
+        confirmed_us = self.confirmed_unhealthy_us(endpoint, classes, now_us)
+        peers, unhealthy_reporters = self._peer_evidence(key, classes, confirmed_us, now_us)
+        own, own_finds_unhealthy = self._own_evidence(key, confirmed_us, now_us)
+        confirmed = len(unhealthy_reporters) >= MIN_REPORTERS or (
+            bool(unhealthy_reporters) and own_finds_unhealthy
+        )
         penalty = 0.0
         if confirmed:
             attempts = peers.attempts + own.attempts + PRIOR_SUCCESSES
             penalty = penalty_of((peers.unsuccessful + own.unsuccessful) / attempts, baseline_failure_rate)
-        return EndpointHealth(penalty, len(accusers), peers, own, baseline_failure_rate)
+        return EndpointHealth(penalty, len(unhealthy_reporters), peers, own, baseline_failure_rate)
 
     def _peer_evidence(
-        self, key: EvidenceKey, classes: Iterable[int], changed_us: float, now_us: int
+        self, key: EvidenceKey, classes: Iterable[int], confirmed_us: float, now_us: int
     ) -> tuple[WeightedAttempts, set[int]]:
-        """What peers' reports weigh together, and the reporters that find the endpoint unhealthy."""
+        """Return the weighted sum of peers' reports, and the reporters that find the endpoint unhealthy."""
         endpoint, request_class = key
         by_zone: dict[str, WeightedAttempts] = {}
-        accusers: set[int] = set()
+        unhealthy_reporters: set[int] = set()
         for each_class in classes:
             weight = 1.0 if each_class == request_class else OTHER_CLASS_WEIGHT
             for stored in self._trusted_reports((endpoint, each_class), now_us):
                 successes, unsuccessful = stored.decayed(now_us)
-                if stored.last_success_us < changed_us:
+                if stored.last_success_us < confirmed_us:
                     successes *= STALE_SUCCESS_WEIGHT
                 attempts = successes + unsuccessful
                 if attempts < MIN_ATTEMPTS:
@@ -252,31 +259,31 @@
                 scale = weight * min(1.0, MAX_ATTEMPTS_PER_REPORTER / attempts)
                 by_zone.setdefault(zone, WeightedAttempts()).add(attempts, unsuccessful, scale)
                 if stored.unhealthy_since_us is not None and unsuccessful > UNHEALTHY_FAILURE_RATE * attempts:
-                    accusers.add(reporter)
+                    unhealthy_reporters.add(reporter)
         total = WeightedAttempts()
         for zone, evidence in by_zone.items():
             zone_weight = 1.0 if zone == self.zone else OTHER_ZONE_WEIGHT
             scale = min(1.0, MAX_ATTEMPTS_PER_ZONE / evidence.attempts) * zone_weight
             total.add(evidence.attempts, evidence.unsuccessful, scale)
-        return total, accusers
+        return total, unhealthy_reporters
 
     def _own_evidence(
-        self, key: EvidenceKey, changed_us: float, now_us: int
+        self, key: EvidenceKey, confirmed_us: float, now_us: int
     ) -> tuple[WeightedAttempts, bool]:
-        """What this instance's attempts weigh, and whether they accuse the endpoint."""
+        """Return this instance's weighted attempts, and whether they show the endpoint as unhealthy."""
         window = self.own.by_key.get(key)
         if window is None:
             return WeightedAttempts(), False
         window.decay(now_us)
-        stale = window.last_success_us < changed_us
-        attempts = window.successes * (STALE_SUCCESS_WEIGHT if stale else 1.0) + window.unsuccessful
+        is_stale = window.last_success_us < confirmed_us
+        attempts = window.successes * (STALE_SUCCESS_WEIGHT if is_stale else 1.0) + window.unsuccessful
         scale = OWN_WEIGHT * min(1.0, MAX_OWN_ATTEMPTS / max(attempts, MIN_ATTEMPTS))
         evidence = WeightedAttempts()
         evidence.add(attempts, window.unsuccessful, scale)
         return evidence, window.unsuccessful >= FAULT_THRESHOLD
 
     def _trusted_reports(self, key: EvidenceKey, now_us: int) -> list[PeerReport]:
-        """The reports on an endpoint and class that count."""
+        """Return the reports on an endpoint and class that are recent and from trusted reporters."""
         return [
             stored
             for stored in self.peer_reports.on(key)
@@ -284,10 +291,11 @@
             and now_us - stored.observed_us <= MAX_REPORT_AGE_US
         ]
 
-    def changed_at_us(self, endpoint: int, classes: Set[int], now_us: int) -> float:
-        """Return when MIN_REPORTERS, this instance among them, had found an endpoint unhealthy.
+    def confirmed_unhealthy_us(self, endpoint: int, classes: Set[int], now_us: int) -> float:
+        """Return when MIN_REPORTERS, counting this instance, had found an endpoint unhealthy.
 
-        Successes before that are old news. Minus infinity: they have not.
+        Successes before that time say little about its present health. Minus infinity if fewer have found it
+        unhealthy.
         """
         since: dict[int, int] = {}
         for request_class in classes:
@@ -304,11 +312,11 @@
         return times[MIN_REPORTERS - 1] if len(times) >= MIN_REPORTERS else -math.inf
 
     def all_health(self, endpoints: Set[int], now_us: int) -> dict[EvidenceKey, EndpointHealth]:
-        """Return the health of all of these endpoints that peers report on, penalized or not.
+        """Return the health of those of these endpoints that peers report on, penalized or not.
 
-        Of one class at most MAX_PENALIZED_FRACTION of the endpoints are penalized.
+        For each class at most MAX_PENALIZED_FRACTION of the endpoints are penalized.
         """
-        found: dict[EvidenceKey, EndpointHealth] = {}
+        health_by_key: dict[EvidenceKey, EndpointHealth] = {}
         penalized: dict[int, list[tuple[float, EvidenceKey]]] = {}
         baselines: dict[int, float] = {}
         classes = {key[1] for key in (*self.peer_reports.by_key, *self.own.by_key)}
@@ -318,22 +326,22 @@
             if request_class not in baselines:
                 baselines[request_class] = self.baseline_failure_rate(request_class, now_us)
             health = self.health_of(key, now_us, baselines[request_class])
-            found[key] = health
+            health_by_key[key] = health
             if health.penalty:
                 penalized.setdefault(request_class, []).append((health.penalty, key))
         max_penalized = int(MAX_PENALIZED_FRACTION * len(endpoints))
         for candidates in penalized.values():
             for _, key in sorted(candidates, reverse=True)[max_penalized:]:
-                found[key] = replace(found[key], penalty=0.0)
-        return found
+                health_by_key[key] = replace(health_by_key[key], penalty=0.0)
+        return health_by_key
 
 
 @dataclass(slots=True)
 class PoolKeys:
-    """The keys that instances share of a pool's endpoints and classes, by the pool's own ids."""
+    """Maps a pool's endpoint ids and class indexes to the keys that are the same on all instances."""
 
-    endpoints: Mapping[int, int]  # the shared key, by endpoint id
-    classes: tuple[int, ...]  # the shared key, by class index
+    endpoints: Mapping[int, int]  # shared key by endpoint id
+    classes: tuple[int, ...]  # shared key by class index
     endpoint_ids: dict[int, int] = field(default_factory=dict)  # by shared key
 
     def __post_init__(self) -> None:
@@ -344,10 +352,10 @@
 def penalties_for_pool(
     health: Mapping[EvidenceKey, EndpointHealth], keys: PoolKeys
 ) -> dict[tuple[int, int], float]:
-    """Return the penalties by a pool's own endpoint ids and class indexes."""
-    found = {}
+    """Return the penalties by the pool's own endpoint id and class index."""
+    penalties = {}
     for (endpoint, request_class), each in health.items():
         endpoint_id = keys.endpoint_ids.get(endpoint)
         if endpoint_id is not None and each.penalty and request_class in keys.classes:
-            found[endpoint_id, keys.classes.index(request_class)] = each.penalty
-    return found
+            penalties[endpoint_id, keys.classes.index(request_class)] = each.penalty
+    return penalties
