--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -32,7 +32,7 @@
 
 log = logging.getLogger(__name__)
 
-UNANSWERED_S = POLL_TIMEOUT_US / 1e6
+ANSWER_TIMEOUT_S = POLL_TIMEOUT_US / 1e6
 SILENCE_S = WATCH_TIMEOUT_US / 1e6
 REOPEN_S = 0.1  # a call to an agent on this machine costs nothing, and what it has counts as told, at once
 LONGEST_LINE = 4 * 1024 * 1024  # about 25,000 servers
@@ -322,7 +322,7 @@
         watch = self.watch
         if watch is None:
             return
-        bound_s = SILENCE_S if watch.answered else UNANSWERED_S
+        bound_s = SILENCE_S if watch.answered else ANSWER_TIMEOUT_S
         left = self.heard_at + bound_s - time.monotonic()
         if left > 0:
             self.timer = self.loop.call_later(left, self.check)
