--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -33,7 +33,7 @@
 log = logging.getLogger(__name__)
 
 ANSWER_TIMEOUT_S = POLL_TIMEOUT_US / 1e6
-SILENCE_S = WATCH_TIMEOUT_US / 1e6
+IDLE_TIMEOUT_S = WATCH_TIMEOUT_US / 1e6
 REOPEN_S = 0.1  # a call to an agent on this machine costs nothing, and what it has counts as told, at once
 LONGEST_LINE = 4 * 1024 * 1024  # about 25,000 servers
 SHORT_LINE = 64 * 1024  # hazard: a longer one, or a change among more servers, holds up the loop for too
@@ -273,7 +273,7 @@
         elif self.watch is None:
             self.watch = Watch(self)
             self.heard()
-            self.timer = self.loop.call_later(SILENCE_S, self.check)
+            self.timer = self.loop.call_later(IDLE_TIMEOUT_S, self.check)
             self.dial = self.loop.create_task(self.connect(self.watch))
 
     def hold_open(self) -> None:
@@ -322,7 +322,7 @@
         watch = self.watch
         if watch is None:
             return
-        bound_s = SILENCE_S if watch.answered else ANSWER_TIMEOUT_S
+        bound_s = IDLE_TIMEOUT_S if watch.answered else ANSWER_TIMEOUT_S
         left = self.heard_at + bound_s - time.monotonic()
         if left > 0:
             self.timer = self.loop.call_later(left, self.check)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -909,7 +909,7 @@
             ("127.0.0.1", server.port), directory, lambda event, addresses: told.append(event)
         )
         for falls_silent in (True, False):
-            monkeypatch.setattr(discovery_module, "SILENCE_S", 0.05 if falls_silent else 600.0)
+            monkeypatch.setattr(discovery_module, "IDLE_TIMEOUT_S", 0.05 if falls_silent else 600.0)
             watch.subscribe(True)
             await server.watched()
             server.line(listing(entry("x", 1)))
