--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -34,7 +34,9 @@
 
 ANSWER_TIMEOUT_S = POLL_TIMEOUT_US / 1e6
 IDLE_TIMEOUT_S = WATCH_TIMEOUT_US / 1e6
-REOPEN_S = 0.1  # a call to an agent on this machine costs nothing, and what it has counts as told, at once
+REOPEN_DELAY_S = (
+    0.1  # a call to an agent on this machine costs nothing, and what it has counts as told, at once
+)
 LONGEST_LINE = 4 * 1024 * 1024  # about 25,000 servers
 SHORT_LINE = 64 * 1024  # hazard: a longer one, or a change among more servers, holds up the loop for too
 FEW_SERVERS = 500  # long; so these are read on a thread, which gives way every few milliseconds
@@ -402,4 +404,4 @@
             self.stop()
             self.listener(EndpointsUpdated(ListKind.FAILED, watch_stalled=watch.silent), {})
             if self.pushed:
-                self.loop.call_later(REOPEN_S, self.reopen)
+                self.loop.call_later(REOPEN_DELAY_S, self.reopen)
