--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -37,7 +37,7 @@
 REOPEN_DELAY_S = (
     0.1  # a call to an agent on this machine costs nothing, and what it has counts as told, at once
 )
-LONGEST_LINE = 4 * 1024 * 1024  # about 25,000 servers
+MAX_LINE_BYTES = 4 * 1024 * 1024  # about 25,000 servers
 SHORT_LINE = 64 * 1024  # hazard: a longer one, or a change among more servers, holds up the loop for too
 FEW_SERVERS = 500  # long; so these are read on a thread, which gives way every few milliseconds
 # hazard: the collector goes through all that is known of so many servers when a list comes, and stops all
@@ -45,7 +45,7 @@
 # of its sight
 SETTLE_S = 1.0
 MOST_UNREAD = 64  # lines that wait for this,
-MOST_UNREAD_BYTES = 2 * LONGEST_LINE  # and their bytes; then no more is taken from the watch
+MOST_UNREAD_BYTES = 2 * MAX_LINE_BYTES  # and their bytes; then no more is taken from the watch
 STATES = {"active": EndpointStatus.READY, "leaving": EndpointStatus.DRAINING, "left": EndpointStatus.REMOVED}
 Address = tuple[str, int]
 Listener = Callable[[EndpointsUpdated, dict[int, Address]], None]
@@ -192,7 +192,7 @@
         self.answered = True
         self.discovery.heard()
         *lines, self.pending = (self.pending + data).split(b"\n")
-        if len(self.pending) + self.indented > LONGEST_LINE:
+        if len(self.pending) + self.indented > MAX_LINE_BYTES:
             raise ValueError("a line without end")
         for line in lines:
             self.take(line)
