--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -38,7 +38,9 @@
     0.1  # a call to an agent on this machine costs nothing, and what it has counts as told, at once
 )
 MAX_LINE_BYTES = 4 * 1024 * 1024  # about 25,000 servers
-SHORT_LINE = 64 * 1024  # hazard: a longer one, or a change among more servers, holds up the loop for too
+MAX_INLINE_LINE_BYTES = (
+    64 * 1024
+)  # hazard: a longer one, or a change among more servers, holds up the loop for too
 FEW_SERVERS = 500  # long; so these are read on a thread, which gives way every few milliseconds
 # hazard: the collector goes through all that is known of so many servers when a list comes, and stops all
 # threads for 50 ms; what there is before and after the first long one stays, by and large, and is taken out
@@ -66,7 +68,11 @@
 def parse(line: bytes) -> Any:
     """A list as discovery writes it. Hazard: read in one call, a long one would hold up all threads; so a
     function of Python's own is called for each entry."""
-    return json.loads(line) if len(line) <= SHORT_LINE else json.loads(line, object_hook=lambda entry: entry)
+    return (
+        json.loads(line)
+        if len(line) <= MAX_INLINE_LINE_BYTES
+        else json.loads(line, object_hook=lambda entry: entry)
+    )
 
 
 class Directory:
@@ -335,7 +341,11 @@
 
     def line(self, watch: Watch, line: bytes) -> None:
         """A list or a change has come; raises on what is malformed, if it is read at once."""
-        if self.reading is None and len(line) <= SHORT_LINE and self.directory.servers <= FEW_SERVERS:
+        if (
+            self.reading is None
+            and len(line) <= MAX_INLINE_LINE_BYTES
+            and self.directory.servers <= FEW_SERVERS
+        ):
             try:
                 self.changed(watch, *self.directory.read_line(line, self.known_to(watch)))
             except OlderChangeError:
--- a/tests/sources/test_long_lists.py
+++ b/tests/sources/test_long_lists.py
@@ -37,7 +37,7 @@
 @pytest.fixture(autouse=True)
 def all_are_long(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "FEW_SERVERS", -1)
-    monkeypatch.setattr(discovery, "SHORT_LINE", 0)
+    monkeypatch.setattr(discovery, "MAX_INLINE_LINE_BYTES", 0)
     monkeypatch.setattr("gc.freeze", lambda: None)
 
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -1186,7 +1186,7 @@
         return read_line(self, line, known)
 
     monkeypatch.setattr(discovery_module.Directory, "read_line", held)
-    monkeypatch.setattr(discovery_module, "SHORT_LINE", 1)  # each line is read on a thread
+    monkeypatch.setattr(discovery_module, "MAX_INLINE_LINE_BYTES", 1)  # each line is read on a thread
 
     async def test() -> None:
         go_on = asyncio.Event()
