--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -41,7 +41,7 @@
 MAX_INLINE_LINE_BYTES = (
     64 * 1024
 )  # hazard: a longer one, or a change among more servers, holds up the loop for too
-FEW_SERVERS = 500  # long; so these are read on a thread, which gives way every few milliseconds
+MAX_INLINE_SERVERS = 500  # long; so these are read on a thread, which gives way every few milliseconds
 # hazard: the collector goes through all that is known of so many servers when a list comes, and stops all
 # threads for 50 ms; what there is before and after the first long one stays, by and large, and is taken out
 # of its sight
@@ -344,7 +344,7 @@
         if (
             self.reading is None
             and len(line) <= MAX_INLINE_LINE_BYTES
-            and self.directory.servers <= FEW_SERVERS
+            and self.directory.servers <= MAX_INLINE_SERVERS
         ):
             try:
                 self.changed(watch, *self.directory.read_line(line, self.known_to(watch)))
--- a/tests/sources/test_long_lists.py
+++ b/tests/sources/test_long_lists.py
@@ -36,7 +36,7 @@
 
 @pytest.fixture(autouse=True)
 def all_are_long(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "FEW_SERVERS", -1)
+    monkeypatch.setattr(discovery, "MAX_INLINE_SERVERS", -1)
     monkeypatch.setattr(discovery, "MAX_INLINE_LINE_BYTES", 0)
     monkeypatch.setattr("gc.freeze", lambda: None)
 
