--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -46,7 +46,7 @@
 # threads for 50 ms; what there is before and after the first long one stays, by and large, and is taken out
 # of its sight
 SETTLE_S = 1.0
-MOST_UNREAD = 64  # lines that wait for this,
+MAX_UNREAD_LINES = 64  # lines that wait for this,
 MOST_UNREAD_BYTES = 2 * MAX_LINE_BYTES  # and their bytes; then no more is taken from the watch
 STATES = {"active": EndpointStatus.READY, "leaving": EndpointStatus.DRAINING, "left": EndpointStatus.REMOVED}
 Address = tuple[str, int]
@@ -355,7 +355,7 @@
         self.unread.append((watch, line))
         self.unread_bytes += len(line)
         if watch.transport is not None and (
-            len(self.unread) >= MOST_UNREAD or self.unread_bytes >= MOST_UNREAD_BYTES
+            len(self.unread) >= MAX_UNREAD_LINES or self.unread_bytes >= MOST_UNREAD_BYTES
         ):
             watch.transport.pause_reading()
         if not self.settled:
@@ -381,7 +381,7 @@
             self.heard()  # what was not taken meanwhile is no silence
             if (
                 watch.transport is not None
-                and len(self.unread) < MOST_UNREAD // 2
+                and len(self.unread) < MAX_UNREAD_LINES // 2
                 and self.unread_bytes < MOST_UNREAD_BYTES // 2
             ):
                 watch.transport.resume_reading()
--- a/tests/sources/test_long_lists.py
+++ b/tests/sources/test_long_lists.py
@@ -114,13 +114,13 @@
         told = Told()
         transport = Transport()
         told.watch.transport = transport  # type: ignore[assignment]
-        for rev in range(1, discovery.MOST_UNREAD + 1):
+        for rev in range(1, discovery.MAX_UNREAD_LINES + 1):
             assert transport.said == []
             told.come(listing(entry("x", 1), rev=rev))
         assert transport.said == ["pause"]
         await told.read()
         assert transport.said[1] == "resume"
-        assert len(told.events) == discovery.MOST_UNREAD
+        assert len(told.events) == discovery.MAX_UNREAD_LINES
 
     run(test)
 
