--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -47,7 +47,7 @@
 # of its sight
 SETTLE_S = 1.0
 MAX_UNREAD_LINES = 64  # lines that wait for this,
-MOST_UNREAD_BYTES = 2 * MAX_LINE_BYTES  # and their bytes; then no more is taken from the watch
+MAX_UNREAD_BYTES = 2 * MAX_LINE_BYTES  # and their bytes; then no more is taken from the watch
 STATES = {"active": EndpointStatus.READY, "leaving": EndpointStatus.DRAINING, "left": EndpointStatus.REMOVED}
 Address = tuple[str, int]
 Listener = Callable[[EndpointsUpdated, dict[int, Address]], None]
@@ -355,7 +355,7 @@
         self.unread.append((watch, line))
         self.unread_bytes += len(line)
         if watch.transport is not None and (
-            len(self.unread) >= MAX_UNREAD_LINES or self.unread_bytes >= MOST_UNREAD_BYTES
+            len(self.unread) >= MAX_UNREAD_LINES or self.unread_bytes >= MAX_UNREAD_BYTES
         ):
             watch.transport.pause_reading()
         if not self.settled:
@@ -382,7 +382,7 @@
             if (
                 watch.transport is not None
                 and len(self.unread) < MAX_UNREAD_LINES // 2
-                and self.unread_bytes < MOST_UNREAD_BYTES // 2
+                and self.unread_bytes < MAX_UNREAD_BYTES // 2
             ):
                 watch.transport.resume_reading()
         self.reading = None
