--- a/benchmarks/long_lists.py
+++ b/benchmarks/long_lists.py
@@ -19,7 +19,7 @@
 from plovertrail.decisions.events import EndpointsUpdated
 from plovertrail.decisions.settings import RequestClass, Settings
 from plovertrail.dispatch.dispatcher import Dispatcher
-from plovertrail.sources.discovery import SETTLE_S, Directory, Discovery
+from plovertrail.sources.discovery import FREEZE_DELAY_S, Directory, Discovery
 from plovertrail.upstreams.connection_pool import ConnectionPool
 
 SERVERS = 10_000
@@ -118,7 +118,7 @@
     async with asyncio.timeout(PATIENCE_S * CHANGES):
         await asyncio.to_thread(go.stdout.readline)
         for version, (name, _, count) in enumerate(steps(servers), 1):
-            await asyncio.sleep(SETTLE_S + 0.2 if version == 2 else 0.1)
+            await asyncio.sleep(FREEZE_DELAY_S + 0.2 if version == 2 else 0.1)
             clock.longest, began = 0.0, time.perf_counter()
             go.stdin.write(b"\n")
             go.stdin.flush()
--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -45,7 +45,7 @@
 # hazard: the collector goes through all that is known of so many servers when a list comes, and stops all
 # threads for 50 ms; what there is before and after the first long one stays, by and large, and is taken out
 # of its sight
-SETTLE_S = 1.0
+FREEZE_DELAY_S = 1.0
 MAX_UNREAD_LINES = 64  # lines that wait for this,
 MAX_UNREAD_BYTES = 2 * MAX_LINE_BYTES  # and their bytes; then no more is taken from the watch
 STATES = {"active": EndpointStatus.READY, "leaving": EndpointStatus.DRAINING, "left": EndpointStatus.REMOVED}
@@ -361,7 +361,7 @@
         if not self.settled:
             self.settled = True
             gc.freeze()
-            self.loop.call_later(SETTLE_S, gc.freeze)
+            self.loop.call_later(FREEZE_DELAY_S, gc.freeze)
         if self.reading is None:
             self.reading = self.loop.create_task(self.read_unread())
 
