--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -50,7 +50,7 @@
 MAX_UNREAD_BYTES = 2 * MAX_LINE_BYTES  # and their bytes; then no more is taken from the watch
 STATES = {"active": EndpointStatus.READY, "leaving": EndpointStatus.DRAINING, "left": EndpointStatus.REMOVED}
 Address = tuple[str, int]
-Listener = Callable[[EndpointsUpdated, dict[int, Address]], None]
+OnUpdate = Callable[[EndpointsUpdated, dict[int, Address]], None]
 
 
 class OlderChangeError(ValueError):
@@ -244,7 +244,7 @@
 class Discovery:
     """Holds the watch that the module has asked for, and tells how it fails, once for each call."""
 
-    def __init__(self, address: Address, directory: Directory, listener: Listener) -> None:
+    def __init__(self, address: Address, directory: Directory, listener: OnUpdate) -> None:
         self.loop = asyncio.get_running_loop()
         self.address = address
         self.directory = directory
