--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -244,11 +244,11 @@
 class Discovery:
     """Holds the watch that the module has asked for, and tells how it fails, once for each call."""
 
-    def __init__(self, address: Address, directory: Directory, listener: OnUpdate) -> None:
+    def __init__(self, address: Address, directory: Directory, on_update: OnUpdate) -> None:
         self.loop = asyncio.get_running_loop()
         self.address = address
         self.directory = directory
-        self.listener = listener
+        self.on_update = on_update
         self.version = 0
         self.active = False  # the module wants to be told, also while it waits to ask again
         self.pushed = False  # an agent has the list: the watch is opened anew whenever it ends
@@ -270,7 +270,7 @@
             log.warning("the known list can't be read: %r", error)
             return
         self.version = event.version
-        self.listener(event, addresses)
+        self.on_update(event, addresses)
 
     def subscribe(self, active: bool) -> None:
         """Ask for changes from now on, or stop. Hazard: a call that is out has its turn at discovery; ended
@@ -405,13 +405,13 @@
         address."""
         if watch.address == self.address:  # hazard: the versions of another one mean nothing here
             self.version = event.version
-        self.listener(event, addresses)
+        self.on_update(event, addresses)
 
     def ended(self, watch: Watch) -> None:
         """Report that a watch has failed, once and only if it is the current one; with `pushed` set, it is
         opened anew after REOPEN_S seconds."""
         if watch is self.watch:
             self.stop()
-            self.listener(EndpointsUpdated(ListKind.FAILED, watch_stalled=watch.silent), {})
+            self.on_update(EndpointsUpdated(ListKind.FAILED, watch_stalled=watch.silent), {})
             if self.pushed:
                 self.loop.call_later(REOPEN_DELAY_S, self.reopen)
