--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -57,7 +57,7 @@
     """A change from before what is known: discovery has been put back, or one that lags has answered."""
 
 
-def endpoint(text: str) -> Address:
+def parse_ipv4_address(text: str) -> Address:
     """Hazard: a name would be looked up, and a port out of range leave each attempt to its time-out."""
     host, port = parse_address(text)
     if port > 65_535:
@@ -130,7 +130,7 @@
         drains = STATES[line["state"]] is EndpointStatus.DRAINING
         return ListedEndpoint(
             str(line["uid"]),
-            endpoint(line["endpoint"]),
+            parse_ipv4_address(line["endpoint"]),
             line["az"],
             str(int(line["pod_group"])),
             weight if 0 < weight < math.inf else 1.0,
