--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -65,7 +65,7 @@
     return str(ipaddress.IPv4Address(host)), port
 
 
-def parse(line: bytes) -> Any:
+def decode_line(line: bytes) -> Any:
     """A list as discovery writes it. Hazard: read in one call, a long one would hold up all threads; so a
     function of Python's own is called for each entry."""
     return (
@@ -92,7 +92,7 @@
 
     def read_line(self, line: bytes, known: int = 0) -> tuple[EndpointsUpdated, dict[int, Address]]:
         """The event for one line of a watch; `known` is the version of what it changes."""
-        return self.read(parse(line), known=known)
+        return self.read(decode_line(line), known=known)
 
     def read(
         self, lines: Any, kind: ListKind | None = None, known: int = 0
