--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -86,7 +86,7 @@
         self.to_clock_us = clock_us() - time.time_ns() // 1000  # from Unix time, once for all
 
     @property
-    def servers(self) -> int:
+    def endpoint_count(self) -> int:
         """The number of servers in force, those that drain included."""
         return len(self.state.members)
 
@@ -344,7 +344,7 @@
         if (
             self.reading is None
             and len(line) <= MAX_INLINE_LINE_BYTES
-            and self.directory.servers <= MAX_INLINE_SERVERS
+            and self.directory.endpoint_count <= MAX_INLINE_SERVERS
         ):
             try:
                 self.changed(watch, *self.directory.read_line(line, self.known_to(watch)))
