--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -119,7 +119,7 @@
             raise ValueError(report.problems[0])
         if kind is not ListKind.DELTA:
             changes = tuple(EndpointChange(ChangeKind.JOIN, member) for member in self.state.members.values())
-        entries = [self.upstream(change) for change in changes]
+        entries = [self.updated_endpoint(change) for change in changes]
         addresses = {change.member.endpoint_id: change.member.listed.address for change in changes}
         return EndpointsUpdated(kind, entries, rev), addresses
 
@@ -139,7 +139,7 @@
             boot_ms * 1000 + self.to_clock_us if boot_ms else 0,
         )
 
-    def upstream(self, change: EndpointChange) -> Endpoint:
+    def updated_endpoint(self, change: EndpointChange) -> Endpoint:
         """A changed server as the module knows it."""
         member, entry = change.member, change.member.listed
         state = EndpointStatus.DRAINING if entry.drain else EndpointStatus.READY
