--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -201,9 +201,9 @@
         if len(self.pending) + self.indented > MAX_LINE_BYTES:
             raise ValueError("a line without end")
         for line in lines:
-            self.take(line)
+            self.handle_line(line)
 
-    def take(self, line: bytes) -> None:
+    def handle_line(self, line: bytes) -> None:
         """One line: a whole list, or part of one that comes indented. That begins with a brace alone, and no
         empty line is within it. Hazard: what was cut would else be waited for, and all behind it be lost."""
         text = line.strip()
@@ -235,7 +235,7 @@
         if self is self.discovery.watch and rest.endswith(b"}"):
             # hazard: where only the end of its line was cut a change has been told, and counts
             with contextlib.suppress(Exception):
-                self.take(rest)
+                self.handle_line(rest)
         if self.transport is not None:
             self.transport.abort()
         self.discovery.ended(self)
