--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -163,7 +163,7 @@
         self.transport: asyncio.Transport | None = None
         self.address = discovery.address
         self.pending = b""
-        self.part: list[bytes] = []  # the lines so far of a list that comes indented,
+        self.list_lines: list[bytes] = []  # the lines so far of a list that comes indented,
         self.indented = 0  # their bytes,
         self.depth = 0  # and how many braces are open
         self.answered = False  # it is up: from then on there is something to hear every 2 s
@@ -207,17 +207,17 @@
         """One line: a whole list, or part of one that comes indented. That begins with a brace alone, and no
         empty line is within it. Hazard: what was cut would else be waited for, and all behind it be lost."""
         text = line.strip()
-        if not self.part and text != b"{":
+        if not self.list_lines and text != b"{":
             if text:
                 self.discovery.line(self, line)
             return
         if not text:
             raise ValueError("a list that ends in its middle")
-        self.part.append(line)
+        self.list_lines.append(line)
         self.indented += len(line)
         self.depth += text.count(b"{") - text.count(b"}")
         if self.depth <= 0:
-            whole, self.part, self.indented, self.depth = b"\n".join(self.part), [], 0, 0
+            whole, self.list_lines, self.indented, self.depth = b"\n".join(self.list_lines), [], 0, 0
             self.discovery.line(self, whole)
 
     def on_message_complete(self) -> None:
