--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -164,7 +164,7 @@
         self.address = discovery.address
         self.pending = b""
         self.list_lines: list[bytes] = []  # the lines so far of a list that comes indented,
-        self.indented = 0  # their bytes,
+        self.list_bytes = 0  # their bytes,
         self.depth = 0  # and how many braces are open
         self.answered = False  # it is up: from then on there is something to hear every 2 s
         self.silent = False  # it has ended for want of that
@@ -198,7 +198,7 @@
         self.answered = True
         self.discovery.heard()
         *lines, self.pending = (self.pending + data).split(b"\n")
-        if len(self.pending) + self.indented > MAX_LINE_BYTES:
+        if len(self.pending) + self.list_bytes > MAX_LINE_BYTES:
             raise ValueError("a line without end")
         for line in lines:
             self.handle_line(line)
@@ -214,10 +214,10 @@
         if not text:
             raise ValueError("a list that ends in its middle")
         self.list_lines.append(line)
-        self.indented += len(line)
+        self.list_bytes += len(line)
         self.depth += text.count(b"{") - text.count(b"}")
         if self.depth <= 0:
-            whole, self.list_lines, self.indented, self.depth = b"\n".join(self.list_lines), [], 0, 0
+            whole, self.list_lines, self.list_bytes, self.depth = b"\n".join(self.list_lines), [], 0, 0
             self.discovery.line(self, whole)
 
     def on_message_complete(self) -> None:
