--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -165,7 +165,7 @@
         self.pending = b""
         self.list_lines: list[bytes] = []  # the lines so far of a list that comes indented,
         self.list_bytes = 0  # their bytes,
-        self.depth = 0  # and how many braces are open
+        self.open_braces = 0  # and how many braces are open
         self.answered = False  # it is up: from then on there is something to hear every 2 s
         self.silent = False  # it has ended for want of that
 
@@ -215,9 +215,9 @@
             raise ValueError("a list that ends in its middle")
         self.list_lines.append(line)
         self.list_bytes += len(line)
-        self.depth += text.count(b"{") - text.count(b"}")
-        if self.depth <= 0:
-            whole, self.list_lines, self.list_bytes, self.depth = b"\n".join(self.list_lines), [], 0, 0
+        self.open_braces += text.count(b"{") - text.count(b"}")
+        if self.open_braces <= 0:
+            whole, self.list_lines, self.list_bytes, self.open_braces = b"\n".join(self.list_lines), [], 0, 0
             self.discovery.line(self, whole)
 
     def on_message_complete(self) -> None:
