--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -167,7 +167,7 @@
         self.list_bytes = 0  # their bytes,
         self.open_braces = 0  # and how many braces are open
         self.answered = False  # it is up: from then on there is something to hear every 2 s
-        self.silent = False  # it has ended for want of that
+        self.stalled = False  # it has ended for want of that
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Ask for all changes since the known version; a watch that was replaced meanwhile closes instead."""
@@ -336,7 +336,7 @@
             self.timer = self.loop.call_later(left, self.check)
         else:
             log.warning("the watch is silent" if watch.answered else "discovery doesn't answer")
-            watch.silent = watch.answered
+            watch.stalled = watch.answered
             watch.fail()
 
     def line(self, watch: Watch, line: bytes) -> None:
@@ -412,6 +412,6 @@
         opened anew after REOPEN_S seconds."""
         if watch is self.watch:
             self.stop()
-            self.on_update(EndpointsUpdated(ListKind.FAILED, watch_stalled=watch.silent), {})
+            self.on_update(EndpointsUpdated(ListKind.FAILED, watch_stalled=watch.stalled), {})
             if self.pushed:
                 self.loop.call_later(REOPEN_DELAY_S, self.reopen)
