--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -347,7 +347,7 @@
             and self.directory.endpoint_count <= MAX_INLINE_SERVERS
         ):
             try:
-                self.changed(watch, *self.directory.read_line(line, self.known_to(watch)))
+                self.apply_update(watch, *self.directory.read_line(line, self.known_to(watch)))
             except OlderChangeError:
                 self.put_back(watch)
                 raise
@@ -372,7 +372,7 @@
             self.unread_bytes -= len(line)
             try:
                 read = await asyncio.to_thread(self.directory.read_line, line, self.known_to(watch))
-                self.changed(watch, *read)
+                self.apply_update(watch, *read)
             except Exception as error:
                 log.warning("the watch can't be read: %r", error)
                 if isinstance(error, OlderChangeError):
@@ -400,7 +400,7 @@
         self.unread = deque(each for each in self.unread if each[0] is not watch)
         self.unread_bytes = sum(len(line) for _, line in self.unread)
 
-    def changed(self, watch: Watch, event: EndpointsUpdated, addresses: dict[int, Address]) -> None:
+    def apply_update(self, watch: Watch, event: EndpointsUpdated, addresses: dict[int, Address]) -> None:
         """Pass an event on to the listener, and remember its version if the watch is of the current
         address."""
         if watch.address == self.address:  # hazard: the versions of another one mean nothing here
