--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -238,7 +238,7 @@
                 self.handle_line(rest)
         if self.transport is not None:
             self.transport.abort()
-        self.discovery.ended(self)
+        self.discovery.watch_ended(self)
 
 
 class Discovery:
@@ -319,7 +319,7 @@
         try:
             await self.loop.create_connection(lambda: watch, *self.address)
         except OSError:
-            self.ended(watch)
+            self.watch_ended(watch)
 
     def heard(self) -> None:
         """Note that discovery has just been heard, from which its silence is measured."""
@@ -407,7 +407,7 @@
             self.version = event.version
         self.on_update(event, addresses)
 
-    def ended(self, watch: Watch) -> None:
+    def watch_ended(self, watch: Watch) -> None:
         """Report that a watch has failed, once and only if it is the current one; with `pushed` set, it is
         opened anew after REOPEN_S seconds."""
         if watch is self.watch:
