--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -196,7 +196,7 @@
         if self.parser.get_status_code() != 200:
             return
         self.answered = True
-        self.discovery.heard()
+        self.discovery.note_activity()
         *lines, self.pending = (self.pending + data).split(b"\n")
         if len(self.pending) + self.list_bytes > MAX_LINE_BYTES:
             raise ValueError("a line without end")
@@ -280,7 +280,7 @@
             self.stop()
         elif self.watch is None:
             self.watch = Watch(self)
-            self.heard()
+            self.note_activity()
             self.timer = self.loop.call_later(IDLE_TIMEOUT_S, self.check)
             self.dial = self.loop.create_task(self.connect(self.watch))
 
@@ -321,7 +321,7 @@
         except OSError:
             self.watch_ended(watch)
 
-    def heard(self) -> None:
+    def note_activity(self) -> None:
         """Note that discovery has just been heard, from which its silence is measured."""
         self.heard_at = time.monotonic()
 
@@ -378,7 +378,7 @@
                 if isinstance(error, OlderChangeError):
                     self.put_back(watch)
                 watch.fail()
-            self.heard()  # what was not taken meanwhile is no silence
+            self.note_activity()  # what was not taken meanwhile is no silence
             if (
                 watch.transport is not None
                 and len(self.unread) < MAX_UNREAD_LINES // 2
