--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -254,7 +254,7 @@
         self.pushed = False  # an agent has the list: the watch is opened anew whenever it ends
         self.watch: Watch | None = None
         self.dial: asyncio.Task[None] | None = None
-        self.heard_at = 0.0
+        self.last_activity_s = 0.0
         self.timer: asyncio.TimerHandle | None = None
         self.unread: deque[tuple[Watch, bytes]] = deque()
         self.reading: asyncio.Task[None] | None = None  # the one that reads them
@@ -323,7 +323,7 @@
 
     def note_activity(self) -> None:
         """Note that discovery has just been heard, from which its silence is measured."""
-        self.heard_at = time.monotonic()
+        self.last_activity_s = time.monotonic()
 
     def check(self) -> None:
         """Hazard: a machine that is cut off says nothing, and its watch would stay open for ever."""
@@ -331,7 +331,7 @@
         if watch is None:
             return
         bound_s = IDLE_TIMEOUT_S if watch.answered else ANSWER_TIMEOUT_S
-        left = self.heard_at + bound_s - time.monotonic()
+        left = self.last_activity_s + bound_s - time.monotonic()
         if left > 0:
             self.timer = self.loop.call_later(left, self.check)
         else:
