--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -281,7 +281,7 @@
         elif self.watch is None:
             self.watch = Watch(self)
             self.note_activity()
-            self.timer = self.loop.call_later(IDLE_TIMEOUT_S, self.check)
+            self.timer = self.loop.call_later(IDLE_TIMEOUT_S, self.check_timeout)
             self.dial = self.loop.create_task(self.connect(self.watch))
 
     def hold_open(self) -> None:
@@ -325,7 +325,7 @@
         """Note that discovery has just been heard, from which its silence is measured."""
         self.last_activity_s = time.monotonic()
 
-    def check(self) -> None:
+    def check_timeout(self) -> None:
         """Hazard: a machine that is cut off says nothing, and its watch would stay open for ever."""
         watch = self.watch
         if watch is None:
@@ -333,7 +333,7 @@
         bound_s = IDLE_TIMEOUT_S if watch.answered else ANSWER_TIMEOUT_S
         left = self.last_activity_s + bound_s - time.monotonic()
         if left > 0:
-            self.timer = self.loop.call_later(left, self.check)
+            self.timer = self.loop.call_later(left, self.check_timeout)
         else:
             log.warning("the watch is silent" if watch.answered else "discovery doesn't answer")
             watch.stalled = watch.answered
