--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -349,7 +349,7 @@
             try:
                 self.apply_update(watch, *self.directory.read_line(line, self.known_to(watch)))
             except OlderChangeError:
-                self.put_back(watch)
+                self.reset_after_rollback(watch)
                 raise
             return
         self.unread.append((watch, line))
@@ -376,7 +376,7 @@
             except Exception as error:
                 log.warning("the watch can't be read: %r", error)
                 if isinstance(error, OlderChangeError):
-                    self.put_back(watch)
+                    self.reset_after_rollback(watch)
                 watch.fail()
             self.note_activity()  # what was not taken meanwhile is no silence
             if (
@@ -392,7 +392,7 @@
         here."""
         return self.version if watch.address == self.address else 0
 
-    def put_back(self, watch: Watch) -> None:
+    def reset_after_rollback(self, watch: Watch) -> None:
         """A change from before what is known has come: what follows it on this watch is of another past as
         well, and the whole list is asked for."""
         if watch.address == self.address:
