--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -347,7 +347,7 @@
             and self.directory.endpoint_count <= MAX_INLINE_SERVERS
         ):
             try:
-                self.apply_update(watch, *self.directory.read_line(line, self.known_to(watch)))
+                self.apply_update(watch, *self.directory.read_line(line, self.known_version_for(watch)))
             except OlderChangeError:
                 self.reset_after_rollback(watch)
                 raise
@@ -371,7 +371,7 @@
             watch, line = self.unread.popleft()
             self.unread_bytes -= len(line)
             try:
-                read = await asyncio.to_thread(self.directory.read_line, line, self.known_to(watch))
+                read = await asyncio.to_thread(self.directory.read_line, line, self.known_version_for(watch))
                 self.apply_update(watch, *read)
             except Exception as error:
                 log.warning("the watch can't be read: %r", error)
@@ -387,7 +387,7 @@
                 watch.transport.resume_reading()
         self.reading = None
 
-    def known_to(self, watch: Watch) -> int:
+    def known_version_for(self, watch: Watch) -> int:
         """The version that a watch's changes are held against; hazard: those of another address mean nothing
         here."""
         return self.version if watch.address == self.address else 0
