--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -251,7 +251,7 @@
         self.on_update = on_update
         self.version = 0
         self.active = False  # the module wants to be told, also while it waits to ask again
-        self.pushed = False  # an agent has the list: the watch is opened anew whenever it ends
+        self.held_open = False  # an agent has the list: the watch is opened anew whenever it ends
         self.watch: Watch | None = None
         self.dial: asyncio.Task[None] | None = None
         self.last_activity_s = 0.0
@@ -286,7 +286,7 @@
 
     def hold_open(self) -> None:
         """Lists are pushed to an agent beside us, and the module asks for none: watch the agent for good."""
-        self.pushed = True
+        self.held_open = True
         self.subscribe(True)
 
     def reopen(self) -> None:
@@ -413,5 +413,5 @@
         if watch is self.watch:
             self.stop()
             self.on_update(EndpointsUpdated(ListKind.FAILED, watch_stalled=watch.stalled), {})
-            if self.pushed:
+            if self.held_open:
                 self.loop.call_later(REOPEN_DELAY_S, self.reopen)
