--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -253,7 +253,7 @@
         self.active = False  # the module wants to be told, also while it waits to ask again
         self.held_open = False  # an agent has the list: the watch is opened anew whenever it ends
         self.watch: Watch | None = None
-        self.dial: asyncio.Task[None] | None = None
+        self.connect_task: asyncio.Task[None] | None = None
         self.last_activity_s = 0.0
         self.timer: asyncio.TimerHandle | None = None
         self.unread: deque[tuple[Watch, bytes]] = deque()
@@ -282,7 +282,7 @@
             self.watch = Watch(self)
             self.note_activity()
             self.timer = self.loop.call_later(IDLE_TIMEOUT_S, self.check_timeout)
-            self.dial = self.loop.create_task(self.connect(self.watch))
+            self.connect_task = self.loop.create_task(self.connect(self.watch))
 
     def hold_open(self) -> None:
         """Lists are pushed to an agent beside us, and the module asks for none: watch the agent for good."""
@@ -309,8 +309,8 @@
         watch, self.watch = self.watch, None
         if self.timer is not None:
             self.timer.cancel()
-        if self.dial is not None:
-            self.dial.cancel()
+        if self.connect_task is not None:
+            self.connect_task.cancel()
         if watch is not None and watch.transport is not None:
             watch.transport.abort()
 
