--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -259,7 +259,7 @@
         self.unread: deque[tuple[Watch, bytes]] = deque()
         self.reading: asyncio.Task[None] | None = None  # the one that reads them
         self.unread_bytes = 0
-        self.settled = False
+        self.frozen = False
 
     def cached(self, lines: Any) -> None:
         """The list as the sidecar last had it."""
@@ -358,8 +358,8 @@
             len(self.unread) >= MAX_UNREAD_LINES or self.unread_bytes >= MAX_UNREAD_BYTES
         ):
             watch.transport.pause_reading()
-        if not self.settled:
-            self.settled = True
+        if not self.frozen:
+            self.frozen = True
             gc.freeze()
             self.loop.call_later(FREEZE_DELAY_S, gc.freeze)
         if self.reading is None:
