--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -257,7 +257,7 @@
         self.last_activity_s = 0.0
         self.timer: asyncio.TimerHandle | None = None
         self.unread: deque[tuple[Watch, bytes]] = deque()
-        self.reading: asyncio.Task[None] | None = None  # the one that reads them
+        self.reader_task: asyncio.Task[None] | None = None  # the one that reads them
         self.unread_bytes = 0
         self.frozen = False
 
@@ -342,7 +342,7 @@
     def line(self, watch: Watch, line: bytes) -> None:
         """A list or a change has come; raises on what is malformed, if it is read at once."""
         if (
-            self.reading is None
+            self.reader_task is None
             and len(line) <= MAX_INLINE_LINE_BYTES
             and self.directory.endpoint_count <= MAX_INLINE_SERVERS
         ):
@@ -362,8 +362,8 @@
             self.frozen = True
             gc.freeze()
             self.loop.call_later(FREEZE_DELAY_S, gc.freeze)
-        if self.reading is None:
-            self.reading = self.loop.create_task(self.read_unread())
+        if self.reader_task is None:
+            self.reader_task = self.loop.create_task(self.read_unread())
 
     async def read_unread(self) -> None:
         """In the order in which they came. Those of a watch that has ended count too: they have been told."""
@@ -385,7 +385,7 @@
                 and self.unread_bytes < MAX_UNREAD_BYTES // 2
             ):
                 watch.transport.resume_reading()
-        self.reading = None
+        self.reader_task = None
 
     def known_version_for(self, watch: Watch) -> int:
         """The version that a watch's changes are held against; hazard: those of another address mean nothing
--- a/tests/sources/test_long_lists.py
+++ b/tests/sources/test_long_lists.py
@@ -31,7 +31,7 @@
             self.discovery.line(self.watch, json.dumps(line).encode())
 
     async def read(self) -> None:
-        await until(lambda: self.discovery.reading is None)
+        await until(lambda: self.discovery.reader_task is None)
 
 
 @pytest.fixture(autouse=True)
