--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -109,7 +109,7 @@
         if kind is ListKind.DELTA:
             listed = {entry.id: entry for layer in self.state.layers for entry in layer.endpoints}
         for line in lines["targets"]:
-            entry = self.entry(line)
+            entry = self.listed_endpoint(line)
             listed.pop(entry.id, None)
             if STATES[line["state"]] is not EndpointStatus.REMOVED:
                 listed[entry.id] = entry
@@ -123,7 +123,7 @@
         addresses = {change.member.endpoint_id: change.member.listed.address for change in changes}
         return EndpointsUpdated(kind, entries, rev), addresses
 
-    def entry(self, line: Any) -> ListedEndpoint:
+    def listed_endpoint(self, line: Any) -> ListedEndpoint:
         """One of discovery's entries as sources have them."""
         boot_ms = int(line["boot_ms"])
         weight = float(line["capacity_hint"])
