--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -209,7 +209,7 @@
         text = line.strip()
         if not self.list_lines and text != b"{":
             if text:
-                self.discovery.line(self, line)
+                self.discovery.line_received(self, line)
             return
         if not text:
             raise ValueError("a list that ends in its middle")
@@ -218,7 +218,7 @@
         self.open_braces += text.count(b"{") - text.count(b"}")
         if self.open_braces <= 0:
             whole, self.list_lines, self.list_bytes, self.open_braces = b"\n".join(self.list_lines), [], 0, 0
-            self.discovery.line(self, whole)
+            self.discovery.line_received(self, whole)
 
     def on_message_complete(self) -> None:
         """The answer has ended, and with it the watch: it counts as failed, as no answer should end."""
@@ -339,7 +339,7 @@
             watch.stalled = watch.answered
             watch.fail()
 
-    def line(self, watch: Watch, line: bytes) -> None:
+    def line_received(self, watch: Watch, line: bytes) -> None:
         """A list or a change has come; raises on what is malformed, if it is read at once."""
         if (
             self.reader_task is None
--- a/tests/sources/test_long_lists.py
+++ b/tests/sources/test_long_lists.py
@@ -28,7 +28,7 @@
 
     def come(self, *lines: Any) -> None:
         for line in lines:
-            self.discovery.line(self.watch, json.dumps(line).encode())
+            self.discovery.line_received(self.watch, json.dumps(line).encode())
 
     async def read(self) -> None:
         await until(lambda: self.discovery.reader_task is None)
