--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -250,7 +250,7 @@
         self.directory = directory
         self.on_update = on_update
         self.version = 0
-        self.active = False  # the module wants to be told, also while it waits to ask again
+        self.subscribed = False  # the module wants to be told, also while it waits to ask again
         self.held_open = False  # an agent has the list: the watch is opened anew whenever it ends
         self.watch: Watch | None = None
         self.connect_task: asyncio.Task[None] | None = None
@@ -275,7 +275,7 @@
     def subscribe(self, active: bool) -> None:
         """Ask for changes from now on, or stop. Hazard: a call that is out has its turn at discovery; ended
         for a new one it would be asked anew again and again and never heard. It ends by itself in time."""
-        self.active = active
+        self.subscribed = active
         if not active:
             self.stop()
         elif self.watch is None:
@@ -291,7 +291,7 @@
 
     def reopen(self) -> None:
         """Start a watch if none is open and changes are still wanted."""
-        if self.watch is None and self.active:
+        if self.watch is None and self.subscribed:
             self.subscribe(True)
 
     def move(self, address: Address) -> None:
@@ -301,7 +301,7 @@
         self.address = address
         self.version = 0  # hazard: the old one's versions mean nothing here, so the whole list is asked for
         self.stop()
-        if self.active:
+        if self.subscribed:
             self.subscribe(True)
 
     def stop(self) -> None:
