--- a/fakes/fleet/instances.py
+++ b/fakes/fleet/instances.py
@@ -58,7 +58,7 @@
             self._narrow()
         self.discovery = Discovery(("127.0.0.1", discovery_port), Directory(["a"], ["m"]), self.listed)
         self.dispatcher.discovery = self.discovery
-        self.discovery.cached(known)
+        self.discovery.load_cached(known)
         self.dispatcher.start(self.pool)
 
     def _narrow(self) -> None:
--- a/plovertrail/__main__.py
+++ b/plovertrail/__main__.py
@@ -57,7 +57,7 @@
     discovery = Discovery(settings.discovery, directory, partial(dispatcher.pools.update_endpoints, pool))
     dispatcher.discovery = discovery
     if settings.known:
-        discovery.cached(settings.known)
+        discovery.load_cached(settings.known)
     dispatcher.start(pool)
     if not settings.settings.endpoints_on_request:
         discovery.hold_open()
--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -261,7 +261,7 @@
         self.unread_bytes = 0
         self.frozen = False
 
-    def cached(self, lines: Any) -> None:
+    def load_cached(self, lines: Any) -> None:
         """The list as the sidecar last had it."""
         try:
             event, addresses = self.directory.read(lines, ListKind.CACHED)
