--- a/plovertrail/__main__.py
+++ b/plovertrail/__main__.py
@@ -39,7 +39,7 @@
         await reload.wait()
         reload.clear()
         try:
-            discovery.move(config.load(path).discovery)
+            discovery.change_address(config.load(path).discovery)
         except CONFIGURATION_ERRORS as error:
             # a file that is half written or missing must cost neither requests nor the endpoint list
             log.warning("configuration unreadable, the one in force stays error=%r", error)
--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -294,7 +294,7 @@
         if self.watch is None and self.subscribed:
             self.subscribe(True)
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Discovery has another address: watch there at once."""
         if address == self.address:
             return
--- a/tests/sources/test_long_lists.py
+++ b/tests/sources/test_long_lists.py
@@ -88,7 +88,7 @@
     async def test() -> None:
         told = Told()
         told.come(listing(entry("x", 1), rev=900))
-        told.discovery.move(("127.0.0.1", 2))
+        told.discovery.change_address(("127.0.0.1", 2))
         await told.read()
         assert told.discovery.version == 0
         assert len(told.events) == 1
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -854,7 +854,7 @@
         first.line(listing(entry("x", 1)))
         await until(lambda: [event.kind for event in told] == [ListKind.FULL])
         source.subscribe(True)
-        source.move(("127.0.0.1", second.port))
+        source.change_address(("127.0.0.1", second.port))
         await second.watched()
         second.line(listing(entry("y", 1), rev=1))
         await until(lambda: len(told) == 2)
