--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -90,12 +90,12 @@
         """The number of servers in force, those that drain included."""
         return len(self.state.members)
 
-    def read_line(self, line: bytes, known: int = 0) -> tuple[EndpointsUpdated, dict[int, Address]]:
+    def read_line(self, line: bytes, known_version: int = 0) -> tuple[EndpointsUpdated, dict[int, Address]]:
         """The event for one line of a watch; `known` is the version of what it changes."""
-        return self.read(decode_line(line), known=known)
+        return self.read(decode_line(line), known_version=known_version)
 
     def read(
-        self, lines: Any, kind: ListKind | None = None, known: int = 0
+        self, lines: Any, kind: ListKind | None = None, known_version: int = 0
     ) -> tuple[EndpointsUpdated, dict[int, Address]]:
         """The event for one list, with the addresses of its entries; raises on what is malformed, and then
         nothing of it has been taken. Hazard: a change from before the known version would put a server that
@@ -103,8 +103,8 @@
         rev = int(lines["rev"])
         if kind is None:
             kind = ListKind.FULL if lines["all"] else ListKind.DELTA
-        if kind is ListKind.DELTA and rev < known:
-            raise OlderChangeError(f"a change of version {rev} after version {known}")
+        if kind is ListKind.DELTA and rev < known_version:
+            raise OlderChangeError(f"a change of version {rev} after version {known_version}")
         listed: dict[str, ListedEndpoint] = {}
         if kind is ListKind.DELTA:
             listed = {entry.id: entry for layer in self.state.layers for entry in layer.endpoints}
--- a/tests/sources/test_discovery.py
+++ b/tests/sources/test_discovery.py
@@ -101,10 +101,10 @@
         )
         before = directory.state
         with pytest.raises(OlderChangeError, match="version 4 after version 9"):
-            directory.read(listing(entry("a", 1), entry("b", 2), rev=4, full=False), known=9)
+            directory.read(listing(entry("a", 1), entry("b", 2), rev=4, full=False), known_version=9)
         assert directory.state is before
         ready = {name for name, member in directory.state.members.items() if not member.listed.drain}
         assert ready == set("def")
-        event, _ = directory.read(listing(entry("a", 1), rev=4), known=9)  # a whole list holds
+        event, _ = directory.read(listing(entry("a", 1), rev=4), known_version=9)  # a whole list holds
         assert event.kind is ListKind.FULL
         assert set(directory.state.members) == {"a"}
