--- a/plovertrail/sources/discovery.py
+++ b/plovertrail/sources/discovery.py
@@ -1,4 +1,4 @@
-"""The upstream list: discovery's entries, and the watch on their changes."""
+"""The client of the platform's discovery service: endpoint lists, and a watch on their changes."""
 
 from __future__ import annotations
 
@@ -34,40 +34,51 @@
 
 ANSWER_TIMEOUT_S = POLL_TIMEOUT_US / 1e6
 IDLE_TIMEOUT_S = WATCH_TIMEOUT_US / 1e6
-REOPEN_DELAY_S = (
-    0.1  # a call to an agent on this machine costs nothing, and what it has counts as told, at once
-)
-MAX_LINE_BYTES = 4 * 1024 * 1024  # about 25,000 servers
-MAX_INLINE_LINE_BYTES = (
-    64 * 1024
-)  # hazard: a longer one, or a change among more servers, holds up the loop for too
-MAX_INLINE_SERVERS = 500  # long; so these are read on a thread, which gives way every few milliseconds
-# hazard: the collector goes through all that is known of so many servers when a list comes, and stops all
-# threads for 50 ms; what there is before and after the first long one stays, by and large, and is taken out
-# of its sight
+# Short, since a call to the agent on this machine costs nothing, and an update counts as known to this
+# process as soon as the agent has it.
+REOPEN_DELAY_S = 0.1
+MAX_LINE_BYTES = 4 * 1024 * 1024  # about 25,000 endpoints
+# A longer line, or a change among more endpoints, would block the event loop for too long. It is decoded on a
+# thread, which releases Python's lock every few milliseconds.
+MAX_INLINE_LINE_BYTES = 64 * 1024
+MAX_INLINE_SERVERS = 500
+# With a long list the garbage collector would scan the objects of all endpoints and stop all threads for
+# 50 ms. Most objects that exist before and after the first long list live on, so they are frozen: once before
+# it is read, and again after this delay.
 FREEZE_DELAY_S = 1.0
-MAX_UNREAD_LINES = 64  # lines that wait for this,
-MAX_UNREAD_BYTES = 2 * MAX_LINE_BYTES  # and their bytes; then no more is taken from the watch
+# With so many lines or bytes waiting for the thread, no more is read from the connection.
+MAX_UNREAD_LINES = 64
+MAX_UNREAD_BYTES = 2 * MAX_LINE_BYTES
 STATES = {"active": EndpointStatus.READY, "leaving": EndpointStatus.DRAINING, "left": EndpointStatus.REMOVED}
 Address = tuple[str, int]
 OnUpdate = Callable[[EndpointsUpdated, dict[int, Address]], None]
 
 
 class OlderChangeError(ValueError):
-    """A change from before what is known: discovery has been put back, or one that lags has answered."""
+    """A change is older than the known version.
+
+    Discovery was rolled back, or a replica that lags behind has answered.
+    """
 
 
 def parse_ipv4_address(text: str) -> Address:
-    """Hazard: a name would be looked up, and a port out of range leave each attempt to its time-out."""
+    """Parse an IPv4 address and a port; raises ValueError.
+
+    Host names are rejected because they would need a lookup. With a port out of range each attempt would run
+    into its time-out.
+    """
     host, port = parse_address(text)
     if port > 65_535:
-        raise ValueError(f"no port: {text!r}")
+        raise ValueError(f"port out of range: {text!r}")
     return str(ipaddress.IPv4Address(host)), port
 
 
 def decode_line(line: bytes) -> Any:
-    """A list as discovery writes it. Hazard: read in one call, a long one would hold up all threads; so a
-    function of Python's own is called for each entry."""
+    """Decode one line of JSON.
+
+    json.loads holds Python's lock for a whole call and would block all threads on a long line. With an
+    `object_hook` it runs Python code for each entry, where other threads can take over.
+    """
     return (
         json.loads(line)
         if len(line) <= MAX_INLINE_LINE_BYTES
@@ -76,42 +87,50 @@
 
 
 class Directory:
-    """Turns discovery's lists into the module's events, through the reducer that all sources go through. No
-    guard holds a list of the platform's back: its drains count from the moment that it tells them."""
+    """Converts discovery's lists to events for the load balancer, by the same reducer as all other sources.
+
+    No guard delays a list: the platform's drains count from the moment it announces them.
+    """
 
     def __init__(self, zones: list[str], kinds: list[str]) -> None:
         self.zones = zones
         self.kinds = kinds
         self.state = EndpointListState()
-        self.to_clock_us = clock_us() - time.time_ns() // 1000  # from Unix time, once for all
+        self.to_clock_us = clock_us() - time.time_ns() // 1000  # added to a Unix time; measured once
 
     @property
     def endpoint_count(self) -> int:
-        """The number of servers in force, those that drain included."""
+        """The number of current endpoints, draining ones included."""
         return len(self.state.members)
 
     def read_line(self, line: bytes, known_version: int = 0) -> tuple[EndpointsUpdated, dict[int, Address]]:
-        """The event for one line of a watch; `known` is the version of what it changes."""
+        """Return the event for one line of a watch, and the addresses of its endpoints.
+
+        `known_version` is the version that a change has to follow.
+        """
         return self.read(decode_line(line), known_version=known_version)
 
     def read(
-        self, lines: Any, kind: ListKind | None = None, known_version: int = 0
+        self, listing: Any, kind: ListKind | None = None, known_version: int = 0
     ) -> tuple[EndpointsUpdated, dict[int, Address]]:
-        """The event for one list, with the addresses of its entries; raises on what is malformed, and then
-        nothing of it has been taken. Hazard: a change from before the known version would put a server that
-        was told to drain back to work (rule 3); a whole list holds whatever its version is."""
-        rev = int(lines["rev"])
+        """Return the event for one list, and the addresses of its endpoints.
+
+        Raises an exception if the list is malformed, and then applies none of it. A change that is older than
+        the known version is rejected, since it could send requests to a draining endpoint again. A full
+        list is accepted whatever its version.
+        """
+        rev = int(listing["rev"])
         if kind is None:
-            kind = ListKind.FULL if lines["all"] else ListKind.DELTA
+            kind = ListKind.FULL if listing["all"] else ListKind.DELTA
         if kind is ListKind.DELTA and rev < known_version:
             raise OlderChangeError(f"a change of version {rev} after version {known_version}")
         listed: dict[str, ListedEndpoint] = {}
         if kind is ListKind.DELTA:
             listed = {entry.id: entry for layer in self.state.layers for entry in layer.endpoints}
-        for line in lines["targets"]:
-            entry = self.listed_endpoint(line)
+        for item in listing["targets"]:
+            entry = self.listed_endpoint(item)
             listed.pop(entry.id, None)
-            if STATES[line["state"]] is not EndpointStatus.REMOVED:
+            if STATES[item["state"]] is not EndpointStatus.REMOVED:
                 listed[entry.id] = entry
         candidate = EndpointList("discovery", tuple(listed.values()))
         self.state, changes, report = apply_list(self.state, candidate, clock_us(), UNGUARDED)
@@ -123,24 +142,24 @@
         addresses = {change.member.endpoint_id: change.member.listed.address for change in changes}
         return EndpointsUpdated(kind, entries, rev), addresses
 
-    def listed_endpoint(self, line: Any) -> ListedEndpoint:
-        """One of discovery's entries as sources have them."""
-        boot_ms = int(line["boot_ms"])
-        weight = float(line["capacity_hint"])
-        drains = STATES[line["state"]] is EndpointStatus.DRAINING
+    def listed_endpoint(self, item: Any) -> ListedEndpoint:
+        """Convert one of discovery's entries."""
+        boot_ms = int(item["boot_ms"])
+        weight = float(item["capacity_hint"])
+        drains = STATES[item["state"]] is EndpointStatus.DRAINING
         return ListedEndpoint(
-            str(line["uid"]),
-            parse_ipv4_address(line["endpoint"]),
-            line["az"],
-            str(int(line["pod_group"])),
+            str(item["uid"]),
+            parse_ipv4_address(item["endpoint"]),
+            item["az"],
+            str(int(item["pod_group"])),
             weight if 0 < weight < math.inf else 1.0,
             drains,
-            line["model"],
+            item["model"],
             boot_ms * 1000 + self.to_clock_us if boot_ms else 0,
         )
 
     def updated_endpoint(self, change: EndpointChange) -> Endpoint:
-        """A changed server as the module knows it."""
+        """Describe a changed endpoint for the load balancer."""
         member, entry = change.member, change.member.listed
         state = EndpointStatus.DRAINING if entry.drain else EndpointStatus.READY
         return Endpoint(
@@ -155,7 +174,7 @@
 
 
 class Watch(asyncio.Protocol):
-    """One call for changes: it lasts until its connection ends, and then has failed."""
+    """One streaming request for changes. It lasts until the connection ends, which counts as a failure."""
 
     def __init__(self, discovery: Discovery) -> None:
         self.discovery = discovery
@@ -163,17 +182,17 @@
         self.transport: asyncio.Transport | None = None
         self.address = discovery.address
         self.pending = b""
-        self.list_lines: list[bytes] = []  # the lines so far of a list that comes indented,
-        self.list_bytes = 0  # their bytes,
-        self.open_braces = 0  # and how many braces are open
-        self.answered = False  # it is up: from then on there is something to hear every 2 s
-        self.stalled = False  # it has ended for want of that
+        self.list_lines: list[bytes] = []  # the lines received of an indented list
+        self.list_bytes = 0  # their size
+        self.open_braces = 0  # how many braces are open after them
+        self.answered = False  # data has come; from then on a line comes every 2 s
+        self.stalled = False  # it was ended because no line came
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Ask for all changes since the known version; a watch that was replaced meanwhile closes instead."""
+        """Request all changes since the known version; a watch that was replaced meanwhile closes instead."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        if self is not self.discovery.watch:  # it was replaced while its connection came up
+        if self is not self.discovery.watch:  # it was replaced while connecting
             transport.abort()
             return
         host, port = self.discovery.address
@@ -183,36 +202,42 @@
         )
 
     def data_received(self, data: bytes) -> None:
-        """Feed the HTTP parser; bytes that can't be read are logged and end the watch."""
+        """Feed the HTTP parser; malformed data is logged and ends the watch."""
         try:
             self.parser.feed_data(data)
         except Exception as error:
-            log.warning("the watch can't be read: %r", error)
+            log.warning("malformed data from discovery, ending the watch: %r", error)
             self.fail()
 
     def on_body(self, data: bytes) -> None:
-        """Pass on each line that is complete. Raises ValueError, which ends the watch, if an unfinished line
-        or list holds more than LONGEST_LINE bytes; the body of an answer other than 200 is ignored."""
+        """Handle each complete line; the body of a response other than 200 is ignored.
+
+        Raises ValueError, which ends the watch, if an incomplete line or list exceeds MAX_LINE_BYTES.
+        """
         if self.parser.get_status_code() != 200:
             return
         self.answered = True
         self.discovery.note_activity()
         *lines, self.pending = (self.pending + data).split(b"\n")
         if len(self.pending) + self.list_bytes > MAX_LINE_BYTES:
-            raise ValueError("a line without end")
+            raise ValueError("line or list is too long")
         for line in lines:
             self.handle_line(line)
 
     def handle_line(self, line: bytes) -> None:
-        """One line: a whole list, or part of one that comes indented. That begins with a brace alone, and no
-        empty line is within it. Hazard: what was cut would else be waited for, and all behind it be lost."""
+        """Handle one line: a whole list, or a part of an indented one.
+
+        An indented list begins with a line that is a single brace, and has no empty line within it. So an
+        empty line shows that a list was truncated; without this check its end would be waited for, and all
+        lists after it would be lost.
+        """
         text = line.strip()
         if not self.list_lines and text != b"{":
             if text:
                 self.discovery.line_received(self, line)
             return
         if not text:
-            raise ValueError("a list that ends in its middle")
+            raise ValueError("list is truncated")
         self.list_lines.append(line)
         self.list_bytes += len(line)
         self.open_braces += text.count(b"{") - text.count(b"}")
@@ -221,19 +246,21 @@
             self.discovery.line_received(self, whole)
 
     def on_message_complete(self) -> None:
-        """The answer has ended, and with it the watch: it counts as failed, as no answer should end."""
+        """End the watch as failed: a response that streams changes should never end."""
         self.fail()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection has ended, with an error or without one: the watch has failed."""
+        """End the watch as failed, whether or not the connection ended with an error."""
         self.fail()
 
     def fail(self) -> None:
-        """Close the connection and report the end to the owner, after a last line that lacks only its line
-        end."""
+        """Close the connection and report the end.
+
+        A last line that lacks only its line end is handled first.
+        """
         rest, self.pending = self.pending, b""
         if self is self.discovery.watch and rest.endswith(b"}"):
-            # hazard: where only the end of its line was cut a change has been told, and counts
+            # The change counts as announced although its line end was cut off.
             with contextlib.suppress(Exception):
                 self.handle_line(rest)
         if self.transport is not None:
@@ -242,7 +269,7 @@
 
 
 class Discovery:
-    """Holds the watch that the module has asked for, and tells how it fails, once for each call."""
+    """Runs the watch that the load balancer has requested, and reports each failure of it once."""
 
     def __init__(self, address: Address, directory: Directory, on_update: OnUpdate) -> None:
         self.loop = asyncio.get_running_loop()
@@ -250,31 +277,34 @@
         self.directory = directory
         self.on_update = on_update
         self.version = 0
-        self.subscribed = False  # the module wants to be told, also while it waits to ask again
-        self.held_open = False  # an agent has the list: the watch is opened anew whenever it ends
+        self.subscribed = False  # the load balancer wants changes, also while it waits before a retry
+        self.held_open = False  # the watch of an agent is reopened whenever it ends
         self.watch: Watch | None = None
         self.connect_task: asyncio.Task[None] | None = None
         self.last_activity_s = 0.0
         self.timer: asyncio.TimerHandle | None = None
         self.unread: deque[tuple[Watch, bytes]] = deque()
-        self.reader_task: asyncio.Task[None] | None = None  # the one that reads them
+        self.reader_task: asyncio.Task[None] | None = None  # handles the unread lines
         self.unread_bytes = 0
-        self.frozen = False
+        self.frozen = False  # gc.freeze() was called for the first long list
 
-    def load_cached(self, lines: Any) -> None:
-        """The list as the sidecar last had it."""
+    def load_cached(self, listing: Any) -> None:
+        """Apply the list that was last known."""
         try:
-            event, addresses = self.directory.read(lines, ListKind.CACHED)
+            event, addresses = self.directory.read(listing, ListKind.CACHED)
         except Exception as error:
-            # hazard: an old list that can't be read would keep the sidecar from ever asking for a new one
-            log.warning("the known list can't be read: %r", error)
+            # A malformed old list must not keep the process from ever requesting a new one.
+            log.warning("ignoring the last known endpoint list: %r", error)
             return
         self.version = event.version
         self.on_update(event, addresses)
 
     def subscribe(self, active: bool) -> None:
-        """Ask for changes from now on, or stop. Hazard: a call that is out has its turn at discovery; ended
-        for a new one it would be asked anew again and again and never heard. It ends by itself in time."""
+        """Start to watch for changes, or stop.
+
+        A watch that is open stays, as its request may be queued at discovery: if it were replaced by a new
+        one each time, none might ever be answered. It times out by itself.
+        """
         self.subscribed = active
         if not active:
             self.stop()
@@ -285,27 +315,30 @@
             self.connect_task = self.loop.create_task(self.connect(self.watch))
 
     def hold_open(self) -> None:
-        """Lists are pushed to an agent beside us, and the module asks for none: watch the agent for good."""
+        """Keep a watch open for good.
+
+        Used where lists are pushed to an agent on this machine and the load balancer requests none itself.
+        """
         self.held_open = True
         self.subscribe(True)
 
     def reopen(self) -> None:
-        """Start a watch if none is open and changes are still wanted."""
+        """Open a watch if none is open and changes are still wanted."""
         if self.watch is None and self.subscribed:
             self.subscribe(True)
 
     def change_address(self, address: Address) -> None:
-        """Discovery has another address: watch there at once."""
+        """Follow a new address of discovery, and open a watch there at once."""
         if address == self.address:
             return
         self.address = address
-        self.version = 0  # hazard: the old one's versions mean nothing here, so the whole list is asked for
+        self.version = 0  # versions are valid at one address only, so the full list is requested
         self.stop()
         if self.subscribed:
             self.subscribe(True)
 
     def stop(self) -> None:
-        """End the watch under way with its dial and its timer, without a report of failure."""
+        """End the watch, its connect and its timer, without reporting a failure."""
         watch, self.watch = self.watch, None
         if self.timer is not None:
             self.timer.cancel()
@@ -315,32 +348,37 @@
             watch.transport.abort()
 
     async def connect(self, watch: Watch) -> None:
-        """Open the watch's connection; one that can't be opened ends the watch as failed."""
+        """Connect a watch; an error ends it as failed."""
         try:
             await self.loop.create_connection(lambda: watch, *self.address)
         except OSError:
             self.watch_ended(watch)
 
     def note_activity(self) -> None:
-        """Note that discovery has just been heard, from which its silence is measured."""
+        """Restart the idle time-out."""
         self.last_activity_s = time.monotonic()
 
     def check_timeout(self) -> None:
-        """Hazard: a machine that is cut off says nothing, and its watch would stay open for ever."""
+        """End the watch if it has timed out.
+
+        The connection to a machine that is cut off would stay open for ever.
+        """
         watch = self.watch
         if watch is None:
             return
-        bound_s = IDLE_TIMEOUT_S if watch.answered else ANSWER_TIMEOUT_S
-        left = self.last_activity_s + bound_s - time.monotonic()
-        if left > 0:
-            self.timer = self.loop.call_later(left, self.check_timeout)
+        timeout_s = IDLE_TIMEOUT_S if watch.answered else ANSWER_TIMEOUT_S
+        left_s = self.last_activity_s + timeout_s - time.monotonic()
+        if left_s > 0:
+            self.timer = self.loop.call_later(left_s, self.check_timeout)
         else:
-            log.warning("the watch is silent" if watch.answered else "discovery doesn't answer")
+            log.warning(
+                "discovery watch timed out" if watch.answered else "discovery did not respond in time"
+            )
             watch.stalled = watch.answered
             watch.fail()
 
     def line_received(self, watch: Watch, line: bytes) -> None:
-        """A list or a change has come; raises on what is malformed, if it is read at once."""
+        """Apply a list or a change: a short one now, raising if it is malformed, a long one on a thread."""
         if (
             self.reader_task is None
             and len(line) <= MAX_INLINE_LINE_BYTES
@@ -366,7 +404,7 @@
             self.reader_task = self.loop.create_task(self.read_unread())
 
     async def read_unread(self) -> None:
-        """In the order in which they came. Those of a watch that has ended count too: they have been told."""
+        """Apply the unread lines in order; those of a watch that has ended count too."""
         while self.unread:
             watch, line = self.unread.popleft()
             self.unread_bytes -= len(line)
@@ -374,11 +412,11 @@
                 read = await asyncio.to_thread(self.directory.read_line, line, self.known_version_for(watch))
                 self.apply_update(watch, *read)
             except Exception as error:
-                log.warning("the watch can't be read: %r", error)
+                log.warning("malformed data from discovery, ending the watch: %r", error)
                 if isinstance(error, OlderChangeError):
                     self.reset_after_rollback(watch)
                 watch.fail()
-            self.note_activity()  # what was not taken meanwhile is no silence
+            self.note_activity()  # while reading was paused no data could come
             if (
                 watch.transport is not None
                 and len(self.unread) < MAX_UNREAD_LINES // 2
@@ -388,28 +426,27 @@
         self.reader_task = None
 
     def known_version_for(self, watch: Watch) -> int:
-        """The version that a watch's changes are held against; hazard: those of another address mean nothing
-        here."""
+        """Return the version that a watch's changes have to follow; 0 for a watch of a former address."""
         return self.version if watch.address == self.address else 0
 
     def reset_after_rollback(self, watch: Watch) -> None:
-        """A change from before what is known has come: what follows it on this watch is of another past as
-        well, and the whole list is asked for."""
+        """Drop what a watch sent after a change that is older than the known version.
+
+        Further changes on it belong to the same older history, so the full list is requested next.
+        """
         if watch.address == self.address:
             self.version = 0
         self.unread = deque(each for each in self.unread if each[0] is not watch)
         self.unread_bytes = sum(len(line) for _, line in self.unread)
 
     def apply_update(self, watch: Watch, event: EndpointsUpdated, addresses: dict[int, Address]) -> None:
-        """Pass an event on to the listener, and remember its version if the watch is of the current
-        address."""
-        if watch.address == self.address:  # hazard: the versions of another one mean nothing here
+        """Report an event, and remember its version if the watch is of the current address."""
+        if watch.address == self.address:  # versions are valid at one address only
             self.version = event.version
         self.on_update(event, addresses)
 
     def watch_ended(self, watch: Watch) -> None:
-        """Report that a watch has failed, once and only if it is the current one; with `pushed` set, it is
-        opened anew after REOPEN_S seconds."""
+        """Report that the current watch has failed; if it is held open, reopen it after REOPEN_DELAY_S."""
         if watch is self.watch:
             self.stop()
             self.on_update(EndpointsUpdated(ListKind.FAILED, watch_stalled=watch.stalled), {})
