--- a/plovertrail/sources/file_reading.py
+++ b/plovertrail/sources/file_reading.py
@@ -106,7 +106,7 @@
     seen: dict[str, Seen] = field(default_factory=dict)
     made: EndpointList | InvalidListError | None = None  # of what was seen, as far as it has settled
     digest: str = ""  # of the bytes that `made` was made of
-    young: bool = False  # its times are so young that a change may hide under them: look again soon
+    may_change: bool = False  # its times are so young that a change may hide under them: look again soon
     opened: bool = False  # the last call read bytes
     folder: bool = False  # the path is a folder
     linked: bool = False  # it is reached through links in its folder, which may be swapped
@@ -152,7 +152,7 @@
         changed = False
         settled = True
         made, self.made = self.made, None
-        self.young = self.opened = False
+        self.may_change = self.opened = False
         names = self.names()
         if self.seen.keys() - set(names):
             changed = True
@@ -164,7 +164,7 @@
             else:
                 data, now_signature = self.files.read(name)
                 self.opened = True
-            self.young |= 0 <= time.time() - now_signature[3] / 1e9 <= COARSE_S
+            self.may_change |= 0 <= time.time() - now_signature[3] / 1e9 <= COARSE_S
             if old is None or old.data != data:
                 changed = True
                 old = Seen(now_signature, data, now)
--- a/plovertrail/sources/read_workers.py
+++ b/plovertrail/sources/read_workers.py
@@ -79,7 +79,7 @@
         candidate,
         refusal,
         new,
-        source.young,
+        source.may_change,
         source.opened,
         source.folder,
         source.linked,
