--- a/plovertrail/sources/file_reading.py
+++ b/plovertrail/sources/file_reading.py
@@ -108,7 +108,7 @@
     digest: str = ""  # of the bytes that `made` was made of
     may_change: bool = False  # its times are so young that a change may hide under them: look again soon
     opened: bool = False  # the last call read bytes
-    folder: bool = False  # the path is a folder
+    is_folder: bool = False  # the path is a folder
     linked: bool = False  # it is reached through links in its folder, which may be swapped
 
     @property
@@ -123,8 +123,8 @@
 
     def names(self) -> list[str]:
         """List the files, sorted, without hidden ones (config maps have theirs in ..data) and temporaries."""
-        self.folder = self._is_folder()
-        if not self.folder:
+        self.is_folder = self._is_folder()
+        if not self.is_folder:
             return [self.path]
         found = sorted(
             name
--- a/plovertrail/sources/read_workers.py
+++ b/plovertrail/sources/read_workers.py
@@ -81,7 +81,7 @@
         new,
         source.may_change,
         source.opened,
-        source.folder,
+        source.is_folder,
         source.linked,
         source.digest if candidate is not None else "",
         cost_s,
