--- a/plovertrail/sources/file_reading.py
+++ b/plovertrail/sources/file_reading.py
@@ -109,7 +109,7 @@
     may_change: bool = False  # its times are so young that a change may hide under them: look again soon
     opened: bool = False  # the last call read bytes
     is_folder: bool = False  # the path is a folder
-    linked: bool = False  # it is reached through links in its folder, which may be swapped
+    is_linked: bool = False  # it is reached through links in its folder, which may be swapped
 
     @property
     def key(self) -> SourceKey:
@@ -178,7 +178,7 @@
         if not settled:
             return changed, None
         if self.opened:
-            self.linked = self.files.is_link(self.path)
+            self.is_linked = self.files.is_link(self.path)
         try:
             self.digest = self._digest(names)
             self.made = self._parsed(names)
--- a/plovertrail/sources/read_workers.py
+++ b/plovertrail/sources/read_workers.py
@@ -82,7 +82,7 @@
         source.may_change,
         source.opened,
         source.is_folder,
-        source.linked,
+        source.is_linked,
         source.digest if candidate is not None else "",
         cost_s,
     )
