--- a/plovertrail/sources/file_reading.py
+++ b/plovertrail/sources/file_reading.py
@@ -229,9 +229,9 @@
             _, found = source.read(time.monotonic())
         return found if found is not None else "it has not settled yet"
     except (InvalidListError, OSError) as error:
-        return complaint(error)
+        return describe_error(error)
 
 
-def complaint(error: InvalidListError | OSError) -> str:
+def describe_error(error: InvalidListError | OSError) -> str:
     """Describe an error for operators."""
     return error.strerror or repr(error) if isinstance(error, OSError) else str(error)
--- a/plovertrail/sources/read_workers.py
+++ b/plovertrail/sources/read_workers.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 
 from plovertrail.decisions.endpoint_list import EndpointList
-from plovertrail.sources.file_reading import FileSource, complaint
+from plovertrail.sources.file_reading import FileSource, describe_error
 from plovertrail.sources.lists import InvalidListError
 
 log = logging.getLogger(__name__)
@@ -69,7 +69,7 @@
     try:
         new, candidate = source.read(clock())
     except (InvalidListError, OSError) as error:
-        refusal = complaint(error)
+        refusal = describe_error(error)
     except Exception as error:
         # A fault with one source must not end the thread, and with it all drains in files.
         log.exception("source read failed source=%s", source.name)
