--- a/plovertrail/sources/file_reading.py
+++ b/plovertrail/sources/file_reading.py
@@ -87,7 +87,7 @@
 
 
 @dataclass
-class Seen:
+class FileContent:
     """A file's content as it was last read."""
 
     signature: Signature
@@ -103,7 +103,7 @@
     checksum: bool = True
     files: FileSystem = LOCAL
     kind: SourceKind = SourceKind.LIST
-    seen: dict[str, Seen] = field(default_factory=dict)
+    seen: dict[str, FileContent] = field(default_factory=dict)
     made: EndpointList | InvalidListError | None = None  # of what was seen, as far as it has settled
     digest: str = ""  # of the bytes that `made` was made of
     may_change: bool = False  # its times are so young that a change may hide under them: look again soon
@@ -167,8 +167,8 @@
             self.may_change |= 0 <= time.time() - now_signature[3] / 1e9 <= COARSE_S
             if old is None or old.data != data:
                 changed = True
-                old = Seen(now_signature, data, now)
-            self.seen[name] = Seen(now_signature, data, old.since)
+                old = FileContent(now_signature, data, now)
+            self.seen[name] = FileContent(now_signature, data, old.since)
             settled &= self.checksum or not settle or now - old.since >= SETTLE_S
         if made is not None and not changed:
             self.made = made
@@ -214,7 +214,7 @@
             raise InvalidListError(f"more than {MAX_ENDPOINTS} servers")
         return EndpointList(self.name, tuple(entries), version if len(names) == 1 else 0)
 
-    def _surely_same(self, path: str, old: Seen) -> bool:
+    def _surely_same(self, path: str, old: FileContent) -> bool:
         """Whether a file is unchanged for certain: with coarse times a second change leaves the signature."""
         found = self.files.status(path)
         return signature(found) == old.signature and time.time() - found.st_mtime > COARSE_S
