--- a/plovertrail/sources/file_reading.py
+++ b/plovertrail/sources/file_reading.py
@@ -13,7 +13,7 @@
 from plovertrail.decisions.list_versions import SourceKey, SourceKind
 from plovertrail.sources.lists import MAX_ENDPOINTS, MAX_FILE_BYTES, InvalidListError, parse
 
-COARSE_S = 3.0  # a file changed within this may change again under the same times (NFS, FAT: 2 s)
+MIN_TRUSTED_AGE_S = 3.0  # a file changed within this may change again under the same times (NFS, FAT: 2 s)
 SETTLE_S = 0.2  # for so long a file without a checksum must stay the same
 MAX_FRAGMENTS = 256
 Signature = tuple[int, int, int, int]
@@ -164,7 +164,7 @@
             else:
                 data, now_signature = self.files.read(name)
                 self.opened = True
-            self.may_change |= 0 <= time.time() - now_signature[3] / 1e9 <= COARSE_S
+            self.may_change |= 0 <= time.time() - now_signature[3] / 1e9 <= MIN_TRUSTED_AGE_S
             if old is None or old.data != data:
                 changed = True
                 old = FileContent(now_signature, data, now)
@@ -217,7 +217,7 @@
     def _surely_same(self, path: str, old: FileContent) -> bool:
         """Whether a file is unchanged for certain: with coarse times a second change leaves the signature."""
         found = self.files.status(path)
-        return signature(found) == old.signature and time.time() - found.st_mtime > COARSE_S
+        return signature(found) == old.signature and time.time() - found.st_mtime > MIN_TRUSTED_AGE_S
 
 
 def first_read(source: FileSource) -> EndpointList | str:
--- a/tests/sources/test_lists.py
+++ b/tests/sources/test_lists.py
@@ -16,7 +16,7 @@
 from hypothesis import strategies as st
 
 from plovertrail.decisions.endpoint_list import EndpointList, ListedEndpoint
-from plovertrail.sources.file_reading import COARSE_S, FileSource
+from plovertrail.sources.file_reading import MIN_TRUSTED_AGE_S, FileSource
 from plovertrail.sources.lists import MAX_FILE_BYTES, InvalidListError, parse, sealed
 
 
@@ -181,7 +181,7 @@
 def test_a_second_change_under_the_same_times_is_seen(tmp_path: Path) -> None:
     path = tmp_path / "x.json"
     source = FileSource(str(path))
-    times = int(time.time() - COARSE_S / 3) * 1_000_000_000  # whole seconds, as some disks keep them
+    times = int(time.time() - MIN_TRUSTED_AGE_S / 3) * 1_000_000_000  # whole seconds, as some disks keep them
     seen = []
     for port in (9000, 9500):
         with open(path, "r+b" if path.exists() else "wb") as file:
