--- a/plovertrail/sources/file_reading.py
+++ b/plovertrail/sources/file_reading.py
@@ -159,7 +159,7 @@
             self.seen = {name: seen for name, seen in self.seen.items() if name in names}
         for name in names:
             old = self.seen.get(name)
-            if old is not None and self._surely_same(name, old):
+            if old is not None and self._is_unchanged(name, old):
                 data, now_signature = old.data, old.signature
             else:
                 data, now_signature = self.files.read(name)
@@ -214,7 +214,7 @@
             raise InvalidListError(f"more than {MAX_ENDPOINTS} servers")
         return EndpointList(self.name, tuple(entries), version if len(names) == 1 else 0)
 
-    def _surely_same(self, path: str, old: FileContent) -> bool:
+    def _is_unchanged(self, path: str, old: FileContent) -> bool:
         """Whether a file is unchanged for certain: with coarse times a second change leaves the signature."""
         found = self.files.status(path)
         return signature(found) == old.signature and time.time() - found.st_mtime > MIN_TRUSTED_AGE_S
