--- a/plovertrail/sources/file_reading.py
+++ b/plovertrail/sources/file_reading.py
@@ -160,15 +160,15 @@
         for name in names:
             old = self.seen.get(name)
             if old is not None and self._is_unchanged(name, old):
-                data, now_signature = old.data, old.signature
+                data, new_signature = old.data, old.signature
             else:
-                data, now_signature = self.files.read(name)
+                data, new_signature = self.files.read(name)
                 self.opened = True
-            self.may_change |= 0 <= time.time() - now_signature[3] / 1e9 <= MIN_TRUSTED_AGE_S
+            self.may_change |= 0 <= time.time() - new_signature[3] / 1e9 <= MIN_TRUSTED_AGE_S
             if old is None or old.data != data:
                 changed = True
-                old = FileContent(now_signature, data, now)
-            self.seen[name] = FileContent(now_signature, data, old.since)
+                old = FileContent(new_signature, data, now)
+            self.seen[name] = FileContent(new_signature, data, old.since)
             settled &= self.checksum or not settle or now - old.since >= SETTLE_S
         if made is not None and not changed:
             self.made = made
