--- a/plovertrail/sources/read_workers.py
+++ b/plovertrail/sources/read_workers.py
@@ -62,7 +62,7 @@
         self.thread = threading.Thread(target=run, args=(self,), name=f"list-reader-{number}", daemon=True)
 
 
-def look_at(source: FileSource, clock: Clock) -> Reading:
+def read_source(source: FileSource, clock: Clock) -> Reading:
     """Read a source once; whatever is wrong with it is in the reading."""
     began_s = time.thread_time()
     candidate, refusal, new = None, "", False
@@ -185,7 +185,7 @@
             with self.lock:
                 begun, wanted = job.begun, job.awaited
                 job.awaited = False
-            reading = look_at(job.source, self.clock)
+            reading = read_source(job.source, self.clock)
             # Before the job may be queued again, or it could be handled after a later read.
             self.read(job, reading, begun, wanted)
             self._over(worker, job)
