--- a/plovertrail/sources/read_workers.py
+++ b/plovertrail/sources/read_workers.py
@@ -56,7 +56,7 @@
 
     def __init__(self, run: Callable[[ReadWorker], None], number: int) -> None:
         self.job: ReadJob | None = None
-        self.looks = 0  # grows with each source, which tells a long read from many short ones
+        self.read_number = 0  # grows with each source, which tells a long read from many short ones
         self.abandoned = False
         # A thread that hangs would keep the process from exiting unless it is a daemon thread.
         self.thread = threading.Thread(target=run, args=(self,), name=f"list-reader-{number}", daemon=True)
@@ -138,12 +138,12 @@
             worker = self.worker
             if worker is None or (worker.job is None and not self.pending):
                 return None
-            return worker, worker.looks
+            return worker, worker.read_number
 
-    def hand_over(self, worker: ReadWorker, looks: int) -> None:
+    def hand_over(self, worker: ReadWorker, read_number: int) -> None:
         """Let another thread take over if this one is still at the same read."""
         with self.lock:
-            if worker is not self.worker or worker.looks != looks or worker.job is None:
+            if worker is not self.worker or worker.read_number != read_number or worker.job is None:
                 return
             worker.abandoned = True
             self.stuck.add(worker)
@@ -199,7 +199,7 @@
             job = self.pending.popleft()
             job.queued, job.in_flight, job.begun = False, True, job.asked
             worker.job = job
-            worker.looks += 1
+            worker.read_number += 1
             return job
 
     def _over(self, worker: ReadWorker, job: ReadJob) -> None:
