--- a/plovertrail/sources/read_workers.py
+++ b/plovertrail/sources/read_workers.py
@@ -188,7 +188,7 @@
             reading = read_source(job.source, self.clock)
             # Before the job may be queued again, or it could be handled after a later read.
             self.read(job, reading, begun, wanted)
-            self._over(worker, job)
+            self._read_ended(worker, job)
 
     def _next(self, worker: ReadWorker) -> ReadJob | None:
         with self.lock:
@@ -202,7 +202,7 @@
             worker.read_number += 1
             return job
 
-    def _over(self, worker: ReadWorker, job: ReadJob) -> None:
+    def _read_ended(self, worker: ReadWorker, job: ReadJob) -> None:
         """Note that a read has ended and was handled."""
         with self.lock:
             worker.job = None
