--- a/plovertrail/sources/first_read.py
+++ b/plovertrail/sources/first_read.py
@@ -60,7 +60,7 @@
         """Read each source once; returns those that have not settled."""
         unsettled: list[ReadJob] = []
         sighted, sightings = None, 0
-        left = {job: self.workers.submit(job, wanted=True) for job in waiting}
+        left = {job: self.workers.submit(job, awaited=True) for job in waiting}
         while left and time.monotonic() < ends_s:
             try:
                 job, reading, begun = readings.get(timeout=FIRST_WAIT_S)
--- a/plovertrail/sources/list_reader.py
+++ b/plovertrail/sources/list_reader.py
@@ -126,7 +126,7 @@
     async def look(self, followed: Followed) -> None:
         """Return once a read of the source that began after this call has ended, or hangs."""
         ended: asyncio.Future[None] = self.loop.create_future()
-        followed.waiters.append((self.workers.submit(followed.job, wanted=True), ended))
+        followed.waiters.append((self.workers.submit(followed.job, awaited=True), ended))
         self.watchdog.arm()
         await ended
 
@@ -134,7 +134,7 @@
         self.workers.submit_all([each.job for each in followed])
         self.watchdog.arm()
 
-    def _read_on_thread(self, job: ReadJob, reading: Reading, begun: int, wanted: bool) -> None:
+    def _read_on_thread(self, job: ReadJob, reading: Reading, begun: int, awaited: bool) -> None:
         """Handle a read on the worker's thread.
 
         Reads that found nothing new don't reach the loop, or it would wake for each source.
@@ -146,7 +146,7 @@
         if followed is None:
             return
         followed.may_change = reading.may_change
-        if wanted or not _nothing_new(followed, reading):
+        if awaited or not _nothing_new(followed, reading):
             self.readings.append((followed, reading, begun))
             self._on_loop(self._take_readings)
         else:
--- a/plovertrail/sources/read_workers.py
+++ b/plovertrail/sources/read_workers.py
@@ -101,14 +101,14 @@
         self.started = 0
         self.closed = False
 
-    def submit(self, job: ReadJob, wanted: bool = False) -> int:
+    def submit(self, job: ReadJob, awaited: bool = False) -> int:
         """Read a source soon; returns the number of the call.
 
         A read whose `begun` is at least that number began after the call. One in flight is followed by
         another one.
         """
         with self.lock:
-            asked = self._submit(job, wanted)
+            asked = self._submit(job, awaited)
             self._wake()
             return asked
 
@@ -119,9 +119,9 @@
                 self._submit(job, False)
             self._wake()
 
-    def _submit(self, job: ReadJob, wanted: bool) -> int:
+    def _submit(self, job: ReadJob, awaited: bool) -> int:
         job.asked += 1
-        job.awaited |= wanted
+        job.awaited |= awaited
         if not job.queued and not job.in_flight:
             job.queued = True
             self.pending.append(job)
@@ -183,11 +183,11 @@
     def _work(self, worker: ReadWorker) -> None:
         while (job := self._next(worker)) is not None:
             with self.lock:
-                begun, wanted = job.begun, job.awaited
+                begun, awaited = job.begun, job.awaited
                 job.awaited = False
             reading = read_source(job.source, self.clock)
             # Before the job may be queued again, or it could be handled after a later read.
-            self.read(job, reading, begun, wanted)
+            self.read(job, reading, begun, awaited)
             self._read_ended(worker, job)
 
     def _next(self, worker: ReadWorker) -> ReadJob | None:
--- a/tests/sources/test_list_reader.py
+++ b/tests/sources/test_list_reader.py
@@ -605,7 +605,7 @@
     files.block(*paths[:MAX_STUCK_THREADS])
     read: list[str] = []
 
-    def note(job: ReadJob, found: Reading, begun: int, wanted: bool) -> None:
+    def note(job: ReadJob, found: Reading, begun: int, awaited: bool) -> None:
         read.append(job.source.path)
         ended.release()
 
