--- a/plovertrail/sources/list_reader.py
+++ b/plovertrail/sources/list_reader.py
@@ -106,7 +106,7 @@
     def _drop(self, followed: Followed) -> None:
         self.quick_looks.remove(followed.version.key)
         self.workers.drop(followed.job)
-        _wake_waiters(followed, followed.job.asked)
+        _wake_waiters(followed, followed.job.requested)
         self.sources.remove(followed)
         self._update_watches()
 
@@ -211,7 +211,7 @@
             self._queue_deliveries(followed)
         followed.settled = True
         self.scan.pending.discard(job)
-        _wake_waiters(followed, job.asked)
+        _wake_waiters(followed, job.requested)
 
     def _queue_deliveries(self, followed: Followed) -> None:
         for subscription in followed.subscriptions:
@@ -312,9 +312,9 @@
     """Wake those who wait for a read that began no later than this one."""
     waiters = followed.waiters
     followed.waiters = []
-    for asked, ended in waiters:
-        if asked > begun:
-            followed.waiters.append((asked, ended))
+    for requested, ended in waiters:
+        if requested > begun:
+            followed.waiters.append((requested, ended))
         elif not ended.done():
             ended.set_result(None)
 
--- a/plovertrail/sources/read_workers.py
+++ b/plovertrail/sources/read_workers.py
@@ -43,7 +43,7 @@
 
     def __init__(self, source: FileSource) -> None:
         self.source = source
-        self.asked = 0  # number of reads that were asked for
+        self.requested = 0  # number of reads that were asked for
         self.begun = 0  # `asked` when the last read began
         self.queued = False
         self.in_flight = False
@@ -108,9 +108,9 @@
         another one.
         """
         with self.lock:
-            asked = self._submit(job, awaited)
+            requested = self._submit(job, awaited)
             self._wake()
-            return asked
+            return requested
 
     def submit_all(self, jobs: Iterable[ReadJob]) -> None:
         """Read all of these soon, in this order."""
@@ -120,12 +120,12 @@
             self._wake()
 
     def _submit(self, job: ReadJob, awaited: bool) -> int:
-        job.asked += 1
+        job.requested += 1
         job.awaited |= awaited
         if not job.queued and not job.in_flight:
             job.queued = True
             self.pending.append(job)
-        return job.asked
+        return job.requested
 
     def drop(self, job: ReadJob) -> None:
         """Note that nobody follows the source any more."""
@@ -197,7 +197,7 @@
             if self.closed or worker.abandoned:
                 return None
             job = self.pending.popleft()
-            job.queued, job.in_flight, job.begun = False, True, job.asked
+            job.queued, job.in_flight, job.begun = False, True, job.requested
             worker.job = job
             worker.read_number += 1
             return job
@@ -208,7 +208,7 @@
             worker.job = None
             job.in_flight = False
             self.stuck.discard(worker)
-            if job.asked > job.begun and not job.dropped and not self.closed:
+            if job.requested > job.begun and not job.dropped and not self.closed:
                 job.queued = True
                 self.pending.append(job)
             self._wake()
--- a/tests/sources/test_list_reader.py
+++ b/tests/sources/test_list_reader.py
@@ -289,11 +289,11 @@
             # what the system tells of a swap is the link in between
             (swapped / "..tmp").symlink_to("..v2")
             os.replace(swapped / "..tmp", swapped / "..data")
-            asked = {each.version.key.path: each.job.asked for each in reader.sources.by_key.values()}
+            requested = {each.version.key.path: each.job.requested for each in reader.sources.by_key.values()}
             reader._notified(frozenset({str(swapped / "..data")}))
             await told([linked], 2)
-            after = {each.version.key.path: each.job.asked for each in reader.sources.by_key.values()}
-            assert {path for path in after if after[path] > asked[path]} == {str(swapped / "x.list")}
+            after = {each.version.key.path: each.job.requested for each in reader.sources.by_key.values()}
+            assert {path for path in after if after[path] > requested[path]} == {str(swapped / "x.list")}
 
     run(test)
 
@@ -309,9 +309,9 @@
                 each.follow(reader, path)
             await told(followers, 1)
             put(paths[7], 2)
-            asked = sum(each.job.asked for each in reader.sources.by_key.values())
+            requested = sum(each.job.requested for each in reader.sources.by_key.values())
             reader._notified(frozenset({str(paths[7]), str(tmp_path / ".7.list.new")}))
-            assert sum(each.job.asked for each in reader.sources.by_key.values()) == asked + 1
+            assert sum(each.job.requested for each in reader.sources.by_key.values()) == requested + 1
             await told([followers[7]], 2)
 
     run(test)
