--- a/plovertrail/sources/first_read.py
+++ b/plovertrail/sources/first_read.py
@@ -9,7 +9,7 @@
 from plovertrail.decisions.list_versions import SourceKey
 from plovertrail.sources.file_reading import SETTLE_S
 from plovertrail.sources.read_workers import Reading, ReadJob, ReadWorkers
-from plovertrail.sources.subscriptions import Followed
+from plovertrail.sources.subscriptions import FollowedSource
 
 FIRST_READ_S = 3.0  # a start waits for its lists at most
 FIRST_WAIT_S = 0.02  # between two checks of the worker meanwhile
@@ -31,7 +31,7 @@
         if readings is not None:
             readings.put((job, reading, begun))
 
-    def read(self, followed: list[Followed]) -> dict[SourceKey, FirstRead]:
+    def read(self, followed: list[FollowedSource]) -> dict[SourceKey, FirstRead]:
         """Read all sources, and once more those that have not settled, after one settling time for all."""
         # A reload would wait in vain for a source that hangs already.
         waiting = {each.job: each.version.key for each in followed if not each.version.is_hung}
--- a/plovertrail/sources/list_reader.py
+++ b/plovertrail/sources/list_reader.py
@@ -31,7 +31,7 @@
 from plovertrail.sources.read_workers import MAX_STUCK_THREADS, Reading, ReadJob, ReadWorkers
 from plovertrail.sources.safety_scan import SafetyScan
 from plovertrail.sources.source_table import SourceTable
-from plovertrail.sources.subscriptions import Followed, OnList, OnProblem, Subscription
+from plovertrail.sources.subscriptions import FollowedSource, OnList, OnProblem, Subscription
 
 log = logging.getLogger(__name__)
 
@@ -53,7 +53,7 @@
         self.watchdog = HangWatchdog(self.loop, self.workers, self._source_hangs)
         self.deliveries = DeliveryQueue(self.loop)
         self.first = FirstReads(self.workers)
-        self.readings: deque[tuple[Followed, Reading, int]] = deque()  # not taken over by the loop yet
+        self.readings: deque[tuple[FollowedSource, Reading, int]] = deque()  # not taken over by the loop yet
         self.next_readings: asyncio.Handle | None = None  # the turn that takes over more of them
         self.quick_looks = QuickLooks(self.loop, self._submit)
         self.watch_update: asyncio.Handle | None = None
@@ -93,17 +93,17 @@
         """Deliver to a subscriber in its turn."""
         self.deliveries.put(subscription)
 
-    def _follow(self, key: SourceKey) -> Followed:
+    def _follow(self, key: SourceKey) -> FollowedSource:
         followed = self.sources.by_key.get(key)
         if followed is None:
             source = FileSource(key.path, key.checksum, self.files, key.kind)
-            followed = Followed(ReadJob(source), SourceVersion(key))
+            followed = FollowedSource(ReadJob(source), SourceVersion(key))
             self.sources.add(followed)
             self._update_watches()
             self.scan.ensure_scheduled()
         return followed
 
-    def _drop(self, followed: Followed) -> None:
+    def _drop(self, followed: FollowedSource) -> None:
         self.quick_looks.remove(followed.version.key)
         self.workers.drop(followed.job)
         _wake_waiters(followed, followed.job.requested)
@@ -123,14 +123,14 @@
 
     # Reads
 
-    async def look(self, followed: Followed) -> None:
+    async def look(self, followed: FollowedSource) -> None:
         """Return once a read of the source that began after this call has ended, or hangs."""
         ended: asyncio.Future[None] = self.loop.create_future()
         followed.waiters.append((self.workers.submit(followed.job, awaited=True), ended))
         self.watchdog.arm()
         await ended
 
-    def _submit(self, followed: Collection[Followed]) -> None:
+    def _submit(self, followed: Collection[FollowedSource]) -> None:
         self.workers.submit_all([each.job for each in followed])
         self.watchdog.arm()
 
@@ -164,7 +164,7 @@
         self.next_readings = None
         self._take_readings()
 
-    def _take_reading(self, followed: Followed, reading: Reading, begun: int) -> None:
+    def _take_reading(self, followed: FollowedSource, reading: Reading, begun: int) -> None:
         """Take over what a read found."""
         version = followed.version
         if self.sources.by_key.get(version.key) is not followed:
@@ -182,7 +182,7 @@
             self._queue_deliveries(followed)
         _wake_waiters(followed, begun)
 
-    def _update_version(self, followed: Followed, reading: Reading) -> bool:
+    def _update_version(self, followed: FollowedSource, reading: Reading) -> bool:
         """Update a source's version; returns whether its subscribers have to be told."""
         version = followed.version
         now_us = self._now_us()
@@ -213,7 +213,7 @@
         self.scan.pending.discard(job)
         _wake_waiters(followed, job.requested)
 
-    def _queue_deliveries(self, followed: Followed) -> None:
+    def _queue_deliveries(self, followed: FollowedSource) -> None:
         for subscription in followed.subscriptions:
             self.queue_delivery(subscription)
 
@@ -296,7 +296,7 @@
     return notifications.problem or "on"
 
 
-def _nothing_new(followed: Followed, reading: Reading) -> bool:
+def _nothing_new(followed: FollowedSource, reading: Reading) -> bool:
     """Whether a read found what the one before it had found."""
     state = followed.version.state
     if reading.may_change and not followed.read_again_soon:
@@ -308,7 +308,7 @@
     return not followed.settled and state is not ReadState.UNREAD
 
 
-def _wake_waiters(followed: Followed, begun: int) -> None:
+def _wake_waiters(followed: FollowedSource, begun: int) -> None:
     """Wake those who wait for a read that began no later than this one."""
     waiters = followed.waiters
     followed.waiters = []
@@ -319,7 +319,7 @@
             ended.set_result(None)
 
 
-def _source_status(followed: Followed, now_us: int) -> dict[str, Any]:
+def _source_status(followed: FollowedSource, now_us: int) -> dict[str, Any]:
     """Report one source for operators."""
     key = followed.version.key
     subscribers = sorted(each.subscriber for each in followed.subscriptions)
--- a/plovertrail/sources/quick_looks.py
+++ b/plovertrail/sources/quick_looks.py
@@ -6,22 +6,22 @@
 from collections.abc import Callable, Collection
 
 from plovertrail.decisions.list_versions import RECHECK_INTERVAL_US, SourceKey
-from plovertrail.sources.subscriptions import Followed
+from plovertrail.sources.subscriptions import FollowedSource
 
 
 class QuickLooks:
     """The sources that are read again soon; `submit` has them read."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, submit: Callable[[Collection[Followed]], None]
+        self, loop: asyncio.AbstractEventLoop, submit: Callable[[Collection[FollowedSource]], None]
     ) -> None:
         self.loop = loop
         self.submit = submit
-        self.sources: dict[SourceKey, Followed] = {}
+        self.sources: dict[SourceKey, FollowedSource] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.closed = False
 
-    def add(self, followed: Followed) -> None:
+    def add(self, followed: FollowedSource) -> None:
         """Read a source again until it has settled and its times are old enough."""
         self.sources[followed.version.key] = followed
         followed.read_again_soon = True
--- a/plovertrail/sources/safety_scan.py
+++ b/plovertrail/sources/safety_scan.py
@@ -8,7 +8,7 @@
 
 from plovertrail.decisions.list_versions import ScanSchedule
 from plovertrail.sources.read_workers import Reading, ReadJob
-from plovertrail.sources.subscriptions import Followed
+from plovertrail.sources.subscriptions import FollowedSource
 
 log = logging.getLogger(__name__)
 
@@ -22,8 +22,8 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        sources: Callable[[], Collection[Followed]],
-        submit: Callable[[Collection[Followed]], None],
+        sources: Callable[[], Collection[FollowedSource]],
+        submit: Callable[[Collection[FollowedSource]], None],
     ) -> None:
         self.loop = loop
         self.sources = sources
--- a/plovertrail/sources/source_table.py
+++ b/plovertrail/sources/source_table.py
@@ -6,22 +6,22 @@
 from collections.abc import Collection, Iterable
 
 from plovertrail.decisions.list_versions import SourceKey
-from plovertrail.sources.subscriptions import Followed
+from plovertrail.sources.subscriptions import FollowedSource
 
 
 class SourceTable:
     """All sources that are followed; paths are absolute."""
 
     def __init__(self) -> None:
-        self.by_key: dict[SourceKey, Followed] = {}
-        self.by_path: dict[str, list[Followed]] = {}
-        self.by_folder: dict[str, list[Followed]] = {}
+        self.by_key: dict[SourceKey, FollowedSource] = {}
+        self.by_path: dict[str, list[FollowedSource]] = {}
+        self.by_folder: dict[str, list[FollowedSource]] = {}
 
-    def all(self) -> Collection[Followed]:
+    def all(self) -> Collection[FollowedSource]:
         """Return all sources."""
         return self.by_key.values()
 
-    def add(self, followed: Followed) -> None:
+    def add(self, followed: FollowedSource) -> None:
         """Add a source."""
         key = followed.version.key
         path = os.path.abspath(key.path)
@@ -29,7 +29,7 @@
         self.by_path.setdefault(path, []).append(followed)
         self.by_folder.setdefault(os.path.dirname(path), []).append(followed)
 
-    def remove(self, followed: Followed) -> None:
+    def remove(self, followed: FollowedSource) -> None:
         """Remove a source."""
         key = followed.version.key
         path = os.path.abspath(key.path)
@@ -44,7 +44,7 @@
         folders = {path for path, found in self.by_path.items() if any(each.is_folder for each in found)}
         return frozenset(folders | self.by_folder.keys())
 
-    def concerned_by(self, paths: Iterable[str]) -> list[Followed]:
+    def concerned_by(self, paths: Iterable[str]) -> list[FollowedSource]:
         """Return the sources that changes of these paths may concern.
 
         Those are the file itself, all of a folder that makes one list, and what is reached through links,
@@ -52,7 +52,7 @@
         """
         changed = frozenset(paths)
         folders = {os.path.dirname(path) for path in changed}
-        concerned: dict[SourceKey, Followed] = {}
+        concerned: dict[SourceKey, FollowedSource] = {}
         for path in changed | folders:
             for each in self.by_path.get(path, ()):
                 concerned[each.version.key] = each
--- a/plovertrail/sources/subscriptions.py
+++ b/plovertrail/sources/subscriptions.py
@@ -26,12 +26,12 @@
     def unsubscribed(self, subscription: Subscription) -> None:
         """Note that a subscriber follows its source no more."""
 
-    async def look(self, followed: Followed) -> None:
+    async def look(self, followed: FollowedSource) -> None:
         """Return once a read of the source that began after this call has ended, or hangs."""
 
 
 @dataclass(eq=False)
-class Followed:
+class FollowedSource:
     """A source that is read, and who follows it; changed on the event loop only."""
 
     job: ReadJob
@@ -53,7 +53,12 @@
     """
 
     def __init__(
-        self, reader: Reader, followed: Followed, subscriber: str, on_list: OnList, on_problem: OnProblem
+        self,
+        reader: Reader,
+        followed: FollowedSource,
+        subscriber: str,
+        on_list: OnList,
+        on_problem: OnProblem,
     ) -> None:
         self.reader = reader
         self.followed = followed
