--- a/plovertrail/sources/list_reader.py
+++ b/plovertrail/sources/list_reader.py
@@ -156,7 +156,7 @@
         """Take over some readings: those of 200 files that change at one moment take several turns."""
         if self.next_readings is None:
             for _ in range(min(MAX_READINGS_A_TURN, len(self.readings))):
-                self._take_reading(*self.readings.popleft())
+                self._apply_reading(*self.readings.popleft())
             if self.readings and not self.closed:
                 self.next_readings = self.loop.call_soon(self._take_next_readings)
 
@@ -164,7 +164,7 @@
         self.next_readings = None
         self._take_readings()
 
-    def _take_reading(self, followed: FollowedSource, reading: Reading, begun: int) -> None:
+    def _apply_reading(self, followed: FollowedSource, reading: Reading, begun: int) -> None:
         """Take over what a read found."""
         version = followed.version
         if self.sources.by_key.get(version.key) is not followed:
--- a/tests/sources/test_list_reader.py
+++ b/tests/sources/test_list_reader.py
@@ -567,7 +567,7 @@
             await until(lambda: not subscription.followed.job.in_flight)
             # a reading that was on its way to the loop
             late = Reading(None, "torn", True, True, True, False, False, "", 0.0)
-            reader._take_reading(subscription.followed, late, 1)
+            reader._apply_reading(subscription.followed, late, 1)
             assert not reader.quick_looks.sources  # though its times are young
             put(stays, 2)
             scan(reader)
