--- a/plovertrail/sources/list_reader.py
+++ b/plovertrail/sources/list_reader.py
@@ -148,11 +148,11 @@
         followed.may_change = reading.may_change
         if awaited or not _nothing_new(followed, reading):
             self.readings.append((followed, reading, begun))
-            self._on_loop(self._take_readings)
+            self._on_loop(self._apply_readings)
         else:
             followed.version.read_us = now_us
 
-    def _take_readings(self) -> None:
+    def _apply_readings(self) -> None:
         """Take over some readings: those of 200 files that change at one moment take several turns."""
         if self.next_readings is None:
             for _ in range(min(MAX_READINGS_A_TURN, len(self.readings))):
@@ -162,7 +162,7 @@
 
     def _take_next_readings(self) -> None:
         self.next_readings = None
-        self._take_readings()
+        self._apply_readings()
 
     def _apply_reading(self, followed: FollowedSource, reading: Reading, begun: int) -> None:
         """Take over what a read found."""
