--- a/plovertrail/sources/list_reader.py
+++ b/plovertrail/sources/list_reader.py
@@ -158,9 +158,9 @@
             for _ in range(min(MAX_READINGS_A_TURN, len(self.readings))):
                 self._apply_reading(*self.readings.popleft())
             if self.readings and not self.closed:
-                self.next_readings = self.loop.call_soon(self._take_next_readings)
+                self.next_readings = self.loop.call_soon(self._apply_next_readings)
 
-    def _take_next_readings(self) -> None:
+    def _apply_next_readings(self) -> None:
         self.next_readings = None
         self._apply_readings()
 
