--- a/plovertrail/sources/list_reader.py
+++ b/plovertrail/sources/list_reader.py
@@ -54,7 +54,7 @@
         self.deliveries = DeliveryQueue(self.loop)
         self.first = FirstReads(self.workers)
         self.readings: deque[tuple[FollowedSource, Reading, int]] = deque()  # not taken over by the loop yet
-        self.next_readings: asyncio.Handle | None = None  # the turn that takes over more of them
+        self.next_turn: asyncio.Handle | None = None  # the turn that takes over more of them
         self.quick_looks = QuickLooks(self.loop, self._submit)
         self.watch_update: asyncio.Handle | None = None
         self.executor: ThreadPoolExecutor | None = None
@@ -154,14 +154,14 @@
 
     def _apply_readings(self) -> None:
         """Take over some readings: those of 200 files that change at one moment take several turns."""
-        if self.next_readings is None:
+        if self.next_turn is None:
             for _ in range(min(MAX_READINGS_A_TURN, len(self.readings))):
                 self._apply_reading(*self.readings.popleft())
             if self.readings and not self.closed:
-                self.next_readings = self.loop.call_soon(self._apply_next_readings)
+                self.next_turn = self.loop.call_soon(self._apply_next_readings)
 
     def _apply_next_readings(self) -> None:
-        self.next_readings = None
+        self.next_turn = None
         self._apply_readings()
 
     def _apply_reading(self, followed: FollowedSource, reading: Reading, begun: int) -> None:
