--- a/plovertrail/sources/list_reader.py
+++ b/plovertrail/sources/list_reader.py
@@ -148,7 +148,7 @@
         followed.may_change = reading.may_change
         if awaited or not _nothing_new(followed, reading):
             self.readings.append((followed, reading, begun))
-            self._on_loop(self._apply_readings)
+            self._call_on_loop(self._apply_readings)
         else:
             followed.version.read_us = now_us
 
@@ -235,7 +235,7 @@
             self.notifications.follow(self.sources.folders_to_watch())
 
     def _notified_on_thread(self, paths: frozenset[str]) -> None:
-        self._on_loop(self._notified, paths)
+        self._call_on_loop(self._notified, paths)
 
     def _notified(self, paths: frozenset[str]) -> None:
         """Read what may have changed; no path: anything may have."""
@@ -281,7 +281,7 @@
     def _now_us(self) -> int:
         return int(self.loop.time() * 1e6)
 
-    def _on_loop(self, call: Callable[..., None], *arguments: object) -> None:
+    def _call_on_loop(self, call: Callable[..., None], *arguments: object) -> None:
         """Call something on the loop from a thread; nothing happens if the loop has ended."""
         try:
             self.loop.call_soon_threadsafe(call, *arguments)
