--- a/plovertrail/sources/file_reading.py
+++ b/plovertrail/sources/file_reading.py
@@ -104,7 +104,7 @@
     files: FileSystem = LOCAL
     kind: SourceKind = SourceKind.LIST
     seen: dict[str, FileContent] = field(default_factory=dict)
-    made: EndpointList | InvalidListError | None = None  # of what was seen, as far as it has settled
+    result: EndpointList | InvalidListError | None = None  # of what was seen, as far as it has settled
     digest: str = ""  # of the bytes that `made` was made of
     may_change: bool = False  # its times are so young that a change may hide under them: look again soon
     opened: bool = False  # the last call read bytes
@@ -151,7 +151,7 @@
         """
         changed = False
         settled = True
-        made, self.made = self.made, None
+        result, self.result = self.result, None
         self.may_change = self.opened = False
         names = self.names()
         if self.seen.keys() - set(names):
@@ -170,22 +170,22 @@
                 old = FileContent(new_signature, data, now)
             self.seen[name] = FileContent(new_signature, data, old.since)
             settled &= self.checksum or not settle or now - old.since >= SETTLE_S
-        if made is not None and not changed:
-            self.made = made
-            if isinstance(made, InvalidListError):
-                raise made
-            return False, made
+        if result is not None and not changed:
+            self.result = result
+            if isinstance(result, InvalidListError):
+                raise result
+            return False, result
         if not settled:
             return changed, None
         if self.opened:
             self.is_linked = self.files.is_link(self.path)
         try:
             self.digest = self._digest(names)
-            self.made = self._parsed(names)
+            self.result = self._parsed(names)
         except InvalidListError as error:
-            self.made = error
+            self.result = error
             raise
-        return True, self.made
+        return True, self.result
 
     def _digest(self, names: list[str]) -> str:
         """Compute the digest of the bytes; of several files, of their names as well."""
