--- a/plovertrail/sources/file_reading.py
+++ b/plovertrail/sources/file_reading.py
@@ -103,7 +103,7 @@
     checksum: bool = True
     files: FileSystem = LOCAL
     kind: SourceKind = SourceKind.LIST
-    seen: dict[str, FileContent] = field(default_factory=dict)
+    contents: dict[str, FileContent] = field(default_factory=dict)
     result: EndpointList | InvalidListError | None = None  # of what was seen, as far as it has settled
     digest: str = ""  # of the bytes that `made` was made of
     may_change: bool = False  # its times are so young that a change may hide under them: look again soon
@@ -154,11 +154,11 @@
         result, self.result = self.result, None
         self.may_change = self.opened = False
         names = self.names()
-        if self.seen.keys() - set(names):
+        if self.contents.keys() - set(names):
             changed = True
-            self.seen = {name: seen for name, seen in self.seen.items() if name in names}
+            self.contents = {name: contents for name, contents in self.contents.items() if name in names}
         for name in names:
-            old = self.seen.get(name)
+            old = self.contents.get(name)
             if old is not None and self._is_unchanged(name, old):
                 data, new_signature = old.data, old.signature
             else:
@@ -168,7 +168,7 @@
             if old is None or old.data != data:
                 changed = True
                 old = FileContent(new_signature, data, now)
-            self.seen[name] = FileContent(new_signature, data, old.since)
+            self.contents[name] = FileContent(new_signature, data, old.since)
             settled &= self.checksum or not settle or now - old.since >= SETTLE_S
         if result is not None and not changed:
             self.result = result
@@ -190,11 +190,11 @@
     def _digest(self, names: list[str]) -> str:
         """Compute the digest of the bytes; of several files, of their names as well."""
         if len(names) == 1:
-            return hashlib.sha256(self.seen[names[0]].data).hexdigest()
+            return hashlib.sha256(self.contents[names[0]].data).hexdigest()
         whole = hashlib.sha256()
         for name in names:
-            whole.update(f"{os.path.basename(name)}\0{len(self.seen[name].data)}\0".encode())
-            whole.update(self.seen[name].data)
+            whole.update(f"{os.path.basename(name)}\0{len(self.contents[name].data)}\0".encode())
+            whole.update(self.contents[name].data)
         return whole.hexdigest()
 
     def _parsed(self, names: list[str]) -> EndpointList:
@@ -204,7 +204,7 @@
         version = 0
         for name in names:
             try:
-                part = parse(name, self.seen[name].data, self.name, self.checksum)
+                part = parse(name, self.contents[name].data, self.name, self.checksum)
             except InvalidListError as error:
                 where = os.path.basename(name) + ": " if len(names) > 1 else ""
                 raise InvalidListError(where + str(error)) from None
