--- a/plovertrail/sources/file_reading.py
+++ b/plovertrail/sources/file_reading.py
@@ -92,7 +92,7 @@
 
     signature: Signature
     data: bytes
-    since: float  # when these bytes were first seen, by a clock that only moves forward
+    first_seen_s: float  # when these bytes were first seen, by a clock that only moves forward
 
 
 @dataclass
@@ -168,8 +168,8 @@
             if old is None or old.data != data:
                 changed = True
                 old = FileContent(new_signature, data, now)
-            self.contents[name] = FileContent(new_signature, data, old.since)
-            settled &= self.checksum or not settle or now - old.since >= SETTLE_S
+            self.contents[name] = FileContent(new_signature, data, old.first_seen_s)
+            settled &= self.checksum or not settle or now - old.first_seen_s >= SETTLE_S
         if result is not None and not changed:
             self.result = result
             if isinstance(result, InvalidListError):
