--- a/plovertrail/sources/file_notifications.py
+++ b/plovertrail/sources/file_notifications.py
@@ -18,7 +18,9 @@
 DEBOUNCE_MS = 50  # changes that come within it are told together
 STEP_MS = 20  # with less, the thread's wake-ups are most of the CPU time of an idle process
 RETRY_S = 10.0  # after a watch that could not be made, as when the machine has no inotify instance left
-LOOK_MS = 1000  # between two looks at the folders themselves: one may have been unlinked and made again
+FOLDER_CHECK_MS = (
+    1000  # between two looks at the folders themselves: one may have been unlinked and made again
+)
 Inodes = dict[str, tuple[int, int]]
 
 
@@ -100,7 +102,7 @@
         """Until the folders are others."""
         watched = inodes(folders)
         if not watched:
-            self.renew.wait(LOOK_MS / 1000)
+            self.renew.wait(FOLDER_CHECK_MS / 1000)
             return
         try:
             notify = self.open_watch(list(watched))
@@ -111,7 +113,7 @@
         self.changed(frozenset())
         try:
             while not self.renew.is_set():
-                found = notify.watch(DEBOUNCE_MS, STEP_MS, LOOK_MS, self.renew)
+                found = notify.watch(DEBOUNCE_MS, STEP_MS, FOLDER_CHECK_MS, self.renew)
                 if isinstance(found, set):
                     self.changed(frozenset(str(Path(path)) for _, path in found))
                 if inodes(folders) != watched:
