--- a/plovertrail/sources/file_notifications.py
+++ b/plovertrail/sources/file_notifications.py
@@ -66,7 +66,7 @@
         self.changed = changed
         self.open_watch = open_watch
         self.folders: frozenset[str] = frozenset()
-        self.renew = threading.Event()  # the set of folders is another one, or the watch is over
+        self.outdated = threading.Event()  # the set of folders is another one, or the watch is over
         self.stopped = False
         self.problem = ""  # why there are no notifications; empty: there are
         self.remade = 0
@@ -77,7 +77,7 @@
         if folders == self.folders:
             return
         self.folders = folders
-        self.renew.set()
+        self.outdated.set()
         if self.thread is None:
             self.thread = threading.Thread(target=self._run, name="file-notifications", daemon=True)
             self.thread.start()
@@ -85,24 +85,24 @@
     def stop(self) -> None:
         """Watch nothing more."""
         self.stopped = True
-        self.renew.set()
+        self.outdated.set()
 
     def _run(self) -> None:
         while not self.stopped:
-            self.renew.clear()
+            self.outdated.clear()
             try:
                 self._watch(self.folders)
             except Exception as error:
                 if self.problem != repr(error):
                     self.problem = repr(error)
                     log.warning("no notifications of changed files, they are looked at only: %r", error)
-                self.renew.wait(RETRY_S)
+                self.outdated.wait(RETRY_S)
 
     def _watch(self, folders: frozenset[str]) -> None:
         """Until the folders are others."""
         watched = inodes(folders)
         if not watched:
-            self.renew.wait(FOLDER_CHECK_MS / 1000)
+            self.outdated.wait(FOLDER_CHECK_MS / 1000)
             return
         try:
             notify = self.open_watch(list(watched))
@@ -112,8 +112,8 @@
         # What changed between two watches is reported by neither.
         self.changed(frozenset())
         try:
-            while not self.renew.is_set():
-                found = notify.watch(DEBOUNCE_MS, STEP_MS, FOLDER_CHECK_MS, self.renew)
+            while not self.outdated.is_set():
+                found = notify.watch(DEBOUNCE_MS, STEP_MS, FOLDER_CHECK_MS, self.outdated)
                 if isinstance(found, set):
                     self.changed(frozenset(str(Path(path)) for _, path in found))
                 if inodes(folders) != watched:
