--- a/plovertrail/sources/file_notifications.py
+++ b/plovertrail/sources/file_notifications.py
@@ -69,7 +69,7 @@
         self.outdated = threading.Event()  # the set of folders is another one, or the watch is over
         self.stopped = False
         self.problem = ""  # why there are no notifications; empty: there are
-        self.remade = 0
+        self.watches_opened = 0
         self.thread: threading.Thread | None = None
 
     def follow(self, folders: frozenset[str]) -> None:
@@ -108,7 +108,7 @@
             notify = self.open_watch(list(watched))
         except FileNotFoundError:
             return  # a folder went meanwhile
-        self.remade, self.problem = self.remade + 1, ""
+        self.watches_opened, self.problem = self.watches_opened + 1, ""
         # What changed between two watches is reported by neither.
         self.changed(frozenset())
         try:
