--- a/plovertrail/sources/file_notifications.py
+++ b/plovertrail/sources/file_notifications.py
@@ -43,7 +43,7 @@
     return RustNotify(folders, False, False, 0, False, True)
 
 
-def inodes(folders: frozenset[str]) -> Inodes:
+def folder_inodes(folders: frozenset[str]) -> Inodes:
     """The folders that are there, each with its device and inode."""
     found: Inodes = {}
     for folder in sorted(folders):
@@ -100,7 +100,7 @@
 
     def _watch(self, folders: frozenset[str]) -> None:
         """Until the folders are others."""
-        watched = inodes(folders)
+        watched = folder_inodes(folders)
         if not watched:
             self.outdated.wait(FOLDER_CHECK_MS / 1000)
             return
@@ -116,7 +116,7 @@
                 found = notify.watch(DEBOUNCE_MS, STEP_MS, FOLDER_CHECK_MS, self.outdated)
                 if isinstance(found, set):
                     self.changed(frozenset(str(Path(path)) for _, path in found))
-                if inodes(folders) != watched:
+                if folder_inodes(folders) != watched:
                     return
         finally:
             notify.close()
