--- a/plovertrail/sources/first_read.py
+++ b/plovertrail/sources/first_read.py
@@ -12,7 +12,7 @@
 from plovertrail.sources.subscriptions import FollowedSource
 
 FIRST_READ_S = 3.0  # a start waits for its lists at most
-FIRST_WAIT_S = 0.02  # between two checks of the worker meanwhile
+FIRST_CHECK_INTERVAL_S = 0.02  # between two checks of the worker meanwhile
 FIRST_SIGHTINGS = 5  # of a read that hangs: after 0.1 s a start goes on with other sources
 FirstReading = tuple[ReadJob, Reading, int]  # with the number of the call that its look came after
 FirstRead = EndpointList | str  # a list, or what is wrong with it
@@ -63,7 +63,7 @@
         left = {job: self.workers.submit(job, awaited=True) for job in waiting}
         while left and time.monotonic() < ends_s:
             try:
-                job, reading, begun = readings.get(timeout=FIRST_WAIT_S)
+                job, reading, begun = readings.get(timeout=FIRST_CHECK_INTERVAL_S)
             except queue.Empty:
                 busy = self.workers.busy()
                 sighted, sightings = busy, sightings + 1 if busy == sighted else 1
