--- a/plovertrail/sources/first_read.py
+++ b/plovertrail/sources/first_read.py
@@ -13,7 +13,7 @@
 
 FIRST_READ_S = 3.0  # a start waits for its lists at most
 FIRST_CHECK_INTERVAL_S = 0.02  # between two checks of the worker meanwhile
-FIRST_SIGHTINGS = 5  # of a read that hangs: after 0.1 s a start goes on with other sources
+FIRST_HANG_CHECKS = 5  # of a read that hangs: after 0.1 s a start goes on with other sources
 FirstReading = tuple[ReadJob, Reading, int]  # with the number of the call that its look came after
 FirstRead = EndpointList | str  # a list, or what is wrong with it
 
@@ -67,7 +67,7 @@
             except queue.Empty:
                 busy = self.workers.busy()
                 sighted, sightings = busy, sightings + 1 if busy == sighted else 1
-                if busy is not None and sightings >= FIRST_SIGHTINGS:
+                if busy is not None and sightings >= FIRST_HANG_CHECKS:
                     self.workers.hand_over(*busy)
                 continue
             if job not in left or begun < left[job]:
