--- a/plovertrail/sources/hang_watchdog.py
+++ b/plovertrail/sources/hang_watchdog.py
@@ -8,7 +8,7 @@
 from plovertrail.sources.read_workers import ReadJob, ReadWorker, ReadWorkers
 
 CHECK_INTERVAL_S = 0.2
-SIGHTINGS_OF_A_HANG = 3  # of a worker at the same read: 0.4 to 0.6 s
+HANG_CHECKS = 3  # of a worker at the same read: 0.4 to 0.6 s
 
 
 class HangWatchdog:
@@ -46,7 +46,7 @@
         busy = self.workers.busy()
         self.sightings = self.sightings + 1 if busy is not None and busy == self.sighted else 1
         self.sighted = busy
-        if busy is not None and self.sightings >= SIGHTINGS_OF_A_HANG:
+        if busy is not None and self.sightings >= HANG_CHECKS:
             self.workers.hand_over(*busy)
         for job in self.workers.hanging():
             self.on_hang(job, True)
