--- a/plovertrail/sources/first_read.py
+++ b/plovertrail/sources/first_read.py
@@ -59,14 +59,14 @@
     ) -> list[ReadJob]:
         """Read each source once; returns those that have not settled."""
         unsettled: list[ReadJob] = []
-        sighted, sightings = None, 0
+        last_busy, sightings = None, 0
         left = {job: self.workers.submit(job, awaited=True) for job in waiting}
         while left and time.monotonic() < ends_s:
             try:
                 job, reading, begun = readings.get(timeout=FIRST_CHECK_INTERVAL_S)
             except queue.Empty:
                 busy = self.workers.busy()
-                sighted, sightings = busy, sightings + 1 if busy == sighted else 1
+                last_busy, sightings = busy, sightings + 1 if busy == last_busy else 1
                 if busy is not None and sightings >= FIRST_HANG_CHECKS:
                     self.workers.hand_over(*busy)
                 continue
--- a/plovertrail/sources/hang_watchdog.py
+++ b/plovertrail/sources/hang_watchdog.py
@@ -27,7 +27,7 @@
         self.workers = workers
         self.on_hang = on_hang
         self.timer: asyncio.TimerHandle | None = None
-        self.sighted: tuple[ReadWorker, int] | None = None  # a worker, and the number of its read
+        self.last_busy: tuple[ReadWorker, int] | None = None  # a worker, and the number of its read
         self.sightings = 0
         self.closed = False
 
@@ -44,8 +44,8 @@
         """
         self.timer = None
         busy = self.workers.busy()
-        self.sightings = self.sightings + 1 if busy is not None and busy == self.sighted else 1
-        self.sighted = busy
+        self.sightings = self.sightings + 1 if busy is not None and busy == self.last_busy else 1
+        self.last_busy = busy
         if busy is not None and self.sightings >= HANG_CHECKS:
             self.workers.hand_over(*busy)
         for job in self.workers.hanging():
