--- a/plovertrail/sources/first_read.py
+++ b/plovertrail/sources/first_read.py
@@ -59,15 +59,15 @@
     ) -> list[ReadJob]:
         """Read each source once; returns those that have not settled."""
         unsettled: list[ReadJob] = []
-        last_busy, sightings = None, 0
+        last_busy, unchanged_checks = None, 0
         left = {job: self.workers.submit(job, awaited=True) for job in waiting}
         while left and time.monotonic() < ends_s:
             try:
                 job, reading, begun = readings.get(timeout=FIRST_CHECK_INTERVAL_S)
             except queue.Empty:
                 busy = self.workers.busy()
-                last_busy, sightings = busy, sightings + 1 if busy == last_busy else 1
-                if busy is not None and sightings >= FIRST_HANG_CHECKS:
+                last_busy, unchanged_checks = busy, unchanged_checks + 1 if busy == last_busy else 1
+                if busy is not None and unchanged_checks >= FIRST_HANG_CHECKS:
                     self.workers.hand_over(*busy)
                 continue
             if job not in left or begun < left[job]:
--- a/plovertrail/sources/hang_watchdog.py
+++ b/plovertrail/sources/hang_watchdog.py
@@ -28,7 +28,7 @@
         self.on_hang = on_hang
         self.timer: asyncio.TimerHandle | None = None
         self.last_busy: tuple[ReadWorker, int] | None = None  # a worker, and the number of its read
-        self.sightings = 0
+        self.unchanged_checks = 0
         self.closed = False
 
     def arm(self) -> None:
@@ -44,9 +44,11 @@
         """
         self.timer = None
         busy = self.workers.busy()
-        self.sightings = self.sightings + 1 if busy is not None and busy == self.last_busy else 1
+        self.unchanged_checks = (
+            self.unchanged_checks + 1 if busy is not None and busy == self.last_busy else 1
+        )
         self.last_busy = busy
-        if busy is not None and self.sightings >= HANG_CHECKS:
+        if busy is not None and self.unchanged_checks >= HANG_CHECKS:
             self.workers.hand_over(*busy)
         for job in self.workers.hanging():
             self.on_hang(job, True)
