--- a/plovertrail/sources/subscriptions.py
+++ b/plovertrail/sources/subscriptions.py
@@ -65,7 +65,7 @@
         self.subscriber = subscriber
         self.on_list = on_list
         self.on_problem = on_problem
-        self.repeat = False  # deliver the list though it is not new: it may be accepted now
+        self.force_delivery = False  # deliver the list though it is not new: it may be accepted now
         self.last_problem = ""  # the one delivered last, if no list has been since
         self.delivered_generation = 0
         self.queued = False
@@ -87,7 +87,7 @@
 
         A list that they rejected is not new, and would stay rejected.
         """
-        self.repeat = True
+        self.force_delivery = True
         self.reader.queue_delivery(self)
 
     async def look(self) -> bool:
@@ -101,7 +101,7 @@
         async with self.lock:
             version = self.followed.version
             listed = self.followed.last_good
-            if self.stopped or (self.delivered_generation == version.generation and not self.repeat):
+            if self.stopped or (self.delivered_generation == version.generation and not self.force_delivery):
                 return
             self.delivered_generation = version.generation
             digest = version.digest
@@ -110,7 +110,7 @@
                     self.last_problem = version.problem
                     await self.on_problem(version.key.name, self.last_problem)
             elif listed is not None:
-                self.repeat = False
+                self.force_delivery = False
                 self.last_problem = ""
                 problem = await self.on_list(listed)
                 if not problem and not self.stopped:
