--- a/plovertrail/sources/lists.py
+++ b/plovertrail/sources/lists.py
@@ -68,7 +68,7 @@
     return hashlib.sha256(blank).hexdigest().encode()
 
 
-def endpoint(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """Parse an IPv4 address and a port; raises InvalidListError, as for a name, which needs a lookup."""
     found = ENDPOINT.fullmatch(text)
     if found is None:
@@ -158,7 +158,7 @@
         raise InvalidListError(f"more than {MAX_ENDPOINTS} servers")
     return tuple(
         [
-            ListedEndpoint(row.id, endpoint(row.address), row.zone, row.cell, row.weight, row.drain)
+            ListedEndpoint(row.id, parse_address(row.address), row.zone, row.cell, row.weight, row.drain)
             for row in table.servers
         ]
     )
