--- a/plovertrail/endpoint_registry.py
+++ b/plovertrail/endpoint_registry.py
@@ -83,7 +83,7 @@
         self.state = state
         self.lists = lists
         self.owner = owner
-        self.known_elsewhere = owner.endpoints_of_other_pools(name)
+        self.endpoints_elsewhere = owner.endpoints_of_other_pools(name)
         self.guards = Guards()
         self.order: tuple[str, ...] = ()  # the sources, the one that wins first
         self.home_zone = ""
@@ -136,7 +136,7 @@
                 self.unreadable_sources.pop(source.name, None)
                 old_sources = {layer.source for layer in self.state.layers}
                 order = (*self.order, *(name for name in old_sources if name not in self.order))
-                context = ListContext(order, self.known_elsewhere)
+                context = ListContext(order, self.endpoints_elsewhere)
                 self.apply_step(endpoint_list.apply_list(self.state, first, clock_us(), self.guards, context))
 
     def _subscribe(self, sources: list[SourceKey]) -> None:
@@ -182,7 +182,7 @@
             self.log_problems()
 
     def _make_step(self, state: EndpointListState, listed: EndpointList | None) -> ListStep:
-        context = ListContext(self.order, self.known_elsewhere)
+        context = ListContext(self.order, self.endpoints_elsewhere)
         return endpoint_list.apply_list(state, listed, clock_us(), self.guards, context)
 
     def apply_list(self, listed: EndpointList | None) -> None:
