--- a/plovertrail/endpoint_registry.py
+++ b/plovertrail/endpoint_registry.py
@@ -58,7 +58,7 @@
 
 
 @lru_cache(maxsize=4096)
-def name_number(name: str) -> int:
+def name_hash(name: str) -> int:
     """Return the number that stands for a zone or a cell.
 
     Endpoints of two cells with one number would count as deduplicating together. 63 bits of a digest keep
@@ -233,13 +233,13 @@
         """Describe a member for the load balancer."""
         listed = member.listed
         status = EndpointStatus.DRAINING if listed.drain else EndpointStatus.READY
-        zone = 0 if listed.zone == self.home_zone else name_number(listed.zone)
+        zone = 0 if listed.zone == self.home_zone else name_hash(listed.zone)
         return Endpoint(
             member.endpoint_id,
             EndpointStatus.REMOVED if removed else status,
             zone,
             0,
-            name_number(listed.cell),
+            name_hash(listed.cell),
             listed.weight,
             member.started_us,
         )
