--- a/plovertrail/endpoint_registry.py
+++ b/plovertrail/endpoint_registry.py
@@ -90,7 +90,7 @@
         self.pool: ServerPool | None = None
         self.subscriptions: dict[str, Subscription] = {}  # by source
         self.unreadable_sources: dict[str, str] = {}  # what is wrong with them
-        self.logged_at_s: dict[str, float] = {}  # by the beginning of a problem's text
+        self.last_logged_s: dict[str, float] = {}  # by the beginning of a problem's text
         self.lock = asyncio.Lock()
         self.join_timer: asyncio.TimerHandle | None = None
 
@@ -274,10 +274,10 @@
         problems = self.problems()
         self.owner.problems_persist(self.name, bool(problems))
         by_beginning = {text[:60]: text for text in problems}  # figures in it may change with each read
-        self.logged_at_s = {key: at_s for key, at_s in self.logged_at_s.items() if key in by_beginning}
+        self.last_logged_s = {key: at_s for key, at_s in self.last_logged_s.items() if key in by_beginning}
         for key, text in by_beginning.items():
-            if now_s - self.logged_at_s.get(key, -PROBLEM_LOG_INTERVAL_S) >= PROBLEM_LOG_INTERVAL_S:
-                self.logged_at_s[key] = now_s
+            if now_s - self.last_logged_s.get(key, -PROBLEM_LOG_INTERVAL_S) >= PROBLEM_LOG_INTERVAL_S:
+                self.last_logged_s[key] = now_s
                 log.error("endpoint list problem pool=%s: %s", self.name, text)
 
     def stop(self) -> None:
