--- a/plovertrail/clock.py
+++ b/plovertrail/clock.py
@@ -15,7 +15,7 @@
 
 
 @contextmanager
-def another_clock(nanoseconds: Callable[[], int]) -> Iterator[None]:
+def override_clock(nanoseconds: Callable[[], int]) -> Iterator[None]:
     """Have all decisions in this process go by another clock meanwhile: a rehearsal's."""
     global _nanoseconds
     before, _nanoseconds = _nanoseconds, nanoseconds
--- a/plovertrail/scenario_tests/play.py
+++ b/plovertrail/scenario_tests/play.py
@@ -8,7 +8,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass, field, replace
 
-from plovertrail.clock import another_clock, clock_us
+from plovertrail.clock import clock_us, override_clock
 from plovertrail.config import operator
 from plovertrail.config.setup import Setup
 from plovertrail.decisions.endpoint_list import ListedEndpoint
@@ -187,7 +187,7 @@
     before = logging.root.manager.disable
     logging.disable(logging.CRITICAL)  # what the daemon would log is in the trace, as far as it matters
     try:
-        with another_clock(loop.nanoseconds):
+        with override_clock(loop.nanoseconds):
 
             async def whole() -> Played:
                 return await Player(setup, scenario, seed, only).play()
--- a/tests/daemon/test_fleet_limits.py
+++ b/tests/daemon/test_fleet_limits.py
@@ -10,7 +10,7 @@
 
 from fakes.ports import free_port
 from fakes.web import OK, WebServer, breaking, slowly
-from plovertrail.clock import another_clock, clock_us
+from plovertrail.clock import clock_us, override_clock
 from plovertrail.config.operator import load
 from plovertrail.config.problems import ConfigError
 from plovertrail.decisions.connect_rate import BURST
@@ -88,7 +88,7 @@
             assert sum(server.connections for server in servers) == 1
 
     began_ns = time.monotonic_ns()
-    with another_clock(lambda: time.monotonic_ns() - began_ns + machine_up_s * 1_000_000_000):
+    with override_clock(lambda: time.monotonic_ns() - began_ns + machine_up_s * 1_000_000_000):
         run(test)
 
 
--- a/tests/daemon/test_many_lists.py
+++ b/tests/daemon/test_many_lists.py
@@ -18,7 +18,7 @@
 from fakes.ports import free_port
 from plovertrail import resource_limits
 from plovertrail.cli import main
-from plovertrail.clock import another_clock
+from plovertrail.clock import override_clock
 from plovertrail.config import descriptors
 from plovertrail.config import pools as pools_module
 from plovertrail.config.descriptors import PoolNeed, default_connections
@@ -362,7 +362,7 @@
         nonlocal ahead_us
         ahead_us += int(seconds * 1e6)
 
-    with another_clock(lambda: time.monotonic_ns() + ahead_us * 1000):
+    with override_clock(lambda: time.monotonic_ns() + ahead_us * 1000):
         yield jump
 
 
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -14,7 +14,7 @@
 import pytest
 
 from fakes.web import WebServer
-from plovertrail.clock import another_clock
+from plovertrail.clock import override_clock
 from plovertrail.sources.file_reading import LocalFileSystem
 from plovertrail.sources.lists import sealed
 from plovertrail.stall_detector import StallDetectingLoop
@@ -37,7 +37,7 @@
 @contextmanager
 def jumping() -> Iterator[Clock]:
     clock = Clock()
-    with another_clock(lambda: time.monotonic_ns() + clock.ahead_ns):
+    with override_clock(lambda: time.monotonic_ns() + clock.ahead_ns):
         yield clock
 
 
