--- a/plovertrail/recovery_manager.py
+++ b/plovertrail/recovery_manager.py
@@ -129,10 +129,10 @@
         Of a file that is written at this moment the last good list would hold, without the drain that it is
         written for.
         """
-        settled = await subscription.look()
+        settled = await subscription.read_now()
         while not settled:
             await asyncio.sleep(UNSETTLED_FILE_INTERVAL_S)
-            settled = await subscription.look()
+            settled = await subscription.read_now()
         self.state.source_read(name, subscription.last_problem, clock_us())
 
     def _log_phase_change(self, old_phase: Phase) -> None:
--- a/plovertrail/sources/list_reader.py
+++ b/plovertrail/sources/list_reader.py
@@ -123,7 +123,7 @@
 
     # Reads
 
-    async def look(self, followed: FollowedSource) -> None:
+    async def read_now(self, followed: FollowedSource) -> None:
         """Return once a read of the source that began after this call has ended, or hangs."""
         ended: asyncio.Future[None] = self.loop.create_future()
         followed.waiters.append((self.workers.submit(followed.job, awaited=True), ended))
--- a/plovertrail/sources/subscriptions.py
+++ b/plovertrail/sources/subscriptions.py
@@ -26,7 +26,7 @@
     def unsubscribed(self, subscription: Subscription) -> None:
         """Note that a subscriber follows its source no more."""
 
-    async def look(self, followed: FollowedSource) -> None:
+    async def read_now(self, followed: FollowedSource) -> None:
         """Return once a read of the source that began after this call has ended, or hangs."""
 
 
@@ -90,9 +90,9 @@
         self.force_delivery = True
         self.reader.queue_delivery(self)
 
-    async def look(self) -> bool:
+    async def read_now(self) -> bool:
         """Read the source once more, beginning now, and deliver; returns whether it has settled."""
-        await self.reader.look(self.followed)
+        await self.reader.read_now(self.followed)
         await self.deliver()
         return self.followed.settled
 
--- a/tests/sources/test_list_reader.py
+++ b/tests/sources/test_list_reader.py
@@ -489,7 +489,7 @@
             put(path, 3)
             await until(lambda: bool(follower.wrong))  # another thread has taken over
             scan(reader)
-            again = asyncio.ensure_future(subscription.look())
+            again = asyncio.ensure_future(subscription.read_now())
             await asyncio.sleep(0)
             files.let_go(path)
             await told([follower], 3)
@@ -511,7 +511,7 @@
             follower.gate = asyncio.Event()
             for port in (2, 3, 4):
                 put(path, port)
-                await reader.look(subscription.followed)
+                await reader.read_now(subscription.followed)
             follower.gate.set()
             await told([follower, other], 4)
             await asyncio.sleep(0)
@@ -528,7 +528,7 @@
         path = tmp_path / "x.list"
         async with blocked_read(path) as (reader, files, follower, subscription):
             put(path, 3)
-            look = asyncio.ensure_future(subscription.look())
+            look = asyncio.ensure_future(subscription.read_now())
             await asyncio.sleep(0)
             assert reader.scan.timer is not None
             reader.scan.timer.cancel()  # the look alone brings the second read about
@@ -559,7 +559,7 @@
             os.utime(gone)
             scan(reader)
             await asyncio.to_thread(files.arrived[str(gone)].wait)
-            look = asyncio.ensure_future(subscription.look())
+            look = asyncio.ensure_future(subscription.read_now())
             await asyncio.sleep(0)
             subscription.stop()
             await look  # who waits for a look is not left waiting
@@ -590,7 +590,7 @@
             assert isinstance(found, EndpointList)
             assert found.endpoints[0].address[1] == 1
             put(path, 2)
-            await reader.look(reader.sources.by_key[key])
+            await reader.read_now(reader.sources.by_key[key])
             follower.follow(reader, path)
             await told([follower], 2)
 
