--- a/plovertrail/endpoint_registry.py
+++ b/plovertrail/endpoint_registry.py
@@ -85,7 +85,7 @@
         self.owner = owner
         self.endpoints_elsewhere = owner.endpoints_of_other_pools(name)
         self.guards = Guards()
-        self.order: tuple[str, ...] = ()  # the sources, the one that wins first
+        self.source_order: tuple[str, ...] = ()  # the sources, the one that wins first
         self.home_zone = ""
         self.pool: ServerPool | None = None
         self.subscriptions: dict[str, Subscription] = {}  # by source
@@ -114,9 +114,9 @@
                 subscription.deliver_again()
         self.guards = guards
         self.home_zone = home_zone
-        self.order = (INLINE, *(source.name for source in sources))
+        self.source_order = (INLINE, *(source.name for source in sources))
         self.unreadable_sources = {
-            name: problem for name, problem in self.unreadable_sources.items() if name in self.order
+            name: problem for name, problem in self.unreadable_sources.items() if name in self.source_order
         }
         self._add_first_lists(sources, first_lists)
         self.apply_list(EndpointList(INLINE, inline, by_operator=True))
@@ -135,13 +135,13 @@
             elif first is not None:
                 self.unreadable_sources.pop(source.name, None)
                 old_sources = {layer.source for layer in self.state.layers}
-                order = (*self.order, *(name for name in old_sources if name not in self.order))
+                order = (*self.source_order, *(name for name in old_sources if name not in self.source_order))
                 context = ListContext(order, self.endpoints_elsewhere)
                 self.apply_step(endpoint_list.apply_list(self.state, first, clock_us(), self.guards, context))
 
     def _subscribe(self, sources: list[SourceKey]) -> None:
         """Follow these sources, and no others."""
-        for name in self.subscriptions.keys() - set(self.order):
+        for name in self.subscriptions.keys() - set(self.source_order):
             self.subscriptions.pop(name).stop()
         for source in sources:
             old = self.subscriptions.get(source.name)
@@ -160,7 +160,7 @@
         """
         async with self.lock:
             self.unreadable_sources.pop(listed.source, None)
-            if listed.source not in self.order:
+            if listed.source not in self.source_order:
                 return "it is followed no more"
             self.owner.source_read(self.name, listed.source, "")
             old_state = self.state
@@ -176,13 +176,13 @@
 
     async def list_unreadable(self, source: str, problem: str) -> None:
         """Note that a source has no usable list; its last good one stays."""
-        if source in self.order:
+        if source in self.source_order:
             self.unreadable_sources[source] = problem
             self.owner.source_read(self.name, source, problem)
             self.log_problems()
 
     def _make_step(self, state: EndpointListState, listed: EndpointList | None) -> ListStep:
-        context = ListContext(self.order, self.endpoints_elsewhere)
+        context = ListContext(self.source_order, self.endpoints_elsewhere)
         return endpoint_list.apply_list(state, listed, clock_us(), self.guards, context)
 
     def apply_list(self, listed: EndpointList | None) -> None:
