--- a/plovertrail/sources/list_reader.py
+++ b/plovertrail/sources/list_reader.py
@@ -52,7 +52,7 @@
         self.scan = SafetyScan(self.loop, self.sources.all, self._submit)
         self.watchdog = HangWatchdog(self.loop, self.workers, self._source_hangs)
         self.deliveries = DeliveryQueue(self.loop)
-        self.first = FirstReads(self.workers)
+        self.first_reads = FirstReads(self.workers)
         self.readings: deque[tuple[FollowedSource, Reading, int]] = deque()  # not taken over by the loop yet
         self.next_turn: asyncio.Handle | None = None  # the turn that takes over more of them
         self.quick_looks = QuickLooks(self.loop, self._submit)
@@ -115,11 +115,11 @@
     async def first_read(self, keys: Iterable[SourceKey]) -> dict[SourceKey, FirstRead]:
         """Read these sources now, within FIRST_READ_S; the loop goes on meanwhile."""
         followed = [self._follow(key) for key in dict.fromkeys(keys)]
-        return await asyncio.to_thread(self.first.read, followed)
+        return await asyncio.to_thread(self.first_reads.read, followed)
 
     def first_read_blocking(self, keys: Iterable[SourceKey]) -> dict[SourceKey, FirstRead]:
         """Read these sources now, while the loop has nothing else to do yet."""
-        return self.first.read([self._follow(key) for key in dict.fromkeys(keys)])
+        return self.first_reads.read([self._follow(key) for key in dict.fromkeys(keys)])
 
     # Reads
 
@@ -141,7 +141,7 @@
         """
         now_us = self._now_us()
         self.scan.source_read(job, reading, now_us)
-        self.first.note(job, reading, begun)
+        self.first_reads.note(job, reading, begun)
         followed = self.sources.by_key.get(job.source.key)
         if followed is None:
             return
