--- a/plovertrail/sources/__init__.py
+++ b/plovertrail/sources/__init__.py
@@ -1,1 +1,1 @@
-"""Where lists of servers come from."""
+"""Sources of endpoint lists: watched files and the platform's discovery."""
