--- a/plovertrail/sources/delivery_queue.py
+++ b/plovertrail/sources/delivery_queue.py
@@ -1,4 +1,4 @@
-"""Delivers what was read to the subscribers, one a turn of the event loop."""
+"""Delivers lists that were read to their subscribers, one per turn of the event loop."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class DeliveryQueue:
-    """The subscriptions that have something to be delivered, in order."""
+    """A FIFO queue of the subscriptions that have something to deliver."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -21,7 +21,7 @@
         self.closed = False
 
     def put(self, subscription: Subscription) -> None:
-        """Deliver to a subscription in its turn."""
+        """Queue a subscription; nothing happens if it is queued already."""
         if subscription.queued or self.closed:
             return
         subscription.queued = True
@@ -30,9 +30,9 @@
             self.task = self.loop.create_task(self._deliver())
 
     async def _deliver(self) -> None:
-        """Deliver to one subscription a turn.
+        """Deliver to one subscription per turn of the loop.
 
-        Otherwise 200 lists that change at one moment would delay all requests by the time of all their steps.
+        If 200 lists that change at once were all applied in one turn, they would delay every request.
         """
         while self.pending:
             subscription = self.pending.popleft()
@@ -46,7 +46,7 @@
             await asyncio.sleep(0)
 
     def close(self) -> None:
-        """Deliver nothing more."""
+        """Stop all deliveries."""
         self.closed = True
         if self.task is not None:
             self.task.cancel()
