--- a/plovertrail/sources/file_notifications.py
+++ b/plovertrail/sources/file_notifications.py
@@ -1,7 +1,7 @@
-"""One watch for the system's notifications on all folders that hold watched files.
+"""Watches all folders that hold watched files for the system's change notifications.
 
-What it tells is a hint: notifications get lost, and the safety scan of the list reader is there for that. Its
-calls on the file system are made on a thread of its own, so that a folder that hangs holds up nothing else.
+Notifications are only hints: they can get lost, so the safety scan of the list reader finds the changes that
+they miss. All file system calls are made on a separate thread, so a folder that hangs blocks nothing else.
 """
 
 from __future__ import annotations
@@ -15,36 +15,34 @@
 
 log = logging.getLogger(__name__)
 
-DEBOUNCE_MS = 50  # changes that come within it are told together
+DEBOUNCE_MS = 50  # changes within this time are reported together
 STEP_MS = 20  # with less, the thread's wake-ups are most of the CPU time of an idle process
-RETRY_S = 10.0  # after a watch that could not be made, as when the machine has no inotify instance left
-FOLDER_CHECK_MS = (
-    1000  # between two looks at the folders themselves: one may have been unlinked and made again
-)
+RETRY_S = 10.0  # after a watch could not be opened, for example with no inotify instance left
+FOLDER_CHECK_MS = 1000  # interval of the checks whether a folder was removed and created again
 Inodes = dict[str, tuple[int, int]]
 
 
 class FolderWatch(Protocol):
-    """The system's notifications on some folders."""
+    """A watch for the system's notifications on some folders."""
 
     def watch(
         self, debounce_ms: int, step_ms: int, timeout_ms: int, stop_event: threading.Event
     ) -> set[tuple[int, str]] | str:
-        """Wait for changes; a text where there are none."""
+        """Wait for changes; returns them, or a text that says why there are none."""
 
     def close(self) -> None:
-        """Watch no more."""
+        """End the watch."""
 
 
 def open_watch(folders: list[str]) -> FolderWatch:
-    """Of the system itself; raises FileNotFoundError."""
+    """Open a watch of the operating system; raises FileNotFoundError."""
     from watchfiles._rust_notify import RustNotify
 
     return RustNotify(folders, False, False, 0, False, True)
 
 
 def folder_inodes(folders: frozenset[str]) -> Inodes:
-    """The folders that are there, each with its device and inode."""
+    """Return the device and inode of each folder that exists."""
     found: Inodes = {}
     for folder in sorted(folders):
         try:
@@ -56,7 +54,7 @@
 
 
 class FolderNotifications:
-    """Calls `changed` with the paths of what changed, on its own thread; an empty set: anything may have."""
+    """Calls `changed` on its own thread with the paths that changed; with an empty set if any may have."""
 
     def __init__(
         self,
@@ -66,14 +64,14 @@
         self.changed = changed
         self.open_watch = open_watch
         self.folders: frozenset[str] = frozenset()
-        self.outdated = threading.Event()  # the set of folders is another one, or the watch is over
+        self.outdated = threading.Event()  # other folders are to be watched, or none any more
         self.stopped = False
-        self.problem = ""  # why there are no notifications; empty: there are
+        self.problem = ""  # why there are no notifications; empty if they work
         self.watches_opened = 0
         self.thread: threading.Thread | None = None
 
     def follow(self, folders: frozenset[str]) -> None:
-        """Watch these from now on."""
+        """Watch these folders from now on."""
         if folders == self.folders:
             return
         self.folders = folders
@@ -83,7 +81,7 @@
             self.thread.start()
 
     def stop(self) -> None:
-        """Watch nothing more."""
+        """Stop watching."""
         self.stopped = True
         self.outdated.set()
 
@@ -95,11 +93,11 @@
             except Exception as error:
                 if self.problem != repr(error):
                     self.problem = repr(error)
-                    log.warning("no notifications of changed files, they are looked at only: %r", error)
+                    log.warning("no file notifications, changes are found by the scan only: %r", error)
                 self.outdated.wait(RETRY_S)
 
     def _watch(self, folders: frozenset[str]) -> None:
-        """Until the folders are others."""
+        """Report changes until the watch is out of date."""
         watched = folder_inodes(folders)
         if not watched:
             self.outdated.wait(FOLDER_CHECK_MS / 1000)
@@ -107,9 +105,9 @@
         try:
             notify = self.open_watch(list(watched))
         except FileNotFoundError:
-            return  # a folder went meanwhile
+            return  # a folder was removed meanwhile
         self.watches_opened, self.problem = self.watches_opened + 1, ""
-        # What changed between two watches is reported by neither.
+        # Changes between two watches are reported by neither.
         self.changed(frozenset())
         try:
             while not self.outdated.is_set():
