--- a/plovertrail/sources/file_reading.py
+++ b/plovertrail/sources/file_reading.py
@@ -1,4 +1,4 @@
-"""Bounded reads of files and folders of endpoint lists; a file counts once it is complete."""
+"""Bounded reads of files and folders of endpoint lists; an incomplete file is rejected or read again."""
 
 from __future__ import annotations
 
@@ -13,23 +13,24 @@
 from plovertrail.decisions.list_versions import SourceKey, SourceKind
 from plovertrail.sources.lists import MAX_ENDPOINTS, MAX_FILE_BYTES, InvalidListError, parse
 
-MIN_TRUSTED_AGE_S = 3.0  # a file changed within this may change again under the same times (NFS, FAT: 2 s)
-SETTLE_S = 0.2  # for so long a file without a checksum must stay the same
+# A file modified less than this ago may be modified again without a change of its times (NFS, FAT: 2 s).
+MIN_TRUSTED_AGE_S = 3.0
+SETTLE_S = 0.2  # how long a file without a checksum must stay unchanged to count as complete
 MAX_FRAGMENTS = 256
 Signature = tuple[int, int, int, int]
 
 
 class FileSystem(Protocol):
-    """The calls on the file system that may hang; tests replace them."""
+    """The file system calls that may hang; tests replace them."""
 
     def status(self, path: str) -> os.stat_result:
-        """Return `os.stat` of what a path leads to; raises OSError."""
+        """Return `os.stat` of a path, following links; raises OSError."""
 
     def names(self, path: str) -> list[str]:
         """List the names in a folder; raises OSError."""
 
     def is_link(self, path: str) -> bool:
-        """Whether the path itself is a link."""
+        """Whether the path itself is a symbolic link."""
 
     def read(self, path: str) -> tuple[bytes, Signature]:
         """Read a plain file; returns its bytes and signature; raises InvalidListError or OSError."""
@@ -39,7 +40,7 @@
     """The operating system's own calls."""
 
     def status(self, path: str) -> os.stat_result:
-        """Return `os.stat` of what a path leads to; raises OSError."""
+        """Return `os.stat` of a path, following links; raises OSError."""
         return os.stat(path)
 
     def names(self, path: str) -> list[str]:
@@ -60,7 +61,7 @@
 
 def read_bounded(path: str) -> tuple[bytes, Signature]:
     """Read a plain file; returns its bytes and signature; raises InvalidListError or OSError."""
-    # Without O_NONBLOCK opening a FIFO waits for a writer; reading a device may never end.
+    # Without O_NONBLOCK opening a FIFO would wait for a writer; reading a device may never end.
     fd = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
     try:
         found = os.fstat(fd)
@@ -82,7 +83,7 @@
 
 
 def signature(found: os.stat_result) -> Signature:
-    """Return device, inode, size and time of change (ns); where times are fine, any change shows in it."""
+    """Return device, inode, size and modification time (ns); any change shows in it if times are fine."""
     return found.st_dev, found.st_ino, found.st_size, found.st_mtime_ns
 
 
@@ -92,24 +93,24 @@
 
     signature: Signature
     data: bytes
-    first_seen_s: float  # when these bytes were first seen, by a clock that only moves forward
+    first_seen_s: float  # when this content was first read, by a monotonic clock
 
 
 @dataclass
 class FileSource:
-    """One file, or a folder whose files make one list; `path` may be a link that is swapped."""
+    """One file, or a folder whose files form one list; `path` may be a symbolic link that gets replaced."""
 
     path: str
     checksum: bool = True
     files: FileSystem = LOCAL
     kind: SourceKind = SourceKind.LIST
     contents: dict[str, FileContent] = field(default_factory=dict)
-    result: EndpointList | InvalidListError | None = None  # of what was seen, as far as it has settled
-    digest: str = ""  # of the bytes that `made` was made of
-    may_change: bool = False  # its times are so young that a change may hide under them: look again soon
-    opened: bool = False  # the last call read bytes
+    result: EndpointList | InvalidListError | None = None  # of the last parse; None if not settled
+    digest: str = ""  # of the bytes that `result` was parsed from
+    may_change: bool = False  # modified so recently that its times may not show the next change
+    opened: bool = False  # the last call opened a file
     is_folder: bool = False  # the path is a folder
-    is_linked: bool = False  # it is reached through links in its folder, which may be swapped
+    is_linked: bool = False  # the path is a symbolic link, which may be replaced
 
     @property
     def key(self) -> SourceKey:
@@ -122,7 +123,7 @@
         return self.key.name
 
     def names(self) -> list[str]:
-        """List the files, sorted, without hidden ones (config maps have theirs in ..data) and temporaries."""
+        """List the files, sorted, without temporary and hidden ones (config maps keep copies in ..data)."""
         self.is_folder = self._is_folder()
         if not self.is_folder:
             return [self.path]
@@ -146,8 +147,8 @@
     def read(self, now: float, settle: bool = True) -> tuple[bool, EndpointList | None]:
         """Read the source; returns whether the list is new since the last call, and the list.
 
-        The list is None while the file has not settled. Blocks; raises InvalidListError or OSError. What has
-        not changed is not parsed again.
+        The list is None while a file has not settled. Content that has not changed is not parsed again.
+        Blocks; raises InvalidListError or OSError.
         """
         changed = False
         settled = True
@@ -188,7 +189,7 @@
         return True, self.result
 
     def _digest(self, names: list[str]) -> str:
-        """Compute the digest of the bytes; of several files, of their names as well."""
+        """Compute the digest of the bytes; with several files it covers their names too."""
         if len(names) == 1:
             return hashlib.sha256(self.contents[names[0]].data).hexdigest()
         whole = hashlib.sha256()
@@ -215,13 +216,16 @@
         return EndpointList(self.name, tuple(entries), version if len(names) == 1 else 0)
 
     def _is_unchanged(self, path: str, old: FileContent) -> bool:
-        """Whether a file is unchanged for certain: with coarse times a second change leaves the signature."""
+        """Whether a file is certainly unchanged.
+
+        With coarse times a second change may leave the signature as it is, so recent ones are not trusted.
+        """
         found = self.files.status(path)
         return signature(found) == old.signature and time.time() - found.st_mtime > MIN_TRUSTED_AGE_S
 
 
 def first_read(source: FileSource) -> EndpointList | str:
-    """Read a source that is not watched yet; returns its list, or what is wrong with it. Blocks."""
+    """Read a source that is not watched; returns its list, or what is wrong with it. Blocks."""
     try:
         _, found = source.read(time.monotonic())
         if found is None:
