--- a/plovertrail/sources/first_read.py
+++ b/plovertrail/sources/first_read.py
@@ -1,4 +1,4 @@
-"""The first read of all lists of a configuration: one pass, one settling time, bounded in time."""
+"""The first read of all lists of a configuration, bounded in time, with one settling time for all of them."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 from plovertrail.sources.read_workers import Reading, ReadJob, ReadWorkers
 from plovertrail.sources.subscriptions import FollowedSource
 
-FIRST_READ_S = 3.0  # a start waits for its lists at most
-FIRST_CHECK_INTERVAL_S = 0.02  # between two checks of the worker meanwhile
-FIRST_HANG_CHECKS = 5  # of a read that hangs: after 0.1 s a start goes on with other sources
-FirstReading = tuple[ReadJob, Reading, int]  # with the number of the call that its look came after
+FIRST_READ_S = 3.0  # the longest that a start waits for its lists
+FIRST_CHECK_INTERVAL_S = 0.02  # between two checks whether the worker hangs
+FIRST_HANG_CHECKS = 5  # after so many checks (0.1 s) at one read, another thread reads the other sources
+FirstReading = tuple[ReadJob, Reading, int]  # with `ReadJob.begun` of the read
 FirstRead = EndpointList | str  # a list, or what is wrong with it
 
 
 class FirstReads:
-    """Reads sources while its caller waits, which may be the loop's thread at a start; one call at a time."""
+    """Reads sources while the caller waits, which at a start is the loop's thread; one call at a time."""
 
     def __init__(self, workers: ReadWorkers) -> None:
         self.workers = workers
-        self.readings: queue.SimpleQueue[FirstReading] | None = None  # None: nobody waits
+        self.readings: queue.SimpleQueue[FirstReading] | None = None  # None while no caller waits
 
     def note(self, job: ReadJob, reading: Reading, begun: int) -> None:
-        """Note the end of a read; called on the worker's thread."""
+        """Pass on a reading to the waiting caller; called on the worker's thread."""
         readings = self.readings
         if readings is not None:
             readings.put((job, reading, begun))
 
     def read(self, followed: list[FollowedSource]) -> dict[SourceKey, FirstRead]:
-        """Read all sources, and once more those that have not settled, after one settling time for all."""
-        # A reload would wait in vain for a source that hangs already.
+        """Read all sources, then once more those that have not settled, after one settling time for all."""
+        # A source that hangs already would make a reload wait in vain.
         waiting = {each.job: each.version.key for each in followed if not each.version.is_hung}
         found: dict[SourceKey, FirstRead] = {
             each.version.key: each.version.problem or "it was not read in time" for each in followed
@@ -47,7 +47,7 @@
         self.readings = None
         for each in followed:
             if isinstance(found[each.version.key], str) and each.last_good is not None:
-                found[each.version.key] = each.last_good  # the last good one; what is wrong is told later
+                found[each.version.key] = each.last_good  # its problem is reported on delivery
         return found
 
     def _collect(
@@ -71,7 +71,7 @@
                     self.workers.hand_over(*busy)
                 continue
             if job not in left or begun < left[job]:
-                continue  # a read that began before this call, when it may not have settled
+                continue  # this read began before the call, when the file may not have settled
             del left[job]
             if reading.listed is None and not reading.problem:
                 unsettled.append(job)
