--- a/plovertrail/sources/hang_watchdog.py
+++ b/plovertrail/sources/hang_watchdog.py
@@ -1,4 +1,4 @@
-"""Finds reads that hang, so that other sources are read by another thread."""
+"""Detects reads that hang, so that another thread reads the other sources."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from plovertrail.sources.read_workers import ReadJob, ReadWorker, ReadWorkers
 
 CHECK_INTERVAL_S = 0.2
-HANG_CHECKS = 3  # of a worker at the same read: 0.4 to 0.6 s
+HANG_CHECKS = 3  # a worker that is at the same read in so many checks hangs (0.4 to 0.6 s)
 
 
 class HangWatchdog:
-    """Checks the read workers while they have something to read.
+    """Checks the read workers at intervals while they have something to read.
 
-    `on_hang` is called with each job that hangs, and whether it was tried at all.
+    `on_hang` is called with each job that hangs, and whether its read could begin at all.
     """
 
     def __init__(
@@ -27,20 +27,20 @@
         self.workers = workers
         self.on_hang = on_hang
         self.timer: asyncio.TimerHandle | None = None
-        self.last_busy: tuple[ReadWorker, int] | None = None  # a worker, and the number of its read
+        self.last_busy: tuple[ReadWorker, int] | None = None  # a worker and the number of its read
         self.unchanged_checks = 0
         self.closed = False
 
     def arm(self) -> None:
-        """Check soon, if that is not scheduled yet."""
+        """Schedule the next check unless one is scheduled already."""
         if self.timer is None and not self.closed:
             self.timer = self.loop.call_later(CHECK_INTERVAL_S, self.check)
 
     def check(self) -> None:
-        """Look whether a worker is still at the same read.
+        """Check whether the worker is still at the same read.
 
-        Sightings are counted instead of time, so that a process that was paused, and its threads with it,
-        finds no read to hang for that.
+        Checks are counted instead of time, so that a pause of the whole process, during which its threads
+        stood still too, doesn't look like a hanging read.
         """
         self.timer = None
         busy = self.workers.busy()
@@ -58,7 +58,7 @@
             self.arm()
 
     def close(self) -> None:
-        """Check no more."""
+        """Stop the checks."""
         self.closed = True
         if self.timer is not None:
             self.timer.cancel()
