--- a/plovertrail/sources/instances.py
+++ b/plovertrail/sources/instances.py
@@ -1,4 +1,4 @@
-"""A list of instances in a watched file."""
+"""A list of the program's instances in a watched file."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 class InstanceList:
     """Reports each new list of instances.
 
-    One that can't be used, or is empty, is ignored: by an empty list each instance would be alone, with
-    the whole of every quota.
+    A list that is unusable or empty is ignored: with an empty list each instance would count itself as the
+    only one and use every quota in full.
     """
 
     def __init__(
@@ -26,16 +26,16 @@
         on_instances: Callable[[tuple[ListedEndpoint, ...]], None],
         lists: ListReader | None = None,
     ) -> None:
-        self.owner = owner  # whose list it is, for reports
+        self.owner = owner  # name of the list's user in log lines and reports
         self.on_instances = on_instances
-        self.lists = lists  # None: it has a reader of its own while it has a file to read
+        self.lists = lists  # None: the list creates a reader of its own while it follows a file
         self.own_reader: ListReader | None = None
-        self.read = False  # a list of the present file has been reported
+        self.read = False  # a list from the current file has been reported
         self.problem = ""
         self.subscription: Subscription | None = None
 
     def follow(self, path: str) -> bool:
-        """Follow this file from now on, none if empty; returns whether it is another one than before."""
+        """Follow this file from now on, or none if the path is empty; returns whether it has changed."""
         if path == (self.subscription.key.path if self.subscription is not None else ""):
             return False
         self.stop()
@@ -51,7 +51,7 @@
         return True
 
     def stop(self) -> None:
-        """Follow the file no more, and stop the reader if it is this list's own; may be called again."""
+        """Stop following the file, and stop the reader if it is the list's own; may be called again."""
         if self.subscription is not None:
             self.subscription.stop()
             self.subscription = None
@@ -70,7 +70,7 @@
         return ""
 
     async def _list_unusable(self, source: str, problem: str) -> None:
-        """Log a problem once; what is known of the instances stays."""
+        """Log a problem once; the last list that was reported stays valid."""
         if problem != self.problem:
             log.error("instance list unusable owner=%s source=%s: %s", self.owner, source, problem)
         self.problem = problem
