--- a/plovertrail/sources/list_reader.py
+++ b/plovertrail/sources/list_reader.py
@@ -1,8 +1,8 @@
-"""The one reader of all watched files of a process: endpoint lists, lists of instances, the operator's file.
+"""The reader of all watched files of a process: endpoint lists, lists of instances, the operator's file.
 
-Subscribers name a path. A file that several name is read and parsed once, and what changed is delivered to
-those concerned, one a turn of the loop. Changes are seen by notifications, and by a safety scan behind them.
-docs/membership.md has the design.
+Subscribers name a path. A file with several subscribers is read and parsed once, and a change is delivered to
+its subscribers, one per turn of the loop. Changes are found by file notifications, and by a regular safety
+scan in case a notification is lost. docs/membership.md has the design.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 class ListReader:
-    """Reads sources on threads, by `files`, and tells subscribers on one event loop."""
+    """Reads sources through `files` on threads, and delivers to subscribers on one event loop."""
 
     def __init__(self, files: FileSystem = LOCAL, notifications: bool = True) -> None:
         self.loop = asyncio.get_running_loop()
@@ -53,8 +53,8 @@
         self.watchdog = HangWatchdog(self.loop, self.workers, self._source_hangs)
         self.deliveries = DeliveryQueue(self.loop)
         self.first_reads = FirstReads(self.workers)
-        self.readings: deque[tuple[FollowedSource, Reading, int]] = deque()  # not taken over by the loop yet
-        self.next_turn: asyncio.Handle | None = None  # the turn that takes over more of them
+        self.readings: deque[tuple[FollowedSource, Reading, int]] = deque()  # still to be applied on the loop
+        self.next_turn: asyncio.Handle | None = None  # the turn in which more of them are applied
         self.quick_looks = QuickLooks(self.loop, self._submit)
         self.watch_update: asyncio.Handle | None = None
         self.executor: ThreadPoolExecutor | None = None
@@ -65,7 +65,7 @@
     def subscribe(
         self, key: SourceKey, subscriber: str, on_list: OnList, on_problem: OnProblem
     ) -> Subscription:
-        """Tell a subscriber what a source holds, now and whenever that changes."""
+        """Deliver the content of a source to a subscriber, now and whenever it changes."""
         followed = self._follow(key)
         subscription = Subscription(self, followed, subscriber, on_list, on_problem)
         followed.subscriptions.append(subscription)
@@ -76,7 +76,7 @@
         return subscription
 
     def unsubscribed(self, subscription: Subscription) -> None:
-        """Note that a subscriber follows its source no more."""
+        """Remove a subscription, and the source if it was the last one."""
         followed = subscription.followed
         self.in_force.drop(subscription.subscriber, subscription.key)
         followed.subscriptions.remove(subscription)
@@ -84,13 +84,13 @@
             self._drop(followed)
 
     def drop_unfollowed(self) -> None:
-        """Forget the sources that were read for a configuration that was not applied."""
+        """Remove the sources that were read for a configuration that was not applied."""
         for followed in list(self.sources.all()):
             if not followed.subscriptions:
                 self._drop(followed)
 
     def queue_delivery(self, subscription: Subscription) -> None:
-        """Deliver to a subscriber in its turn."""
+        """Queue a delivery to a subscriber."""
         self.deliveries.put(subscription)
 
     def _follow(self, key: SourceKey) -> FollowedSource:
@@ -113,12 +113,12 @@
     # The first read
 
     async def first_read(self, keys: Iterable[SourceKey]) -> dict[SourceKey, FirstRead]:
-        """Read these sources now, within FIRST_READ_S; the loop goes on meanwhile."""
+        """Read these sources now, within FIRST_READ_S, without blocking the loop."""
         followed = [self._follow(key) for key in dict.fromkeys(keys)]
         return await asyncio.to_thread(self.first_reads.read, followed)
 
     def first_read_blocking(self, keys: Iterable[SourceKey]) -> dict[SourceKey, FirstRead]:
-        """Read these sources now, while the loop has nothing else to do yet."""
+        """Read these sources now and block the loop, which at a start has nothing else to do."""
         return self.first_reads.read([self._follow(key) for key in dict.fromkeys(keys)])
 
     # Reads
@@ -137,7 +137,7 @@
     def _read_on_thread(self, job: ReadJob, reading: Reading, begun: int, awaited: bool) -> None:
         """Handle a read on the worker's thread.
 
-        Reads that found nothing new don't reach the loop, or it would wake for each source.
+        Reads that found nothing new are not passed to the loop, or it would wake up for every source.
         """
         now_us = self._now_us()
         self.scan.source_read(job, reading, now_us)
@@ -153,7 +153,7 @@
             followed.version.read_us = now_us
 
     def _apply_readings(self) -> None:
-        """Take over some readings: those of 200 files that change at one moment take several turns."""
+        """Apply a limited number of readings, so that 200 files that change at once take several turns."""
         if self.next_turn is None:
             for _ in range(min(MAX_READINGS_A_TURN, len(self.readings))):
                 self._apply_reading(*self.readings.popleft())
@@ -165,7 +165,7 @@
         self._apply_readings()
 
     def _apply_reading(self, followed: FollowedSource, reading: Reading, begun: int) -> None:
-        """Take over what a read found."""
+        """Update a source with a reading, and queue deliveries if its content has changed."""
         version = followed.version
         if self.sources.by_key.get(version.key) is not followed:
             return
@@ -183,7 +183,7 @@
         _wake_waiters(followed, begun)
 
     def _update_version(self, followed: FollowedSource, reading: Reading) -> bool:
-        """Update a source's version; returns whether its subscribers have to be told."""
+        """Update a source's version; returns whether there is something to deliver."""
         version = followed.version
         now_us = self._now_us()
         if reading.listed is not None:
@@ -238,7 +238,7 @@
         self._call_on_loop(self._notified, paths)
 
     def _notified(self, paths: frozenset[str]) -> None:
-        """Read what may have changed; no path: anything may have."""
+        """Read the sources that may have changed: all of them if there are no paths."""
         concerned = self.sources.concerned_by(paths) if paths else self.sources.all()
         if concerned or not paths:
             self._submit(concerned)
@@ -246,7 +246,7 @@
     # Status and end
 
     def status(self) -> dict[str, Any]:
-        """Report all sources for operators, and what is in force of them."""
+        """Report all sources for operators, and which content is in force."""
         now_us = self._now_us()
         problems = [self.scan.problem()] if self.scan.schedule.too_slow else []
         if len(self.workers.stuck) >= MAX_STUCK_THREADS:
@@ -264,7 +264,7 @@
         }
 
     def stop(self) -> None:
-        """Read nothing more; reads that hang are abandoned."""
+        """Stop all reads; those that hang are abandoned."""
         self.closed = True
         if self.watch_update is not None:
             self.watch_update.cancel()
@@ -282,7 +282,7 @@
         return int(self.loop.time() * 1e6)
 
     def _call_on_loop(self, call: Callable[..., None], *arguments: object) -> None:
-        """Call something on the loop from a thread; nothing happens if the loop has ended."""
+        """Schedule a call on the loop from another thread; does nothing if the loop is closed."""
         try:
             self.loop.call_soon_threadsafe(call, *arguments)
         except RuntimeError:
@@ -297,7 +297,7 @@
 
 
 def _nothing_new(followed: FollowedSource, reading: Reading) -> bool:
-    """Whether a read found what the one before it had found."""
+    """Whether a read found the same as the one before it."""
     state = followed.version.state
     if reading.may_change and not followed.read_again_soon:
         return False
@@ -309,7 +309,7 @@
 
 
 def _wake_waiters(followed: FollowedSource, begun: int) -> None:
-    """Wake those who wait for a read that began no later than this one."""
+    """Wake the callers whose requests for a read came before this read began."""
     waiters = followed.waiters
     followed.waiters = []
     for requested, ended in waiters:
