--- a/plovertrail/sources/quick_looks.py
+++ b/plovertrail/sources/quick_looks.py
@@ -1,4 +1,4 @@
-"""Reads sources again soon that were changed a moment ago, or have not settled."""
+"""Quick looks: short-interval rereads of sources that have just changed or have not settled."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class QuickLooks:
-    """The sources that are read again soon; `submit` has them read."""
+    """The sources that are reread at a short interval; `submit` queues their reads."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, submit: Callable[[Collection[FollowedSource]], None]
@@ -22,13 +22,13 @@
         self.closed = False
 
     def add(self, followed: FollowedSource) -> None:
-        """Read a source again until it has settled and its times are old enough."""
+        """Reread a source until it has settled and its times are old enough to be trusted."""
         self.sources[followed.version.key] = followed
         followed.read_again_soon = True
         self._arm()
 
     def remove(self, key: SourceKey) -> None:
-        """Read a source no more; nothing happens if it isn't here."""
+        """Stop rereading a source; does nothing if it isn't among them."""
         self.sources.pop(key, None)
 
     def _look(self) -> None:
@@ -45,7 +45,7 @@
             self.timer = self.loop.call_later(RECHECK_INTERVAL_US / 1e6, self._look)
 
     def close(self) -> None:
-        """Read nothing more."""
+        """Stop all rereads."""
         self.closed = True
         if self.timer is not None:
             self.timer.cancel()
