--- a/plovertrail/sources/read_workers.py
+++ b/plovertrail/sources/read_workers.py
@@ -1,7 +1,8 @@
-"""Threads that read sources one after the other, so that a read that hangs holds up no other source.
+"""Threads that read sources, arranged so that a read that hangs blocks no other source.
 
-One thread works at a time. Whoever watches calls `hand_over` when it has been at one source for too long:
-that thread is left to itself and another one goes on with the rest. A source has one read in flight at most.
+One thread at a time reads the queued sources, one after the other. A watchdog calls `hand_over` when it has
+been at one source for too long: that thread is abandoned, and another one reads the rest. A source has at
+most one read in flight.
 """
 
 from __future__ import annotations
@@ -25,17 +26,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """What one read of a source found; with neither a list nor a problem it has not settled yet."""
+    """The result of one read; with neither a list nor a problem the source has not settled yet."""
 
     listed: EndpointList | None
     problem: str
-    changed: bool  # since the read before
-    may_change: bool  # it may change again under the same times
-    opened: bool  # its bytes were read, as its times had changed or were recent
+    changed: bool  # since the previous read
+    may_change: bool  # modified so recently that its times may not show the next change
+    opened: bool  # a file was opened, as its times had changed or were recent
     is_folder: bool
     is_linked: bool
     digest: str
-    cost_s: float  # of the thread's own time
+    cost_s: float  # CPU time of the thread
 
 
 class ReadJob:
@@ -43,27 +44,27 @@
 
     def __init__(self, source: FileSource) -> None:
         self.source = source
-        self.requested = 0  # number of reads that were asked for
-        self.begun = 0  # `asked` when the last read began
+        self.requested = 0  # number of reads requested so far
+        self.begun = 0  # value of `requested` when the last read began
         self.queued = False
         self.in_flight = False
-        self.awaited = False  # somebody waits for the read, though it may find nothing new
-        self.dropped = False  # nobody follows the source any more
+        self.awaited = False  # a caller waits for the next read, even if it finds nothing new
+        self.dropped = False  # the source has no subscriptions any more
 
 
 class ReadWorker:
-    """One thread, and the source that it reads."""
+    """One thread, and the job that it works on."""
 
     def __init__(self, run: Callable[[ReadWorker], None], number: int) -> None:
         self.job: ReadJob | None = None
-        self.read_number = 0  # grows with each source, which tells a long read from many short ones
+        self.read_number = 0  # grows with each read, to tell one long read from many short ones
         self.abandoned = False
         # A thread that hangs would keep the process from exiting unless it is a daemon thread.
         self.thread = threading.Thread(target=run, args=(self,), name=f"list-reader-{number}", daemon=True)
 
 
 def read_source(source: FileSource, clock: Clock) -> Reading:
-    """Read a source once; whatever is wrong with it is in the reading."""
+    """Read a source once; an error is reported in the reading."""
     began_s = time.thread_time()
     candidate, refusal, new = None, "", False
     try:
@@ -71,7 +72,7 @@
     except (InvalidListError, OSError) as error:
         refusal = describe_error(error)
     except Exception as error:
-        # A fault with one source must not end the thread, and with it all drains in files.
+        # A fault in one source must not end the thread: no drain in any file would be seen any more.
         log.exception("source read failed source=%s", source.name)
         refusal = f"it can't be read: {error!r}"
     cost_s = time.thread_time() - began_s
@@ -92,20 +93,20 @@
     """The queue of reads and the threads that work on it; may be called from any thread."""
 
     def __init__(self, read: Callable[[ReadJob, Reading, int, bool], None], clock: Clock) -> None:
-        self.read = read  # called on the worker's thread with the job, what was found, `begun` and `wanted`
+        self.read = read  # called on the worker's thread with the job, the reading, `begun` and `awaited`
         self.clock = clock
         self.lock = threading.Condition()
         self.pending: deque[ReadJob] = deque()
-        self.worker: ReadWorker | None = None  # the one that takes what is pending
-        self.stuck: set[ReadWorker] = set()
-        self.started = 0
+        self.worker: ReadWorker | None = None  # the one that takes pending jobs
+        self.stuck: set[ReadWorker] = set()  # abandoned ones whose reads have not ended
+        self.started = 0  # number of threads started
         self.closed = False
 
     def submit(self, job: ReadJob, awaited: bool = False) -> int:
-        """Read a source soon; returns the number of the call.
+        """Queue a read of a source; returns the number of the request.
 
-        A read whose `begun` is at least that number began after the call. One in flight is followed by
-        another one.
+        A read whose `begun` is at least that number began after the request. If one is in flight, another
+        one follows it.
         """
         with self.lock:
             requested = self._submit(job, awaited)
@@ -113,7 +114,7 @@
             return requested
 
     def submit_all(self, jobs: Iterable[ReadJob]) -> None:
-        """Read all of these soon, in this order."""
+        """Queue reads of these sources, in this order."""
         with self.lock:
             for job in jobs:
                 self._submit(job, False)
@@ -128,12 +129,12 @@
         return job.requested
 
     def drop(self, job: ReadJob) -> None:
-        """Note that nobody follows the source any more."""
+        """Note that the source has no subscriptions any more."""
         with self.lock:
             job.dropped = True
 
     def busy(self) -> tuple[ReadWorker, int] | None:
-        """Return the worker that has something to read, and the number of its read; None: there is none."""
+        """Return the worker and the number of its read; None if there is nothing to read."""
         with self.lock:
             worker = self.worker
             if worker is None or (worker.job is None and not self.pending):
@@ -141,7 +142,7 @@
             return worker, worker.read_number
 
     def hand_over(self, worker: ReadWorker, read_number: int) -> None:
-        """Let another thread take over if this one is still at the same read."""
+        """Abandon the worker if it is still at the same read, and start another one."""
         with self.lock:
             if worker is not self.worker or worker.read_number != read_number or worker.job is None:
                 return
@@ -156,19 +157,19 @@
             return [worker.job for worker in self.stuck if worker.job is not None]
 
     def untried(self) -> list[ReadJob]:
-        """Return what waits though no further thread may be started for it."""
+        """Return the jobs that can't begin because too many threads hang."""
         with self.lock:
             return list(self.pending) if self.worker is None and len(self.stuck) >= MAX_STUCK_THREADS else []
 
     def close(self) -> None:
-        """Read nothing more; reads that hang are abandoned."""
+        """Stop all reads; those that hang are abandoned."""
         with self.lock:
             self.closed = True
             self.pending.clear()
             self.lock.notify_all()
 
     def _wake(self) -> None:
-        """Start a worker, or wake the one there is, if something is pending."""
+        """Start a worker if jobs are pending and there is none; otherwise wake it."""
         if self.pending and self.worker is None:
             self._start_worker()
         self.lock.notify_all()
@@ -186,7 +187,7 @@
                 begun, awaited = job.begun, job.awaited
                 job.awaited = False
             reading = read_source(job.source, self.clock)
-            # Before the job may be queued again, or it could be handled after a later read.
+            # This comes before the job can be queued again, or a later read could be handled first.
             self.read(job, reading, begun, awaited)
             self._read_ended(worker, job)
 
@@ -203,7 +204,7 @@
             return job
 
     def _read_ended(self, worker: ReadWorker, job: ReadJob) -> None:
-        """Note that a read has ended and was handled."""
+        """Finish a job after its reading was handled; queue it again if it was requested meanwhile."""
         with self.lock:
             worker.job = None
             job.in_flight = False
