--- a/plovertrail/sources/safety_scan.py
+++ b/plovertrail/sources/safety_scan.py
@@ -1,4 +1,4 @@
-"""The regular scan of all sources, which sees the changes that no notification tells of."""
+"""The regular scan of all sources, which finds changes whose notifications were lost."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class SafetyScan:
-    """Reads all sources again and again, and measures what that costs.
+    """Reads all sources at intervals, and measures the cost.
 
-    `sources` returns all sources that are followed; `submit` has them read.
+    `sources` returns all sources that have subscriptions; `submit` queues their reads.
     """
 
     def __init__(
@@ -31,18 +31,18 @@
         self.schedule = ScanSchedule()
         self.timer: asyncio.TimerHandle | None = None
         self.began_us = 0  # 0: no scan has begun
-        self.ended_us = 0  # when the last source of the present scan was read, so far
-        self.cost_s = 0.0  # of reads that found nothing, since the scan began; set by the worker
-        self.pending: set[ReadJob] = set()  # what the present scan has not read yet; changed by the worker
+        self.ended_us = 0  # when the latest source of the current scan was read
+        self.cost_s = 0.0  # of reads that opened no file, since the scan began; set by the worker
+        self.pending: set[ReadJob] = set()  # not read yet in the current scan; changed by the worker
         self.closed = False
 
     def ensure_scheduled(self) -> None:
-        """Schedule the next scan, if none is."""
+        """Schedule the next scan unless one is scheduled already."""
         if self.timer is None:
             self.timer = self.loop.call_later(self.schedule.period_us / 1e6, self.begin)
 
     def begin(self) -> None:
-        """Read all sources, whatever notifications have told."""
+        """End the previous scan and begin the next: read all sources, whatever was notified."""
         self.timer = None
         if not self.sources() or self.closed:
             return
@@ -56,7 +56,7 @@
         self.began_us = now_us
         self.ended_us = now_us
         self.cost_s = 0.0
-        # A source that hangs would make all scans look slow.
+        # A source that hangs would make every scan look slow.
         self.pending = {each.job for each in self.sources() if not each.version.is_hung}
         self.submit(self.sources())
         self.ensure_scheduled()
@@ -79,7 +79,7 @@
         )
 
     def close(self) -> None:
-        """Scan no more."""
+        """Stop the scans."""
         self.closed = True
         if self.timer is not None:
             self.timer.cancel()
