--- a/plovertrail/sources/source_table.py
+++ b/plovertrail/sources/source_table.py
@@ -1,4 +1,4 @@
-"""The sources that are followed, by key, path and folder."""
+"""The table of followed sources, by key, path and folder."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class SourceTable:
-    """All sources that are followed; paths are absolute."""
+    """All followed sources; paths are absolute."""
 
     def __init__(self) -> None:
         self.by_key: dict[SourceKey, FollowedSource] = {}
@@ -47,8 +47,8 @@
     def concerned_by(self, paths: Iterable[str]) -> list[FollowedSource]:
         """Return the sources that changes of these paths may concern.
 
-        Those are the file itself, all of a folder that makes one list, and what is reached through links,
-        which may have been swapped.
+        Those are the sources at these paths, the folders that hold them if they form one list, and all
+        symbolic links beside them, since a changed path may be one that the links lead through.
         """
         changed = frozenset(paths)
         folders = {os.path.dirname(path) for path in changed}
