--- a/plovertrail/sources/subscriptions.py
+++ b/plovertrail/sources/subscriptions.py
@@ -1,4 +1,4 @@
-"""Who follows a file, and what of it has been delivered to each of them."""
+"""The subscriptions to a watched file, and what has been delivered to each of them."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 class Reader(Protocol):
-    """What subscriptions need of the reader of files."""
+    """The methods of the list reader that subscriptions use."""
 
     in_force: AcceptedContent
 
     def queue_delivery(self, subscription: Subscription) -> None:
-        """Deliver to a subscriber in its turn."""
+        """Queue a delivery to a subscriber."""
 
     def unsubscribed(self, subscription: Subscription) -> None:
-        """Note that a subscriber follows its source no more."""
+        """Remove a subscription, and the source if it was the last one."""
 
     async def read_now(self, followed: FollowedSource) -> None:
         """Return once a read of the source that began after this call has ended, or hangs."""
@@ -32,14 +32,14 @@
 
 @dataclass(eq=False)
 class FollowedSource:
-    """A source that is read, and who follows it; changed on the event loop only."""
+    """A source and its subscriptions; changed on the event loop unless a field says otherwise."""
 
     job: ReadJob
     version: SourceVersion
-    last_good: EndpointList | None = None  # the last good content
-    settled: bool = False  # the last read found it complete, or wrong for good
-    may_change: bool = False  # again under the same times; set by the worker
-    read_again_soon: bool = False  # it has quick looks
+    last_good: EndpointList | None = None  # the last valid list
+    settled: bool = False  # the last read found it complete or invalid
+    may_change: bool = False  # its times may not show the next change; set by the worker
+    read_again_soon: bool = False  # it is among the quick looks
     is_folder: bool = False
     is_linked: bool = False
     subscriptions: list[Subscription] = field(default_factory=list)
@@ -49,7 +49,7 @@
 class Subscription:
     """One subscriber's interest in one source.
 
-    What is delivered is always the latest that was read, so two changes never arrive in the wrong order.
+    Each delivery has the latest content that was read, so two changes never arrive in the wrong order.
     """
 
     def __init__(
@@ -65,8 +65,8 @@
         self.subscriber = subscriber
         self.on_list = on_list
         self.on_problem = on_problem
-        self.force_delivery = False  # deliver the list though it is not new: it may be accepted now
-        self.last_problem = ""  # the one delivered last, if no list has been since
+        self.force_delivery = False  # deliver the list although it is not new: it may be accepted now
+        self.last_problem = ""  # the last one delivered; empty if a list was delivered after it
         self.delivered_generation = 0
         self.queued = False
         self.stopped = False
@@ -79,19 +79,19 @@
 
     @property
     def digest(self) -> str:
-        """The digest of the last good content."""
+        """The digest of the last valid content."""
         return self.followed.version.digest
 
     def deliver_again(self) -> None:
         """Deliver the list once more after the guards have changed.
 
-        A list that they rejected is not new, and would stay rejected.
+        A list that they rejected is not new, so it would not be delivered again otherwise.
         """
         self.force_delivery = True
         self.reader.queue_delivery(self)
 
     async def read_now(self) -> bool:
-        """Read the source once more, beginning now, and deliver; returns whether it has settled."""
+        """Read the source, beginning after this call, and deliver; returns whether it has settled."""
         await self.reader.read_now(self.followed)
         await self.deliver()
         return self.followed.settled
@@ -117,7 +117,7 @@
                     self.reader.in_force.accept(self.subscriber, version.key, digest)
 
     def stop(self) -> None:
-        """Follow the source no more."""
+        """End the subscription."""
         if not self.stopped:
             self.stopped = True
             self.reader.unsubscribed(self)
