--- a/plovertrail/background.py
+++ b/plovertrail/background.py
@@ -1,4 +1,4 @@
-"""Runs background tasks on the event loop, a slice a turn, as decisions/background.py schedules them."""
+"""Runs background tasks on the event loop, one slice per turn, as decisions/background.py schedules them."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from plovertrail.decisions.background import BackgroundScheduler, BackgroundTask, TaskState
 
 log = logging.getLogger(__name__)
-Run = Iterator[None]  # what lies between two yields is a slice
+Run = Iterator[None]  # one run of a task; a slice is the work between two yields
 StartRun = Callable[[], Run]
 
 
 class BackgroundRunner:
-    """All background tasks of one daemon."""
+    """Runs all background tasks of one daemon."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.scheduler = BackgroundScheduler(clock_us())
         self.start_run: dict[str, StartRun] = {}
-        self.runs: dict[str, Run] = {}  # that have begun
+        self.runs: dict[str, Run] = {}  # runs in progress, by task name
         self.timer: asyncio.TimerHandle | None = None
         self.timer_due_us = 0
         self.stopped = False
 
     def add(self, task: BackgroundTask, start_run: StartRun, first_us: int = 0) -> None:
-        """Run a task again and again; a run that has begun goes on."""
+        """Run a task periodically; a run of it that is in progress continues."""
         self.start_run[task.name] = start_run
         self.scheduler.add(task, clock_us(), first_us)
         self._schedule_turn()
@@ -39,7 +39,7 @@
         self._schedule_turn()
 
     def remove(self, name: str) -> None:
-        """Remove a task by its name, with the run that has begun; nothing happens if there is none."""
+        """Remove a task and its run in progress; does nothing if there is no task of this name."""
         self.scheduler.remove(name)
         self.start_run.pop(name, None)
         self.runs.pop(name, None)
@@ -80,7 +80,7 @@
         except StopIteration:
             pass
         except Exception:
-            # A fault in one task must not end the others.
+            # An exception in one task must not stop the others.
             failed = True
             log.exception("background task failed task=%s", name)
         if not run_ended and run is not None and name in self.start_run:
@@ -89,7 +89,7 @@
         self.scheduler.slice_ended(name, now_us - began_us, run_ended, now_us, failed)
 
     def status(self) -> dict[str, Any]:
-        """Report for operators what each task has used since it was added."""
+        """Report for operators the runs and the CPU share of each task."""
         now_us = clock_us()
         alive_us = max(1, now_us - self.scheduler.started_us)
         return {name: _task_status(state, now_us, alive_us) for name, state in self.scheduler.tasks.items()}
