--- a/plovertrail/clock.py
+++ b/plovertrail/clock.py
@@ -1,4 +1,4 @@
-"""The clock of the decisions."""
+"""The clock that all decisions use."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 def clock_us() -> int:
-    """The module's clock."""
+    """Return the current time in microseconds of a monotonic clock."""
     return _nanoseconds() // 1000
 
 
 @contextmanager
 def override_clock(nanoseconds: Callable[[], int]) -> Iterator[None]:
-    """Have all decisions in this process go by another clock meanwhile: a rehearsal's."""
+    """Replace the clock of the whole process within the context, as scenario tests with virtual time do."""
     global _nanoseconds
     before, _nanoseconds = _nanoseconds, nanoseconds
     try:
