--- a/plovertrail/endpoint_registry.py
+++ b/plovertrail/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""Keeps the endpoints of one pool: lists of sources in, changes out to the pool's load balancer."""
+"""Applies the lists of a pool's sources, and passes the changes to the pool's load balancer."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
 log = logging.getLogger(__name__)
 
 PROBLEM_LOG_INTERVAL_S = 10.0  # a problem is logged again this often while it persists
-INLINE = "inline"  # the source that is the operator's own file
+INLINE = "inline"  # the source for the endpoints in the operator's file itself
 MAX_INLINE_STEP = (
-    500  # endpoints; a step among no more of them takes less time on the loop than the way off it
+    500  # endpoints; with no more, a step takes less time on the loop than moving it to a thread
 )
 
 
 class RegistryOwner(Protocol):
-    """What a registry asks and tells the owner of all pools."""
+    """The methods of the owner of all pools that a registry calls."""
 
     def endpoints_of_other_pools(self, pool: str) -> StartTimes:
         """Return the start times (us) of the endpoints of all other pools, by id and address."""
@@ -51,24 +51,27 @@
         """Note that a pool's endpoints, or its lists, have changed."""
 
     def source_read(self, pool: str, source: str, problem: str) -> None:
-        """Note that a source of a pool was read; `problem` is empty if it gave a list."""
+        """Note that a source of a pool was read; `problem` is empty if it has a valid list."""
 
     def problems_persist(self, pool: str, persist: bool) -> None:
-        """Note whether a pool's lists have a problem that is to be logged again and again."""
+        """Note whether a pool's lists have a problem, which has to be logged at intervals."""
 
 
 @lru_cache(maxsize=4096)
 def name_hash(name: str) -> int:
-    """Return the number that stands for a zone or a cell.
+    """Return a number that identifies a zone or a cell.
 
-    Endpoints of two cells with one number would count as deduplicating together. 63 bits of a digest keep
-    them apart, and no table of names grows.
+    Endpoints of two cells with the same number would count as deduplicating together. A digest of 63 bits
+    makes that unlikely, and needs no table of names that grows.
     """
     return 1 + (int.from_bytes(hashlib.sha256(name.encode()).digest()[:8]) >> 1)
 
 
 class EndpointRegistry:
-    """The endpoints of one pool; it outlives the pool's load balancer, which a reload may replace."""
+    """The endpoints of one pool.
+
+    The registry outlives the pool's load balancer, which a reload may replace.
+    """
 
     def __init__(
         self,
@@ -85,11 +88,11 @@
         self.owner = owner
         self.endpoints_elsewhere = owner.endpoints_of_other_pools(name)
         self.guards = Guards()
-        self.source_order: tuple[str, ...] = ()  # the sources, the one that wins first
+        self.source_order: tuple[str, ...] = ()  # by falling precedence
         self.home_zone = ""
         self.pool: ServerPool | None = None
         self.subscriptions: dict[str, Subscription] = {}  # by source
-        self.unreadable_sources: dict[str, str] = {}  # what is wrong with them
+        self.unreadable_sources: dict[str, str] = {}  # the problem of each, by source
         self.last_logged_s: dict[str, float] = {}  # by the beginning of a problem's text
         self.lock = asyncio.Lock()
         self.join_timer: asyncio.TimerHandle | None = None
@@ -104,10 +107,10 @@
         home_zone: str,
         first_lists: Mapping[SourceKey, FirstRead],
     ) -> None:
-        """Follow a new configuration; `first_lists` has what its new sources hold.
+        """Apply a new configuration; `first_lists` has the content of its new sources.
 
-        An endpoint that moves from one source to another must be in one of them at each moment, or it would
-        warm up again. So new sources are added first, and what the inline list no longer has goes last.
+        An endpoint that moves from one source to another must always be listed in one of them, or it would be
+        removed and warm up again. So new sources are added first, and the inline list is replaced after that.
         """
         if guards != self.guards:
             for subscription in self.subscriptions.values():
@@ -124,7 +127,7 @@
         self._subscribe(sources)
 
     def _add_first_lists(self, sources: list[SourceKey], first_lists: Mapping[SourceKey, FirstRead]) -> None:
-        """Add the lists of new sources, and keep those of the sources that will be dropped."""
+        """Add the lists of new sources, and for now keep those of sources that will be dropped."""
         for source in sources:
             subscription = self.subscriptions.get(source.name)
             if subscription is not None and subscription.key == source:
@@ -140,7 +143,7 @@
                 self.apply_step(endpoint_list.apply_list(self.state, first, clock_us(), self.guards, context))
 
     def _subscribe(self, sources: list[SourceKey]) -> None:
-        """Follow these sources, and no others."""
+        """Subscribe to these sources, and end all other subscriptions."""
         for name in self.subscriptions.keys() - set(self.source_order):
             self.subscriptions.pop(name).stop()
         for source in sources:
@@ -156,12 +159,12 @@
     async def list_read(self, listed: EndpointList) -> str:
         """Apply the list of a source; returns why it is rejected, or an empty text.
 
-        A step among many endpoints takes long, and is made off the loop.
+        With many endpoints the step takes long and is computed on a thread.
         """
         async with self.lock:
             self.unreadable_sources.pop(listed.source, None)
             if listed.source not in self.source_order:
-                return "it is followed no more"
+                return "the source is no longer followed"
             self.owner.source_read(self.name, listed.source, "")
             old_state = self.state
             if len(listed.endpoints) + len(old_state.members) <= MAX_INLINE_STEP:
@@ -170,12 +173,12 @@
                 step = await self.lists.run_off_loop(partial(self._make_step, old_state, listed))
                 if self.state is old_state:
                     self.apply_step(step)
-                else:  # a drain by hand or a reload came between
+                else:  # the operator's drain or a reload changed the state meanwhile
                     self.apply_list(listed)
             return "; ".join(self.state.rejected_lists.get(listed.source, ()))
 
     async def list_unreadable(self, source: str, problem: str) -> None:
-        """Note that a source has no usable list; its last good one stays."""
+        """Note that a source has no usable list; its last good list stays in force."""
         if source in self.source_order:
             self.unreadable_sources[source] = problem
             self.owner.source_read(self.name, source, problem)
@@ -186,11 +189,11 @@
         return endpoint_list.apply_list(state, listed, clock_us(), self.guards, context)
 
     def apply_list(self, listed: EndpointList | None) -> None:
-        """Apply a list on the loop, or let the joins that are due come."""
+        """Apply a list on the loop; with None, only make the delayed joins that are due."""
         self.apply_step(self._make_step(self.state, listed))
 
     def drain(self, name: str, drain: bool) -> None:
-        """Drain an endpoint by the operator's command, or end that; takes effect at once."""
+        """Start or end the drain of an endpoint by the operator's command; takes effect at once."""
         self.apply_step(
             endpoint_list.set_drained_by_operator(self.state, name, drain, clock_us(), self.guards)
         )
@@ -198,7 +201,7 @@
     # Effects
 
     def apply_step(self, step: ListStep) -> None:
-        """Put a state into force: one assignment, and one event to the pool's load balancer."""
+        """Apply a new state by one assignment and one event to the pool's load balancer."""
         old_state = self.state
         self.state = step.state
         if step.changes and self.pool is not None:
@@ -220,7 +223,7 @@
             self.owner.endpoints_changed(self.name)
 
     def _schedule_next_join(self) -> None:
-        """Set the timer for the next join that is held back."""
+        """Set the timer for the next delayed join."""
         if self.join_timer is not None:
             self.join_timer.cancel()
             self.join_timer = None
@@ -245,9 +248,10 @@
         )
 
     def attach(self, pool: ServerPool) -> None:
-        """Give a new load balancer all members at once.
+        """Pass all members to a new load balancer at once, as a cached list.
 
-        One that starts anew under load would open the slots of each endpoint one response at a time.
+        Otherwise a load balancer that starts under load would open the slots of each endpoint one response at
+        a time.
         """
         self.pool = pool
         members = self.state.members.values()
@@ -258,7 +262,7 @@
     # Reports
 
     def problems(self) -> tuple[str, ...]:
-        """Return what is wrong now, and persists."""
+        """Return the problems that persist now."""
         unreadable = tuple(
             f"{source} gives no list, the last good one stays: {problem}"
             for source, problem in self.unreadable_sources.items()
@@ -266,14 +270,14 @@
         return unreadable + endpoint_list.make_report(self.state, clock_us()).problems
 
     def log_problems(self) -> None:
-        """Log the problems that are new, and those that were last logged long enough ago.
+        """Log new problems, and again those that were last logged PROBLEM_LOG_INTERVAL_S ago.
 
-        A line for each read would fill the log, and a single line scrolls away while the problem persists.
+        A line per read would fill the log, and a single line would scroll away while the problem persists.
         """
         now_s = time.monotonic()
         problems = self.problems()
         self.owner.problems_persist(self.name, bool(problems))
-        by_beginning = {text[:60]: text for text in problems}  # figures in it may change with each read
+        by_beginning = {text[:60]: text for text in problems}  # numbers further on may change with each read
         self.last_logged_s = {key: at_s for key, at_s in self.last_logged_s.items() if key in by_beginning}
         for key, text in by_beginning.items():
             if now_s - self.last_logged_s.get(key, -PROBLEM_LOG_INTERVAL_S) >= PROBLEM_LOG_INTERVAL_S:
@@ -281,7 +285,7 @@
                 log.error("endpoint list problem pool=%s: %s", self.name, text)
 
     def stop(self) -> None:
-        """Follow no source any more, and let no join come; the state stays."""
+        """End all subscriptions and delayed joins; the state stays."""
         for subscription in self.subscriptions.values():
             subscription.stop()
         if self.join_timer is not None:
