--- a/plovertrail/event_log.py
+++ b/plovertrail/event_log.py
@@ -22,13 +22,13 @@
 
     @property
     def full(self) -> bool:
-        """Whether the queue is too long to begin anything more that ends with a line."""
+        """Whether the queue is too long to accept anything that will write a line at its end."""
 
     def write(self, line: str) -> None:
         """Queue one line without blocking."""
 
     def reopen(self) -> None:
-        """Continue in a new file, as the old one may have been rotated."""
+        """Open the file again before the next write, as it may have been rotated."""
 
     def close(self, timeout_s: float) -> bool:
         """Write the queued lines within `timeout_s`; returns whether all were written."""
@@ -37,8 +37,8 @@
 class EventLog:
     """Writes lines to a file, or to standard error if the path is empty, and loses none of them.
 
-    Callers check `full` before they begin what will end with a line, so the queue holds at most
-    MAX_QUEUED_LINES and the lines of what had begun by then.
+    Callers check `full` before they accept a connection that will write a line at its end. So the queue holds
+    at most MAX_QUEUED_LINES and the lines of the connections that were open by then.
     """
 
     def __init__(self, path: str) -> None:
@@ -52,12 +52,12 @@
 
     @property
     def full(self) -> bool:
-        """Whether the queue is too long to begin anything more that ends with a line."""
+        """Whether the queue is too long to accept anything that will write a line at its end."""
         return len(self._queue) >= MAX_QUEUED_LINES
 
     @property
     def queued(self) -> int:
-        """How many lines are not written yet."""
+        """The number of lines that are not written yet."""
         return len(self._queue)
 
     def write(self, line: str) -> None:
@@ -70,7 +70,7 @@
             self._changed.notify()
 
     def reopen(self) -> None:
-        """Continue in a new file, as the old one may have been rotated."""
+        """Open the file again before the next write, as it may have been rotated."""
         self._reopen_requested = True
 
     def close(self, timeout_s: float) -> bool:
@@ -94,7 +94,7 @@
         self._close_file()
 
     def _next_batch(self, written_lines: int) -> tuple[bytes, int]:
-        """Drop the lines that are written and wait for more; returns them joined and their number."""
+        """Remove the lines that are written and wait for new ones; returns them joined, and their number."""
         with self._changed:
             for _ in range(written_lines):
                 self._queue.popleft()
@@ -103,16 +103,18 @@
             return b"".join(self._queue), len(self._queue)
 
     def _write_batch(self, batch: bytes) -> bool:
-        """Write all bytes, again after each failure; returns False if the log was closed on a failure."""
+        """Write all bytes, with a retry after each failure; returns False if the log was closed meanwhile."""
         pending = batch
         while pending:
             try:
                 file = self._open_file()
-                # A write may be partial: only what is left is tried again, so that no byte is written twice.
+                # A write may be partial: only the rest is retried, so that no byte is written twice.
                 pending = pending[os.write(file, pending[:MAX_WRITE_BYTES]) :]
             except OSError as error:
                 log.error(
-                    "event log not writable path=%s error=%s: lines are kept", self.path, error.strerror
+                    "event log not writable path=%s error=%s: lines are kept in memory",
+                    self.path,
+                    error.strerror,
                 )
                 with self._changed:
                     if self._closing:
@@ -121,7 +123,7 @@
         return True
 
     def _open_file(self) -> int:
-        """The file to write to, opened anew if that was requested."""
+        """Return the open file, after closing and reopening it if that was requested."""
         if self._reopen_requested:
             self._reopen_requested = False
             self._close_file()
