--- a/plovertrail/sources/lists.py
+++ b/plovertrail/sources/lists.py
@@ -1,10 +1,10 @@
-"""Endpoint lists in files: JSON, TOML, or an endpoint a line; complete and valid, or rejected.
+"""Parses endpoint lists in files: JSON, TOML, or one endpoint per line. Incomplete files are rejected.
 
-A file that is being written is valid at many of its lengths: a TOML file truncated between two tables, lines
-truncated anywhere, a JSON file rewritten in place from the front. Only a checksum tells them all apart;
+A partly written file can be valid all the same: a TOML file truncated between two tables, lines truncated
+anywhere, a JSON file rewritten in place from the front. Only a checksum detects all of these cases;
 docs/membership.md has the alternatives.
 
-The words of the files stand in `Row` and `ListFile`; `servers` are endpoints, `id` is an endpoint's name.
+`Row` and `ListFile` define the keys of the files; `servers` are endpoints, `id` is an endpoint's name.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 SEAL = re.compile(rb"\n?# sha256: ([0-9a-f]{64})\n\Z")
 JSON_SEAL = re.compile(rb'("sha256"\s*:\s*")([0-9a-f]{64})(")')
 OCTET = r"(?:25[0-5]|2[0-4][0-9]|1[0-9][0-9]|[1-9]?[0-9])"
-ENDPOINT = re.compile(rf"({OCTET}(?:\.{OCTET}){{3}}):([0-9]{{1,5}})")  # ten times as fast as ipaddress
+ENDPOINT = re.compile(rf"({OCTET}(?:\.{OCTET}){{3}}):([0-9]{{1,5}})")  # ten times as fast as `ipaddress`
 PAIR = re.compile(r"(zone|cell|weight|id|drain)=(\S+)")
 
 
 class InvalidListError(Exception):
-    """A file that is not complete, or no list; the text says why."""
+    """A file is incomplete or not a valid list; the text says why."""
 
 
 class Row(msgspec.Struct, kw_only=True, forbid_unknown_fields=True, gc=False):
@@ -56,10 +56,10 @@
 
 
 def json_digest(data: bytes) -> bytes | None:
-    """Compute the digest of a JSON list's bytes, with zeros in the digest's place.
+    """Compute the digest of a JSON list's bytes, with zeros in place of the digest that it contains.
 
-    None: it has no such place, or two. The bytes are digested as they are, since encoding 10,000 endpoints
-    again in a canonical order would hold Python's lock for too long, even on another thread.
+    Returns None unless the list has exactly one such place. The bytes are digested as they are, since
+    encoding 10,000 endpoints again in a canonical order would hold Python's lock for too long, on any thread.
     """
     found = JSON_SEAL.findall(data)
     if len(found) != 1:
@@ -69,7 +69,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Parse an IPv4 address and a port; raises InvalidListError, as for a name, which needs a lookup."""
+    """Parse an IPv4 address and a port; raises InvalidListError, also for host names, which need a lookup."""
     found = ENDPOINT.fullmatch(text)
     if found is None:
         raise InvalidListError(f"{text!r} is no address and port")
@@ -82,8 +82,8 @@
 def parse(name: str, data: bytes, source: str, checksum: bool) -> EndpointList:
     """Parse a file's bytes; raises InvalidListError.
 
-    With `checksum` a file that has none, or a wrong one, is not complete. Without it a file is complete if it
-    ends with the end of a line.
+    With `checksum` set, a file with no checksum or a wrong one is incomplete. Otherwise a checksum is
+    verified if there is one, and a text file without one is complete if it ends with a line end.
     """
     if len(data) > MAX_FILE_BYTES:
         raise InvalidListError(f"longer than {MAX_FILE_BYTES >> 20} MiB")
@@ -120,7 +120,7 @@
 
 
 def _json(data: bytes, checksum: bool) -> ListFile:
-    """Parse JSON with msgspec: the standard library's parser holds Python's lock for longer."""
+    """Parse JSON with msgspec, as the standard library's parser holds Python's lock for longer."""
     found = msgspec.json.decode(data, type=ListFile)
     if checksum or found.sha256:
         digest = json_digest(data)
