--- a/tests/sources/test_lists.py
+++ b/tests/sources/test_lists.py
@@ -1,4 +1,4 @@
-"""Files of server lists: every torn way to write one, and what a file must be to be taken."""
+"""Parsing and reading of list files: partial writes are detected, and invalid files are rejected."""
 
 from __future__ import annotations
 
@@ -46,25 +46,25 @@
 
 
 @pytest.mark.parametrize("name", FORMATS)
-def test_a_whole_list_is_read(name: str) -> None:
+def test_a_complete_list_is_parsed(name: str) -> None:
     found = parse(name, FORMATS[name](3), "src", checksum=True)
     assert found.source == "src"
     assert found.endpoints == tuple(ListedEndpoint(f"s{n}", ("127.0.0.1", 9000 + n), "a") for n in range(3))
 
 
 @pytest.mark.parametrize("name", FORMATS)
-def test_a_list_cut_at_any_byte_is_never_taken(name: str) -> None:
+def test_a_list_truncated_at_any_byte_is_rejected(name: str) -> None:
     whole = FORMATS[name](6)
     for cut in range(len(whole)):
         if whole[:cut].rstrip() == whole.rstrip():
-            continue  # the last line's end makes no other list
+            continue  # only the last line end is missing: the same list
         with pytest.raises(InvalidListError):
             parse(name, whole[:cut], "src", checksum=True)
 
 
 @pytest.mark.parametrize("name", FORMATS)
-def test_a_mixture_of_two_lists_is_never_taken(name: str) -> None:
-    """As a reader sees a rewrite in place that is half done: equal lengths, so that nothing else tells."""
+def test_a_mixture_of_two_lists_never_gives_a_third_one(name: str) -> None:
+    """A reader sees this during a rewrite in place; the lengths are equal, so only the checksum shows it."""
     old, new = FORMATS[name](6, 9000), FORMATS[name](6, 9500)
     assert len(old) == len(new)
     wanted = {parse(name, data, "", checksum=True) for data in (old, new)}
@@ -76,7 +76,7 @@
 
 @pytest.mark.parametrize("name", FORMATS)
 @pytest.mark.parametrize(
-    ("what", "made"),
+    ("what", "damage"),
     [
         ("a byte order mark", lambda data: b"\xef\xbb\xbf" + data),
         ("UTF-16", lambda data: data.decode().encode("utf-16")),
@@ -90,16 +90,16 @@
         ("another digit", lambda data: data.replace(b":9001", b":9009")),
     ],
 )
-def test_what_is_no_list_is_refused_with_a_reason(
-    name: str, what: str, made: Callable[[bytes], bytes]
+def test_an_invalid_list_is_rejected_with_a_reason(
+    name: str, what: str, damage: Callable[[bytes], bytes]
 ) -> None:
     with pytest.raises(InvalidListError) as caught:
-        parse(name, made(FORMATS[name]()), "src", checksum=True)
+        parse(name, damage(FORMATS[name]()), "src", checksum=True)
     assert str(caught.value)
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "reason"),
     [
         ("localhost:80", "no address"),
         ("127.0.0.1", "no address"),
@@ -113,10 +113,10 @@
         ("127.0.0.1:80 drain=yes", "drain=true or"),
     ],
 )
-def test_a_line_that_is_no_endpoint_is_told(text: str, told: str) -> None:
+def test_an_invalid_line_is_reported(text: str, reason: str) -> None:
     with pytest.raises(InvalidListError) as caught:
         parse("x.list", text.encode() + b"\n", "", checksum=False)
-    assert told in str(caught.value)
+    assert reason in str(caught.value)
 
 
 @pytest.mark.parametrize(
@@ -131,69 +131,70 @@
         {"servers": [{"id": "a", "address": "127.0.0.1:1", "weight": "2"}]},
     ],
 )
-def test_a_json_file_of_another_shape_is_refused(found: object) -> None:
+def test_json_of_another_structure_is_rejected(found: object) -> None:
     with pytest.raises(InvalidListError):
         parse("x.json", json.dumps(found).encode(), "", checksum=False)
 
 
 @given(st.binary(max_size=200))
-def test_noise_is_a_list_or_refused(noise: bytes) -> None:
+def test_random_bytes_are_parsed_or_rejected(data: bytes) -> None:
     for name in FORMATS:
         with contextlib.suppress(InvalidListError):
-            parse(name, noise, "", checksum=False)
+            parse(name, data, "", checksum=False)
 
 
 # Files
 
 
-def read(source: FileSource, at: float = 0.0) -> EndpointList | None:
-    return source.read(at)[1]
+def read(source: FileSource, now_s: float = 0.0) -> EndpointList | None:
+    return source.read(now_s)[1]
 
 
-def refused(source: FileSource) -> str:
+def rejected(source: FileSource) -> str:
     with pytest.raises((InvalidListError, OSError)) as caught:
         source.read(0.0)
     return str(caught.value)
 
 
-def test_files_of_other_kinds_are_refused_at_once_and_read_again_when_back(tmp_path: Path) -> None:
+def test_other_kinds_of_files_are_rejected_at_once_and_a_later_list_is_read(tmp_path: Path) -> None:
     path = tmp_path / "x.json"
     source = FileSource(str(path))
-    assert "No such file" in refused(source)
+    assert "No such file" in rejected(source)
     path.write_bytes(json_list(3))
     assert read(source) is not None
     path.unlink()
     os.mkfifo(path)
-    assert "not a plain file" in refused(source)  # and doesn't wait for a writer
+    assert "not a plain file" in rejected(source)  # without waiting for a writer
     path.unlink()
     path.mkdir()
-    assert "the folder holds no list" in refused(source)
+    assert "the folder holds no list" in rejected(source)
     path.rmdir()
     with path.open("wb") as file:
         file.truncate(50 << 20)
-    assert "longer than 8 MiB" in refused(source)
+    assert "longer than 8 MiB" in rejected(source)
     path.write_bytes(json_list(4))
     found = read(source)
     assert found is not None
     assert len(found.endpoints) == 4
 
 
-def test_a_second_change_under_the_same_times_is_seen(tmp_path: Path) -> None:
+def test_a_second_change_with_the_same_times_is_detected(tmp_path: Path) -> None:
     path = tmp_path / "x.json"
     source = FileSource(str(path))
-    times = int(time.time() - MIN_TRUSTED_AGE_S / 3) * 1_000_000_000  # whole seconds, as some disks keep them
-    seen = []
+    # whole seconds, as some file systems store them
+    times = int(time.time() - MIN_TRUSTED_AGE_S / 3) * 1_000_000_000
+    ports = []
     for port in (9000, 9500):
         with open(path, "r+b" if path.exists() else "wb") as file:
             file.write(json_list(3, port))
         os.utime(path, ns=(times, times))
         found = read(source)
         assert found is not None
-        seen.append(found.endpoints[0].address[1])
-    assert seen == [9000, 9500]
+        ports.append(found.endpoints[0].address[1])
+    assert ports == [9000, 9500]
 
 
-def test_links_that_are_swapped_as_config_maps_do_are_followed(tmp_path: Path) -> None:
+def test_links_that_are_replaced_as_in_config_maps_are_followed(tmp_path: Path) -> None:
     for number, folder in enumerate(("..v1", "..v2")):
         (tmp_path / folder).mkdir()
         (tmp_path / folder / "x.json").write_bytes(json_list(2 + number))
@@ -208,11 +209,11 @@
             assert len(found.endpoints) == count
 
 
-def test_a_folder_of_fragments_is_one_list_in_full_or_not_at_all(tmp_path: Path) -> None:
+def test_a_folder_is_one_list_and_is_rejected_as_a_whole(tmp_path: Path) -> None:
     (tmp_path / "a.json").write_bytes(json_list(2))
     (tmp_path / "b.list").write_bytes(line_list(1, 9100).replace(b"id=s0", b"id=t0"))
     source = FileSource(str(tmp_path))
-    assert "b.list: its checksum" in refused(source)
+    assert "b.list: its checksum" in rejected(source)
     (tmp_path / "b.list").write_bytes(sealed("b.list", b"127.0.0.1:9100 id=t0\n"))
     (tmp_path / ".hidden").write_bytes(b"x")
     (tmp_path / "c.tmp").write_bytes(b"x")
@@ -225,7 +226,7 @@
     assert [row.id for row in found.endpoints] == ["t0"]
 
 
-def test_a_file_without_a_checksum_is_taken_once_it_has_settled(tmp_path: Path) -> None:
+def test_a_file_without_a_checksum_is_read_once_it_has_settled(tmp_path: Path) -> None:
     path = tmp_path / "x.list"
     path.write_bytes(b"127.0.0.1:9000\n")
     source = FileSource(str(path), checksum=False)
@@ -237,50 +238,51 @@
     path.write_bytes(b"127.0.0.1:9000\n127.0.0.1:90")
     assert source.read(0.4)[1] is None
     with pytest.raises(InvalidListError):
-        source.read(0.9)  # it never got its line's end
+        source.read(0.9)  # the end of the last line never came
 
 
-def test_a_hundred_torn_ways_to_write_a_file_never_give_a_list_that_nobody_wrote(tmp_path: Path) -> None:
-    """A writer tears the file in every way that it can while a reader reads: what is taken, some whole file
-    stated."""
+def test_partial_writes_never_give_a_list_that_was_not_written(tmp_path: Path) -> None:
+    """A writer leaves partial files in several ways while a reader reads; each list read was complete."""
     rng = random.Random(7)
     for name, make in FORMATS.items():
         path = tmp_path / name
-        wholes = [make(2 + n % 4, 9000 + 100 * n) for n in range(12)]
-        good = {parse(name, data, f"file:{path}", checksum=True) for data in wholes}
-        path.write_bytes(wholes[0])
-        ended = threading.Event()
-
-        def tear(path: Path = path, wholes: list[bytes] = wholes, ended: threading.Event = ended) -> None:
+        complete = [make(2 + n % 4, 9000 + 100 * n) for n in range(12)]
+        written = {parse(name, data, f"file:{path}", checksum=True) for data in complete}
+        path.write_bytes(complete[0])
+        done = threading.Event()
+
+        def write_partially(
+            path: Path = path, complete: list[bytes] = complete, done: threading.Event = done
+        ) -> None:
             for step in range(36):
-                old, new = rng.choice(wholes), rng.choice(wholes)
+                old, new = rng.choice(complete), rng.choice(complete)
                 cut = rng.randrange(len(new))
                 for data in (new[:cut], new[:cut] + old[cut:], b"", new):
                     if step % 3 == 0:
                         path.write_bytes(data)  # truncated, then written
                     elif step % 3 == 1:
-                        beside = path.with_suffix(".tmp")
-                        beside.write_bytes(data)
-                        os.replace(beside, path)
+                        temporary = path.with_suffix(".tmp")
+                        temporary.write_bytes(data)
+                        os.replace(temporary, path)
                     else:
-                        with open(path, "r+b", buffering=0) as file:  # over what is there
+                        with open(path, "r+b", buffering=0) as file:  # over the old content
                             for at in range(0, len(data), 37):
                                 file.write(data[at : at + 37])
                             file.truncate()
-            ended.set()
+            done.set()
 
-        writer = threading.Thread(target=tear)
+        writer = threading.Thread(target=write_partially)
         writer.start()
-        source, taken, refusals = FileSource(str(path)), 0, 0
-        while not ended.is_set():
+        source, accepted, rejections = FileSource(str(path)), 0, 0
+        while not done.is_set():
             try:
                 found = source.read(time.monotonic())[1]
             except (InvalidListError, OSError):
-                refusals += 1
+                rejections += 1
             else:
-                assert found in good
-                taken += 1
+                assert found in written
+                accepted += 1
         writer.join()
-        path.write_bytes(wholes[-1])
-        assert source.read(time.monotonic())[1] in good
-        assert taken + refusals > 0
+        path.write_bytes(complete[-1])
+        assert source.read(time.monotonic())[1] in written
+        assert accepted + rejections > 0
