--- a/tests/sources/test_discovery.py
+++ b/tests/sources/test_discovery.py
@@ -1,4 +1,4 @@
-"""The platform's lists through the reducer: the module is told what it was told before."""
+"""Discovery's lists and changes are converted to events for the load balancer."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from tests.net import entry, listing
 
 
-def states(directory: Directory, lines: Any, kind: ListKind | None = None) -> dict[int, EndpointStatus]:
-    event, addresses = directory.read(lines, kind)
+def states(directory: Directory, listed: Any, kind: ListKind | None = None) -> dict[int, EndpointStatus]:
+    event, addresses = directory.read(listed, kind)
     assert set(addresses) == {each.id for each in event.endpoints}
     return {each.id: each.state for each in event.endpoints}
 
@@ -22,18 +22,17 @@
     directory = Directory(["a"], ["m"])
     ready, draining, gone = EndpointStatus.READY, EndpointStatus.DRAINING, EndpointStatus.REMOVED
     assert states(directory, listing(entry("x", 1), entry("y", 2)), ListKind.CACHED) == {1: ready, 2: ready}
-    assert states(directory, listing(entry("x", 1), entry("y", 2))) == {
-        1: ready,
-        2: ready,
-    }  # whole, though unchanged
+    # a full list reports all, changed or not
+    assert states(directory, listing(entry("x", 1), entry("y", 2))) == {1: ready, 2: ready}
     assert states(directory, listing(entry("y", 2, "leaving"), full=False)) == {2: draining}
     assert states(directory, listing(entry("y", 2, "left"), entry("z", 2), full=False)) == {2: gone, 3: ready}
-    assert states(directory, listing(entry("y", 2), full=False)) == {4: ready}  # another one than before
+    # a new endpoint with the id of a removed one
+    assert states(directory, listing(entry("y", 2), full=False)) == {4: ready}
     assert states(directory, listing(full=False)) == {}
-    assert states(directory, listing()) == {}  # an empty whole list is the platform's to tell
+    assert states(directory, listing()) == {}  # an empty full list is accepted from the platform
 
 
-def test_a_restart_under_the_same_id_is_told_with_its_time() -> None:
+def test_a_restart_with_the_same_id_is_reported_with_its_start_time() -> None:
     directory = Directory(["a"], ["m"])
     directory.read(listing(entry("x", 1)))
     event, _ = directory.read(listing(entry("x", 1, boot_ms=5), full=False))
@@ -41,30 +40,30 @@
     assert (event.endpoints[0].zone, event.endpoints[0].kind, event.endpoints[0].cell) == (0, 0, 1)
 
 
-def test_two_servers_at_one_address_are_both_told() -> None:
+def test_two_endpoints_at_one_address_are_both_reported() -> None:
     directory = Directory(["a"], ["m"])
     assert len(states(directory, listing(entry("x", 1, "leaving"), entry("y", 1)))) == 2
 
 
 @pytest.mark.parametrize(
-    "broken", [{"state": "well"}, {"endpoint": "host:1"}, {"boot_ms": "x"}, {"uid": None}]
+    "malformed", [{"state": "well"}, {"endpoint": "host:1"}, {"boot_ms": "x"}, {"uid": None}]
 )
-def test_a_malformed_list_takes_nothing(broken: dict[str, Any]) -> None:
+def test_a_malformed_list_changes_nothing(malformed: dict[str, Any]) -> None:
     directory = Directory(["a"], ["m"])
     directory.read(listing(entry("x", 1)))
     before = directory.state
-    if broken == {"uid": None}:
-        lines = {"rev": 1, "all": False, "targets": [{"state": "active"}]}
+    if malformed == {"uid": None}:
+        update = {"rev": 1, "all": False, "targets": [{"state": "active"}]}
     else:
-        lines = listing(entry("new", 2), entry("y", 3) | broken, full=False)
+        update = listing(entry("new", 2), entry("y", 3) | malformed, full=False)
     with pytest.raises((KeyError, ValueError)):
-        directory.read(lines)
+        directory.read(update)
     assert directory.state is before
 
 
-def test_whoever_follows_changes_has_what_a_whole_list_says() -> None:
-    rng, directory, follower = random.Random(1), Directory(["a"], ["m"]), Directory(["a"], ["m"])
-    served: dict[int, tuple[str, int]] = {}
+def test_following_changes_gives_the_same_endpoints_as_full_lists() -> None:
+    rng, directory, reference = random.Random(1), Directory(["a"], ["m"]), Directory(["a"], ["m"])
+    ready_addresses: dict[int, tuple[str, int]] = {}
     directory.read(listing())
     listed: dict[str, dict[str, Any]] = {}
     for _ in range(300):
@@ -77,16 +76,18 @@
                 listed[uid] = line
         event, addresses = directory.read(listing(*lines, full=False))
         for each in event.endpoints:
-            served.pop(each.id, None)
+            ready_addresses.pop(each.id, None)
             if each.state is EndpointStatus.READY:
-                served[each.id] = addresses[each.id]
-        wanted, whole = follower.read(listing(*listed.values()))
-        ready = sorted(whole[each.id] for each in wanted.endpoints if each.state is EndpointStatus.READY)
-        assert sorted(served.values()) == ready
+                ready_addresses[each.id] = addresses[each.id]
+        expected, expected_addresses = reference.read(listing(*listed.values()))
+        ready = sorted(
+            expected_addresses[each.id] for each in expected.endpoints if each.state is EndpointStatus.READY
+        )
+        assert sorted(ready_addresses.values()) == ready
 
 
-def test_forty_whose_discovery_is_put_back_send_nothing_to_what_had_left() -> None:
-    """All were told at version 9 that three of six leave; then changes of version 4 call them well."""
+def test_an_older_change_after_a_rollback_brings_no_endpoint_back() -> None:
+    """At version 9 three of six endpoints leave; a later change of version 4 lists them as active again."""
     rng = random.Random(3)
     names = "abcdef"
     for _ in range(40):
@@ -105,6 +106,7 @@
         assert directory.state is before
         ready = {name for name, member in directory.state.members.items() if not member.listed.drain}
         assert ready == set("def")
-        event, _ = directory.read(listing(entry("a", 1), rev=4), known_version=9)  # a whole list holds
+        # a full list is accepted whatever its version
+        event, _ = directory.read(listing(entry("a", 1), rev=4), known_version=9)
         assert event.kind is ListKind.FULL
         assert set(directory.state.members) == {"a"}
