--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -1,4 +1,4 @@
-"""Each line is written once and in order whatever the file does, and a full log says so."""
+"""Lines are written once and in order whatever errors the file gives, and a full queue is reported."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 
 def wait_until_written(events: EventLog) -> None:
-    ends = time.monotonic() + PATIENCE_S
-    while events.queued and time.monotonic() < ends:
+    deadline_s = time.monotonic() + PATIENCE_S
+    while events.queued and time.monotonic() < deadline_s:
         time.sleep(0.005)
 
 
@@ -57,7 +57,7 @@
     os.mkfifo(path)
     reader = os.open(path, os.O_RDONLY | os.O_NONBLOCK)
     events = EventLog(str(path))
-    count = MAX_QUEUED_LINES + 2000  # the pipe itself takes some
+    count = MAX_QUEUED_LINES + 2000  # the pipe's own buffer holds some
     for _ in range(count):
         events.write("x" * 200)
     assert events.full
@@ -70,23 +70,25 @@
     assert data == (b"x" * 200 + b"\n") * count
 
 
-def test_a_failed_write_in_mid_line_repeats_no_byte(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_write_that_fails_within_a_line_repeats_no_byte(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     path = tmp_path / "log"
     events = EventLog(str(path))
-    real, calls = os.write, 0
+    real_write, calls = os.write, 0
 
-    def halting(file: int, data: bytes) -> int:
+    def failing_write(file: int, data: bytes) -> int:
         nonlocal calls
         calls += 1
         if calls % 2 == 0:
             raise OSError(28, "No space left on device")
-        return real(file, data[:7])
+        return real_write(file, data[:7])
 
     monkeypatch.setattr(event_log, "RETRY_S", 0.001)
-    monkeypatch.setattr(os, "write", halting)
+    monkeypatch.setattr(os, "write", failing_write)
     for number in range(20):
         events.write(f"line {number}")
     wait_until_written(events)
-    monkeypatch.setattr(os, "write", real)
+    monkeypatch.setattr(os, "write", real_write)
     assert events.close(PATIENCE_S)
     assert path.read_text().splitlines() == [f"line {number}" for number in range(20)]
