--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""The log's limit: a burst of lines, and a few per second after it."""
+"""The rate limit of the log: a burst of lines, then a few per second."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from plovertrail.logs import MAX_BURST_LINES, MAX_LINES_PER_S, RateLimitFilter
 
 
-def test_a_burst_passes_and_a_flood_is_cut(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_burst_passes_and_further_lines_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
     now_s = 100.0
     monkeypatch.setattr("plovertrail.logs.time.monotonic", lambda: now_s)
     limit = RateLimitFilter()
