--- a/tests/sources/__init__.py
+++ b/tests/sources/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the sources of servers: lists in watched files, and discovery."""
+"""Tests of the sources of endpoints: lists in watched files, and discovery."""
