--- a/tests/test_endpoint_registry.py
+++ b/tests/test_endpoint_registry.py
@@ -1,4 +1,4 @@
-"""Lists from files under a running daemon: drains in time, last known good, hand drains, control socket."""
+"""A daemon with lists in files: changes, invalid lists, drains by the operator, the control socket."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 
 
 def write_list(path: Path, servers: dict[str, WebServer], **more: object) -> float:
-    """A whole, sealed list, in one rename; the time of it."""
+    """Replace a list atomically by a complete, sealed one; returns the time."""
     rows = [{"id": name, "address": server.address, **more} for name, server in servers.items()]
-    beside = path.with_suffix(".tmp")
-    beside.write_bytes(sealed("x.json", json.dumps({"servers": rows}).encode()))
-    os.replace(beside, path)
+    temporary = path.with_suffix(".tmp")
+    temporary.write_bytes(sealed("x.json", json.dumps({"servers": rows}).encode()))
+    os.replace(temporary, path)
     return time.monotonic()
 
 
-def file_of(folder: Path, port: int, extra: str = "", pool: str = "", routes: str = "") -> Path:
+def write_operator_file(folder: Path, port: int, extra: str = "", pool: str = "", routes: str = "") -> Path:
     path = folder / "site.toml"
     path.write_text(
         f'[listeners.web]\naddress = "127.0.0.1:{port}"\n{CLASSES}\n{extra}\n'
@@ -48,12 +48,12 @@
 
 
 class Site:
-    """A daemon that can be ended and started again under the same file."""
+    """A daemon that can be stopped and started again with the same file."""
 
     def __init__(self, folder: Path, notifications: bool = True, **more: str) -> None:
         self.notifications = notifications
         self.port = free_port()
-        self.path = file_of(folder, self.port, **more)
+        self.path = write_operator_file(folder, self.port, **more)
         self.daemon: Daemon | None = None
 
     async def start(self) -> Running:
@@ -73,11 +73,13 @@
 
 
 def members(it: Running, pool: str = "main") -> dict[str, bool]:
-    """The servers in force, and whether they drain."""
-    return {ident: m.listed.drain for ident, m in it.daemon.pools[pool].registry.state.members.items()}
+    """Return whether each current endpoint of a pool drains, by id."""
+    return {
+        ident: member.listed.drain for ident, member in it.daemon.pools[pool].registry.state.members.items()
+    }
 
 
-def test_a_change_of_the_file_comes_into_force_by_the_safety_scan_alone(tmp_path: Path) -> None:
+def test_a_change_of_the_file_is_applied_by_the_safety_scan_alone(tmp_path: Path) -> None:
     async def test() -> None:
         servers = {name: WebServer() for name in ("a", "b", "c")}
         for server in servers.values():
@@ -94,7 +96,7 @@
         for _ in range(20):
             assert (await it.ask(message("GET /"))).status == 200
         assert servers["a"].count == before
-        assert it.daemon.pools["main"].registry.state.members["c"].started_us > 0  # cold
+        assert it.daemon.pools["main"].registry.state.members["c"].started_us > 0  # it warms up
         await site.stop()
         for server in servers.values():
             server.stop()
@@ -102,9 +104,9 @@
     run(test)
 
 
-@pytest.mark.parametrize("broken", [b"", b"{", b'{"servers": []}', b"\xff\xfe", None])
-def test_a_broken_list_leaves_the_last_good_one_in_force_and_is_told(
-    tmp_path: Path, broken: bytes | None, caplog: pytest.LogCaptureFixture
+@pytest.mark.parametrize("invalid", [b"", b"{", b'{"servers": []}', b"\xff\xfe", None])
+def test_an_invalid_list_is_reported_and_the_last_good_one_stays(
+    tmp_path: Path, invalid: bytes | None, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
         server = WebServer()
@@ -114,7 +116,7 @@
         site = Site(tmp_path)
         it = await site.start()
         with caplog.at_level(logging.ERROR):
-            path.unlink() if broken is None else path.write_bytes(broken)
+            path.unlink() if invalid is None else path.write_bytes(invalid)
             await until(lambda: bool(it.daemon.pools["main"].registry.problems()))
         assert str(path) in caplog.text
         assert "last good one stays" in caplog.text
@@ -128,7 +130,7 @@
     run(test)
 
 
-def test_a_daemon_without_its_file_starts_from_the_last_good_list_and_its_drains(tmp_path: Path) -> None:
+def test_a_daemon_without_a_valid_file_starts_from_the_last_good_list_and_its_drains(tmp_path: Path) -> None:
     async def test() -> None:
         servers = {name: WebServer() for name in ("a", "b", "c")}
         for server in servers.values():
@@ -146,17 +148,17 @@
         for _ in range(20):
             assert (await it.ask(message("GET /"))).status == 200
         assert servers["b"].count == 0
-        write_list(path, {**servers, "new": servers["a"]})  # an address twice: refused
+        write_list(path, {**servers, "new": servers["a"]})  # a duplicate address: rejected
         await until(lambda: any("address of" in text for text in it.daemon.pools["main"].registry.problems()))
         assert set(members(it)) == {"a", "b", "c"}
         await site.stop()
         (tmp_path / "state").write_bytes(b"plovertrail-state 9 0 " + b"0" * 64 + b"\n")
-        it = await site.start()  # goes on, with nothing that is good
+        it = await site.start()  # starts without any valid list
         assert members(it) == {}
         assert (tmp_path / "state.bad").exists()
-        refused = await it.ask(message("POST /buy"))
-        assert refused.status == 503
-        assert refused.all("Retry-After") == ["2"]
+        rejected = await it.ask(message("POST /buy"))
+        assert rejected.status == 503
+        assert rejected.all("Retry-After") == ["2"]
         await site.stop()
         for server in servers.values():
             server.stop()
@@ -164,7 +166,7 @@
     run(test)
 
 
-def test_a_disk_that_can_not_be_written_costs_a_report_only(
+def test_a_state_file_that_cannot_be_written_is_only_reported(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
@@ -183,8 +185,8 @@
     assert "state file write failed" in caplog.text
 
 
-class Door:
-    """A stand-in whose accepting can be held up, so that dials to it wait."""
+class PausableServer:
+    """A web server that can stop accepting connections, so that connects to it wait."""
 
     def __init__(self, script: Callable[..., object]) -> None:
         self.web = WebServer(script)  # type: ignore[arg-type]
@@ -194,9 +196,9 @@
         self.sock.setblocking(False)
         self.web.port = self.sock.getsockname()[1]
         self.task: asyncio.Task[None] | None = None
-        self.filling: list[socket.socket] = []
+        self.queue_fillers: list[socket.socket] = []
 
-    def open(self) -> None:
+    def start_accepting(self) -> None:
         self.task = asyncio.ensure_future(self.accept())
 
     async def accept(self) -> None:
@@ -205,43 +207,43 @@
             sock, _ = await loop.sock_accept(self.sock)
             await loop.connect_accepted_socket(lambda: Line(self.web), sock)
 
-    async def shut(self) -> None:
-        """Fill the queue of connections that are up and not accepted: further ones don't come up."""
+    async def stop_accepting(self) -> None:
+        """Stop accepting, and fill the accept queue so that further connects wait."""
         assert self.task is not None
         self.task.cancel()
         for _ in range(4):
             sock = socket.socket()
             sock.setblocking(False)
             sock.connect_ex(("127.0.0.1", self.web.port))
-            self.filling.append(sock)
+            self.queue_fillers.append(sock)
         await asyncio.sleep(0.1)
 
     def stop(self) -> None:
         if self.task is not None:
             self.task.cancel()
-        for sock in self.filling:
+        for sock in self.queue_fillers:
             sock.close()
         self.web.stop()
         self.sock.close()
 
 
-def test_a_server_that_is_removed_gets_nothing_new_and_finishes_what_it_has(tmp_path: Path) -> None:
-    """50 requests on it and 20 waiting for a connection: a pool each, as one has a slot of it at first."""
+def test_a_removed_endpoint_gets_no_new_requests_and_finishes_open_ones(tmp_path: Path) -> None:
+    """50 requests are open on it and 20 wait to connect, each in its own pool with one slot at first."""
 
     async def test() -> None:
-        let_go = asyncio.Event()
-        times: list[float] = []
+        release = asyncio.Event()
+        arrival_times: list[float] = []
 
         async def script(server: WebServer, arrival: Arrival, line: Line) -> bytes:
-            times.append(time.monotonic())
-            await let_go.wait()
+            arrival_times.append(time.monotonic())
+            await release.wait()
             return b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold"
 
-        door, other = Door(script), WebServer()
+        pausable, other = PausableServer(script), WebServer()
         await other.start()
-        door.open()
+        pausable.start_accepting()
         path = tmp_path / "servers.json"
-        write_list(path, {"gone": door.web})
+        write_list(path, {"gone": pausable.web})
         names = [f"p{number}" for number in range(70)]
         pools = "".join(
             f'[pools.{name}]\nservers_from = ["{path}"]\nconnect_timeout = "10s"\n'
@@ -253,49 +255,49 @@
             for name in names
         )
         site = Site(tmp_path, pool=pools, routes=routes)
-        # they are held up for as long as this machine takes for all of it
+        # requests stay open for as long as this machine takes for the whole test
         site.path.write_text(site.path.read_text().replace('deadline = "15s"', 'deadline = "2m"'))
         it = await site.start()
         clients = [await it.connect() for _ in names]
-        for number in range(50):  # one by one, as the door's queue is short
+        for number in range(50):  # one by one, as the accept queue is short
             clients[number].writer.write(message(f"POST /{names[number]}"))
-            await until(lambda: door.web.count > number)  # noqa: B023
-        await door.shut()
+            await until(lambda: pausable.web.count > number)  # noqa: B023
+        await pausable.stop_accepting()
         for name, client in zip(names[50:], clients[50:], strict=True):
             client.writer.write(message(f"POST /{name}"))
         await until(lambda: sum(len(pool.connections.connects) for pool in it.daemon.pools.values()) == 20)
         written = write_list(path, {"stays": other})
         await until(lambda: all(set(members(it, name)) == {"stays"} for name in names))
         assert time.monotonic() - written < 2.0
-        door.open()  # the dials come up now: nothing may be sent on them
+        pausable.start_accepting()  # now the connects succeed, but nothing may be sent on them
         replies = await asyncio.gather(*(client.reply() for client in clients[50:]))
-        # no byte of them had left: they go elsewhere, or are refused as harmless to repeat
+        # no byte of them was sent, so they are sent elsewhere or rejected with 503, which is safe to retry
         assert {reply.status for reply in replies} <= {200, 503}
         assert other.count == [reply.status for reply in replies].count(200)
-        # the one that stays is cold, and its turn in each pool comes at random; but it comes
+        # the endpoint that stays is warming up: each pool chooses it at random, but it does in the end
         for name, client in zip(names[50:], clients[50:], strict=True):
             for _ in range(20):
                 client.writer.write(message(f"POST /{name}"))
                 if (await client.reply()).status == 200:
                     break
             else:
-                raise AssertionError("a cold server alone in its pool gets no turn")
-        assert door.web.count == 50
-        assert max(times) < written
-        let_go.set()
+                raise AssertionError("an endpoint that warms up alone in its pool gets no request")
+        assert pausable.web.count == 50
+        assert max(arrival_times) < written
+        release.set()
         answers = await asyncio.gather(*(client.reply() for client in clients[:50]))
         assert [(reply.status, reply.body) for reply in answers] == [(200, b"old")] * 50
         for client in clients:
             client.close()
         await site.stop()
-        door.stop()
+        pausable.stop()
         other.stop()
 
     run(test)
 
 
 @pytest.mark.parametrize("ident", ["a", "new"])
-def test_a_server_that_comes_back_is_learnt_anew(tmp_path: Path, ident: str) -> None:
+def test_an_endpoint_that_is_listed_again_starts_without_old_state(tmp_path: Path, ident: str) -> None:
     async def test() -> None:
         server, other = WebServer(), WebServer()
         for each in (server, other):
@@ -306,30 +308,33 @@
         it = await site.start()
         for _ in range(40):
             await it.ask(message("GET /"))
-        running = it.daemon.pools["main"]
-        old = running.registry.state.members["a"].endpoint_id
-        learnt = running.pool.balancer.endpoints[old]
+        running_pool = it.daemon.pools["main"]
+        old = running_pool.registry.state.members["a"].endpoint_id
+        old_endpoint = running_pool.pool.balancer.endpoints[old]
         assert server.connections > 0
-        assert learnt.relative_latency != 1.0
+        assert old_endpoint.relative_latency != 1.0
         write_list(path, {"b": other})
         await until(lambda: set(members(it)) == {"b"})
-        assert old not in running.pool.balancer.endpoints
-        assert old not in running.connections.connections
+        assert old not in running_pool.pool.balancer.endpoints
+        assert old not in running_pool.connections.connections
         write_list(path, {ident: server, "b": other})
         await until(lambda: set(members(it)) == {ident, "b"})
-        back = running.registry.state.members[ident]
-        assert back.endpoint_id != old
-        assert 0 < back.started_us <= clock_us()
-        fresh = running.pool.balancer.endpoints[back.endpoint_id]
-        assert fresh is not learnt
-        assert fresh.relative_latency == 1.0
-        assert running.pool.balancer.table.warm_up_fraction(fresh, running.pool.balancer.now_us) < 1.0
+        member = running_pool.registry.state.members[ident]
+        assert member.endpoint_id != old
+        assert 0 < member.started_us <= clock_us()
+        new_endpoint = running_pool.pool.balancer.endpoints[member.endpoint_id]
+        assert new_endpoint is not old_endpoint
+        assert new_endpoint.relative_latency == 1.0
+        assert (
+            running_pool.pool.balancer.table.warm_up_fraction(new_endpoint, running_pool.pool.balancer.now_us)
+            < 1.0
+        )
         before = server.connections
         for _ in range(200):
             await it.ask(message("GET /"))
             if server.connections > before:
                 break
-        assert server.connections == before + 1  # none of the old ones was used
+        assert server.connections == before + 1  # no old connection was used
         await site.stop()
         for each in (server, other):
             each.stop()
@@ -337,7 +342,7 @@
     run(test)
 
 
-def test_drains_by_hand_and_the_status_over_the_control_socket(tmp_path: Path) -> None:
+def test_operator_drains_and_status_over_the_control_socket(tmp_path: Path) -> None:
     async def test() -> None:
         servers = {name: WebServer(slowly(OK, 0.001)) for name in ("a", "b")}
         for server in servers.values():
@@ -370,9 +375,9 @@
         assert members(it) == {"a": False, "b": False}
         for wrong in (("drain", "none", "a"), ("drain", "main", "none")):
             assert (await call(*wrong))[0] == 1
-        for noise in (b"\n", b"{}\n", b"[" * 4000 + b"\n", b"x" * 100_000, b'{"do": "fall"}\n'):
+        for request in (b"\n", b"{}\n", b"[" * 4000 + b"\n", b"x" * 100_000, b'{"do": "fall"}\n'):
             reader, writer = await asyncio.open_unix_connection(control)
-            writer.write(noise)
+            writer.write(request)
             answer = await reader.read()
             assert answer == b"" or not json.loads(answer)["ok"]
             writer.close()
@@ -386,7 +391,7 @@
     run(test)
 
 
-def test_a_control_socket_that_is_taken_ends_the_start(tmp_path: Path) -> None:
+def test_a_control_socket_in_use_prevents_the_start(tmp_path: Path) -> None:
     async def test() -> None:
         control = str(tmp_path / "control")
         write_list(tmp_path / "servers.json", {"a": WebServer(port=1)})
@@ -396,7 +401,7 @@
             await it.daemon.control.start()
         await site.stop()
         with socket.socket(socket.AF_UNIX) as left:
-            left.bind(control)  # a daemon that was killed leaves its file
+            left.bind(control)  # a daemon that was killed leaves its socket file
         await site.start()
         await site.stop()
         (tmp_path / "control").write_text("x")
@@ -407,7 +412,7 @@
     run(test)
 
 
-def test_seal_makes_a_list_that_is_taken(tmp_path: Path) -> None:
+def test_the_seal_command_adds_a_checksum_to_valid_lists_only(tmp_path: Path) -> None:
     path = tmp_path / "x.list"
     path.write_text("127.0.0.1:80\n")
     assert CliRunner().invoke(main, ["seal", str(path)]).exit_code == 0
@@ -422,7 +427,7 @@
     assert path.read_text() == "nonsense\n"
 
 
-def test_a_reload_that_names_other_files_follows_them(tmp_path: Path) -> None:
+def test_a_reload_with_other_files_follows_them(tmp_path: Path) -> None:
     async def test() -> None:
         servers = {name: WebServer() for name in ("a", "b", "c")}
         for server in servers.values():
@@ -439,7 +444,7 @@
         client: Client = await it.connect()
         assert (await client.ask(message("GET /"))).status == 200
         client.close()
-        write_list(tmp_path / "a.json", servers)  # followed no more
+        write_list(tmp_path / "a.json", servers)  # no longer followed
         write_list(tmp_path / "b.json", {"b": servers["b"]}, drain=True)
         await until(lambda: members(it) == {"b": True, "c": False})
         assert servers["a"].count == 0
@@ -450,7 +455,7 @@
     run(test)
 
 
-def test_servers_that_move_from_the_file_to_a_list_stay_who_they_are(tmp_path: Path) -> None:
+def test_endpoints_that_move_between_operator_file_and_list_keep_their_state(tmp_path: Path) -> None:
     async def test() -> None:
         server = WebServer()
         await server.start()
@@ -471,7 +476,7 @@
     run(test)
 
 
-def test_a_list_that_a_guard_refused_is_taken_once_the_guard_is_lifted(tmp_path: Path) -> None:
+def test_a_list_rejected_by_a_guard_is_applied_once_the_guard_is_lifted(tmp_path: Path) -> None:
     async def test() -> None:
         servers = {name: WebServer(port=9 + number) for number, name in enumerate("abcd")}
         path = tmp_path / "servers.json"
