--- a/plovertrail/endpoint_registry.py
+++ b/plovertrail/endpoint_registry.py
@@ -36,9 +36,8 @@
 
 PROBLEM_LOG_INTERVAL_S = 10.0  # a problem is logged again this often while it persists
 INLINE = "inline"  # the source for the endpoints in the operator's file itself
-MAX_INLINE_STEP = (
-    500  # endpoints; with no more, a step takes less time on the loop than moving it to a thread
-)
+# endpoints; with no more, a step takes less time on the loop than moving it to a thread
+MAX_INLINE_STEP = 500
 
 
 class RegistryOwner(Protocol):
