--- a/plovertrail/sources/file_reading.py
+++ b/plovertrail/sources/file_reading.py
@@ -147,7 +147,8 @@
     def read(self, now: float, settle: bool = True) -> tuple[bool, EndpointList | None]:
         """Read the source; returns whether the list is new since the last call, and the list.
 
-        The list is None while a file has not settled. Content that has not changed is not parsed again.
+        The list is None while a file has not settled; with `settle` false it counts as settled at once.
+        Content that has not changed is not parsed again.
         Blocks; raises InvalidListError or OSError.
         """
         changed = False
@@ -157,7 +158,7 @@
         names = self.names()
         if self.contents.keys() - set(names):
             changed = True
-            self.contents = {name: contents for name, contents in self.contents.items() if name in names}
+            self.contents = {name: content for name, content in self.contents.items() if name in names}
         for name in names:
             old = self.contents.get(name)
             if old is not None and self._is_unchanged(name, old):
