--- a/plovertrail/sources/file_reading.py
+++ b/plovertrail/sources/file_reading.py
@@ -183,7 +183,7 @@
             self.is_linked = self.files.is_link(self.path)
         try:
             self.digest = self._digest(names)
-            self.result = self._parsed(names)
+            self.result = self._parse(names)
         except InvalidListError as error:
             self.result = error
             raise
@@ -199,7 +199,7 @@
             whole.update(self.contents[name].data)
         return whole.hexdigest()
 
-    def _parsed(self, names: list[str]) -> EndpointList:
+    def _parse(self, names: list[str]) -> EndpointList:
         if self.kind is SourceKind.PLAIN:
             return EndpointList(self.name, ())
         entries: list[ListedEndpoint] = []
