--- a/plovertrail/__main__.py
+++ b/plovertrail/__main__.py
@@ -39,7 +39,7 @@
         await reload.wait()
         reload.clear()
         try:
-            discovery.move(config.load(path).discovery)
+            discovery.change_address(config.load(path).discovery)
         except CONFIGURATION_ERRORS as error:
             # a file that is half written or missing must cost neither requests nor the endpoint list
             log.warning("configuration unreadable, the one in force stays error=%r", error)
@@ -57,7 +57,7 @@
     discovery = Discovery(settings.discovery, directory, partial(dispatcher.pools.update_endpoints, pool))
     dispatcher.discovery = discovery
     if settings.known:
-        discovery.cached(settings.known)
+        discovery.load_cached(settings.known)
     dispatcher.start(pool)
     if not settings.settings.endpoints_on_request:
         discovery.hold_open()
--- a/plovertrail/sources/file_reading.py
+++ b/plovertrail/sources/file_reading.py
@@ -1,4 +1,4 @@
-"""Bounded reads of files and folders of endpoint lists; a file counts once it is complete."""
+"""Bounded reads of files and folders of endpoint lists; an incomplete file is rejected or read again."""
 
 from __future__ import annotations
 
@@ -13,23 +13,24 @@
 from plovertrail.decisions.list_versions import SourceKey, SourceKind
 from plovertrail.sources.lists import MAX_ENDPOINTS, MAX_FILE_BYTES, InvalidListError, parse
 
-COARSE_S = 3.0  # a file changed within this may change again under the same times (NFS, FAT: 2 s)
-SETTLE_S = 0.2  # for so long a file without a checksum must stay the same
+# A file modified less than this ago may be modified again without a change of its times (NFS, FAT: 2 s).
+MIN_TRUSTED_AGE_S = 3.0
+SETTLE_S = 0.2  # how long a file without a checksum must stay unchanged to count as complete
 MAX_FRAGMENTS = 256
 Signature = tuple[int, int, int, int]
 
 
 class FileSystem(Protocol):
-    """The calls on the file system that may hang; tests replace them."""
+    """The file system calls that may hang; tests replace them."""
 
     def status(self, path: str) -> os.stat_result:
-        """Return `os.stat` of what a path leads to; raises OSError."""
+        """Return `os.stat` of a path, following links; raises OSError."""
 
     def names(self, path: str) -> list[str]:
         """List the names in a folder; raises OSError."""
 
     def is_link(self, path: str) -> bool:
-        """Whether the path itself is a link."""
+        """Whether the path itself is a symbolic link."""
 
     def read(self, path: str) -> tuple[bytes, Signature]:
         """Read a plain file; returns its bytes and signature; raises InvalidListError or OSError."""
@@ -39,7 +40,7 @@
     """The operating system's own calls."""
 
     def status(self, path: str) -> os.stat_result:
-        """Return `os.stat` of what a path leads to; raises OSError."""
+        """Return `os.stat` of a path, following links; raises OSError."""
         return os.stat(path)
 
     def names(self, path: str) -> list[str]:
@@ -60,7 +61,7 @@
 
 def read_bounded(path: str) -> tuple[bytes, Signature]:
     """Read a plain file; returns its bytes and signature; raises InvalidListError or OSError."""
-    # Without O_NONBLOCK opening a FIFO waits for a writer; reading a device may never end.
+    # Without O_NONBLOCK opening a FIFO would wait for a writer; reading a device may never end.
     fd = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
     try:
         found = os.fstat(fd)
@@ -82,34 +83,34 @@
 
 
 def signature(found: os.stat_result) -> Signature:
-    """Return device, inode, size and time of change (ns); where times are fine, any change shows in it."""
+    """Return device, inode, size and modification time (ns); any change shows in it if times are fine."""
     return found.st_dev, found.st_ino, found.st_size, found.st_mtime_ns
 
 
 @dataclass
-class Seen:
+class FileContent:
     """A file's content as it was last read."""
 
     signature: Signature
     data: bytes
-    since: float  # when these bytes were first seen, by a clock that only moves forward
+    first_seen_s: float  # when this content was first read, by a monotonic clock
 
 
 @dataclass
 class FileSource:
-    """One file, or a folder whose files make one list; `path` may be a link that is swapped."""
+    """One file, or a folder whose files form one list; `path` may be a symbolic link that gets replaced."""
 
     path: str
     checksum: bool = True
     files: FileSystem = LOCAL
     kind: SourceKind = SourceKind.LIST
-    seen: dict[str, Seen] = field(default_factory=dict)
-    made: EndpointList | InvalidListError | None = None  # of what was seen, as far as it has settled
-    digest: str = ""  # of the bytes that `made` was made of
-    young: bool = False  # its times are so young that a change may hide under them: look again soon
-    opened: bool = False  # the last call read bytes
-    folder: bool = False  # the path is a folder
-    linked: bool = False  # it is reached through links in its folder, which may be swapped
+    contents: dict[str, FileContent] = field(default_factory=dict)
+    result: EndpointList | InvalidListError | None = None  # of the last parse; None if not settled
+    digest: str = ""  # of the bytes that `result` was parsed from
+    may_change: bool = False  # modified so recently that its times may not show the next change
+    opened: bool = False  # the last call opened a file
+    is_folder: bool = False  # the path is a folder
+    is_linked: bool = False  # the path is a symbolic link, which may be replaced
 
     @property
     def key(self) -> SourceKey:
@@ -122,9 +123,9 @@
         return self.key.name
 
     def names(self) -> list[str]:
-        """List the files, sorted, without hidden ones (config maps have theirs in ..data) and temporaries."""
-        self.folder = self._is_folder()
-        if not self.folder:
+        """List the files, sorted, without temporary and hidden ones (config maps keep copies in ..data)."""
+        self.is_folder = self._is_folder()
+        if not self.is_folder:
             return [self.path]
         found = sorted(
             name
@@ -146,65 +147,66 @@
     def read(self, now: float, settle: bool = True) -> tuple[bool, EndpointList | None]:
         """Read the source; returns whether the list is new since the last call, and the list.
 
-        The list is None while the file has not settled. Blocks; raises InvalidListError or OSError. What has
-        not changed is not parsed again.
+        The list is None while a file has not settled; with `settle` false it counts as settled at once.
+        Content that has not changed is not parsed again.
+        Blocks; raises InvalidListError or OSError.
         """
         changed = False
         settled = True
-        made, self.made = self.made, None
-        self.young = self.opened = False
+        result, self.result = self.result, None
+        self.may_change = self.opened = False
         names = self.names()
-        if self.seen.keys() - set(names):
+        if self.contents.keys() - set(names):
             changed = True
-            self.seen = {name: seen for name, seen in self.seen.items() if name in names}
+            self.contents = {name: content for name, content in self.contents.items() if name in names}
         for name in names:
-            old = self.seen.get(name)
-            if old is not None and self._surely_same(name, old):
-                data, now_signature = old.data, old.signature
+            old = self.contents.get(name)
+            if old is not None and self._is_unchanged(name, old):
+                data, new_signature = old.data, old.signature
             else:
-                data, now_signature = self.files.read(name)
+                data, new_signature = self.files.read(name)
                 self.opened = True
-            self.young |= 0 <= time.time() - now_signature[3] / 1e9 <= COARSE_S
+            self.may_change |= 0 <= time.time() - new_signature[3] / 1e9 <= MIN_TRUSTED_AGE_S
             if old is None or old.data != data:
                 changed = True
-                old = Seen(now_signature, data, now)
-            self.seen[name] = Seen(now_signature, data, old.since)
-            settled &= self.checksum or not settle or now - old.since >= SETTLE_S
-        if made is not None and not changed:
-            self.made = made
-            if isinstance(made, InvalidListError):
-                raise made
-            return False, made
+                old = FileContent(new_signature, data, now)
+            self.contents[name] = FileContent(new_signature, data, old.first_seen_s)
+            settled &= self.checksum or not settle or now - old.first_seen_s >= SETTLE_S
+        if result is not None and not changed:
+            self.result = result
+            if isinstance(result, InvalidListError):
+                raise result
+            return False, result
         if not settled:
             return changed, None
         if self.opened:
-            self.linked = self.files.is_link(self.path)
+            self.is_linked = self.files.is_link(self.path)
         try:
             self.digest = self._digest(names)
-            self.made = self._parsed(names)
+            self.result = self._parse(names)
         except InvalidListError as error:
-            self.made = error
+            self.result = error
             raise
-        return True, self.made
+        return True, self.result
 
     def _digest(self, names: list[str]) -> str:
-        """Compute the digest of the bytes; of several files, of their names as well."""
+        """Compute the digest of the bytes; with several files it covers their names too."""
         if len(names) == 1:
-            return hashlib.sha256(self.seen[names[0]].data).hexdigest()
+            return hashlib.sha256(self.contents[names[0]].data).hexdigest()
         whole = hashlib.sha256()
         for name in names:
-            whole.update(f"{os.path.basename(name)}\0{len(self.seen[name].data)}\0".encode())
-            whole.update(self.seen[name].data)
+            whole.update(f"{os.path.basename(name)}\0{len(self.contents[name].data)}\0".encode())
+            whole.update(self.contents[name].data)
         return whole.hexdigest()
 
-    def _parsed(self, names: list[str]) -> EndpointList:
+    def _parse(self, names: list[str]) -> EndpointList:
         if self.kind is SourceKind.PLAIN:
             return EndpointList(self.name, ())
         entries: list[ListedEndpoint] = []
         version = 0
         for name in names:
             try:
-                part = parse(name, self.seen[name].data, self.name, self.checksum)
+                part = parse(name, self.contents[name].data, self.name, self.checksum)
             except InvalidListError as error:
                 where = os.path.basename(name) + ": " if len(names) > 1 else ""
                 raise InvalidListError(where + str(error)) from None
@@ -214,14 +216,17 @@
             raise InvalidListError(f"more than {MAX_ENDPOINTS} servers")
         return EndpointList(self.name, tuple(entries), version if len(names) == 1 else 0)
 
-    def _surely_same(self, path: str, old: Seen) -> bool:
-        """Whether a file is unchanged for certain: with coarse times a second change leaves the signature."""
+    def _is_unchanged(self, path: str, old: FileContent) -> bool:
+        """Whether a file is certainly unchanged.
+
+        With coarse times a second change may leave the signature as it is, so recent ones are not trusted.
+        """
         found = self.files.status(path)
-        return signature(found) == old.signature and time.time() - found.st_mtime > COARSE_S
+        return signature(found) == old.signature and time.time() - found.st_mtime > MIN_TRUSTED_AGE_S
 
 
 def first_read(source: FileSource) -> EndpointList | str:
-    """Read a source that is not watched yet; returns its list, or what is wrong with it. Blocks."""
+    """Read a source that is not watched; returns its list, or what is wrong with it. Blocks."""
     try:
         _, found = source.read(time.monotonic())
         if found is None:
@@ -229,9 +234,9 @@
             _, found = source.read(time.monotonic())
         return found if found is not None else "it has not settled yet"
     except (InvalidListError, OSError) as error:
-        return complaint(error)
+        return describe_error(error)
 
 
-def complaint(error: InvalidListError | OSError) -> str:
+def describe_error(error: InvalidListError | OSError) -> str:
     """Describe an error for operators."""
     return error.strerror or repr(error) if isinstance(error, OSError) else str(error)
--- a/plovertrail/sources/list_reader.py
+++ b/plovertrail/sources/list_reader.py
@@ -1,8 +1,8 @@
-"""The one reader of all watched files of a process: endpoint lists, lists of instances, the operator's file.
+"""The reader of all watched files of a process: endpoint lists, lists of instances, the operator's file.
 
-Subscribers name a path. A file that several name is read and parsed once, and what changed is delivered to
-those concerned, one a turn of the loop. Changes are seen by notifications, and by a safety scan behind them.
-docs/membership.md has the design.
+Subscribers name a path. A file with several subscribers is read and parsed once, and a change is delivered to
+its subscribers, one per turn of the loop. Changes are found by file notifications, and by a regular safety
+scan in case a notification is lost. docs/membership.md has the design.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 from plovertrail.sources.read_workers import MAX_STUCK_THREADS, Reading, ReadJob, ReadWorkers
 from plovertrail.sources.safety_scan import SafetyScan
 from plovertrail.sources.source_table import SourceTable
-from plovertrail.sources.subscriptions import Followed, OnList, OnProblem, Subscription
+from plovertrail.sources.subscriptions import FollowedSource, OnList, OnProblem, Subscription
 
 log = logging.getLogger(__name__)
 
@@ -40,7 +40,7 @@
 
 
 class ListReader:
-    """Reads sources on threads, by `files`, and tells subscribers on one event loop."""
+    """Reads sources through `files` on threads, and delivers to subscribers on one event loop."""
 
     def __init__(self, files: FileSystem = LOCAL, notifications: bool = True) -> None:
         self.loop = asyncio.get_running_loop()
@@ -52,9 +52,9 @@
         self.scan = SafetyScan(self.loop, self.sources.all, self._submit)
         self.watchdog = HangWatchdog(self.loop, self.workers, self._source_hangs)
         self.deliveries = DeliveryQueue(self.loop)
-        self.first = FirstReads(self.workers)
-        self.readings: deque[tuple[Followed, Reading, int]] = deque()  # not taken over by the loop yet
-        self.next_readings: asyncio.Handle | None = None  # the turn that takes over more of them
+        self.first_reads = FirstReads(self.workers)
+        self.readings: deque[tuple[FollowedSource, Reading, int]] = deque()  # still to be applied on the loop
+        self.next_turn: asyncio.Handle | None = None  # the turn in which more of them are applied
         self.quick_looks = QuickLooks(self.loop, self._submit)
         self.watch_update: asyncio.Handle | None = None
         self.executor: ThreadPoolExecutor | None = None
@@ -65,7 +65,7 @@
     def subscribe(
         self, key: SourceKey, subscriber: str, on_list: OnList, on_problem: OnProblem
     ) -> Subscription:
-        """Tell a subscriber what a source holds, now and whenever that changes."""
+        """Deliver the content of a source to a subscriber, now and whenever it changes."""
         followed = self._follow(key)
         subscription = Subscription(self, followed, subscriber, on_list, on_problem)
         followed.subscriptions.append(subscription)
@@ -76,7 +76,7 @@
         return subscription
 
     def unsubscribed(self, subscription: Subscription) -> None:
-        """Note that a subscriber follows its source no more."""
+        """Remove a subscription, and the source if it was the last one."""
         followed = subscription.followed
         self.in_force.drop(subscription.subscriber, subscription.key)
         followed.subscriptions.remove(subscription)
@@ -84,88 +84,88 @@
             self._drop(followed)
 
     def drop_unfollowed(self) -> None:
-        """Forget the sources that were read for a configuration that was not applied."""
+        """Remove the sources that were read for a configuration that was not applied."""
         for followed in list(self.sources.all()):
             if not followed.subscriptions:
                 self._drop(followed)
 
     def queue_delivery(self, subscription: Subscription) -> None:
-        """Deliver to a subscriber in its turn."""
+        """Queue a delivery to a subscriber."""
         self.deliveries.put(subscription)
 
-    def _follow(self, key: SourceKey) -> Followed:
+    def _follow(self, key: SourceKey) -> FollowedSource:
         followed = self.sources.by_key.get(key)
         if followed is None:
             source = FileSource(key.path, key.checksum, self.files, key.kind)
-            followed = Followed(ReadJob(source), SourceVersion(key))
+            followed = FollowedSource(ReadJob(source), SourceVersion(key))
             self.sources.add(followed)
             self._update_watches()
             self.scan.ensure_scheduled()
         return followed
 
-    def _drop(self, followed: Followed) -> None:
+    def _drop(self, followed: FollowedSource) -> None:
         self.quick_looks.remove(followed.version.key)
         self.workers.drop(followed.job)
-        _wake_waiters(followed, followed.job.asked)
+        _wake_waiters(followed, followed.job.requested)
         self.sources.remove(followed)
         self._update_watches()
 
     # The first read
 
     async def first_read(self, keys: Iterable[SourceKey]) -> dict[SourceKey, FirstRead]:
-        """Read these sources now, within FIRST_READ_S; the loop goes on meanwhile."""
+        """Read these sources now, within FIRST_READ_S, without blocking the loop."""
         followed = [self._follow(key) for key in dict.fromkeys(keys)]
-        return await asyncio.to_thread(self.first.read, followed)
+        return await asyncio.to_thread(self.first_reads.read, followed)
 
     def first_read_blocking(self, keys: Iterable[SourceKey]) -> dict[SourceKey, FirstRead]:
-        """Read these sources now, while the loop has nothing else to do yet."""
-        return self.first.read([self._follow(key) for key in dict.fromkeys(keys)])
+        """Read these sources now and block the loop, which at a start has nothing else to do."""
+        return self.first_reads.read([self._follow(key) for key in dict.fromkeys(keys)])
 
     # Reads
 
-    async def look(self, followed: Followed) -> None:
+    async def read_now(self, followed: FollowedSource) -> None:
         """Return once a read of the source that began after this call has ended, or hangs."""
         ended: asyncio.Future[None] = self.loop.create_future()
-        followed.waiters.append((self.workers.submit(followed.job, wanted=True), ended))
+        followed.waiters.append((self.workers.submit(followed.job, awaited=True), ended))
         self.watchdog.arm()
         await ended
 
-    def _submit(self, followed: Collection[Followed]) -> None:
+    def _submit(self, followed: Collection[FollowedSource]) -> None:
         self.workers.submit_all([each.job for each in followed])
         self.watchdog.arm()
 
-    def _read_on_thread(self, job: ReadJob, reading: Reading, begun: int, wanted: bool) -> None:
+    def _read_on_thread(self, job: ReadJob, reading: Reading, begun: int, awaited: bool) -> None:
         """Handle a read on the worker's thread.
 
-        Reads that found nothing new don't reach the loop, or it would wake for each source.
+        Reads that found nothing new are not passed to the loop, or it would wake up for every source.
         """
         now_us = self._now_us()
         self.scan.source_read(job, reading, now_us)
-        self.first.note(job, reading, begun)
+        self.first_reads.note(job, reading, begun)
         followed = self.sources.by_key.get(job.source.key)
         if followed is None:
             return
         followed.may_change = reading.may_change
-        if wanted or not _nothing_new(followed, reading):
+        if awaited or not _nothing_new(followed, reading):
             self.readings.append((followed, reading, begun))
-            self._on_loop(self._take_readings)
+            self._call_on_loop(self._apply_readings)
         else:
             followed.version.read_us = now_us
 
-    def _take_readings(self) -> None:
-        """Take over some readings: those of 200 files that change at one moment take several turns."""
-        if self.next_readings is None:
+    def _apply_readings(self) -> None:
+        """Apply a limited number of readings, so that 200 files that change at once take several turns."""
+        if self.next_turn is None:
             for _ in range(min(MAX_READINGS_A_TURN, len(self.readings))):
-                self._take_reading(*self.readings.popleft())
+                self._apply_reading(*self.readings.popleft())
             if self.readings and not self.closed:
-                self.next_readings = self.loop.call_soon(self._take_next_readings)
+                self.next_turn = self.loop.call_soon(self._apply_next_readings)
 
-    def _take_next_readings(self) -> None:
-        self.next_readings = None
-        self._take_readings()
+    def _apply_next_readings(self) -> None:
+        self.next_turn = None
+        self._apply_readings()
 
-    def _take_reading(self, followed: Followed, reading: Reading, begun: int) -> None:
-        """Take over what a read found."""
+    def _apply_reading(self, followed: FollowedSource, reading: Reading, begun: int) -> None:
+        """Update a source with a reading, and queue deliveries if its content has changed."""
         version = followed.version
         if self.sources.by_key.get(version.key) is not followed:
             return
@@ -182,8 +182,8 @@
             self._queue_deliveries(followed)
         _wake_waiters(followed, begun)
 
-    def _update_version(self, followed: Followed, reading: Reading) -> bool:
-        """Update a source's version; returns whether its subscribers have to be told."""
+    def _update_version(self, followed: FollowedSource, reading: Reading) -> bool:
+        """Update a source's version; returns whether there is something to deliver."""
         version = followed.version
         now_us = self._now_us()
         if reading.listed is not None:
@@ -211,9 +211,9 @@
             self._queue_deliveries(followed)
         followed.settled = True
         self.scan.pending.discard(job)
-        _wake_waiters(followed, job.asked)
+        _wake_waiters(followed, job.requested)
 
-    def _queue_deliveries(self, followed: Followed) -> None:
+    def _queue_deliveries(self, followed: FollowedSource) -> None:
         for subscription in followed.subscriptions:
             self.queue_delivery(subscription)
 
@@ -235,10 +235,10 @@
             self.notifications.follow(self.sources.folders_to_watch())
 
     def _notified_on_thread(self, paths: frozenset[str]) -> None:
-        self._on_loop(self._notified, paths)
+        self._call_on_loop(self._notified, paths)
 
     def _notified(self, paths: frozenset[str]) -> None:
-        """Read what may have changed; no path: anything may have."""
+        """Read the sources that may have changed: all of them if there are no paths."""
         concerned = self.sources.concerned_by(paths) if paths else self.sources.all()
         if concerned or not paths:
             self._submit(concerned)
@@ -246,7 +246,7 @@
     # Status and end
 
     def status(self) -> dict[str, Any]:
-        """Report all sources for operators, and what is in force of them."""
+        """Report all sources for operators, and which content is in force."""
         now_us = self._now_us()
         problems = [self.scan.problem()] if self.scan.schedule.too_slow else []
         if len(self.workers.stuck) >= MAX_STUCK_THREADS:
@@ -264,7 +264,7 @@
         }
 
     def stop(self) -> None:
-        """Read nothing more; reads that hang are abandoned."""
+        """Stop all reads; those that hang are abandoned."""
         self.closed = True
         if self.watch_update is not None:
             self.watch_update.cancel()
@@ -281,8 +281,8 @@
     def _now_us(self) -> int:
         return int(self.loop.time() * 1e6)
 
-    def _on_loop(self, call: Callable[..., None], *arguments: object) -> None:
-        """Call something on the loop from a thread; nothing happens if the loop has ended."""
+    def _call_on_loop(self, call: Callable[..., None], *arguments: object) -> None:
+        """Schedule a call on the loop from another thread; does nothing if the loop is closed."""
         try:
             self.loop.call_soon_threadsafe(call, *arguments)
         except RuntimeError:
@@ -296,8 +296,8 @@
     return notifications.problem or "on"
 
 
-def _nothing_new(followed: Followed, reading: Reading) -> bool:
-    """Whether a read found what the one before it had found."""
+def _nothing_new(followed: FollowedSource, reading: Reading) -> bool:
+    """Whether a read found the same as the one before it."""
     state = followed.version.state
     if reading.may_change and not followed.read_again_soon:
         return False
@@ -308,18 +308,18 @@
     return not followed.settled and state is not ReadState.UNREAD
 
 
-def _wake_waiters(followed: Followed, begun: int) -> None:
-    """Wake those who wait for a read that began no later than this one."""
+def _wake_waiters(followed: FollowedSource, begun: int) -> None:
+    """Wake the callers whose requests for a read came before this read began."""
     waiters = followed.waiters
     followed.waiters = []
-    for asked, ended in waiters:
-        if asked > begun:
-            followed.waiters.append((asked, ended))
+    for requested, ended in waiters:
+        if requested > begun:
+            followed.waiters.append((requested, ended))
         elif not ended.done():
             ended.set_result(None)
 
 
-def _source_status(followed: Followed, now_us: int) -> dict[str, Any]:
+def _source_status(followed: FollowedSource, now_us: int) -> dict[str, Any]:
     """Report one source for operators."""
     key = followed.version.key
     subscribers = sorted(each.subscriber for each in followed.subscriptions)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -854,7 +854,7 @@
         first.line(listing(entry("x", 1)))
         await until(lambda: [event.kind for event in told] == [ListKind.FULL])
         source.subscribe(True)
-        source.move(("127.0.0.1", second.port))
+        source.change_address(("127.0.0.1", second.port))
         await second.watched()
         second.line(listing(entry("y", 1), rev=1))
         await until(lambda: len(told) == 2)
@@ -909,7 +909,7 @@
             ("127.0.0.1", server.port), directory, lambda event, addresses: told.append(event)
         )
         for falls_silent in (True, False):
-            monkeypatch.setattr(discovery_module, "SILENCE_S", 0.05 if falls_silent else 600.0)
+            monkeypatch.setattr(discovery_module, "IDLE_TIMEOUT_S", 0.05 if falls_silent else 600.0)
             watch.subscribe(True)
             await server.watched()
             server.line(listing(entry("x", 1)))
@@ -1186,7 +1186,7 @@
         return read_line(self, line, known)
 
     monkeypatch.setattr(discovery_module.Directory, "read_line", held)
-    monkeypatch.setattr(discovery_module, "SHORT_LINE", 1)  # each line is read on a thread
+    monkeypatch.setattr(discovery_module, "MAX_INLINE_LINE_BYTES", 1)  # each line is read on a thread
 
     async def test() -> None:
         go_on = asyncio.Event()
