--- a/plovertrail/daemon/pool_manager.py
+++ b/plovertrail/daemon/pool_manager.py
@@ -61,8 +61,10 @@
     new_seed: Callable[[], int]
     connect: ConnectionFactory
     fleet_tracker: FleetTracker = field(init=False)
-    with_subset: list[RunningPool] = field(init=False, default_factory=list)
-    with_problems: set[str] = field(init=False, default_factory=set)  # names; their problems are repeated
+    subset_pools: list[RunningPool] = field(init=False, default_factory=list)
+    pools_with_problems: set[str] = field(
+        init=False, default_factory=set
+    )  # names; their problems are repeated
 
     def __post_init__(self) -> None:
         self.fleet_tracker = FleetTracker(self.update_all_limits, self.lists)
@@ -123,18 +125,18 @@
     def schedule(self, background: BackgroundRunner) -> None:
         """Begin the background work on the pools in force."""
         pools = self.running
-        self.with_subset = [pool for pool in pools.values() if pool.pool.subset is not None]
-        self.with_problems &= pools.keys()
+        self.subset_pools = [pool for pool in pools.values() if pool.pool.subset is not None]
+        self.pools_with_problems &= pools.keys()
         background.add(SHRINK_SUBSETS, self._shrink_subsets, SHRINK_SUBSETS.interval_us)
         background.add(REPORT_PROBLEMS, self._report_problems, REPORT_PROBLEMS.interval_us)
 
     def _shrink_subsets(self) -> Iterator[None]:
-        for pool in self.with_subset:
+        for pool in self.subset_pools:
             self.dispatcher.shrink_subset(pool.pool)
             yield
 
     def _report_problems(self) -> Iterator[None]:
-        for name in list(self.with_problems):
+        for name in list(self.pools_with_problems):
             if name in self.running:
                 self.running[name].registry.log_problems()
             yield
@@ -159,9 +161,9 @@
     def problems_persist(self, name: str, persist: bool) -> None:
         """A pool's lists have a problem that is to be logged again and again, or have it no more."""
         if persist:
-            self.with_problems.add(name)
+            self.pools_with_problems.add(name)
         else:
-            self.with_problems.discard(name)
+            self.pools_with_problems.discard(name)
 
     # Operators and pauses
 
--- a/tests/daemon/test_many_lists.py
+++ b/tests/daemon/test_many_lists.py
@@ -237,10 +237,14 @@
             site.path.write_text(text.replace(f"{tmp_path}/b.list", f"{tmp_path}/a.list"))
             assert await daemon.reload()
             assert ports(daemon) == {"a": [1], "b": [1]}
-            await until(lambda: daemon.services.pools.with_problems == {"a", "b"})  # both say that it hangs
+            await until(
+                lambda: daemon.services.pools.pools_with_problems == {"a", "b"}
+            )  # both say that it hangs
             files.let_go(site.list_of("a"))
             await until(
-                lambda: ports(daemon) == {"a": [2], "b": [2]} and not daemon.services.pools.with_problems
+                lambda: (
+                    ports(daemon) == {"a": [2], "b": [2]} and not daemon.services.pools.pools_with_problems
+                )
             )
 
     run(test)
@@ -317,16 +321,16 @@
             scan(daemon)
             await until(lambda: ports(daemon)["p3"] == [2])
             assert touched == ["p3"]
-            assert not daemon.services.pools.with_subset
-            assert not daemon.services.pools.with_problems
+            assert not daemon.services.pools.subset_pools
+            assert not daemon.services.pools.pools_with_problems
             site.list_of("p4").unlink()
             scan(daemon)
             await until(
-                lambda: daemon.services.pools.with_problems == {"p4"}
+                lambda: daemon.services.pools.pools_with_problems == {"p4"}
             )  # it alone is said again and again
             put(site.list_of("p4"), 2)
             scan(daemon)
-            await until(lambda: not daemon.services.pools.with_problems)
+            await until(lambda: not daemon.services.pools.pools_with_problems)
 
     run(test)
 
@@ -486,7 +490,8 @@
             scan(daemon)
             await until(
                 lambda: (
-                    bool(daemon.status()["lists"]["hung"]) and len(daemon.services.pools.with_problems) == 2
+                    bool(daemon.status()["lists"]["hung"])
+                    and len(daemon.services.pools.pools_with_problems) == 2
                 )
             )
             code, text = await call("explain", "list", str(site.list_of("a")))
