--- a/plovertrail/daemon/control_socket.py
+++ b/plovertrail/daemon/control_socket.py
@@ -15,12 +15,12 @@
 
 MAX_COMMAND_BYTES = 4096
 CALL_TIMEOUT_S = 5.0
-MAX_CALLERS = 8
+MAX_CONNECTIONS = 8
 PROBE_TIMEOUT_S = 1.0  # for another daemon that listens on the same path
 OWNER_ONLY_UMASK = 0o177
 
 
-class Controlled(Protocol):
+class ControlHandler(Protocol):
     """What operators may ask of a daemon."""
 
     def status(self) -> dict[str, Any]:
@@ -33,14 +33,14 @@
 class ControlSocket:
     """Answers one JSON object a line with another, and closes the connection.
 
-    At most MAX_CALLERS connections are served at once, each for CALL_TIMEOUT_S and MAX_COMMAND_BYTES.
+    At most MAX_CONNECTIONS connections are served at once, each for CALL_TIMEOUT_S and MAX_COMMAND_BYTES.
     """
 
-    def __init__(self, daemon: Controlled, path: str) -> None:
+    def __init__(self, daemon: ControlHandler, path: str) -> None:
         self.daemon = daemon
         self.path = path
         self.server: asyncio.Server | None = None
-        self.callers = 0
+        self.connections = 0
 
     async def start(self) -> None:
         """Listen, if a path is configured, and replace a stale socket file; raises OSError."""
@@ -75,30 +75,30 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve one connection; a caller that is too slow, sends too much or is gone gets no answer."""
-        self.callers += 1
+        self.connections += 1
         try:
-            if self.callers <= MAX_CALLERS:
+            if self.connections <= MAX_CONNECTIONS:
                 async with asyncio.timeout(CALL_TIMEOUT_S):
-                    answer = self._answer(await reader.readline())
+                    response = self._run_command(await reader.readline())
                     # Encoding the status of 10,000 endpoints on the event loop would delay requests.
-                    text = await asyncio.to_thread(json.dumps, answer)
+                    text = await asyncio.to_thread(json.dumps, response)
                     writer.write(text.encode() + b"\n")
                     await writer.drain()
         except (TimeoutError, ValueError, ConnectionError):
             pass
         finally:
-            self.callers -= 1
+            self.connections -= 1
             writer.close()
 
-    def _answer(self, line: bytes) -> dict[str, Any]:
+    def _run_command(self, line: bytes) -> dict[str, Any]:
         try:
             command = json.loads(line)
             name = command["do"]
             if name == "status":
                 return {"ok": True, "status": self.daemon.status()}
             if name in ("drain", "undrain"):
-                wrong = self.daemon.drain(str(command["pool"]), str(command["server"]), name == "drain")
-                return {"ok": not wrong, "error": wrong}
+                problem = self.daemon.drain(str(command["pool"]), str(command["server"]), name == "drain")
+                return {"ok": not problem, "error": problem}
         except (ValueError, KeyError, TypeError, RecursionError) as error:
             return {"ok": False, "error": f"not understood: {error!r}"}
         except Exception:
