--- a/plovertrail/daemon/pool_manager.py
+++ b/plovertrail/daemon/pool_manager.py
@@ -84,7 +84,7 @@
         for name, config in setup.pools.items():
             previous = remaining.pop(name, None)
             spec = _pool_spec(setup, config)
-            if previous is not None and previous.spec.can_become(spec):
+            if previous is not None and previous.spec.can_reconfigure_to(spec):
                 previous.reconfigure(spec)
                 previous.use_fair_queue(self.dispatcher, self.new_seed())
                 _configure_registry(previous.registry, config, first_lists)
--- a/plovertrail/daemon/running_pool.py
+++ b/plovertrail/daemon/running_pool.py
@@ -45,7 +45,7 @@
     instance: int  # this instance's number, by which its subset is drawn
     dedup_scope: str  # endpoints that a subset takes together; empty: each for itself
 
-    def can_become(self, new: PoolSpec) -> bool:
+    def can_reconfigure_to(self, new: PoolSpec) -> bool:
         """Whether a pool can continue under a new specification, which differs in its endpoints at most.
 
         Open requests know their class by its index, so with other settings they would be taken for requests
