--- a/plovertrail/daemon/fleet_tracker.py
+++ b/plovertrail/daemon/fleet_tracker.py
@@ -28,7 +28,7 @@
         self.fleet = Fleet()
         self.rank = InstanceRank()  # among the instances that the list names
         self.instance_name = ""
-        self.instance_list = InstanceList("instances", self._listed, lists)
+        self.instance_list = InstanceList("instances", self._update_instances, lists)
 
     def apply(self, setup: FleetSetup, first_lists: Mapping[SourceKey, FirstRead]) -> None:
         """Follow a configuration; its number of instances holds until a list of them was read.
@@ -45,16 +45,16 @@
         self.rank = InstanceRank()
         first = first_lists.get(SourceKey(setup.list_path, False))
         if isinstance(first, EndpointList) and first.endpoints:
-            self._count(first.endpoints)
+            self._set_instances(first.endpoints)
 
-    def _listed(self, instances: tuple[ListedEndpoint, ...]) -> None:
+    def _update_instances(self, instances: tuple[ListedEndpoint, ...]) -> None:
         previous = self.fleet
-        self._count(instances)
+        self._set_instances(instances)
         if self.fleet != previous:
             log.info("fleet size changed instances=%d", self.fleet.size)
             self.on_change()
 
-    def _count(self, instances: tuple[ListedEndpoint, ...]) -> None:
+    def _set_instances(self, instances: tuple[ListedEndpoint, ...]) -> None:
         self.rank = rank_of(self.instance_name, [instance.id for instance in instances])
         self.fleet = replace(self.fleet, size=self.rank.size)
 
