--- a/plovertrail/daemon/wiring.py
+++ b/plovertrail/daemon/wiring.py
@@ -58,7 +58,7 @@
     async def reload_changed(self, digest: str) -> None:
         """The operator's file has changed to the content with this digest."""
 
-    def resume_after_pause(self, gap_us: int) -> None:
+    def resume_after_pause(self, paused_us: int) -> None:
         """Handle a pause of the process of this length, before any other event."""
 
 
