--- a/plovertrail/generation.py
+++ b/plovertrail/generation.py
@@ -123,7 +123,7 @@
 def _with_hooks(plan: RoutePlan, setup: Setup, hooks: Mapping[str, Hook]) -> RoutePlan:
     """Add a route's hooks to its plan, and a plan for each class that they may choose."""
     hooked = setup.hooked[plan.route.name]
-    by_class = {name: _for_class(plan, setup, name) for name in hooked.classes}
+    by_class = {name: _plan_for_class(plan, setup, name) for name in hooked.classes}
     classes = {plan.request_class.name: plan.request_class}
     classes |= {name: chosen.request_class for name, chosen in by_class.items()}
     chain = make_chain(
@@ -137,7 +137,7 @@
     return replace(plan, hook_chain=chain, by_class=by_class)
 
 
-def _for_class(plan: RoutePlan, setup: Setup, class_name: str) -> RoutePlan:
+def _plan_for_class(plan: RoutePlan, setup: Setup, class_name: str) -> RoutePlan:
     """The plan with another class, whose deadline may be shorter than the route's but not longer."""
     class_index = setup.class_index(class_name)
     request_class = setup.classes[class_index]
