--- a/plovertrail/__main__.py
+++ b/plovertrail/__main__.py
@@ -63,11 +63,11 @@
         discovery.hold_open()
     # the other descriptors are for discovery, the listener, the log and connections that are being closed
     listener = PlatformListener(dispatcher, pool, settings.settings, max_clients=settings.sockets // 2)
-    following = loop.create_task(follow_configuration(settings.path, reload, discovery))
+    reload_task = loop.create_task(follow_configuration(settings.path, reload, discovery))
     listener.listen(settings.listen)
     await stop.wait()
-    following.cancel()
-    longest_deadline_s = max(kind.deadline_us for kind in settings.settings.classes) / 1e6
+    reload_task.cancel()
+    longest_deadline_s = max(request_class.deadline_us for request_class in settings.settings.classes) / 1e6
     await drain(listener, longest_deadline_s)
 
 
@@ -77,9 +77,9 @@
     Deadlines may be longer than SIGKILL waits: requests that are open then are answered before it.
     """
     loop = asyncio.get_running_loop()
-    left_s = NEW_CONNECTIONS_S + min(longest_deadline_s, MAX_DEADLINE_S)
-    ends_at = loop.time() + left_s + LAST_RESPONSES_S
-    listener.finish_by(clock_us() + int(left_s * 1e6))
+    remaining_s = NEW_CONNECTIONS_S + min(longest_deadline_s, MAX_DEADLINE_S)
+    ends_at = loop.time() + remaining_s + LAST_RESPONSES_S
+    listener.finish_by(clock_us() + int(remaining_s * 1e6))
     listener.stop_idle()
     await asyncio.sleep(ACCEPT_AFTER_STOP_S)
     listener.drain_backlog()
