--- a/plovertrail/daemon/reload.py
+++ b/plovertrail/daemon/reload.py
@@ -90,10 +90,10 @@
 async def _load_approved(path: str, approve: Approve) -> Setup:
     """Load a file that `approve` accepts; raises ConfigError."""
     digest_before = await asyncio.to_thread(file_digest, path)
-    wrong = await approve(path)
+    refusal = await approve(path)
     setup = await asyncio.to_thread(operator.load, path)
-    if not wrong and await asyncio.to_thread(file_digest, path) != digest_before:
-        wrong = "it changed while it was read"  # so another content may have been approved
-    if wrong:
-        raise ConfigError(path, [Problem("", wrong)])
+    if not refusal and await asyncio.to_thread(file_digest, path) != digest_before:
+        refusal = "it changed while it was read"  # so another content may have been approved
+    if refusal:
+        raise ConfigError(path, [Problem("", refusal)])
     return setup
--- a/plovertrail/recovery_manager.py
+++ b/plovertrail/recovery_manager.py
@@ -120,7 +120,7 @@
         """Read what lies on sockets, then all sources, and wait for a reload that was asked for."""
         for _ in range(CATCH_UP_TURNS):
             await asyncio.sleep(0)
-        await asyncio.gather(*(self._read(name, watch) for name, watch in self.subscriptions().items()))
+        await asyncio.gather(*(self._read(name, source) for name, source in self.subscriptions().items()))
         await self.reload_done()
 
     async def _read(self, name: str, subscription: Subscription) -> None:
