--- a/plovertrail/daemon/__init__.py
+++ b/plovertrail/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: one process that serves under an operator's file and follows its changes."""
+"""The daemon: one process that serves an operator's configuration file and follows its changes."""
