--- a/plovertrail/daemon/configuration_apply.py
+++ b/plovertrail/daemon/configuration_apply.py
@@ -1,7 +1,7 @@
-"""Puts a configuration into force, in full or not at all.
+"""Applies a configuration atomically: in full or not at all.
 
-What can fail comes first: `prepare` returns a PreparedConfiguration, or raises ConfigError with nothing
-changed. `put_into_force` takes nothing else, and none of its steps can fail.
+Every step that can fail comes first: `prepare` returns a PreparedConfiguration, or raises ConfigError and
+changes nothing. `put_into_force` accepts only a PreparedConfiguration, and none of its steps can fail.
 """
 
 from __future__ import annotations
@@ -29,17 +29,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PreparedConfiguration:
-    """A configuration with all that can fail done: its lists read, its hooks compiled, its sockets bound."""
+    """A configuration whose lists are read, hooks compiled and sockets bound: nothing left can fail."""
 
     setup: Setup
-    first_lists: FirstLists  # the lists that are not watched yet
+    first_lists: FirstLists  # the lists that aren't watched yet
     hook_modules: Mapping[str, Compiled]
-    peer_socket: socket.socket | None  # None: the address is not new, or there is none
-    listener_sockets: Mapping[str, socket.socket]  # of the listeners that are new or have moved
+    peer_socket: socket.socket | None  # None if the address is unchanged or not configured
+    listener_sockets: Mapping[str, socket.socket]  # of listeners that are new or whose address changed
 
 
 def watched_lists(setup: Setup) -> list[SourceKey]:
-    """The lists that have to be read before a configuration comes into force."""
+    """The lists that have to be read before a configuration is applied."""
     keys = [SourceKey(*key) for pool in setup.pools.values() for key in pool.lists]
     if setup.fleet.list_path:
         keys.append(SourceKey(setup.fleet.list_path, False))
@@ -47,7 +47,7 @@
 
 
 class ConfigurationApplier:
-    """Prepares configurations, and puts prepared ones into force step by step."""
+    """Prepares configurations, and applies the prepared ones."""
 
     def __init__(self, services: Services) -> None:
         self.services = services
@@ -55,7 +55,7 @@
     def prepare(
         self, setup: Setup, first_lists: FirstLists, hook_modules: Mapping[str, Compiled]
     ) -> PreparedConfiguration:
-        """Do all that can fail; raises ConfigError, with no socket left bound."""
+        """Run every step that can fail; on ConfigError no socket stays bound."""
         raise_descriptor_limit(setup)
         with ExitStack() as on_failure:
             peer_socket = self.services.peers.bind(setup)
@@ -66,7 +66,7 @@
         return PreparedConfiguration(setup, first_lists, hook_modules, peer_socket, listener_sockets)
 
     def put_into_force(self, prepared: PreparedConfiguration) -> None:
-        """Replace the configuration in force; requests in flight keep the generation they began with."""
+        """Replace the configuration in force; requests in flight keep the generation they started with."""
         services, setup = self.services, prepared.setup
         superseded = services.pools.apply(setup, prepared.first_lists)
         counts = self._apply_peers(prepared)
@@ -82,7 +82,7 @@
         self._schedule_background_work()
 
     def _apply_peers(self, prepared: PreparedConfiguration) -> SharedCounters | None:
-        """Exchange counts with other instances as configured; returns the counts of all instances."""
+        """Exchange counters with other instances if configured; returns the fleet's counters, or None."""
         services, setup = self.services, prepared.setup
         counts = services.peers.apply_setup(setup.peers, prepared.peer_socket, setup.membership)
         if counts is not None:
@@ -96,7 +96,7 @@
         return counts
 
     def _replace_generation(self, prepared: PreparedConfiguration) -> None:
-        """From here on new requests are routed by the new configuration."""
+        """Make the new generation current: requests that arrive from now on are routed by it."""
         services, setup = self.services, prepared.setup
         pools: dict[str, ServerPool] = {name: pool.pool for name, pool in services.pools.running.items()}
         hooks = services.hooks.follow(setup, prepared.hook_modules)
