--- a/plovertrail/daemon/control_socket.py
+++ b/plovertrail/daemon/control_socket.py
@@ -1,4 +1,4 @@
-"""The control socket: status and drains by hand, over a Unix socket that only its owner may open."""
+"""The control socket: status and manual drains, over a Unix socket that only its owner may open."""
 
 from __future__ import annotations
 
@@ -16,24 +16,25 @@
 MAX_COMMAND_BYTES = 4096
 CALL_TIMEOUT_S = 5.0
 MAX_CONNECTIONS = 8
-PROBE_TIMEOUT_S = 1.0  # for another daemon that listens on the same path
+PROBE_TIMEOUT_S = 1.0  # for connecting to another daemon that may listen on the same path
 OWNER_ONLY_UMASK = 0o177
 
 
 class ControlHandler(Protocol):
-    """What operators may ask of a daemon."""
+    """The commands that operators may give to a daemon."""
 
     def status(self) -> dict[str, Any]:
         """The daemon's status; values that JSON can hold."""
 
     def drain(self, pool: str, server: str, drain: bool) -> str:
-        """Drain an endpoint by hand, or end that; returns an error text, empty on success."""
+        """Start or end a manual drain of an endpoint; returns an error text, empty on success."""
 
 
 class ControlSocket:
-    """Answers one JSON object a line with another, and closes the connection.
+    """Reads one JSON command from each connection, answers it with one JSON object, and closes.
 
-    At most MAX_CONNECTIONS connections are served at once, each for CALL_TIMEOUT_S and MAX_COMMAND_BYTES.
+    At most MAX_CONNECTIONS connections are served at once. Each has CALL_TIMEOUT_S, and a command has at most
+    MAX_COMMAND_BYTES.
     """
 
     def __init__(self, daemon: ControlHandler, path: str) -> None:
@@ -43,13 +44,13 @@
         self.connections = 0
 
     async def start(self) -> None:
-        """Listen, if a path is configured, and replace a stale socket file; raises OSError."""
+        """Listen if a path is configured, and replace a stale socket file; raises OSError."""
         if not self.path:
             return
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             self._remove_stale_file()
-            # With a later chmod anyone might connect before it.
+            # The umask instead of a later chmod: until the chmod any user could connect.
             previous_umask = os.umask(OWNER_ONLY_UMASK)
             try:
                 sock.bind(self.path)
@@ -63,7 +64,7 @@
     def _remove_stale_file(self) -> None:
         with suppress(FileNotFoundError):
             if not stat.S_ISSOCK(os.stat(self.path).st_mode):
-                raise OSError(f"{self.path} is there, and is no socket")
+                raise OSError(f"{self.path} exists, but is no socket")
             with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
                 probe.settimeout(PROBE_TIMEOUT_S)
                 try:
@@ -74,7 +75,7 @@
                     raise OSError(f"another daemon listens on {self.path}")
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection; a caller that is too slow, sends too much or is gone gets no answer."""
+        """Serve one connection; a client that is too slow, sends too much or disconnects gets no response."""
         self.connections += 1
         try:
             if self.connections <= MAX_CONNECTIONS:
@@ -100,15 +101,15 @@
                 problem = self.daemon.drain(str(command["pool"]), str(command["server"]), name == "drain")
                 return {"ok": not problem, "error": problem}
         except (ValueError, KeyError, TypeError, RecursionError) as error:
-            return {"ok": False, "error": f"not understood: {error!r}"}
+            return {"ok": False, "error": f"invalid command: {error!r}"}
         except Exception:
-            # A defect in the status must not end the daemon; the log has the traceback.
+            # A bug in the status must not stop the daemon; the log has the traceback.
             log.exception("control command failed")
-            return {"ok": False, "error": "it failed; the daemon's log tells why"}
-        return {"ok": False, "error": f"unknown: {name!r}"}
+            return {"ok": False, "error": "command failed: see the daemon's log"}
+        return {"ok": False, "error": f"unknown command: {name!r}"}
 
     def stop(self) -> None:
-        """Stop listening and remove the socket's file; calls in progress end by themselves."""
+        """Stop listening and remove the socket file; open connections finish by themselves."""
         if self.server is not None:
             self.server.close()
             self.server = None
