--- a/plovertrail/daemon/fleet_tracker.py
+++ b/plovertrail/daemon/fleet_tracker.py
@@ -1,4 +1,4 @@
-"""Tracks how many instances share the endpoints, and the rank of this instance among them."""
+"""Tracks how many instances share the endpoints, and this instance's rank among them."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 
 
 class FleetTracker:
-    """The instances that share the endpoints, by configuration or by a watched list of them."""
+    """The instances that share the endpoints: a configured number, or a watched list of instances."""
 
     def __init__(self, on_change: Callable[[], None], lists: ListReader) -> None:
-        """`on_change` is called when a list that was read changes the number of instances."""
+        """`on_change` is called when the watched list changes the number of instances."""
         self.on_change = on_change
         self.fleet = Fleet()
-        self.rank = InstanceRank()  # among the instances that the list names
+        self.rank = InstanceRank()  # among the instances in the list
         self.instance_name = ""
         self.instance_list = InstanceList("instances", self._update_instances, lists)
 
     def apply(self, setup: FleetSetup, first_lists: Mapping[SourceKey, FirstRead]) -> None:
-        """Follow a configuration; its number of instances holds until a list of them was read.
+        """Apply a configuration; its number of instances is used until the list of instances is read.
 
-        `first_lists` has the content of a list that is new: limits and pacing depend on it before anything is
-        sent.
+        `first_lists` has the content of a new list: limits and pacing depend on it before the first request
+        is sent.
         """
         self.instance_name = setup.name
         list_changed = self.instance_list.follow(setup.list_path)
@@ -59,9 +59,9 @@
         self.fleet = replace(self.fleet, size=self.rank.size)
 
     def status(self) -> dict[str, Any]:
-        """Return the number of instances that limits are set for, and the problem of their list."""
+        """Return the number of instances that limits are based on, and the problem with their list."""
         return {"instances": self.fleet.size, "problem": self.instance_list.problem}
 
     def stop(self) -> None:
-        """Stop watching the list of instances; the last count stays."""
+        """Stop watching the list of instances; the last number stays in force."""
         self.instance_list.stop()
--- a/plovertrail/daemon/limiters.py
+++ b/plovertrail/daemon/limiters.py
@@ -1,4 +1,4 @@
-"""The rate limiters in force, which keep their counts when a configuration changes."""
+"""The rate limiters in force, which keep their counts across reloads."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
         return self.active
 
     def apply(self, setup: Setup, counts: SharedCounters | None, warm_state: WarmStateManager) -> None:
-        """Follow a configuration; `counts` are those of all instances, for limiters that are fleet-wide.
+        """Apply a configuration; `counts` are the fleet's counters, for limiters that are fleet-wide.
 
-        A limiter of the same name keeps its counts: started anew, each reload would grant every key its burst
-        again.
+        A limiter keeps its counts under the same name: with a new one, each reload would grant every key its
+        burst again.
         """
         previous = self.active
         self.active = {}
