--- a/plovertrail/daemon/listeners.py
+++ b/plovertrail/daemon/listeners.py
@@ -1,4 +1,4 @@
-"""The listeners of a daemon: bound before a configuration comes into force, and drained at the stop."""
+"""The listeners of a daemon: bound before a configuration is applied, and drained on shutdown."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from plovertrail.listeners.http_listener import HttpListener
 from plovertrail.listeners.websocket_service import WebSocketService
 
-BACKLOG = 1024  # connections that the kernel completes before they are accepted
+BACKLOG = 1024  # connections that the kernel queues until they are accepted
 
 
 class ListenerSockets(Protocol):
-    """Where listeners get their sockets from; scenario tests have none."""
+    """Provides the sockets of listeners; scenario tests replace it, as they open no sockets."""
 
     def bind(self, address: tuple[str, int]) -> socket.socket:
         """A listening socket; raises OSError."""
@@ -27,7 +27,7 @@
 
 
 class SystemListenerSockets:
-    """Sockets of the operating system."""
+    """Provides sockets of the operating system."""
 
     def bind(self, address: tuple[str, int]) -> socket.socket:
         """A listening socket; raises OSError."""
@@ -39,7 +39,7 @@
 
 
 class ListenerSet:
-    """The listeners in force by name, and those that still have connections after their removal."""
+    """The listeners in force by name, and the removed ones that still have connections."""
 
     def __init__(
         self,
@@ -65,11 +65,11 @@
         return {name: listener.setup.address for name, listener in self.active.items()}
 
     def connection_count(self) -> int:
-        """How many connections of clients are open."""
+        """How many client connections are open."""
         return sum(listener.count() for listener in self.all)
 
     def bind(self, setup: Setup) -> dict[str, socket.socket]:
-        """Bind the listeners that are new or have another address; raises ConfigError with all that fail."""
+        """Bind listeners that are new or whose address changed; raises ConfigError with every failed bind."""
         bound: dict[str, socket.socket] = {}
         problems = []
         for listener in setup.listeners:
@@ -86,7 +86,7 @@
         return bound
 
     def apply(self, setup: Setup, bound: Mapping[str, socket.socket]) -> None:
-        """Follow a configuration; `bound` has the socket of each listener that is new or has moved."""
+        """Apply a configuration; `bound` has the sockets of listeners that are new or have a new address."""
         self.closing = [listener for listener in self.closing if listener.count()]
         previous = self.active
         self.active = {}
@@ -105,7 +105,7 @@
             self.closing.append(listener)
 
     def stop_accepting(self) -> None:
-        """Accept what the kernel has completed, and nothing after it."""
+        """Accept the connections that are in the backlog, and none after them."""
         for listener in self.all:
             listener.drain_backlog()
 
@@ -115,7 +115,7 @@
             listener.stop_idle()
 
     def has_open_requests(self) -> bool:
-        """Whether a connection may still bring a request or has part of a response to come."""
+        """Whether a connection may still send a request, or has a response that isn't sent in full."""
         return any(listener.owes_responses() for listener in self.all)
 
 
@@ -124,11 +124,11 @@
     return Problem(
         f"listeners.{listener.name}.address",
         f"can't listen on {host}:{port}: {error.strerror}",
-        "write an address that is free here",
+        "write an address that is free on this machine",
     )
 
 
 def close_sockets(sockets: Iterable[socket.socket]) -> None:
-    """Close the sockets of a configuration that does not come into force."""
+    """Close the sockets of a configuration that is not applied."""
     for sock in sockets:
         sock.close()
