--- a/plovertrail/daemon/pool_manager.py
+++ b/plovertrail/daemon/pool_manager.py
@@ -1,4 +1,4 @@
-"""Builds, keeps, replaces and removes pools as configurations say, and sets each one's limits."""
+"""Builds, keeps, replaces and removes pools when a configuration is applied, and sets their limits."""
 
 from __future__ import annotations
 
@@ -34,15 +34,15 @@
 
 
 class SourceObserver(Protocol):
-    """Follows the reads of all sources of endpoints."""
+    """Is told of each read of an endpoint source."""
 
     def source_read(self, pool: str, source: str, problem: str) -> None:
-        """Note that a source of a pool was read; `problem` is empty if it gave a list."""
+        """Note that a source of a pool was read; `problem` is empty if it provided a list."""
 
 
 @dataclass(frozen=True, slots=True)
 class SupersededPools:
-    """The pools that a configuration no longer uses; they retire once requests see the new ones."""
+    """The pools that a configuration no longer uses; they are retired once new requests use the new pools."""
 
     removed: list[RunningPool]
     replaced: list[RunningPool]
@@ -50,7 +50,7 @@
 
 @dataclass(eq=False)
 class PoolManager:
-    """Owns the pools in force, their endpoint registries and this instance's part of the fleet."""
+    """Owns the pools in force, their endpoint registries and the fleet tracker."""
 
     table: PoolTable
     dispatcher: Dispatcher
@@ -64,7 +64,7 @@
     subset_pools: list[RunningPool] = field(init=False, default_factory=list)
     pools_with_problems: set[str] = field(
         init=False, default_factory=set
-    )  # names; their problems are repeated
+    )  # names; their problems are logged regularly
 
     def __post_init__(self) -> None:
         self.fleet_tracker = FleetTracker(self.update_all_limits, self.lists)
@@ -74,10 +74,10 @@
         """The pools in force by name."""
         return self.table.running
 
-    # Configurations
+    # Applying a configuration
 
     def apply(self, setup: Setup, first_lists: Mapping[SourceKey, FirstRead]) -> SupersededPools:
-        """Build the pools of a configuration, and keep those that can become its pools."""
+        """Build the pools of a configuration; pools that can be reconfigured are kept."""
         remaining = dict(self.running)
         replaced = []
         running: dict[str, RunningPool] = {}
@@ -96,14 +96,14 @@
             else:
                 registry = self._make_registry(name)
             running[name] = self._build_pool(spec, registry, first_lists)
-        # Until here the table has the previous pools, which know since when an endpoint is listed.
+        # Set last: building a pool looks up in the previous pools since when an endpoint is known.
         self.table.running = running
         return SupersededPools(list(remaining.values()), replaced)
 
     def _build_pool(
         self, spec: PoolSpec, registry: EndpointRegistry, first_lists: Mapping[SourceKey, FirstRead]
     ) -> RunningPool:
-        registry.pool = None  # changes of the list wait for the new pool
+        registry.pool = None  # changes of the endpoint list wait for the new pool
         _configure_registry(registry, spec.config, first_lists)
         pool = RunningPool(self.dispatcher, spec, registry, self.new_seed(), self.connect)
         self.warm_state.restore_pool(spec.config.name, pool.pool, registry.state)
@@ -116,14 +116,14 @@
         return EndpointRegistry(name, self.dispatcher, state, self, self.lists)
 
     def retire(self, superseded: SupersededPools) -> None:
-        """Take pools out of service that no new request uses."""
+        """Take pools out of service; no new request uses them."""
         for pool in (*superseded.removed, *superseded.replaced):
             pool.retire(self.dispatcher)
-        for pool in superseded.removed:  # the registry of a replaced pool goes on under the new one
+        for pool in superseded.removed:  # a replaced pool's registry is used by its successor
             pool.registry.stop()
 
     def schedule(self, background: BackgroundRunner) -> None:
-        """Begin the background work on the pools in force."""
+        """Schedule the background work on the pools in force."""
         pools = self.running
         self.subset_pools = [pool for pool in pools.values() if pool.pool.subset is not None]
         self.pools_with_problems &= pools.keys()
@@ -141,40 +141,40 @@
                 self.running[name].registry.log_problems()
             yield
 
-    # What the registries ask and tell: see endpoint_registry.RegistryOwner
+    # Callbacks of the endpoint registries: see endpoint_registry.RegistryOwner
 
     def endpoints_of_other_pools(self, name: str) -> EndpointsOfOtherPools:
-        """Since when (us) the endpoints of all pools but this are known."""
+        """Since when (us) the endpoints of all other pools are known."""
         return EndpointsOfOtherPools(name, self.table)
 
     def source_read(self, name: str, source: str, problem: str) -> None:
-        """A source of a pool was read; `problem` is empty if it gave a list."""
+        """Note that a source of a pool was read; `problem` is empty if it provided a list."""
         self.source_observer.source_read(name, source, problem)
 
     def endpoints_changed(self, name: str) -> None:
-        """The endpoints of one pool have changed."""
+        """Update the limits of a pool whose endpoints have changed, and store the endpoints."""
         pool = self.running.get(name)
         if pool is not None:
             self._update_limits(pool)
         self._store_endpoints()
 
     def problems_persist(self, name: str, persist: bool) -> None:
-        """A pool's lists have a problem that is to be logged again and again, or have it no more."""
+        """Note whether a pool's lists have problems that are to be logged regularly."""
         if persist:
             self.pools_with_problems.add(name)
         else:
             self.pools_with_problems.discard(name)
 
-    # Operators and pauses
+    # Drains and pauses
 
     def resume_after_pause(self) -> None:
-        """Start all pools slowly, as the process was paused."""
+        """Begin a slow start in all pools after the process was paused."""
         slow_start = self.current.generation.setup.fleet.slow_start
         for pool in self.running.values():
             pool.resume_after_pause(self.fleet_tracker.fleet, self.fleet_tracker.rank, slow_start)
 
     def drain(self, pool_name: str, endpoint: str, drain: bool) -> str:
-        """Drain an endpoint by hand, or end that; returns an error text, empty on success."""
+        """Start or end a manual drain of an endpoint; returns an error text, empty on success."""
         if pool_name not in self.running:
             return f'no pool is called "{pool_name}"'
         registry = self.running[pool_name].registry
@@ -186,7 +186,7 @@
     # Limits
 
     def update_all_limits(self) -> None:
-        """Set the limits of all pools, as the fleet or the configuration has changed."""
+        """Set the limits of all pools after a change of the fleet or the configuration."""
         for pool in self.running.values():
             self._update_limits(pool)
         self._store_endpoints()
@@ -194,7 +194,7 @@
     def _update_limits(self, pool: RunningPool) -> None:
         previous = pool.oversubscribed
         generation = self.current.generation
-        # A reload is no start: the instance has its traffic already, and would reject some of it.
+        # No slow start after a reload: the instance already has its traffic, and would reject some of it.
         slow_start = generation.number == 1 and generation.setup.fleet.slow_start
         pool.update_limits(self.fleet_tracker.fleet, self.fleet_tracker.rank, slow_start)
         if pool.oversubscribed and not previous:
@@ -204,7 +204,7 @@
         self.warm_state.store.store_lists(self.table.endpoint_states)
 
     def stop(self) -> None:
-        """Stop following endpoints and instances; the pools go on serving."""
+        """Stop following endpoints and instances; the pools continue to serve."""
         for pool in self.running.values():
             pool.registry.stop()
         self.fleet_tracker.stop()
--- a/plovertrail/daemon/pool_table.py
+++ b/plovertrail/daemon/pool_table.py
@@ -1,4 +1,4 @@
-"""The pools in force, as other services look them up."""
+"""The pools in force, for lookup by other services."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
         return {name: pool.registry for name, pool in self.running.items()}
 
     def endpoint_states(self) -> dict[str, EndpointListState]:
-        """The endpoints of each pool; immutable values."""
+        """The immutable endpoint list state of each pool."""
         return {name: pool.registry.state for name, pool in self.running.items()}
 
     def pools_with_endpoints(self) -> dict[str, tuple[ServerPool, EndpointListState]]:
-        """Each pool as requests use it, with its endpoints."""
+        """Each server pool with its endpoint list state."""
         return {name: (pool.pool, pool.registry.state) for name, pool in self.running.items()}
 
 
 class EndpointsOfOtherPools(Mapping[tuple[str, Address], int]):
     """Since when (us) the endpoints of all pools but one are known, by id and address.
 
-    They are looked up one by one: a table of them would be built from all pools for each change of one.
+    Each lookup searches the pools: a prebuilt table would be rebuilt from all pools on each change of one.
     """
 
     def __init__(self, pool_name: str, table: PoolTable) -> None:
