--- a/plovertrail/daemon/reload.py
+++ b/plovertrail/daemon/reload.py
@@ -1,4 +1,4 @@
-"""Reads the operator's file again and puts it into force, in full or not at all."""
+"""Reloads the operator's configuration file and applies it, in full or not at all."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 log = logging.getLogger(__name__)
 
-Approve = Callable[[str], Awaitable[str]]  # takes a path; returns why it is refused, empty if it is not
+Approve = Callable[[str], Awaitable[str]]  # takes a path; returns why the file is refused, or an empty text
 
 
 def file_digest(path: str) -> bytes:
-    """The digest of a file's content; empty where it can't be read."""
+    """The digest of a file's content; empty if the file can't be read."""
     try:
         return hashlib.sha256(Path(path).read_bytes()).digest()
     except OSError:
@@ -30,25 +30,25 @@
     """Reloads the operator's file, one reload at a time."""
 
     def __init__(self, applier: ConfigurationApplier, approve: Approve | None = None) -> None:
-        """A file is taken only if `approve` returns an empty text."""
+        """A file is applied only if `approve` returns an empty text for it."""
         self.applier = applier
         self.services = applier.services
         self.approve = approve
-        self.problem = ""  # why the last reload was refused; empty: it was not
+        self.problem = ""  # why the last reload was refused; empty if it succeeded
         self._lock = asyncio.Lock()
 
     async def wait_until_idle(self) -> None:
-        """Return once no reload is under way."""
+        """Return once no reload is in progress."""
         async with self._lock:
             pass
 
     async def reload(self) -> bool:
-        """Read the file again; returns False if it was refused and the configuration in force stays."""
+        """Reload the file; returns False if it was refused and the configuration in force stays."""
         async with self._lock:
             return await self._reload()
 
     async def reload_changed(self, digest: str) -> None:
-        """Reload unless the content with this digest is in force already."""
+        """Reload the file unless the content with this digest is already in force."""
         async with self._lock:
             if self.services.current.generation.setup.digest != digest:
                 await self._reload()
@@ -63,8 +63,10 @@
             self.problem = str(error)
             return False
         except Exception as error:
-            # A defect in a check or a hook's compiler must not end the daemon, which still serves.
-            log.exception("reload refused after a defect, the configuration in force stays file=%s", path)
+            # A bug in a check or in the compiler of hooks must not stop the daemon, which still serves.
+            log.exception(
+                "reload failed by an internal error, the configuration in force stays file=%s", path
+            )
             self.problem = repr(error)
             return False
         finally:
@@ -76,7 +78,7 @@
         return True
 
     async def _load_and_apply(self, path: str) -> None:
-        """Take a file into force; raises ConfigError. Files and hooks are checked off the event loop."""
+        """Load and apply a file; raises ConfigError. Files and hooks are checked in other threads."""
         if self.approve is None:
             setup = await asyncio.to_thread(operator.load, path)
         else:
@@ -93,7 +95,7 @@
     refusal = await approve(path)
     setup = await asyncio.to_thread(operator.load, path)
     if not refusal and await asyncio.to_thread(file_digest, path) != digest_before:
-        refusal = "it changed while it was read"  # so another content may have been approved
+        refusal = "it changed while it was read"  # `approve` may have seen other content
     if refusal:
         raise ConfigError(path, [Problem("", refusal)])
     return setup
