--- a/plovertrail/daemon/running_pool.py
+++ b/plovertrail/daemon/running_pool.py
@@ -1,4 +1,4 @@
-"""A pool in force: its configuration, its load balancer, its connections and its limits."""
+"""A pool in force: its configuration, load balancer, connections and limits."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from plovertrail.upstreams.connection_pool import ConnectionPool
 from plovertrail.upstreams.response_reader import ResponseRules
 
-# Responses that tell of the endpoint's health, not of the request.
+# Responses that indicate a fault of the endpoint, not of the request.
 ENDPOINT_FAULT_STATUSES = frozenset((429, 500, 502, 503, 504))
-StalenessCheck = Callable[[], bool]  # whether the process was paused in this turn of the loop
+StalenessCheck = Callable[[], bool]  # whether the process was paused during this event loop iteration
 ConnectionFactory = Callable[[PoolSetup, ResponseRules, StalenessCheck], ConnectionPool]
 
 
 def open_connection_pool(
     config: PoolSetup, rules: ResponseRules, turn_is_stale: StalenessCheck
 ) -> ConnectionPool:
-    """Make the connection pool of a configured pool; connections are opened as requests need them."""
+    """Make a pool's connection pool; its connections are opened on demand."""
     return ConnectionPool(
         config.idle_us,
         config.settings.connect_timeout_us,
@@ -42,14 +42,14 @@
 
     config: PoolSetup
     max_response_bytes: int
-    instance: int  # this instance's number, by which its subset is drawn
-    dedup_scope: str  # endpoints that a subset takes together; empty: each for itself
+    instance: int  # this instance's number, which selects its subset
+    dedup_scope: str  # groups the endpoints that a subset takes together; empty if it takes each by itself
 
     def can_reconfigure_to(self, new: PoolSpec) -> bool:
-        """Whether a pool can continue under a new specification, which differs in its endpoints at most.
+        """Whether a pool can stay in use under a new specification, because at most its endpoints differ.
 
-        Open requests know their class by its index, so with other settings they would be taken for requests
-        of another class.
+        With other settings it can't: open requests refer to their class by index, and would be handled as
+        requests of another class.
         """
         old_config, new_config = self.config, new.config
         return (
@@ -64,7 +64,7 @@
         )
 
     def _same_connections(self, new_config: PoolSetup) -> bool:
-        """Whether max_connections is the same, or is by default in both and so follows the other pools."""
+        """Whether max_connections is equal, or unset in both and so depends on the other pools."""
         if self.config.even_part and new_config.even_part:
             return True
         return self.config.max_connections == new_config.max_connections
@@ -74,7 +74,7 @@
 
 
 class RunningPool:
-    """A pool in force: its configuration, its load balancer, its connections and its limits."""
+    """A pool in force: its configuration, load balancer, connections and limits."""
 
     def __init__(
         self,
@@ -90,8 +90,8 @@
         self.connections = connect(spec.config, rules, dispatcher.turn_is_stale)
         self.pool = dispatcher.pools.add(spec.config.name, spec.config.settings, seed, self.connections)
         self.limits = InstanceLimits()
-        self.oversubscribed = ""  # what the endpoints can't bear from the whole fleet; empty: nothing
-        self.started = False  # its limits have been set once
+        self.oversubscribed = ""  # why the fleet exceeds what the endpoints can bear; empty if it doesn't
+        self.started = False  # whether its limits have been set once
         self.random = random.Random(seed).random
         self.use_fair_queue(dispatcher, seed)
         if spec.config.affinity is not None:
@@ -105,18 +105,19 @@
         return self.spec.config
 
     def reconfigure(self, spec: PoolSpec) -> None:
-        """Continue under a specification that the pool can become."""
+        """Apply a specification for which can_reconfigure_to is true."""
         self.spec = spec
         self.connections.configure(spec.config.max_connections)
 
     def use_fair_queue(self, dispatcher: Dispatcher, seed: int) -> None:
-        """Queue requests by tenant as configured now."""
+        """Apply the configured queueing of requests by tenant."""
         dispatcher.sequence.configure_queue(self.pool, self.config.door, random.Random(seed).random)
 
     def update_limits(self, fleet: Fleet, rank: InstanceRank, slow_start: bool) -> None:
-        """Set this instance's part of what the endpoints bear from the whole fleet.
+        """Set this instance's share of the load that the endpoints bear from the whole fleet.
 
-        `rank` is this instance's among all, by which it is paced; `slow_start` has effect at the first call.
+        `rank` is this instance's rank in the fleet, which staggers its new connections. `slow_start` matters
+        in the first call only.
         """
         if not self.started:
             self.started = True
@@ -131,17 +132,17 @@
             self.connections.apply_limits(limits, rank.delay_fraction(self.random()))
 
     def resume_after_pause(self, fleet: Fleet, rank: InstanceRank, slow_start: bool) -> None:
-        """Start slowly again after the process was paused, perhaps with all others of its machine."""
+        """Begin a slow start after a pause of the process, which may have hit the whole machine."""
         self.connections.process_paused(rank.delay_fraction(self.random()))
         self._start_admission(fleet, slow_start)
 
     def _start_admission(self, fleet: Fleet, slow_start: bool) -> None:
-        """Admit requests slowly at first, as a whole fleet may start or resume at this moment."""
+        """Limit the requests admitted at first, as the whole fleet may start or resume at the same time."""
         slowly = slow_start and fleet.size > 1
         self.pool.admission = StartupAdmission(fleet.size, clock_us(), self.random) if slowly else None
 
     def retire(self, dispatcher: Dispatcher) -> None:
-        """Take the pool out of service: requests in flight finish, and those that wait are rejected."""
+        """Take the pool out of service: requests in flight finish, and queued ones are rejected."""
         dispatcher.retire(self.pool)
 
 
