--- a/plovertrail/daemon/status.py
+++ b/plovertrail/daemon/status.py
@@ -1,4 +1,4 @@
-"""The status of a daemon as the control socket reports it; its keys are what operators' scripts read."""
+"""A daemon's status, as the control socket reports it; operators' scripts rely on its keys."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def daemon_status(services: Services, reloader: Reloader) -> dict[str, Any]:
-    """All of a daemon's status; values that JSON can hold."""
+    """Return the complete status of a daemon, as values that JSON can represent."""
     generation = services.current.generation
     limiters = services.limiters.active
     return {
@@ -43,7 +43,7 @@
 
 
 def pool_status(running: RunningPool) -> dict[str, Any]:
-    """One pool: its lists, its part of the fleet's limits, its tenants and its endpoints."""
+    """Return a pool's status: its lists, its share of the fleet's limits, its tenants and its endpoints."""
     state = running.registry.state
     return {
         "generation": state.generation,
@@ -68,7 +68,7 @@
 
 
 def endpoints_status(running: RunningPool, state: EndpointListState) -> list[dict[str, Any]]:
-    """The endpoints of a pool in the order of its list."""
+    """Return the status of a pool's endpoints, in the order of its list."""
     in_flight = {number: endpoint.in_flight for number, endpoint in running.pool.balancer.endpoints.items()}
     return [
         {
@@ -84,14 +84,14 @@
 
 
 def admission_status(admission: StartupAdmission | None) -> dict[str, Any]:
-    """How many requests are admitted at once in a slow start; empty where all are."""
+    """Return the admission limit of a slow start; empty if there is none in progress."""
     if admission is None or admission.finished:
         return {}
     return {"window": int(admission.limit), "servers": admission.endpoints, "refused": admission.rejected}
 
 
 def queue_status(queue: RequestQueue | None) -> dict[str, Any]:
-    """What each tenant of a pool has used; empty where requests are not queued by tenant."""
+    """Return the usage of a pool by each tenant; empty if requests aren't queued by tenant."""
     if queue is None:
         return {}
     return {
@@ -110,7 +110,7 @@
 
 
 def limiter_status(limiter: RateLimiter) -> dict[str, int]:
-    """What a rate limiter has done since it was made, and how many keys it counts."""
+    """Return how many requests a rate limiter has admitted and rejected, and how many keys it counts."""
     return {
         "let_in": limiter.admitted,
         "over_rate": limiter.rejected_by_rate,
--- a/plovertrail/daemon/wiring.py
+++ b/plovertrail/daemon/wiring.py
@@ -1,4 +1,4 @@
-"""The services of a daemon, and how they are connected."""
+"""Builds the services of a daemon and connects them."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
 
 
 def random_seed() -> int:
-    """A seed for the random draws of one service or pool."""
+    """A seed for the random generator of one service or pool."""
     return int.from_bytes(os.urandom(8))
 
 
 @dataclass(frozen=True, slots=True)
 class Environment:
-    """What a daemon takes from the system it runs on; tests replace parts of it."""
+    """A daemon's dependencies on the operating system; tests replace some of them."""
 
     new_seed: Callable[[], int] = random_seed
     connect: ConnectionFactory = open_connection_pool
@@ -50,21 +50,21 @@
 
 
 class DaemonEvents(Protocol):
-    """The callbacks of services to their daemon."""
+    """Callbacks from the services to their daemon."""
 
     async def wait_for_reload(self) -> None:
         """Return once no reload is in progress."""
 
     async def reload_changed(self, digest: str) -> None:
-        """The operator's file has changed to the content with this digest."""
+        """Reload the operator's file, whose content has changed to this digest."""
 
     def resume_after_pause(self, paused_us: int) -> None:
-        """Handle a pause of the process of this length, before any other event."""
+        """Handle a pause of the process of this length, before any other event is handled."""
 
 
 @dataclass(frozen=True, slots=True)
 class Services:
-    """The services of one daemon. Each is made once and follows every configuration."""
+    """The services of one daemon, which are made once and reconfigured on each reload."""
 
     current: CurrentGeneration
     dispatcher: Dispatcher
@@ -84,12 +84,12 @@
 
     @property
     def store(self) -> StoreService:
-        """What writes the state file."""
+        """The service that writes the state file."""
         return self.warm_state.store
 
 
 def instance_name(setup: Setup) -> str:
-    """The name of this instance among those that may find its state file; empty where nothing names it."""
+    """This instance's name among those that may find its state file; empty if the configuration has none."""
     if setup.peers is not None:
         return setup.peers.name
     return str(setup.fleet.fleet.number) if setup.fleet.fleet.size > 1 else ""
@@ -98,7 +98,7 @@
 def make_services(
     setup: Setup, environment: Environment, lists: ListReader, events: DaemonEvents
 ) -> Services:
-    """Make the services of a daemon for its first configuration; nothing is in force yet."""
+    """Make the services of a daemon for its first configuration, which is not applied yet."""
     current = CurrentGeneration(Generation(0, setup, {}, {}, {}))
     dispatcher = Dispatcher(turn_staleness(asyncio.get_running_loop()))
     event_log = environment.open_event_log(setup.socket_log)
@@ -140,7 +140,7 @@
 def _make_warm_state(
     setup: Setup, table: PoolTable, limiters: LimiterTable, peers: PeerService
 ) -> WarmStateManager:
-    """Make the state file's services; what the file has is read here, which blocks."""
+    """Make the services that keep warm state; the state file is read here, which blocks."""
     store = StoreService(setup.state_file, instance_name(setup))
 
     def shared_counts() -> SharedCounters | None:
