--- a/plovertrail/__main__.py
+++ b/plovertrail/__main__.py
@@ -1,4 +1,4 @@
-"""The platform's program, one sidecar: `python -m plovertrail`, configured by its environment."""
+"""The sidecar program of the platform: `python -m plovertrail`, configured by its environment."""
 
 from __future__ import annotations
 
@@ -21,32 +21,32 @@
 log = logging.getLogger(__name__)
 
 CONFIGURATION_ERRORS = (OSError, KeyError, TypeError, ValueError, SettingsError)
-# The platform's protocol page, "Figures", gives the times of a stop: after SIGTERM new connections come
-# for up to NEW_CONNECTIONS_S, and SIGKILL comes 0.7 s after the longest deadline, or after MAX_DEADLINE_S
-# if that is earlier. SIGKILL counts from the signal, and all here from its delivery. What is left of the
-# 0.7 s is for a late delivery: under a CPU limit a process may be paused for a tenth of a second.
+# The shutdown times are given in "Figures" on the platform's protocol page. After SIGTERM new connections
+# arrive for up to NEW_CONNECTIONS_S. SIGKILL follows 0.7 s after the longest deadline, or 0.7 s after
+# MAX_DEADLINE_S if that is shorter. The platform counts from sending SIGTERM, this program from receiving
+# it. The rest of the 0.7 s covers late delivery: a CPU limit may pause a process for a tenth of a second.
 NEW_CONNECTIONS_S = 0.4
 ACCEPT_AFTER_STOP_S = 0.5
 MAX_DEADLINE_S = 3.0
-LAST_RESPONSES_S = 0.1  # for the last responses to be written, within the 0.7 s
-FLUSH_S = 0.05  # for clients that are slow to read them
+LAST_RESPONSES_S = 0.1  # to write the last responses; part of the 0.7 s
+FLUSH_S = 0.05  # for clients that are slow to read the last responses
 STOP_POLL_S = 0.01
 
 
 async def follow_configuration(path: str, reload: asyncio.Event, discovery: Discovery) -> None:
-    """Read the configuration again on each reload; only discovery's address is taken from it."""
+    """Read the configuration again on each reload; only the address of discovery is applied."""
     while True:
         await reload.wait()
         reload.clear()
         try:
             discovery.change_address(config.load(path).discovery)
         except CONFIGURATION_ERRORS as error:
-            # a file that is half written or missing must cost neither requests nor the endpoint list
-            log.warning("configuration unreadable, the one in force stays error=%r", error)
+            # a missing or partly written file must not affect requests or the endpoint list
+            log.warning("configuration unreadable, the configuration in force stays error=%r", error)
 
 
 async def serve(settings: config.Config, stop: asyncio.Event, reload: asyncio.Event) -> None:
-    """Serve until `stop` is set, then answer the requests that still come and all open ones."""
+    """Serve until `stop` is set, then answer the open requests and those that still arrive."""
     loop = asyncio.get_running_loop()
     connections = ConnectionPool(
         settings.idle_us, settings.settings.connect_timeout_us, max_connections=settings.sockets * 3 // 8
@@ -61,7 +61,7 @@
     dispatcher.start(pool)
     if not settings.settings.endpoints_on_request:
         discovery.hold_open()
-    # the other descriptors are for discovery, the listener, the log and connections that are being closed
+    # the remaining descriptors are for discovery, the listener, the log and connections being closed
     listener = PlatformListener(dispatcher, pool, settings.settings, max_clients=settings.sockets // 2)
     reload_task = loop.create_task(follow_configuration(settings.path, reload, discovery))
     listener.listen(settings.listen)
@@ -72,9 +72,10 @@
 
 
 async def drain(listener: PlatformListener, longest_deadline_s: float) -> None:
-    """Answer the requests that still come and all open ones; none may take longer than its deadline.
+    """Answer the open requests and those that still arrive, each within its deadline.
 
-    Deadlines may be longer than SIGKILL waits: requests that are open then are answered before it.
+    Deadlines may end after SIGKILL: requests that are still open shortly before it are answered with an
+    error.
     """
     loop = asyncio.get_running_loop()
     remaining_s = NEW_CONNECTIONS_S + min(longest_deadline_s, MAX_DEADLINE_S)
@@ -98,16 +99,16 @@
     stop = asyncio.Event()
     reload = asyncio.Event()
     loop = asyncio.get_running_loop()
-    # before the first client, as by default either signal ends the process and loses open requests
+    # before the first client connects: by default either signal kills the process with its open requests
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     loop.add_signal_handler(signal.SIGHUP, reload.set)
     await serve(settings, stop, reload)
-    # the end of the event loop removes the handlers
+    # closing the event loop removes the handlers; a later signal must not kill the process
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM, signal.SIGHUP})
 
 
 def main() -> int:
-    """Load the configuration that BALANCER_CONFIG names and serve until stopped; returns the exit code."""
+    """Load the file named by BALANCER_CONFIG and serve until stopped; returns the exit code."""
     log_to_stderr()
     try:
         settings = config.load(os.environ["BALANCER_CONFIG"])
