--- a/plovertrail/generation.py
+++ b/plovertrail/generation.py
@@ -1,4 +1,4 @@
-"""What one configuration comes to: an immutable value that a request keeps from its beginning to its end."""
+"""One generation of the configuration: an immutable value that a request keeps while it is open."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutePlan:
-    """A route with all that can be known of its requests before they arrive."""
+    """A route with everything that can be computed for its requests in advance."""
 
     route: Route
     pools: tuple[ServerPool, ...]
     class_index: int
     request_class: RequestClass
-    key_header: bytes  # in lower case; empty where the class has none
+    key_header: bytes  # in lower case; empty if the class has none
     deadline_us: int
-    removed_headers: frozenset[bytes]  # not forwarded: the route's own, and those that are set anew
-    host: bytes  # in place of the client's; empty: the client's
+    removed_headers: frozenset[bytes]  # not forwarded: those the route removes, and those it sets
+    host: bytes  # replaces the Host header of the client; empty: it is forwarded
     set_headers: tuple[Header, ...]
     templated_headers: tuple[tuple[bytes, Template], ...]
     host_template: Template | None  # in place of `host`
@@ -48,7 +48,7 @@
 
     @property
     def retry_safe(self) -> bool:
-        """Whether a client may retry whatever has run: an endpoint repeats or drops no work."""
+        """Whether a request that has run may be retried: idempotent, or deduplicated by all endpoints."""
         request_class = self.request_class
         return request_class.effect == "idempotent" or (
             request_class.effect == "deduplicated" and request_class.dedup_scope == "all"
@@ -80,11 +80,11 @@
     hooks: Mapping[str, Hook],
     limiters: Mapping[str, RateLimiter],
 ) -> Generation:
-    """Lay a configuration out for requests; `pools`, `hooks` and `limiters` have all that it names."""
+    """Build the generation of a configuration; `pools`, `hooks` and `limiters` have all that it refers to."""
     plans = {}
     for route in setup.routes.routes:
         if route.fixed_response is not None:
-            continue  # it is answered without an endpoint
+            continue  # answered without an endpoint
         plan = _route_plan(route, setup, pools, limiters)
         if route.name in setup.hooked:
             plan = _with_hooks(plan, setup, hooks)
@@ -121,7 +121,7 @@
 
 
 def _with_hooks(plan: RoutePlan, setup: Setup, hooks: Mapping[str, Hook]) -> RoutePlan:
-    """Add a route's hooks to its plan, and a plan for each class that they may choose."""
+    """Return a plan with its route's hooks, and with a plan for each class that the hooks may choose."""
     hooked = setup.hooked[plan.route.name]
     by_class = {name: _plan_for_class(plan, setup, name) for name in hooked.classes}
     classes = {plan.request_class.name: plan.request_class}
@@ -138,7 +138,7 @@
 
 
 def _plan_for_class(plan: RoutePlan, setup: Setup, class_name: str) -> RoutePlan:
-    """The plan with another class, whose deadline may be shorter than the route's but not longer."""
+    """Return the plan for another class, whose deadline may shorten the route's but not extend it."""
     class_index = setup.class_index(class_name)
     request_class = setup.classes[class_index]
     return replace(
@@ -151,7 +151,7 @@
 
 
 def _protected_headers(route: Route, setup: Setup) -> frozenset[bytes]:
-    """Headers that hooks may not change: with another idempotency key or id it would be another request."""
+    """Headers that hooks may not change: another idempotency key or id would make it another request."""
     protected = {key.lower() for key in setup.key_headers if key} | route.remove_headers
     protected |= {name.lower() for name, _ in (*route.set_headers, *route.templated_headers)}
     for listener in setup.listeners:
@@ -160,9 +160,9 @@
 
 
 def headers_replaced_by(listener: ListenerSetup) -> frozenset[bytes]:
-    """Headers of clients that a listener does not forward as they are.
+    """Client headers that a listener replaces instead of forwarding.
 
-    Forwarded, what a client says of its own address would pass for what the listener says.
+    Endpoints would take an address that the client claims for one that the listener has seen.
     """
     replaced = {listener.deadline_header, listener.request_id_header.lower()}
     if listener.forwarded != "off" and not listener.trust_forwarded:
