--- a/plovertrail/recovery_manager.py
+++ b/plovertrail/recovery_manager.py
@@ -1,4 +1,4 @@
-"""Recovers a daemon whose process was paused: nothing is sent until its endpoint lists are read again."""
+"""Recovers a daemon after a pause of its process: nothing is sent until the endpoint lists are reread."""
 
 from __future__ import annotations
 
@@ -16,19 +16,20 @@
 
 log = logging.getLogger(__name__)
 
-CATCH_UP_TURNS = 10  # of the event loop, for what lies on sockets; a command that drains takes four
-UNSETTLED_FILE_INTERVAL_S = 0.05  # between two looks at a file that was changed a moment ago
+CATCH_UP_TURNS = 10  # event loop iterations that handle data waiting on sockets; a drain command takes four
+UNSETTLED_FILE_INTERVAL_S = 0.05  # between reads of a file that has just changed
 
 
 def source_name(pool: str, source: str) -> str:
-    """Name a source of a pool for operators."""
+    """The name of a pool's source in logs and status."""
     return f"{pool}: {source}"
 
 
 class RecoveryManager:
-    """The phase of one daemon, and its way back after a pause.
+    """Tracks the recovery phase of one daemon, and recovers it after a pause.
 
-    `reload_done` waits until no reload is under way. `on_pause` gives up what has piled up meanwhile.
+    `reload_done` waits until no reload is in progress. `on_pause` is called with the length of each pause, to
+    discard what has piled up meanwhile.
     """
 
     def __init__(
@@ -43,15 +44,15 @@
         self.reload_done = reload_done
         self.on_pause = on_pause
         self.state = RecoveryState(clock_us())
-        self.started_at_us = 0  # when everything had been built
-        self.paused_again = False  # while it caught up
+        self.started_at_us = 0  # when the daemon had been built
+        self.paused_again = False  # during the recovery in progress
         self.task: asyncio.Task[None] | None = None
         loop = dispatcher.loop
         if isinstance(loop, StallDetectingLoop):
             loop.notify_of_pauses(self)
 
     def subscriptions(self) -> dict[str, Subscription]:
-        """Return all sources that are watched, by their name for operators."""
+        """Return all watched sources, by their names in logs and status."""
         return {
             source_name(name, subscription.key.name): subscription
             for name, registry in self.registries().items()
@@ -59,7 +60,7 @@
         }
 
     def configuration_applied(self) -> None:
-        """Follow the sources of a new configuration, whose lists have been read once."""
+        """Track the sources of a new configuration, each of which has been read once."""
         now_us = clock_us()
         old_phase = self.state.phase
         for name, registry in self.registries().items():
@@ -70,22 +71,22 @@
         self._log_phase_change(old_phase)
 
     def source_read(self, pool: str, source: str, problem: str) -> None:
-        """Note that a watched source was read; `problem`: why it gave no list, empty if it did."""
+        """Note that a watched source was read; `problem` says why it provided no list, empty if it did."""
         old_phase = self.state.phase
         self.state.source_read(source_name(pool, source), problem, clock_us())
         self._log_phase_change(old_phase)
 
     def started(self) -> None:
-        """Note that everything has been built, which may have taken one long turn of the loop."""
+        """Note that the daemon has been built, which may have taken one long iteration of the event loop."""
         self.started_at_us = clock_us()
 
     def process_paused(self, paused_us: int) -> None:
-        """Suspend the dispatcher and catch up; called before anything else is acted on."""
+        """Suspend the dispatcher and start to catch up; called before any other event is handled."""
         self.dispatcher.suspend(paused_us)
         self.on_pause(paused_us)
         old_phase = self.state.phase
         now_us = clock_us()
-        # A start that took long is no pause, but what it has read may be outdated as well.
+        # A slow startup is not a pause, but the lists that it read may be outdated as well.
         starting = now_us - paused_us < self.started_at_us
         self.state.process_paused(paused_us, self.subscriptions(), now_us, starting)
         self._log_phase_change(old_phase)
@@ -94,7 +95,7 @@
             self.task = self.dispatcher.loop.create_task(self._catch_up())
 
     async def _catch_up(self) -> None:
-        """Read all sources again, within the catch-up timeout, and resume the dispatcher."""
+        """Read all sources again within the catch-up timeout, then resume the dispatcher."""
         try:
             while self.paused_again:
                 self.paused_again = False
@@ -104,30 +105,30 @@
                         await self._read_everything()
                 except TimeoutError:
                     log.error(
-                        "catch-up timed out failed_sources=%s: the rest serves",
+                        "catch-up timed out, serving without the failed sources failed_sources=%s",
                         sorted(self.state.pending_sources),
                     )
         except Exception:
             log.exception("catch-up failed: endpoint lists could not be read again")
         finally:
-            # Whatever goes wrong on the way, a daemon that stays suspended would answer nobody.
+            # After any failure: a daemon that stays suspended would answer no request.
             old_phase = self.state.phase
             self.state.end_catch_up(clock_us())
             self._log_phase_change(old_phase)
             self.dispatcher.resume()
 
     async def _read_everything(self) -> None:
-        """Read what lies on sockets, then all sources, and wait for a reload that was asked for."""
+        """Handle data waiting on sockets, read all sources, and wait for a requested reload."""
         for _ in range(CATCH_UP_TURNS):
             await asyncio.sleep(0)
         await asyncio.gather(*(self._read(name, source) for name, source in self.subscriptions().items()))
         await self.reload_done()
 
     async def _read(self, name: str, subscription: Subscription) -> None:
-        """Read a source until its file has settled.
+        """Read a source until its file is stable.
 
-        Of a file that is written at this moment the last good list would hold, without the drain that it is
-        written for.
+        A file that is just being written leaves the last good list in force, which lacks the drain that the
+        file is written for.
         """
         settled = await subscription.read_now()
         while not settled:
@@ -136,7 +137,7 @@
         self.state.source_read(name, subscription.last_problem, clock_us())
 
     def _log_phase_change(self, old_phase: Phase) -> None:
-        """Log one line for each change of phase."""
+        """Log a change of phase, if there was one."""
         state = self.state
         if state.phase is old_phase:
             return
@@ -147,7 +148,7 @@
             log.warning("phase changed phase=%r reason=%r", state.phase.value, state.reason)
 
     def status(self) -> dict[str, Any]:
-        """Report the phase and the sources for operators."""
+        """Return the phase and the sources, for the daemon's status."""
         state = self.state
         now_us = clock_us()
         recovery_us = state.last_recovery_us
@@ -163,7 +164,7 @@
         }
 
     def stop(self) -> None:
-        """Stop catching up and resume the dispatcher, so that what is suspended gets an answer."""
+        """Stop catching up and resume the dispatcher, so that suspended requests are answered."""
         if self.task is not None:
             self.task.cancel()
         self.dispatcher.resume()
