--- a/plovertrail/resource_limits.py
+++ b/plovertrail/resource_limits.py
@@ -1,4 +1,4 @@
-"""What a configuration may hold at most: file descriptors, and bytes of messages."""
+"""The most that a configuration may use: file descriptors, and bytes of buffered messages."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 from plovertrail.config.setup import Setup
 from plovertrail.listeners.websocket_relay import SESSION_BYTES
 
-PIPELINE_LIMIT_BYTES = 64 * 1024  # of pipelined requests, where reading pauses
-LOOP_READ_BYTES = 256 * 1024  # the last read of the event loop before the pause takes effect
+PIPELINE_LIMIT_BYTES = 64 * 1024  # of pipelined requests, at which reading pauses
+LOOP_READ_BYTES = 256 * 1024  # what the event loop may read at once before the pause takes effect
 PIPELINED_BYTES = PIPELINE_LIMIT_BYTES + LOOP_READ_BYTES
 
 
 class DefaultConnections(NamedTuple):
-    """What max_connections comes to in the pools that do not set it."""
+    """The default of max_connections in pools that don't set it."""
 
-    pools: int  # how many do not set it
+    pools: int  # how many don't set it
     per_pool: int
 
 
 def required_descriptors(setup: Setup) -> int:
-    """How many descriptors a configuration may hold at most."""
+    """The highest number of descriptors that a configuration may use."""
     listeners = sum(1 + listener.max_connections for listener in setup.listeners)
     pools = sum(pool.max_connections + pool.max_sockets for pool in setup.pools.values())
     return listeners + pools + OTHER_DESCRIPTORS
 
 
 def max_message_bytes(setup: Setup) -> int:
-    """How many bytes of messages may be held at once.
+    """The highest number of bytes of messages that may be buffered at once.
 
-    Each client connection may hold a request as it is received, its body once more as it is forwarded, what
-    is pipelined behind it, and a response that the client does not read. Each endpoint connection may hold
-    a response as it is received, and each WebSocket what its peers do not read.
+    Each client connection may buffer a request being received, its body again while it is forwarded, the
+    requests pipelined after it, and a response that the client doesn't read. Each endpoint connection may
+    buffer a response being received, and each WebSocket the messages that its two ends don't read.
     """
     limits = setup.limits
     per_client = limits.max_head + 2 * limits.max_body + PIPELINED_BYTES + limits.max_answer
@@ -46,13 +46,13 @@
 
 
 def default_pool_connections(setup: Setup) -> DefaultConnections:
-    """How many pools set no max_connections, and how many connections each of them gets."""
+    """How many pools don't set max_connections, and how many connections each of them gets."""
     per_pool = [pool.max_connections for pool in setup.pools.values() if pool.even_part]
     return DefaultConnections(len(per_pool), min(per_pool, default=0))
 
 
 def descriptor_shortage(setup: Setup) -> Problem | None:
-    """Return the problem of a setup that leaves too few descriptors to pools without max_connections."""
+    """Return a problem if a setup leaves too few descriptors to pools that don't set max_connections."""
     default = default_pool_connections(setup)
     if not default.pools or default.per_pool >= LEAST_BY_DEFAULT:
         return None
@@ -67,7 +67,7 @@
 
 
 def raise_descriptor_limit(setup: Setup) -> None:
-    """Raise the process's soft limit as far as a configuration needs; raises ConfigError if it can't be."""
+    """Raise the soft limit to what a configuration needs; raises ConfigError if the hard limit is lower."""
     shortage = descriptor_shortage(setup)
     if shortage is not None:
         raise ConfigError(setup.path, [shortage])
--- a/plovertrail/stall_detector.py
+++ b/plovertrail/stall_detector.py
@@ -1,4 +1,4 @@
-"""An event loop that notices that its process was paused, before it acts on what has come since."""
+"""An event loop that detects that its process was paused, before it handles the events since then."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PauseListener(Protocol):
-    """What is called after a pause, before anything that has come meanwhile is acted on."""
+    """Is called after a pause, before any event that arrived meanwhile is handled."""
 
     def process_paused(self, paused_us: int) -> None:
         """Handle a pause of this length."""
@@ -21,8 +21,8 @@
 class StallDetectingSelector(selectors.DefaultSelector):
     """A selector that reports a pause before it returns any events.
 
-    After a pause the loop finds responses, requests, new connections and due timers all at once. Any of them
-    may send by what was known before the pause.
+    After a pause the loop finds responses, requests, new connections and due timers all at once. Handling any
+    of them may send a request by endpoint lists that are outdated.
     """
 
     def __init__(self) -> None:
@@ -31,7 +31,7 @@
         self.pause_listener: PauseListener | None = None
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Wait for ready files as the base class does, but for MAX_IDLE_WAIT_US at most.
+        """Wait for ready files as the base class does, but for at most MAX_IDLE_WAIT_US.
 
         `timeout` is in seconds. The pause listener is called before this returns.
         """
@@ -47,21 +47,21 @@
 
 
 class StallDetectingLoop(asyncio.SelectorEventLoop):
-    """asyncio's own event loop with a selector that notices pauses."""
+    """asyncio's event loop with a selector that detects pauses."""
 
     def __init__(self) -> None:
         self._stall_selector = StallDetectingSelector()
         super().__init__(self._stall_selector)
 
     def notify_of_pauses(self, listener: PauseListener) -> None:
-        """Call this listener after each pause, in place of the one before."""
+        """Call this listener after each pause, in place of the previous one."""
         self._stall_selector.pause_listener = listener
 
     def turn_is_stale(self) -> bool:
-        """Whether the present turn began too long ago."""
+        """Whether the current iteration of the loop began too long ago."""
         return self._stall_selector.detector.turn_is_stale(clock_us())
 
 
 def turn_staleness(loop: asyncio.AbstractEventLoop) -> Callable[[], bool]:
-    """Return what tells whether the present turn of a loop began too long ago; of other loops, never."""
+    """Return a check whether a loop's current iteration is stale; false for loops that detect no pauses."""
     return loop.turn_is_stale if isinstance(loop, StallDetectingLoop) else lambda: False
