--- a/plovertrail/daemon/reload.py
+++ b/plovertrail/daemon/reload.py
@@ -65,7 +65,7 @@
         except Exception as error:
             # A bug in a check or in the compiler of hooks must not stop the daemon, which still serves.
             log.exception(
-                "reload failed by an internal error, the configuration in force stays file=%s", path
+                "reload refused after an internal error, the configuration in force stays file=%s", path
             )
             self.problem = repr(error)
             return False
