--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -197,7 +197,7 @@
 
 @asynccontextmanager
 async def running(
-    folder: Path, pools: Mapping[str, Sequence[WebServer]], **more: str
+    folder: Path, pools: Mapping[str, Sequence[WebServer]], **site_options: str
 ) -> AsyncIterator[Running]:
     """A daemon in front of these stand-ins, all of them ended with it."""
     for servers in pools.values():
@@ -205,7 +205,7 @@
             if server.port == 0:
                 await server.start()
     port, path = free_port(), folder / "site.toml"
-    path.write_text(site(port, pools, **more))
+    path.write_text(site(port, pools, **site_options))
     daemon = Daemon(load(str(path)), Environment(new_seed=itertools.count(1).__next__))
     try:
         yield Running(daemon, port, path)
