--- a/tests/daemon/test_configuration_apply.py
+++ b/tests/daemon/test_configuration_apply.py
@@ -22,7 +22,7 @@
     return f'[listeners.{name}]\naddress = "{address[0]}:{address[1]}"\n'
 
 
-def test_a_failed_prepare_closes_what_it_has_bound(tmp_path: Path) -> None:
+def test_a_failed_prepare_closes_the_sockets_it_has_bound(tmp_path: Path) -> None:
     async def test() -> None:
         with socket.create_server(free_address()) as taken:
             async with running(tmp_path, {"main": [WebServer()]}) as it:
--- a/tests/daemon/test_failover.py
+++ b/tests/daemon/test_failover.py
@@ -52,39 +52,39 @@
 
 def test_a_deduplicated_request_that_may_have_run_stays_in_its_dedup_scope(tmp_path: Path) -> None:
     async def test() -> None:
-        twins = [WebServer(breaking, row=', cell = "1", weight = 1000') for _ in range(2)]
+        same_scope = [WebServer(breaking, row=', cell = "1", weight = 1000') for _ in range(2)]
         other, second = WebServer(row=', cell = "2"'), WebServer()
-        async with running(tmp_path, {"cells": [*twins, other], "second": [second]}) as it:
+        async with running(tmp_path, {"cells": [*same_scope, other], "second": [second]}) as it:
             for number in range(12):
                 await it.ask(message("POST /mark", f"Idempotency-Key: {number}", "X-Deadline-Ms: 500"))
 
         def keys(*servers: WebServer) -> list[bytes]:
             return [arrival.all("Idempotency-Key")[0] for server in servers for arrival in server.arrivals]
 
-        ran = keys(*twins)
+        ran = keys(*same_scope)
         assert len(ran) > len(set(ran)) > 0  # repeated there
         assert not set(ran) & set(keys(other, second))
 
     run(test)
 
 
-@pytest.mark.parametrize("why", ["refused", "not run", "empty", "drained"])
-def test_a_request_that_never_ran_fails_over_to_the_next_pool(tmp_path: Path, why: str) -> None:
+@pytest.mark.parametrize("reason", ["refused", "not run", "empty", "drained"])
+def test_a_request_that_never_ran_fails_over_to_the_next_pool(tmp_path: Path, reason: str) -> None:
     async def test() -> None:
         first, second = WebServer(always(NOT_RUN)), WebServer()
         await first.start()
-        pools = {"first": [] if why == "empty" else [first], "second": [second]}
-        if why == "refused":
+        pools = {"first": [] if reason == "empty" else [first], "second": [second]}
+        if reason == "refused":
             first.stop()
         async with running(tmp_path, pools) as it:
-            if why == "drained":
+            if reason == "drained":
                 text = it.path.read_text().replace(f'"{first.address}"', f'"{first.address}", drain = true')
                 assert await it.change(text)
             reply = await it.ask(message("POST /buy", body=b"coins"))
             assert (reply.status, reply.body) == (200, b"hello")
         # a pool may try again, but leaves an attempt to the next one
         assert second.count == 1
-        assert first.count in ((1, 2) if why == "not run" else (0,))
+        assert first.count in ((1, 2) if reason == "not run" else (0,))
 
     run(test)
 
@@ -117,7 +117,7 @@
     run(test)
 
 
-def test_a_pool_without_endpoints_rejects_at_once_and_harms_no_other(tmp_path: Path) -> None:
+def test_a_pool_without_endpoints_rejects_at_once_and_affects_no_other(tmp_path: Path) -> None:
     routes = (
         '[[routes]]\nname = "none"\npath = "/none"\nclass = "buy"\npools = ["empty"]\n'
         '[[routes]]\nname = "rest"\nclass = "read"\npools = ["main"]\n'
