--- a/tests/daemon/test_fair_queue.py
+++ b/tests/daemon/test_fair_queue.py
@@ -24,12 +24,12 @@
 tenant = "header:X-Tenant"
 """
 TENANTS = "".join(f"[tenants.{name}]\nallowance_per_s = 10\n" for name in ("big", "small"))
-PATIENT = 'fair = { max_wait = "14s" }'
+LONG_WAIT = 'fair = { max_wait = "14s" }'
 
 
 @asynccontextmanager
 async def site(
-    folder: Path, held: Held, extra: str = PATIENT, head: str = TENANTS, spare: WebServer | None = None
+    folder: Path, held: Held, extra: str = LONG_WAIT, head: str = TENANTS, spare: WebServer | None = None
 ) -> AsyncIterator[Running]:
     pools = {"main": [held.server]} | ({"spare": [spare]} if spare is not None else {})
     names = ", ".join(f'"{name}"' for name in pools)
@@ -37,7 +37,7 @@
         yield it
 
 
-async def begin(it: Running, tenant: str) -> Client:
+async def start_request(it: Running, tenant: str) -> Client:
     client = await it.connect()
     client.writer.write(message("POST /buy", f"X-Tenant: {tenant}", body=b"coins"))
     return client
@@ -48,12 +48,12 @@
     return {name: each["waiting"] for name, each in fair.items()}
 
 
-async def crowded(it: Running, held: Held, big: int) -> list[Client]:
+async def fill_queue(it: Running, held: Held, queued: int) -> list[Client]:
     """One request at the server, and so many of the same tenant at the door."""
-    clients = [await begin(it, "big")]
+    clients = [await start_request(it, "big")]
     await until(lambda: len(held.order) == 1)
-    clients += [await begin(it, "big") for _ in range(big)]
-    await until(lambda: waiting(it)["big"] == big)
+    clients += [await start_request(it, "big") for _ in range(queued)]
+    await until(lambda: waiting(it)["big"] == queued)
     return clients
 
 
@@ -61,8 +61,8 @@
     async def test() -> None:
         held = Held()
         async with site(tmp_path, held) as it:
-            clients = await crowded(it, held, 5)
-            clients.append(await begin(it, "small"))
+            clients = await fill_queue(it, held, 5)
+            clients.append(await start_request(it, "small"))
             await until(lambda: waiting(it)["small"] == 1)
             held.release.release()  # with this answer two slots are free at most, and five wait before it
             await until(lambda: "small" in held.order)
@@ -84,7 +84,7 @@
     async def test() -> None:
         held = Held()
         async with site(tmp_path, held) as it:
-            clients = await crowded(it, held, 2)
+            clients = await fill_queue(it, held, 2)
             clients[1].close()
             await until(lambda: waiting(it)["big"] == 1)
             for _ in range(3):
@@ -101,7 +101,7 @@
     async def test() -> None:
         held = Held()
         async with site(tmp_path, held, 'fair = { max_wait = "100ms" }') as it:
-            first = await begin(it, "big")
+            first = await start_request(it, "big")
             await until(lambda: len(held.order) == 1)
             reply = await it.ask(message("POST /buy", "X-Tenant: big", body=b"coins"))
             assert reply.status == 503
@@ -121,9 +121,9 @@
     async def test() -> None:
         held = Held()
         async with site(tmp_path, held) as it:
-            clients = await crowded(it, held, 1)
-            hasty = message("POST /buy", "X-Tenant: small", "X-Deadline-Ms: 400", body=b"coins")
-            assert (await it.ask(hasty)).status == 503
+            clients = await fill_queue(it, held, 1)
+            short_deadline = message("POST /buy", "X-Tenant: small", "X-Deadline-Ms: 400", body=b"coins")
+            assert (await it.ask(short_deadline)).status == 503
             assert waiting(it) == {"big": 1, "small": 0, "(others)": 0}
             assert held.order == ["big"]
             for _ in range(2):
@@ -142,11 +142,11 @@
         held, spare = Held(), WebServer()
         extra = 'fair = { max_wait = "14s", max_waiting = 2 }'
         async with site(tmp_path, held, extra, spare=spare) as it:
-            clients = await crowded(it, held, 2)
+            clients = await fill_queue(it, held, 2)
             reply = await it.ask(message("POST /buy", "X-Tenant: big", body=b"coins"))
             assert reply.status == 200
             assert spare.count == 1
-            small = await begin(it, "small")
+            small = await start_request(it, "small")
             await until(lambda: spare.count == 2)  # one of the big tenant's made room
             assert waiting(it) == {"big": 1, "small": 1, "(others)": 0}
             for _ in range(3):
@@ -164,7 +164,7 @@
     async def test() -> None:
         held = Held()
         async with site(tmp_path, held) as it:
-            clients = await crowded(it, held, 3)
+            clients = await fill_queue(it, held, 3)
             text = it.path.read_text()
             if change == "weights":
                 text = text.replace("[tenants.big]", "[tenants.big]\nweight = 5")
@@ -173,7 +173,7 @@
                 assert it.daemon.status()["pools"]["main"]["fair"]["big"]["weight"] == 5
             else:
                 # let through at once: the module's one buffer takes one of them, and refuses the others
-                assert await it.change(text.replace(PATIENT, ""))
+                assert await it.change(text.replace(LONG_WAIT, ""))
                 assert it.daemon.status()["pools"]["main"]["fair"] == {}
             for _ in range(4):
                 held.release.release()
@@ -190,7 +190,7 @@
     async def test() -> None:
         held = Held()
         async with site(tmp_path, held) as it:
-            clients = await crowded(it, held, 3)
+            clients = await fill_queue(it, held, 3)
             stopping = asyncio.create_task(it.daemon.stop())
             for _ in range(4):
                 held.release.release()
@@ -206,8 +206,8 @@
     async def test() -> None:
         held = Held()
         async with site(tmp_path, held) as it:
-            clients = await crowded(it, held, 1)
-            clients += [await begin(it, f"made-up-{number}") for number in range(20)]
+            clients = await fill_queue(it, held, 1)
+            clients += [await start_request(it, f"made-up-{number}") for number in range(20)]
             await until(lambda: waiting(it)["(others)"] == 20)
             assert set(waiting(it)) == {"big", "small", "(others)"}
             for _ in range(22):
@@ -219,7 +219,7 @@
     run(test)
 
 
-def test_without_its_table_a_pool_has_no_fair_queue(tmp_path: Path) -> None:
+def test_a_pool_that_does_not_configure_a_fair_queue_has_none(tmp_path: Path) -> None:
     async def test() -> None:
         held = Held()
         held.release.release()
@@ -230,7 +230,7 @@
     run(test)
 
 
-def test_a_request_that_fails_over_is_in_flight_in_the_first_pool_no_more(tmp_path: Path) -> None:
+def test_a_request_that_fails_over_is_no_longer_in_flight_in_the_first_pool(tmp_path: Path) -> None:
     async def test() -> None:
         held, spare = Held(), WebServer()
         held.server.script = always(NOT_RUN)
@@ -243,9 +243,9 @@
             assert found["at_work"] == 0
             queue = it.daemon.pools["main"].pool.queue
             assert queue is not None
-            door = queue.fair_queue
-            assert not door.in_flight
-            assert not door.active
+            tenant_queue = queue.fair_queue
+            assert not tenant_queue.in_flight
+            assert not tenant_queue.active
 
     run(test)
 
@@ -261,10 +261,10 @@
             assert found == [101] * 20
             queue = it.daemon.pools["main"].pool.queue
             assert queue is not None
-            door = queue.fair_queue
-            assert door.tenants[""].admitted == 20
-            assert not door.in_flight
-            assert not door.waiting
+            tenant_queue = queue.fair_queue
+            assert tenant_queue.tenants[""].admitted == 20
+            assert not tenant_queue.in_flight
+            assert not tenant_queue.waiting
             for client in clients:
                 client.close()
 
