--- a/tests/daemon/test_fleet_limits.py
+++ b/tests/daemon/test_fleet_limits.py
@@ -27,32 +27,32 @@
 
     async def test() -> None:
         servers = [WebServer(slowly(OK, 0.05)) for _ in range(4)]
-        most = 0
+        most_connections = 0
 
         async def ask(client: Client) -> list[int]:
-            nonlocal most
+            nonlocal most_connections
             statuses = []
             for _ in range(5):
                 statuses.append((await client.ask(message("GET /"))).status)
-                most = max(most, *(len(server.lines) for server in servers))
+                most_connections = max(most_connections, *(len(server.lines) for server in servers))
             return statuses
 
         share = "share = { connections = 40 }"
         async with running(
             tmp_path, {"main": servers}, routes=ROUTE, pool_extra=share, head="[limits]\ninstances = 4\n"
         ) as it:
-            budget = it.daemon.pools["main"].limits
+            instance_limits = it.daemon.pools["main"].limits
             clients = [await it.connect() for _ in range(60)]
             found = [status for each in await asyncio.gather(*map(ask, clients)) for status in each]
             for client in clients:
                 client.close()
-            assert 1 < budget.connections <= 40
-            assert budget.keep_idle
+            assert 1 < instance_limits.connections <= 40
+            assert instance_limits.keep_idle
             assert set(found) <= {200, 503}
             assert found.count(200) > 0
-            assert 0 < most <= budget.connections_per_endpoint
-            assert most * 4 <= 40
-            assert it.daemon.pools["main"].connections.count <= budget.connections
+            assert 0 < most_connections <= instance_limits.connections_per_endpoint
+            assert most_connections * 4 <= 40
+            assert it.daemon.pools["main"].connections.count <= instance_limits.connections
 
     run(test)
 
@@ -70,18 +70,18 @@
         async with running(
             tmp_path, {"main": servers}, routes=ROUTE, pool_extra=extra, head="[limits]\ninstances = 100000\n"
         ) as it:
-            turns = it.daemon.pools["main"].connections.limits.rate
-            assert turns is not None
-            assert turns.interval_us > 1_000_000_000
-            assert began_us < turns.next_us <= clock_us() + turns.interval_us
+            rate_limit = it.daemon.pools["main"].connections.limits.rate
+            assert rate_limit is not None
+            assert rate_limit.interval_us > 1_000_000_000
+            assert began_us < rate_limit.next_us <= clock_us() + rate_limit.interval_us
             # the drawn one may come at any moment
-            turns.full_burst_us = clock_us() + turns.interval_us * BURST
+            rate_limit.full_burst_us = clock_us() + rate_limit.interval_us * BURST
             reply = await it.ask(message("GET /"))  # it waits for half its aim in the buffer
             assert reply.status == 503
             assert float(reply.all("Retry-After")[0]) > 1
             assert sum(server.connections for server in servers) == 0
             # one connect is allowed, and no more
-            turns.full_burst_us = clock_us() + turns.interval_us * (BURST - 1)
+            rate_limit.full_burst_us = clock_us() + rate_limit.interval_us * (BURST - 1)
             assert (await it.ask(message("GET /"))).status == 200
             # the one connection carries on, and there is no other
             assert [(await it.ask(message("GET /"))).status for _ in range(20)] == [200] * 20
@@ -100,17 +100,17 @@
         async with running(
             tmp_path, {"main": servers}, routes=ROUTE, pool_extra=extra, head="[limits]\ninstances = 1000\n"
         ) as it:
-            turns = it.daemon.pools["main"].connections.limits.rate
-            assert turns is not None
+            rate_limit = it.daemon.pools["main"].connections.limits.rate
+            assert rate_limit is not None
             dispatcher = it.daemon.dispatcher
-            turns.full_burst_us = dispatcher.pools[0].balancer.now_us + 3_600_000_000
+            rate_limit.full_burst_us = dispatcher.pools[0].balancer.now_us + 3_600_000_000
             client = await it.connect()
             client.writer.write(message("GET /"))
             await until(lambda: bool(dispatcher.requests))
             timer = dispatcher.pools[0].connect_timer
             assert timer is not None
             assert servers[0].connections == 0
-            turns.full_burst_us = 0
+            rate_limit.full_burst_us = 0
             dispatcher.sequence._on_connectable(dispatcher.pools[0])  # what the timer does
             assert (await client.reply()).status == 200
             client.close()
@@ -131,17 +131,17 @@
         ) as it:
             for _ in range(40):
                 assert (await it.ask(message("GET /"))).status == 200
-            mine = {number for number, server in enumerate(servers) if server.count}
-            assert len(mine) == 2
-            for number in mine:
+            subset = {number for number, server in enumerate(servers) if server.count}
+            assert len(subset) == 2
+            for number in subset:
                 assert not it.daemon.drain("main", f"main{number}", True)
             before = [server.count for server in servers]
             for _ in range(40):
                 assert (await it.ask(message("GET /"))).status == 200
             after = [server.count for server in servers]
-            now = {number for number in range(10) if after[number] > before[number]}
-            assert len(now) == 2
-            assert now.isdisjoint(mine)
+            new_subset = {number for number in range(10) if after[number] > before[number]}
+            assert len(new_subset) == 2
+            assert new_subset.isdisjoint(subset)
             assert it.daemon.status()["pools"]["main"]["share"]["servers"] == 2
 
     run(test)
@@ -160,13 +160,13 @@
             assert len(serving) == 3
             key = "Idempotency-Key: k"
             assert (await it.ask(message("POST /mark", key))).status == 200
-            mine = next(number for number, server in enumerate(servers) if server.count) // 3
-            broken = servers[3 * mine]
+            cell = next(number for number, server in enumerate(servers) if server.count) // 3
+            broken = servers[3 * cell]
             broken.script = breaking
             for number in range(30):
                 assert (await it.ask(message("POST /mark", f"Idempotency-Key: {number}"))).status == 200
             assert broken.count > 0
-            assert all(server.count == 0 for n, server in enumerate(servers) if n // 3 != mine)
+            assert all(server.count == 0 for n, server in enumerate(servers) if n // 3 != cell)
 
     run(test)
 
@@ -187,10 +187,10 @@
             assert it.daemon.services.pools.fleet_tracker.rank == InstanceRank(None, 50), (
                 "it has no name in the list"
             )
-            more = it.daemon.pools["main"].limits.connections
+            previous = it.daemon.pools["main"].limits.connections
             path.write_text("".join(f"127.0.0.1:{9000 + n} id=app-{n}\n" for n in range(500)))
             await until(lambda: it.daemon.services.pools.fleet_tracker.fleet.size == 500)
-            assert it.daemon.pools["main"].limits.connections < more
+            assert it.daemon.pools["main"].limits.connections < previous
             path.write_text("".join(f"127.0.0.1:{9000 + n} id=app-{n}\n" for n in range(50)))
             await until(lambda: it.daemon.services.pools.fleet_tracker.fleet.size == 50)
             for bad in ("", "nonsense\n"):
@@ -224,7 +224,7 @@
 
 
 @pytest.mark.parametrize(
-    ("head", "share", "told"),
+    ("head", "share", "expected"),
     [
         ("", "{ servers = 2 }", "fleet.name: missing, and pools.main.share.servers chooses by it"),
         ('[fleet]\nname = "env:NO_SUCH_VARIABLE"\n', "{}", "the environment has no NO_SUCH_VARIABLE"),
@@ -232,15 +232,15 @@
         ("", "{ connections = -3 }", "pools.main.share.connections"),
     ],
 )
-def test_a_configuration_problem_is_reported_with_its_place(
-    tmp_path: Path, head: str, share: str, told: str
+def test_a_configuration_problem_is_reported_with_its_location(
+    tmp_path: Path, head: str, share: str, expected: str
 ) -> None:
     path = tmp_path / "site.toml"
     server = WebServer(port=free_port())
     path.write_text(site(free_port(), {"main": [server]}, ROUTE, pool_extra=f"share = {share}", head=head))
     with pytest.raises(ConfigError) as caught:
         load(str(path))
-    assert told in str(caught.value)
+    assert expected in str(caught.value)
 
 
 def test_an_instance_name_from_the_environment_selects_the_subset(
