--- a/tests/daemon/test_many_lists.py
+++ b/tests/daemon/test_many_lists.py
@@ -61,9 +61,9 @@
         return self.folder / f"{pool}.list"
 
     def write(self, pools: list[str], extra: str = "", more: str = "") -> None:
-        beside = self.folder / ".site.new"
-        beside.write_text(setup_text(self.folder, self.port, pools, extra, more))
-        beside.rename(self.path)
+        temporary = self.folder / ".site.new"
+        temporary.write_text(setup_text(self.folder, self.port, pools, extra, more))
+        temporary.rename(self.path)
 
 
 @asynccontextmanager
@@ -73,8 +73,8 @@
     """As `serve` starts it, with no notifications; `blocking`: with nothing else on the loop meanwhile."""
     lists = ListReader(files or BlockedFiles(), notifications=False)
     setup = load(str(site.path))
-    fresh = None if blocking else await lists.first_read(watched_lists(setup))
-    daemon = Daemon(setup, lists=lists, first_lists=fresh)
+    initial_lists = None if blocking else await lists.first_read(watched_lists(setup))
+    daemon = Daemon(setup, lists=lists, first_lists=initial_lists)
     try:
         yield daemon
     finally:
@@ -184,7 +184,7 @@
     run(test)
 
 
-def test_a_refused_reload_leaves_no_list_behind(tmp_path: Path) -> None:
+def test_a_refused_reload_leaves_no_added_list_watched(tmp_path: Path) -> None:
     async def test() -> None:
         site = Site(tmp_path)
         for name in ("a", "b"):
@@ -250,7 +250,7 @@
     run(test)
 
 
-def test_the_configuration_file_is_watched_where_it_says_so(
+def test_the_configuration_file_is_watched_if_it_sets_reload_to_watch(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
@@ -274,12 +274,12 @@
             await until(lambda: ports(daemon) == {"a": [1], "b": [1]})
             assert approved == [str(site.path)]
             assert daemon.status()["lists"]["digest"] != digest
-            for text, wrong in (("[pools", "not TOML"), (None, "breaks its tests")):
+            for text, expected in (("[pools", "not TOML"), (None, "breaks its tests")):
                 if text is None:
                     site.write(["a", "c"], watched)
                 else:
                     site.path.write_text(text)
-                await until(lambda: wrong in daemon.status()["reload"]["problem"])  # noqa: B023
+                await until(lambda: expected in daemon.status()["reload"]["problem"])  # noqa: B023
                 assert set(ports(daemon)) == {"a", "b"}
             site.write(["b"])  # and from now on by the signal only
             await until(lambda: set(ports(daemon)) == {"b"})
@@ -309,18 +309,18 @@
         site.write(names, more="max_connections = 16\n")
         async with serving(site) as daemon:
             await until(lambda: len(daemon.lists.in_force.accepted) == 50)
-            touched: list[str] = []
+            updated_pools: list[str] = []
             update_limits = RunningPool.update_limits
 
-            def noted(pool: RunningPool, fleet: Fleet, place: InstanceRank, slow_start: bool) -> None:
-                touched.append(pool.config.name)
-                update_limits(pool, fleet, place, slow_start)
+            def record_update(pool: RunningPool, fleet: Fleet, rank: InstanceRank, slow_start: bool) -> None:
+                updated_pools.append(pool.config.name)
+                update_limits(pool, fleet, rank, slow_start)
 
-            monkeypatch.setattr(RunningPool, "update_limits", noted)
+            monkeypatch.setattr(RunningPool, "update_limits", record_update)
             put(site.list_of("p3"), 2)
             scan(daemon)
             await until(lambda: ports(daemon)["p3"] == [2])
-            assert touched == ["p3"]
+            assert updated_pools == ["p3"]
             assert not daemon.services.pools.subset_pools
             assert not daemon.services.pools.pools_with_problems
             site.list_of("p4").unlink()
@@ -345,12 +345,12 @@
             put(site.list_of("a"), 2)
             scan(daemon)
             await until(lambda: ports(daemon)["a"] == [2])
-            came_us = daemon.pools["a"].registry.state.members["s"].started_us
+            known_since_us = daemon.pools["a"].registry.state.members["s"].started_us
             known: Mapping[tuple[str, tuple[str, int]], int] = EndpointsOfOtherPools(
                 "b", daemon.services.pools.table
             )
-            assert dict(known) == {("s", ("127.0.0.1", 2)): came_us}
-            assert came_us > 0
+            assert dict(known) == {("s", ("127.0.0.1", 2)): known_since_us}
+            assert known_since_us > 0
             assert known.get(("s", ("127.0.0.1", 1)), 7) == 7
             assert not EndpointsOfOtherPools("a", daemon.services.pools.table)
 
@@ -358,34 +358,34 @@
 
 
 @contextmanager
-def slow_start() -> Iterator[Callable[[float], None]]:
+def movable_clock() -> Iterator[Callable[[float], None]]:
     """A clock that goes on while a daemon is built."""
-    ahead_us = 0
+    offset_us = 0
 
-    def jump(seconds: float) -> None:
-        nonlocal ahead_us
-        ahead_us += int(seconds * 1e6)
+    def advance(seconds: float) -> None:
+        nonlocal offset_us
+        offset_us += int(seconds * 1e6)
 
-    with override_clock(lambda: time.monotonic_ns() + ahead_us * 1000):
-        yield jump
+    with override_clock(lambda: time.monotonic_ns() + offset_us * 1000):
+        yield advance
 
 
-def test_a_slow_start_is_no_pause_but_reads_its_lists_again(tmp_path: Path) -> None:
+def test_a_slow_startup_is_no_pause_but_its_lists_are_read_again(tmp_path: Path) -> None:
     async def test() -> None:
         site, files = Site(tmp_path), BlockedFiles()
         put(site.list_of("a"), 1)
         site.write(["a"])
-        with slow_start() as jump:
+        with movable_clock() as advance:
             lists = ListReader(files, notifications=False)
-            fresh = lists.first_read_blocking(watched_lists(load(str(site.path))))
+            initial_lists = lists.first_read_blocking(watched_lists(load(str(site.path))))
             put(site.list_of("a"), 2)
-            jump(3.0)
-            daemon = Daemon(load(str(site.path)), lists=lists, first_lists=fresh)
+            advance(3.0)
+            daemon = Daemon(load(str(site.path)), lists=lists, first_lists=initial_lists)
             await until(lambda: ports(daemon) == {"a": [2]} and not daemon.dispatcher.suspension.active)
             found = daemon.status()["recovery"]
             assert (found["phase"], found["why"], found["gaps"]) == ("full", "process start", 0)
             await asyncio.sleep(0.01)
-            jump(5.0)
+            advance(5.0)
             await until(lambda: daemon.status()["recovery"]["gaps"] == 1)
             assert "process paused" in daemon.status()["recovery"]["why"]
             await daemon.stop()
@@ -396,13 +396,13 @@
 # Descriptors
 
 
-def test_pools_without_max_connections_share_what_is_left() -> None:
-    none = PoolNeed(None, 0)
-    assert default_connections(1001, [none], None) == 256
-    assert default_connections(1001, [none] * 200, 20_000) == (20_000 - 64 - 1001) // 200 == 94
-    assert default_connections(1001, [none] * 10, 20_000) == 256
-    assert default_connections(1001, [none, PoolNeed(500, 100)], 1765) == 100
-    assert default_connections(1001, [none] * 200, 1000) == 1
+def test_pools_without_max_connections_share_the_remaining_descriptors() -> None:
+    unset = PoolNeed(None, 0)
+    assert default_connections(1001, [unset], None) == 256
+    assert default_connections(1001, [unset] * 200, 20_000) == (20_000 - 64 - 1001) // 200 == 94
+    assert default_connections(1001, [unset] * 10, 20_000) == 256
+    assert default_connections(1001, [unset, PoolNeed(500, 100)], 1765) == 100
+    assert default_connections(1001, [unset] * 200, 1000) == 1
 
 
 def test_an_added_pool_changes_the_connections_of_others_and_replaces_none(
@@ -416,17 +416,17 @@
             put(site.list_of(name), 1)
         site.write(["a", "b"])
         async with serving(site) as daemon:
-            learnt = daemon.pools["a"].pool.balancer
+            balancer_before = daemon.pools["a"].pool.balancer
             assert daemon.pools["a"].connections.limits.max_connections == 60
             site.write(["a", "b", "c"])
             assert await daemon.reload()
             assert {pool.connections.limits.max_connections for pool in daemon.pools.values()} == {40}
-            assert daemon.pools["a"].pool.balancer is learnt
+            assert daemon.pools["a"].pool.balancer is balancer_before
 
     run(test)
 
 
-def test_too_few_descriptors_end_the_start_with_what_to_set(
+def test_too_few_descriptors_fail_the_start_and_the_error_says_what_to_set(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     site = Site(tmp_path)
@@ -434,10 +434,10 @@
     for name in names:
         put(site.list_of(name), 1)
     site.write(names)
-    done = CliRunner().invoke(main, ["check", str(site.path)])
-    pools, part = default_pool_connections(load(str(site.path)))
+    result = CliRunner().invoke(main, ["check", str(site.path)])
+    pools, per_pool = default_pool_connections(load(str(site.path)))
     assert pools == 20
-    assert f"max_connections of 20 pools that write none: {part} each" in done.output
+    assert f"max_connections of 20 pools that write none: {per_pool} each" in result.output
     check_module = importlib.import_module("plovertrail.cli.check")
     for module in (pools_module, resource_limits, check_module):
         monkeypatch.setattr(module, "descriptors_allowed", lambda: 1001 + 64 + 140)
@@ -445,9 +445,9 @@
     with pytest.raises(ConfigError) as caught:
         raise_descriptor_limit(setup)
     assert f"ulimit -n) to {1001 + 64 + 160} or more" in str(caught.value)
-    done = CliRunner().invoke(main, ["check", str(site.path)])
-    assert "7 each, of the 1205 descriptors" in done.output
-    assert "would not start here" in done.output
+    result = CliRunner().invoke(main, ["check", str(site.path)])
+    assert "7 each, of the 1205 descriptors" in result.output
+    assert "would not start here" in result.output
     assert descriptors.LEAST_BY_DEFAULT == 8
 
 
@@ -463,8 +463,8 @@
         site.write(["a", "b"], f'[daemon]\ncontrol_socket = "{control}"\n')
 
         async def call(*words: str) -> tuple[int, str]:
-            done = await asyncio.to_thread(CliRunner().invoke, main, [*words, "--socket", str(control)])
-            return done.exit_code, done.output
+            result = await asyncio.to_thread(CliRunner().invoke, main, [*words, "--socket", str(control)])
+            return result.exit_code, result.output
 
         async with serving(site, files) as daemon:
             await daemon.control.start()
