--- a/tests/daemon/test_process.py
+++ b/tests/daemon/test_process.py
@@ -52,17 +52,17 @@
             async def client(name: int) -> None:
                 connection = await it.connect()
                 for number in range(10_000):
-                    ident = f"{name}-{number}"
+                    request_id = f"{name}-{number}"
                     try:
-                        sent.add(ident)
+                        sent.add(request_id)
                         reply = await connection.ask(
-                            message("POST /buy", f"X-Request-Id: {ident}", body=b"x")
+                            message("POST /buy", f"X-Request-Id: {request_id}", body=b"x")
                         )
                     except (asyncio.IncompleteReadError, ConnectionError):
                         assert stopping.is_set()
                         return
                     assert reply.status in (200, 503)
-                    answered.add(ident)
+                    answered.add(request_id)
                     if reply.all("Connection") == ["close"]:
                         assert stopping.is_set()
                         return
@@ -81,11 +81,11 @@
                 stopping.set()
                 process.send_signal(signal.SIGTERM)
             assert await asyncio.to_thread(process.wait, PATIENCE_S) == 0
-            ran = [
+            executed = [
                 arrival.all("X-Request-Id")[0].decode() for server in servers for arrival in server.arrivals
             ]
-            assert len(ran) == len(set(ran))
-            assert set(ran) <= answered <= sent
+            assert len(executed) == len(set(executed))
+            assert set(executed) <= answered <= sent
         finally:
             process.kill()
             process.communicate()
--- a/tests/daemon/test_reload.py
+++ b/tests/daemon/test_reload.py
@@ -27,18 +27,18 @@
 @asynccontextmanager
 async def held(count: int) -> AsyncIterator[tuple[list[WebServer], asyncio.Event]]:
     """Stand-ins that answer once they are let go."""
-    let_go = asyncio.Event()
+    release = asyncio.Event()
 
     async def script(_server: WebServer, _arrival: Arrival, _line: Line) -> bytes:
-        await let_go.wait()
+        await release.wait()
         return b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold"
 
-    yield [WebServer(script) for _ in range(count)], let_go
+    yield [WebServer(script) for _ in range(count)], release
 
 
 def test_a_reload_that_moves_a_route_leaves_200_open_requests_with_their_pool(tmp_path: Path) -> None:
     async def test() -> None:
-        async with held(200) as (old, let_go):
+        async with held(200) as (old, release):
             new = [WebServer()]
             async with running(
                 tmp_path, {"old": old, "new": new}, pool_extra="max_connections = 400", routes=through("old")
@@ -53,11 +53,13 @@
                 for _ in range(20):
                     assert (await it.ask(message("POST /buy"))).body == b"hello"
                 assert not any(client.reader.at_eof() for client in clients)
-                let_go.set()
+                release.set()
                 replies: list[Reply] = await asyncio.gather(*(client.reply() for client in clients))
                 assert [(reply.status, reply.body) for reply in replies] == [(200, b"old")] * 200
-                idents = [arrival.all("X-Request-Id")[0] for server in old for arrival in server.arrivals]
-                assert sorted(idents) == sorted(str(number).encode() for number in range(200))
+                request_ids = [
+                    arrival.all("X-Request-Id")[0] for server in old for arrival in server.arrivals
+                ]
+                assert sorted(request_ids) == sorted(str(number).encode() for number in range(200))
                 assert new[0].count == 20
                 # the connections serve on, under the new routes, and the old pool is let go
                 assert (await clients[0].ask(message("POST /buy"))).body == b"hello"
@@ -73,10 +75,10 @@
     """Not even a further attempt of a request that began with it: as with servers that leave."""
 
     async def test() -> None:
-        turn_away = asyncio.Event()
+        reject = asyncio.Event()
 
         async def script(_server: WebServer, _arrival: Arrival, _line: Line) -> bytes:
-            await turn_away.wait()
+            await reject.wait()
             return NOT_RUN
 
         old, new = [WebServer(script) for _ in range(5)], [WebServer()]
@@ -85,7 +87,7 @@
             await until(lambda: sum(server.count for server in old) == 5)
             await new[0].start()
             assert await it.change(site(it.port, {"new": new}))
-            turn_away.set()
+            reject.set()
             assert [(await task).status for task in tasks] == [503] * 5
             assert sum(server.count for server in old) == 5
             assert new[0].count == 0
@@ -96,7 +98,7 @@
 
 def test_a_request_queued_at_a_removed_pool_fails_over_at_once(tmp_path: Path) -> None:
     async def test() -> None:
-        async with held(1) as (old, let_go):
+        async with held(1) as (old, release):
             spare = WebServer()
             async with running(tmp_path, {"old": old, "spare": [spare]}) as it:
                 tasks = [asyncio.create_task(it.ask(message("POST /buy"))) for _ in range(2)]
@@ -105,7 +107,7 @@
                 assert await it.change(site(it.port, {"spare": [spare]}))
                 await until(lambda: spare.count == 1)
                 assert time.monotonic() - began < 0.4  # before half its aim, when the slot's wait would end
-                let_go.set()
+                release.set()
                 assert sorted([(await task).body for task in tasks]) == [b"hello", b"old"]
 
     run(test)
@@ -113,29 +115,29 @@
 
 def test_drained_and_removed_endpoints_get_nothing_new_and_an_added_one_warms_up(tmp_path: Path) -> None:
     async def test() -> None:
-        stays, drains, goes, joins = (WebServer() for _ in range(4))
-        await joins.start()
-        async with running(tmp_path, {"main": [stays, drains, goes]}) as it:
+        unchanged, drained, removed, added = (WebServer() for _ in range(4))
+        await added.start()
+        async with running(tmp_path, {"main": [unchanged, drained, removed]}) as it:
             balancer = it.daemon.pools["main"].pool.balancer
             assert {server.listed.started_us for server in balancer.endpoints.values()} == {0}
             for _ in range(30):
                 assert (await it.ask(message("GET /"))).status == 200
-            assert min(server.count for server in (stays, drains, goes)) > 0
-            text = it.path.read_text().replace(f'"{drains.address}"', f'"{drains.address}", drain = true')
-            text = text.replace(goes.address, joins.address)
+            assert min(server.count for server in (unchanged, drained, removed)) > 0
+            text = it.path.read_text().replace(f'"{drained.address}"', f'"{drained.address}", drain = true')
+            text = text.replace(removed.address, added.address)
             assert await it.change(text)
             assert it.daemon.pools["main"].pool.balancer is balancer  # what it learnt stays
-            before = drains.count, goes.count
+            before = drained.count, removed.count
             for _ in range(30):
                 assert (await it.ask(message("GET /"))).status == 200
-            assert (drains.count, goes.count) == before
+            assert (drained.count, removed.count) == before
             cold = [server for server in balancer.endpoints.values() if server.listed.started_us]
             assert len(cold) == 1
             assert balancer.table.warm_up_fraction(cold[0], balancer.now_us) < 1.0
             assert await it.change(text.replace(", drain = true", ""))
             assert len(balancer.endpoints) == 3  # and it is not cold, as it ran on
             assert sum(1 for server in balancer.endpoints.values() if server.listed.started_us) == 1
-        joins.stop()
+        added.stop()
 
     run(test)
 
@@ -158,7 +160,7 @@
 
 def test_changed_settings_replace_a_pool_and_its_endpoints_stay_warm(tmp_path: Path) -> None:
     async def test() -> None:
-        async with held(2) as (servers, let_go), running(tmp_path, {"main": servers}) as it:
+        async with held(2) as (servers, release), running(tmp_path, {"main": servers}) as it:
             task = asyncio.create_task(it.ask(message("POST /buy")))
             await until(lambda: sum(server.count for server in servers) == 1)
             before = it.daemon.pools["main"]
@@ -166,7 +168,7 @@
             after = it.daemon.pools["main"]
             assert after is not before
             assert {server.listed.started_us for server in after.pool.balancer.endpoints.values()} == {0}
-            let_go.set()
+            release.set()
             assert (await task).status == 200
             assert (await it.ask(message("GET /"))).status == 200
             await until(lambda: not before.connections.connections)
@@ -174,11 +176,11 @@
     run(test)
 
 
-@pytest.mark.parametrize("what", BROKEN)
+@pytest.mark.parametrize("case", BROKEN)
 def test_a_broken_file_leaves_the_configuration_in_force(
-    tmp_path: Path, what: str, caplog: pytest.LogCaptureFixture
+    tmp_path: Path, case: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    old, new, told = BROKEN[what]
+    old, new, expected = BROKEN[case]
 
     async def test() -> None:
         server = WebServer()
@@ -190,7 +192,7 @@
             assert it.daemon.generation is generation
             assert "reload refused" in caplog.text
             assert str(it.path) in caplog.text
-            assert told in caplog.text
+            assert expected in caplog.text
             assert (await client.ask(message("GET /"))).status == 200
             client.close()
 
@@ -213,10 +215,12 @@
                 client = Client(*await asyncio.open_connection("127.0.0.1", port))
                 assert (await client.ask(message("GET /"))).status == 200
                 client.close()
-            kept = Client(*await asyncio.open_connection("127.0.0.1", it.daemon.addresses()["free"][1]))
-            assert (await kept.ask(message("GET /"))).status == 200
+            idle_client = Client(
+                *await asyncio.open_connection("127.0.0.1", it.daemon.addresses()["free"][1])
+            )
+            assert (await idle_client.ask(message("GET /"))).status == 200
             assert await it.change(text)  # the listeners go, with their idle connections
-            assert await kept.ended()
+            assert await idle_client.ended()
             assert set(it.daemon.services.listeners.active) == {"web"}
         taken.stop()
 
