--- a/tests/daemon/test_slow_start.py
+++ b/tests/daemon/test_slow_start.py
@@ -32,22 +32,22 @@
     return client
 
 
-def came(held: list[Held]) -> int:
+def arrived(held: list[Held]) -> int:
     return sum(len(each.server.arrivals) for each in held)
 
 
-async def crowd(it: Running, held: list[Held], size: int, at_once: int) -> list[int]:
+async def send_burst(it: Running, held: list[Held], size: int, at_once: int) -> list[int]:
     """Send `size` requests at one moment, of which `at_once` are in flight together; returns the statuses.
 
     The rest is rejected before any of these is let go.
     """
-    before = came(held)
+    before = arrived(held)
     clients = [await send(it) for _ in range(size)]
-    await until(lambda: came(held) == before + at_once)
+    await until(lambda: arrived(held) == before + at_once)
     statuses = []
     tasks = [asyncio.create_task(client.reply()) for client in clients]
     await until(lambda: sum(task.done() for task in tasks) == size - at_once)
-    assert came(held) == before + at_once
+    assert arrived(held) == before + at_once
     for each in held:
         for _ in range(size):
             each.release.release()
@@ -63,28 +63,30 @@
     return statuses
 
 
-def test_an_instance_of_a_fleet_lets_in_few_at_first_and_more_as_answers_come(tmp_path: Path) -> None:
+def test_an_instance_of_a_fleet_admits_few_requests_at_first_and_more_as_responses_arrive(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
         held = [Held() for _ in range(4)]
         async with one_of_many(tmp_path, held) as it:
             clients = [await send(it)]
-            await until(lambda: came(held) == 1)
+            await until(lambda: arrived(held) == 1)
             for each in held:
                 each.release.release()
             assert (await clients[0].reply()).status == 200
             clients[0].close()
             for each in held:
                 each.release = asyncio.Semaphore(0)
-            assert sorted(await crowd(it, held, 6, 3)) == [200] * 3 + [503] * 3
-            told = it.daemon.status()["pools"]["main"]["admission"]
-            assert told == {"window": 6, "servers": 4, "refused": 3}
-            assert (await crowd(it, held, 4, 4)) == [200] * 4, "as many as there are servers: over"
+            assert sorted(await send_burst(it, held, 6, 3)) == [200] * 3 + [503] * 3
+            progress = it.daemon.status()["pools"]["main"]["admission"]
+            assert progress == {"window": 6, "servers": 4, "refused": 3}
+            assert (await send_burst(it, held, 4, 4)) == [200] * 4, "as many as there are servers: over"
             assert it.daemon.status()["pools"]["main"]["admission"] == {}
 
     run(test)
 
 
-def test_after_a_gap_it_begins_anew(tmp_path: Path) -> None:
+def test_a_pause_begins_a_new_slow_start(tmp_path: Path) -> None:
     async def test() -> None:
         held = [Held() for _ in range(3)]
         async with one_of_many(tmp_path, held) as it:
@@ -92,32 +94,32 @@
             assert admission is not None
             admission.finished = True
             it.daemon.resume_after_pause(5_000_000)
-            assert sorted(await crowd(it, held, 4, 2)) == [200] * 2 + [503] * 2
+            assert sorted(await send_burst(it, held, 4, 2)) == [200] * 2 + [503] * 2
 
     run(test)
 
 
-def test_one_alone_and_one_that_is_told_not_to_let_all_in_that_finds_a_slot(tmp_path: Path) -> None:
+def test_a_single_instance_and_one_without_slow_start_admit_all_requests(tmp_path: Path) -> None:
     async def test(head: str) -> None:
         held = [Held() for _ in range(3)]
         async with one_of_many(tmp_path, held, head) as it:
             assert it.daemon.pools["main"].pool.admission is None
-            assert (await crowd(it, held, 3, 3)) == [200] * 3
+            assert (await send_burst(it, held, 3, 3)) == [200] * 3
 
     run(lambda: test(""))
     run(lambda: test(FLEET + "[fleet]\nslow_start = false\n"))
 
 
-def test_at_a_door_it_waits_in_place_of_being_refused(tmp_path: Path) -> None:
+def test_in_a_pool_with_a_fair_queue_requests_wait_instead_of_being_rejected(tmp_path: Path) -> None:
     async def test() -> None:
         held = [Held() for _ in range(3)]
         async with one_of_many(tmp_path, held, extra='fair = { max_wait = "14s" }') as it:
             clients = [await send(it) for _ in range(5)]
-            await until(lambda: came(held) == 2)
+            await until(lambda: arrived(held) == 2)
             tasks = [asyncio.create_task(client.reply()) for client in clients]
             for _ in range(3):
                 await asyncio.sleep(0)
-            assert came(held) == 2
+            assert arrived(held) == 2
             assert not any(task.done() for task in tasks)
             for each in held:
                 for _ in range(5):
@@ -129,7 +131,7 @@
     run(test)
 
 
-def test_a_pool_that_lets_nobody_in_now_leaves_the_request_to_the_next_one(tmp_path: Path) -> None:
+def test_a_request_that_a_pool_does_not_admit_fails_over_to_the_next_pool(tmp_path: Path) -> None:
     async def test() -> None:
         held, spare = Held(), WebServer()
         routes = ROUTE.replace('["main"]', '["main", "spare"]')
@@ -150,7 +152,7 @@
     run(test)
 
 
-def test_its_place_in_the_list_is_known_before_it_sends_and_follows_the_list(tmp_path: Path) -> None:
+def test_the_rank_is_known_before_the_first_request_and_follows_the_list(tmp_path: Path) -> None:
     async def test() -> None:
         path = tmp_path / "instances.txt"
         path.write_text("".join(f"127.0.0.1:{9000 + n} id=app-{n}\n" for n in range(4)))
@@ -164,7 +166,7 @@
     run(test)
 
 
-def test_a_reload_that_makes_a_pool_anew_is_no_start(tmp_path: Path) -> None:
+def test_a_reload_that_rebuilds_a_pool_begins_no_slow_start(tmp_path: Path) -> None:
     async def test() -> None:
         held = [Held() for _ in range(3)]
         async with one_of_many(tmp_path, held) as it:
