--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -28,16 +28,16 @@
 class Clock:
     """The system's clock, which can jump as it does for a process that is paused and resumed."""
 
-    ahead_ns = 0
+    offset_ns = 0
 
     def jump(self, seconds: float) -> None:
-        self.ahead_ns += int(seconds * 1e9)
+        self.offset_ns += int(seconds * 1e9)
 
 
 @contextmanager
 def jumping() -> Iterator[Clock]:
     clock = Clock()
-    with override_clock(lambda: time.monotonic_ns() + clock.ahead_ns):
+    with override_clock(lambda: time.monotonic_ns() + clock.offset_ns):
         yield clock
 
 
@@ -54,13 +54,13 @@
         f"{server.address} id=s{number}{' drain=true' if number == drained else ''}\n"
         for number, server in enumerate(servers)
     )
-    beside = path.with_suffix(".new")
-    beside.write_bytes(sealed(path.name, rows.encode()))
-    beside.rename(path)
+    temporary = path.with_suffix(".new")
+    temporary.write_bytes(sealed(path.name, rows.encode()))
+    temporary.rename(path)
 
 
 @asynccontextmanager
-async def listed(folder: Path) -> AsyncIterator[tuple[Running, Clock, Path, list[WebServer]]]:
+async def daemon_with_list(folder: Path) -> AsyncIterator[tuple[Running, Clock, Path, list[WebServer]]]:
     """A daemon whose list holds the first of two servers, on a clock that may jump."""
     path, servers = folder / "servers.txt", [WebServer(), WebServer()]
     for server in servers:
@@ -77,9 +77,9 @@
     await until(lambda: phase(it) == wanted)
 
 
-def test_a_list_that_changed_in_a_pause_holds_before_the_first_send(tmp_path: Path) -> None:
+def test_a_list_that_changed_during_a_pause_applies_before_the_first_send(tmp_path: Path) -> None:
     async def test() -> None:
-        async with listed(tmp_path) as (it, clock, path, servers):
+        async with daemon_with_list(tmp_path) as (it, clock, path, servers):
             assert (await it.ask(message("GET /"))).status == 200  # by the only one that is known
             client = await it.connect()
             # in one turn of the loop: the process is paused, the list is replaced, and a request has come
@@ -96,29 +96,29 @@
     run(test)
 
 
-def test_a_send_decided_in_a_paused_turn_waits_for_the_lists(tmp_path: Path) -> None:
+def test_a_send_decided_in_a_paused_loop_iteration_waits_for_the_lists(tmp_path: Path) -> None:
     async def test() -> None:
-        async with listed(tmp_path) as (it, clock, path, servers):
+        async with daemon_with_list(tmp_path) as (it, clock, path, servers):
             # On an idle connection the send would be written in this very turn.
             assert (await it.ask(message("GET /"))).status == 200
             dispatcher = it.daemon.dispatcher
             handle = dispatcher.pools[0].balancer.handle
-            stopped = False
+            was_paused = False
 
-            def stops(now_us: int, event: object) -> list[object]:
+            def pause_before_send(now_us: int, event: object) -> list[object]:
                 """The process is stopped once, after the module has decided and before that is done."""
-                nonlocal stopped
+                nonlocal was_paused
                 actions = handle(now_us, event)  # type: ignore[arg-type]
-                if not stopped and any(type(action).__name__ == "Send" for action in actions):
-                    stopped = True
+                if not was_paused and any(type(action).__name__ == "Send" for action in actions):
+                    was_paused = True
                     write(path, servers, drained=0)
                     clock.jump(1.0)  # so that the idle connection is still of use
                 return actions  # type: ignore[return-value]
 
-            dispatcher.pools[0].balancer.handle = stops  # type: ignore[method-assign, assignment]
+            dispatcher.pools[0].balancer.handle = pause_before_send  # type: ignore[method-assign, assignment]
             reply = await it.ask(message("GET /"))
             assert reply.status == 200
-            assert stopped
+            assert was_paused
             assert (servers[0].count, servers[1].count) == (1, 1)
             assert not dispatcher.suspension.active
             assert not dispatcher.suspension.sends
@@ -126,7 +126,7 @@
     run(test)
 
 
-def test_a_request_whose_deadline_passed_unread_is_rejected_and_sent_nowhere(tmp_path: Path) -> None:
+def test_a_request_whose_deadline_passed_unread_is_rejected_and_not_sent(tmp_path: Path) -> None:
     async def test() -> None:
         server = WebServer()
         with jumping() as clock:
@@ -134,14 +134,14 @@
                 assert (await it.ask(message("GET /"))).status == 200
                 client = await it.connect()
                 dispatcher = it.daemon.dispatcher
-                asked = dispatcher.suspension.unread_us
+                original = dispatcher.suspension.unread_us
                 dispatcher.suspension.unread_us = Mock(return_value=int(PAUSE_S * 1e6))  # type: ignore[method-assign]
                 clock.jump(PAUSE_S)
                 reply = await client.ask(message("POST /buy", "X-Deadline-Ms: 3000", body=b"x"))
                 assert reply.status == 503
                 assert reply.all("Retry-After")
                 assert server.count == 1
-                dispatcher.suspension.unread_us = asked  # type: ignore[method-assign]
+                dispatcher.suspension.unread_us = original  # type: ignore[method-assign]
                 reply = await client.ask(message("POST /buy", "X-Deadline-Ms: 3000", body=b"x"))
                 assert reply.status == 200  # it came a moment ago, whatever was paused before
                 client.close()
@@ -149,9 +149,9 @@
     run(test)
 
 
-def test_a_removed_list_has_failed_until_it_is_there_again(tmp_path: Path) -> None:
+def test_a_deleted_list_counts_as_failed_until_it_exists_again(tmp_path: Path) -> None:
     async def test() -> None:
-        async with listed(tmp_path) as (it, clock, path, servers):
+        async with daemon_with_list(tmp_path) as (it, clock, path, servers):
             path.unlink()
             clock.jump(PAUSE_S)
             await until_phase(it, "serving in part")
@@ -163,16 +163,18 @@
     run(test)
 
 
-def test_a_disk_that_hangs_suspends_nothing_for_good(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    comes_back, status = threading.Event(), LocalFileSystem.status
+def test_a_hung_disk_does_not_suspend_the_dispatcher_forever(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    disk_recovers, status = threading.Event(), LocalFileSystem.status
 
-    def hangs(files: LocalFileSystem, path: str) -> os.stat_result:
-        comes_back.wait()
+    def hanging_status(files: LocalFileSystem, path: str) -> os.stat_result:
+        disk_recovers.wait()
         return status(files, path)
 
     async def test() -> None:
-        async with listed(tmp_path) as (it, clock, path, servers):
-            monkeypatch.setattr(LocalFileSystem, "status", hangs)
+        async with daemon_with_list(tmp_path) as (it, clock, path, servers):
+            monkeypatch.setattr(LocalFileSystem, "status", hanging_status)
             clock.jump(PAUSE_S)
             await until_phase(it, "catching up")
             assert it.daemon.dispatcher.suspension.active
@@ -184,13 +186,13 @@
             assert (await it.ask(message("GET /"))).status == 200
             assert phase(it) == "serving in part"
             assert it.daemon.status()["recovery"]["missing"] == {f"main: file:{path}": "a read of it hangs"}
-            comes_back.set()
+            disk_recovers.set()
             await until_phase(it, "full")
 
     run(test)
 
 
-def test_a_drain_command_on_the_control_socket_holds_before_the_first_send(tmp_path: Path) -> None:
+def test_a_drain_command_on_the_control_socket_applies_before_the_first_send(tmp_path: Path) -> None:
     async def test() -> None:
         servers = [WebServer(), WebServer()]
         control = tmp_path / "control"
--- a/tests/test_stopped_process.py
+++ b/tests/test_stopped_process.py
@@ -27,20 +27,20 @@
     """Nine servers that all services share, one of which keeps the held request until it is let go."""
 
     def __init__(self) -> None:
-        self.let_go = asyncio.Event()
+        self.release = asyncio.Event()
         self.all = [WebServer(self.script) for _ in range(SERVERS)]
 
     async def script(self, server: WebServer, arrival: Arrival, line: Line) -> bytes:
         if arrival.target == HELD.encode():
-            await self.let_go.wait()
+            await self.release.wait()
         return OK
 
     @property
-    def to_first(self) -> int:
+    def count_at_first(self) -> int:
         """Requests at the server that the lists drain."""
         return self.all[0].count
 
-    def holds(self) -> bool:
+    def has_held_request(self) -> bool:
         """Whether the held request has come."""
         return any(arrival.target == HELD.encode() for server in self.all for arrival in server.arrivals)
 
@@ -55,7 +55,7 @@
     await until(stopped)
 
 
-def write_patiently(site: ServiceSite) -> None:
+def write_with_long_deadlines(site: ServiceSite) -> None:
     """Its files, with times that a busy machine keeps to."""
     site.write()
     text = site.path.read_text()
@@ -71,14 +71,14 @@
     """One request for each service, spread over the connections."""
 
     async def ask_some(first: int) -> list[int]:
-        mine = services[first :: len(clients)]
-        return [(await clients[first].ask(message(f"GET /{service}"))).status for service in mine]
+        own_services = services[first :: len(clients)]
+        return [(await clients[first].ask(message(f"GET /{service}"))).status for service in own_services]
 
     found = await asyncio.gather(*map(ask_some, range(len(clients))))
     return [status for statuses in found for status in statuses]
 
 
-async def status_that(daemon: DaemonProcess, version: int) -> dict[str, Any]:
+async def status_at_version(daemon: DaemonProcess, version: int) -> dict[str, Any]:
     """Its status once each list has this version and nothing is left to recover."""
     services = daemon.site.service_names()
     async with asyncio.timeout(PATIENCE_S):
@@ -90,53 +90,53 @@
             await asyncio.sleep(0.1)
 
 
-async def pause_beside_changes(daemon: DaemonProcess, site: ServiceSite, servers: Servers) -> None:
+async def change_while_stopped(daemon: DaemonProcess, site: ServiceSite, servers: Servers) -> None:
     """All lists drain their first server, and a held answer comes, while the process is stopped."""
     replacements = [site.prepare(service, 2, first_drains=True) for service in site.service_names()]
     os.kill(daemon.process.pid, signal.SIGSTOP)
     await until_stopped(daemon.process.pid)
     for replacement in replacements:
         replacement.apply()
-    servers.let_go.set()
+    servers.release.set()
 
 
-def test_a_process_that_was_stopped_sends_nothing_by_its_old_lists(tmp_path: Path) -> None:
+def test_a_process_that_was_stopped_sends_nothing_by_its_outdated_lists(tmp_path: Path) -> None:
     async def test() -> None:
         servers = Servers()
         for server in servers.all:
             await server.start()
         site = ServiceSite(tmp_path, SERVICES, SERVERS, [server.address for server in servers.all])
-        write_patiently(site)
+        write_with_long_deadlines(site)
         services = site.service_names()
         with daemon_process(site, CORE) as daemon:
             await asyncio.to_thread(daemon.wait_until_up)
             clients = await connected(site.port, CLIENTS)
-            (holding,) = await connected(site.port, 1)
-            while not servers.to_first:
+            (held_client,) = await connected(site.port, 1)
+            while not servers.count_at_first:
                 assert set(await ask_all(clients, services)) <= {200, 503}
-            holding.writer.write(message(f"GET {HELD}"))
-            await until(servers.holds)
+            held_client.writer.write(message(f"GET {HELD}"))
+            await until(servers.has_held_request)
 
-            await pause_beside_changes(daemon, site, servers)
-            before = servers.to_first
+            await change_while_stopped(daemon, site, servers)
+            before = servers.count_at_first
             await asyncio.sleep(STOPPED_S)
             # written last: what had lain unread for longer than its deadline would be sent nowhere
-            newcomers = await connected(site.port, CLIENTS)
-            for number, client in enumerate([*clients, *newcomers]):
+            new_clients = await connected(site.port, CLIENTS)
+            for number, client in enumerate([*clients, *new_clients]):
                 client.writer.write(message(f"GET /{services[number]}"))
-            assert servers.to_first == before
+            assert servers.count_at_first == before
             os.kill(daemon.process.pid, signal.SIGCONT)
 
-            answers = await asyncio.gather(*(client.reply() for client in [*clients, *newcomers]))
+            answers = await asyncio.gather(*(client.reply() for client in [*clients, *new_clients]))
             assert {reply.status for reply in answers} == {200}
-            assert (await holding.reply()).status == 200
-            status = await status_that(daemon, version=2)
+            assert (await held_client.reply()).status == 200
+            status = await status_at_version(daemon, version=2)
             assert status["recovery"]["gaps"] == 1
             assert status["recovery"]["longest_gap_s"] >= STOPPED_S - MAX_IDLE_WAIT_US / 1e6
             assert {server_state(status, service, "s0") for service in services} == {"draining"}
-            assert set(await ask_all([*clients, holding], services)) <= {200, 503}
-            assert servers.to_first == before
-            for client in [*clients, *newcomers, holding]:
+            assert set(await ask_all([*clients, held_client], services)) <= {200, 503}
+            assert servers.count_at_first == before
+            for client in [*clients, *new_clients, held_client]:
                 client.close()
             daemon.process.send_signal(signal.SIGTERM)
             assert await asyncio.to_thread(daemon.process.wait, PATIENCE_S) == 0
