--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -31,7 +31,7 @@
     return message("POST /buy", *headers, body=b"coins")
 
 
-def test_over_its_rate_a_client_is_told_which_limit_and_when(tmp_path: Path) -> None:
+def test_a_client_over_its_rate_is_told_the_limit_and_when_to_retry(tmp_path: Path) -> None:
     async def test() -> None:
         server = WebServer()
         head = limiter("client", SLOW + '\nretry_after = "90s"')
@@ -39,15 +39,15 @@
             client = await it.connect()
             found = [await client.ask(buy()) for _ in range(5)]
             assert [reply.status for reply in found] == [200, 200, 429, 429, 429]
-            over = found[2]
-            assert over.all("RateLimit-Policy") == ['"it";q=2;w=200']
-            assert over.all("RateLimit") == [f'"it";r=0;t={over.all("Retry-After")[0]}']
-            assert 60 < int(over.all("Retry-After")[0]) <= 90
-            assert b"nothing has run" in over.body
+            rejected = found[2]
+            assert rejected.all("RateLimit-Policy") == ['"it";q=2;w=200']
+            assert rejected.all("RateLimit") == [f'"it";r=0;t={rejected.all("Retry-After")[0]}']
+            assert 60 < int(rejected.all("Retry-After")[0]) <= 90
+            assert b"nothing has run" in rejected.body
             assert server.count == 2
             client.close()
-            figures = it.daemon.status()["limiters"]["it"]
-            assert figures == {
+            counts = it.daemon.status()["limiters"]["it"]
+            assert counts == {
                 "let_in": 2,
                 "over_rate": 3,
                 "over_concurrent": 0,
@@ -59,21 +59,21 @@
     run(test)
 
 
-def test_a_limit_may_go_unnamed(tmp_path: Path) -> None:
+def test_a_limiter_may_omit_the_rate_limit_headers(tmp_path: Path) -> None:
     async def test() -> None:
         head = limiter("all", SLOW.replace("2", "1") + "\ntell = false")
         async with running(tmp_path, {"main": [WebServer()]}, routes=routes(), head=head) as it:
             assert (await it.ask(buy())).status == 200
-            over = await it.ask(buy())
-            assert over.status == 429
-            assert over.all("Retry-After")
-            assert not over.all("RateLimit")
-            assert not over.all("RateLimit-Policy")
+            rejected = await it.ask(buy())
+            assert rejected.status == 429
+            assert rejected.all("Retry-After")
+            assert not rejected.all("RateLimit")
+            assert not rejected.all("RateLimit-Policy")
 
     run(test)
 
 
-def test_a_place_at_once_is_free_again_when_the_request_is_over(tmp_path: Path) -> None:
+def test_a_concurrency_slot_is_released_when_the_request_ends(tmp_path: Path) -> None:
     async def test() -> None:
         held = Held()
         async with running(
@@ -100,7 +100,7 @@
 
 
 @asynccontextmanager
-async def one_open(folder: Path) -> AsyncIterator[tuple[Running, Held, Client]]:
+async def one_request_in_flight(folder: Path) -> AsyncIterator[tuple[Running, Held, Client]]:
     """A client that may have one request at once has it at the server."""
     held = Held()
     async with running(
@@ -113,9 +113,9 @@
         first.close()
 
 
-def test_a_client_that_leaves_gives_its_place_back(tmp_path: Path) -> None:
+def test_a_client_that_disconnects_releases_its_slot(tmp_path: Path) -> None:
     async def test() -> None:
-        async with one_open(tmp_path) as (it, held, first):
+        async with one_request_in_flight(tmp_path) as (it, held, first):
             first.close()
             entries = it.daemon.services.limiters.active["it"].keys
             await until(lambda: all(entry.concurrent == 0 for entry in entries.values()))
@@ -126,7 +126,7 @@
     run(test)
 
 
-def test_a_refused_request_is_over_though_no_server_was_asked(tmp_path: Path) -> None:
+def test_a_request_that_the_pool_rejects_releases_its_slot(tmp_path: Path) -> None:
     """One that the pool refuses gives its place back as well."""
 
     async def test() -> None:
@@ -153,7 +153,7 @@
         ),
     ],
 )
-def test_clients_behind_one_address_have_a_place_each(
+def test_clients_behind_one_address_are_limited_separately(
     client: str, listener: str, header: str, tmp_path: Path
 ) -> None:
     async def test() -> None:
@@ -171,7 +171,7 @@
     run(test)
 
 
-def test_a_client_s_own_word_of_its_address_is_not_taken(tmp_path: Path) -> None:
+def test_an_untrusted_forwarded_address_is_ignored(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(
             tmp_path,
@@ -186,7 +186,7 @@
     run(test)
 
 
-def test_a_reload_gives_no_key_its_burst_again(tmp_path: Path) -> None:
+def test_a_reload_does_not_reset_the_burst_of_a_key(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(
             tmp_path, {"main": [WebServer()]}, routes=routes(), head=limiter("client", SLOW)
@@ -206,9 +206,9 @@
     run(test)
 
 
-def test_a_request_that_is_open_over_a_reload_gives_its_place_back(tmp_path: Path) -> None:
+def test_a_request_open_during_a_reload_releases_its_slot(tmp_path: Path) -> None:
     async def test() -> None:
-        async with one_open(tmp_path) as (it, held, first):
+        async with one_request_in_flight(tmp_path) as (it, held, first):
             assert await it.change(it.path.read_text() + "\n# the same again")
             assert (await it.ask(buy())).status == 429
             for _ in range(2):
@@ -219,7 +219,7 @@
     run(test)
 
 
-def test_handshakes_count_and_sockets_hold_no_place(tmp_path: Path) -> None:
+def test_websocket_handshakes_are_counted_and_open_websockets_hold_no_slot(tmp_path: Path) -> None:
     async def test() -> None:
         head = '\n[limiters.it]\nby = "client"\nrate_per_s = 0.01\nburst = 5\nconcurrent = 1\n'
         routed = LIVE_ROUTES + 'limiters = ["it"]\n' + head
