--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -30,12 +30,12 @@
 @contextmanager
 def program(path: Path) -> Iterator[subprocess.Popen[bytes]]:
     build()
-    plain = {k: v for k, v in os.environ.items() if not k.startswith(("PYTHON", "VIRTUAL_ENV"))}
+    environment = {k: v for k, v in os.environ.items() if not k.startswith(("PYTHON", "VIRTUAL_ENV"))}
     process = subprocess.Popen(
         ["/bin/sh", "-c", DEPLOY["run"]],
         cwd=ROOT,
         stderr=subprocess.PIPE,
-        env=plain | {"BALANCER_CONFIG": str(path)},
+        env=environment | {"BALANCER_CONFIG": str(path)},
     )
     try:
         yield process
@@ -44,7 +44,7 @@
         process.communicate()
 
 
-async def listening(port: int) -> None:
+async def until_listening(port: int) -> None:
     """Until something takes connections there."""
     while True:
         try:
@@ -60,7 +60,7 @@
             assert Path(cache_from_source(source)).exists()
 
 
-def test_settings_are_read_by_their_names_on_the_simulators_wire(tmp_path: Path) -> None:
+def test_settings_are_read_by_their_names_in_the_simulator_protocol(tmp_path: Path) -> None:
     config: Config = load(str(configuration(tmp_path)))
     assert (config.seed, config.sockets, config.idle_us) == (0x8C1F, 1024, 5_000_000)
     assert (config.zones, config.kinds) == (["a", "b"], ["m"])
@@ -76,12 +76,12 @@
     assert flatten(nested) == {"a.b": "true", "a.c": "1,2", "d.count": "1", "d.0.e": "0.5", "f.count": "0"}
 
 
-def test_the_program_is_ready_lives_through_sighup_and_ends_with_0_on_sigterm(tmp_path: Path) -> None:
+def test_the_program_becomes_ready_survives_sighup_and_exits_with_0_on_sigterm(tmp_path: Path) -> None:
     path = configuration(tmp_path)
     port = int(json.loads(path.read_text())["listen"].split(":")[1])
     with program(path) as process:
 
-        def up() -> bytes:
+        def up_response() -> bytes:
             ends = time.monotonic() + PATIENCE_S
             while time.monotonic() < ends:
                 assert process.poll() is None
@@ -93,16 +93,16 @@
                     time.sleep(0.02)
             return b""
 
-        assert up().startswith(b"HTTP/1.1 200 ")
+        assert up_response().startswith(b"HTTP/1.1 200 ")
         for _ in range(3):
             process.send_signal(signal.SIGHUP)
-            assert up().startswith(b"HTTP/1.1 200 ")
+            assert up_response().startswith(b"HTTP/1.1 200 ")
         process.send_signal(signal.SIGHUP)
         process.send_signal(signal.SIGTERM)
         assert process.wait(PATIENCE_S) == 0
 
 
-def test_sigterm_under_load_leaves_nothing_that_ran_without_its_answer(tmp_path: Path) -> None:
+def test_sigterm_under_load_leaves_no_executed_request_unanswered(tmp_path: Path) -> None:
     async def slow(
         upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
@@ -113,14 +113,14 @@
         """Sends one request after another; after the stop until its connection is closed."""
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         for number in range(10_000):
-            ident = f"{name}-{number}"
+            request_id = f"{name}-{number}"
             try:
-                writer.write(request("pay", ident, b"b"))
+                writer.write(request("pay", request_id, b"b"))
                 head, _ = await read_message(reader)
             except (asyncio.IncompleteReadError, ConnectionError):
                 assert stopped.is_set()  # closed between requests
                 break
-            answered.add(ident)
+            answered.add(request_id)
             if b"Connection: close" in head:
                 assert stopped.is_set()
                 break
@@ -136,7 +136,7 @@
         stopped, answered = asyncio.Event(), set[str]()
         with program(path) as process:
             async with asyncio.timeout(PATIENCE_S):
-                await listening(port)
+                await until_listening(port)
                 async with asyncio.TaskGroup() as group:
                     for name in range(8):
                         group.create_task(client(name, port, stopped, answered))
@@ -169,7 +169,7 @@
             writer.write(OK)
         await reader.read()
 
-    async def asked(port: int, body: bytes) -> bytes:
+    async def send_request(port: int, body: bytes) -> bytes:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(request("pay", body=body, deadline_ms=60_000))
         answer = await reader.read()
@@ -180,7 +180,7 @@
         upstreams = [Upstream(slow) for _ in range(4)]
         for upstream in upstreams:
             await upstream.start()
-        patient = {
+        request_class = {
             "name": "pay",
             "aim": 400_000,
             "deadline": 60_000_000,
@@ -191,13 +191,13 @@
         path = configuration(
             tmp_path,
             known=listing(*(entry(f"u{i}", each.port) for i, each in enumerate(upstreams))),
-            settings=SETTINGS | {"request-classes": [patient]},
+            settings=SETTINGS | {"request-classes": [request_class]},
         )
         port = int(json.loads(path.read_text())["listen"].split(":")[1])
         with program(path) as process:
             async with asyncio.timeout(PATIENCE_S):
-                await listening(port)
-                answers = [asyncio.create_task(asked(port, body)) for body in (b"late", b"never")]
+                await until_listening(port)
+                answers = [asyncio.create_task(send_request(port, body)) for body in (b"late", b"never")]
                 while sum(len(upstream.requests) for upstream in upstreams) < 2:
                     await asyncio.sleep(0.01)
                 process.send_signal(signal.SIGTERM)
@@ -214,15 +214,15 @@
     asyncio.run(test())
 
 
-class Owing:
+class UnansweredListener:
     """A server whose requests are never answered by themselves."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
-        self.rest_at = 0.0
+        self.answered_all_at = 0.0
 
     def answer_all(self) -> None:
-        self.rest_at = self.loop.time()
+        self.answered_all_at = self.loop.time()
 
     def owes_responses(self) -> bool:
         return True
@@ -233,15 +233,15 @@
 
 
 @pytest.mark.parametrize("longest_s", [0.15, 1.2, 3.0, 6.0])
-def test_a_stop_gives_each_its_time_and_is_over_well_before_it_is_killed(longest_s: float) -> None:
+def test_a_stop_lets_requests_use_their_deadlines_and_ends_well_before_sigkill(longest_s: float) -> None:
     """Also where the signal was heard a tenth of a second late: SIGKILL counts from when it was sent."""
     loop = VirtualLoop(1)
-    server, began = Owing(loop), loop.time()
+    server, began = UnansweredListener(loop), loop.time()
     loop.run_until_complete(drain(cast(PlatformListener, server), longest_s))
-    killed_s = min(longest_s, 3.0) + 0.7
-    assert loop.time() - began <= killed_s - 0.14
+    sigkill_s = min(longest_s, 3.0) + 0.7
+    assert loop.time() - began <= sigkill_s - 0.14
     # whoever came last, 0.4 s after the signal, has had all its time, or what SIGKILL leaves of it
-    assert server.rest_at - began >= min(longest_s, 3.0) + 0.4
+    assert server.answered_all_at - began >= min(longest_s, 3.0) + 0.4
     loop.close()
 
 
@@ -256,7 +256,7 @@
     ids=lambda signals: "-".join(each.name for each in signals),
 )
 @pytest.mark.parametrize("readable", [True, False], ids=["readable", "unreadable"])
-def test_signals_that_cross_a_stop_cost_no_answer_and_it_ends_with_0(
+def test_signals_during_a_stop_lose_no_response_and_the_program_exits_with_0(
     tmp_path: Path, signals: tuple[signal.Signals, ...], readable: bool
 ) -> None:
     """Also with a configuration that has become unreadable, and while an upstream is at work."""
@@ -275,7 +275,7 @@
         port = int(json.loads(path.read_text())["listen"].split(":")[1])
         with program(path) as process:
             async with asyncio.timeout(PATIENCE_S):
-                await listening(port)
+                await until_listening(port)
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(request("pay", body=b"b"))
                 while not upstream.requests:
@@ -295,11 +295,11 @@
     asyncio.run(test())
 
 
-def test_twenty_that_start_at_once_are_ready_though_discovery_turns_all_away(tmp_path: Path) -> None:
+def test_twenty_instances_become_ready_though_discovery_rejects_all_calls(tmp_path: Path) -> None:
     """By the list as they last had it; none waits for a call, and each goes on calling."""
     calls: Counter[str] = Counter()
 
-    async def crowded(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def overloaded(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         calls["all"] += 1
         writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
@@ -316,7 +316,7 @@
             await asyncio.sleep(0.05)
 
     async def test() -> None:
-        discovery = await asyncio.start_server(crowded, "127.0.0.1", 0)
+        discovery = await asyncio.start_server(overloaded, "127.0.0.1", 0)
         address = f"127.0.0.1:{discovery.sockets[0].getsockname()[1]}"
         ports = []
         with ExitStack() as stack:
@@ -328,7 +328,7 @@
                 stack.enter_context(program(path))
             async with asyncio.timeout(2 * PATIENCE_S):
                 for port in ports:
-                    await listening(port)
+                    await until_listening(port)
                     await ready(port)
                 while calls["all"] < 21:  # turned away, they call again
                     await asyncio.sleep(0.05)
@@ -337,13 +337,13 @@
     asyncio.run(test())
 
 
-def test_a_stop_before_the_first_list_ends_with_0_and_refuses_what_has_come(tmp_path: Path) -> None:
+def test_a_stop_before_the_first_list_exits_with_0_and_rejects_open_requests(tmp_path: Path) -> None:
     async def test() -> None:
         path = configuration(tmp_path, known=None)
         port = int(json.loads(path.read_text())["listen"].split(":")[1])
         with program(path) as process:
             async with asyncio.timeout(PATIENCE_S):
-                await listening(port)
+                await until_listening(port)
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(request("pay", body=b"b", deadline_ms=1_000)[:-1])
                 process.send_signal(signal.SIGTERM)
@@ -358,7 +358,7 @@
 
 
 @pytest.mark.parametrize("changes", [{"listen": "nowhere"}, {"settings": {}}, {"limits": {}}])
-def test_a_configuration_that_can_not_be_read_ends_it_with_one_line(
+def test_an_unreadable_configuration_exits_with_one_line_of_error(
     tmp_path: Path, changes: dict[str, Any]
 ) -> None:
     with program(configuration(tmp_path, **changes)) as process:
@@ -367,14 +367,14 @@
         assert len(errors.splitlines()) == 1
 
 
-def test_a_start_under_the_platforms_configuration_loads_only_what_it_needs(tmp_path: Path) -> None:
+def test_the_platform_program_imports_only_the_modules_it_needs(tmp_path: Path) -> None:
     code = "import sys, plovertrail.__main__; print(*sys.modules)"
     found = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True, timeout=60
     ).stdout.split()
     assert "plovertrail.listeners.platform_listener" in found
-    tops = {name.split(".")[0] for name in found}
-    assert not tops & {
+    top_level = {name.split(".")[0] for name in found}
+    assert not top_level & {
         "re2",
         "msgspec",
         "click",
