--- a/tests/daemons.py
+++ b/tests/daemons.py
@@ -1,4 +1,4 @@
-"""A daemon in this process, a file for it, and a client that speaks raw HTTP."""
+"""Helpers that run a daemon in the test process: its configuration file, and a raw HTTP client."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 def run(
     test: Callable[[], Awaitable[None]], loop_factory: Callable[[], asyncio.AbstractEventLoop] | None = None
 ) -> None:
-    """Run a test that hangs for no longer than a minute."""
+    """Run a test, for a minute at most."""
 
     async def limited() -> None:
         async with asyncio.timeout(3 * PATIENCE_S):
@@ -89,7 +89,7 @@
     pool_extra: str = "",
     head: str = "",
 ) -> str:
-    """An operator's file; without `routes`, each class has one, through all pools in their order."""
+    """An operator's file; without `routes` each class has a route to all pools, in their order."""
     names = ", ".join(f'"{name}"' for name in pools)
     return (
         head
@@ -102,7 +102,7 @@
 
 @dataclass
 class Reply:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -120,7 +120,7 @@
         self.writer = writer
 
     async def reply(self, to_head: bool = False) -> Reply:
-        """The next answer, framed by its own head; raises IncompleteReadError if there is none."""
+        """Read the next response, of the length in its head; raises IncompleteReadError if there is none."""
         async with asyncio.timeout(PATIENCE_S):
             head = (await self.reader.readuntil(b"\r\n\r\n")).decode("latin-1")
             first, *lines = head.rstrip().split("\r\n")
@@ -134,7 +134,7 @@
         return await self.reply(to_head=data.startswith(b"HEAD "))
 
     async def ended(self) -> bool:
-        """Whether the daemon has ended the connection, with nothing more sent."""
+        """Wait until the daemon closes the connection; returns whether it sent nothing more."""
         async with asyncio.timeout(PATIENCE_S):
             try:
                 return await self.reader.read() == b""
@@ -147,7 +147,7 @@
 
 @dataclass
 class Running:
-    """A daemon that serves."""
+    """A running daemon with its port and configuration file."""
 
     daemon: Daemon
     port: int
@@ -157,7 +157,7 @@
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
 
     async def ask(self, data: bytes) -> Reply:
-        """One request on a connection of its own."""
+        """Send one request on a new connection."""
         client = await self.connect()
         try:
             return await client.ask(data)
@@ -165,13 +165,13 @@
             client.close()
 
     async def change(self, text: str) -> bool:
-        """Replace the file, and have it read again."""
+        """Replace the configuration file, and reload it."""
         self.path.write_text(text)
         return await self.daemon.reload()
 
 
 class Held:
-    """A server that keeps each request until it is let go."""
+    """A server that holds requests; each release of the semaphore answers one."""
 
     def __init__(self) -> None:
         self.release = asyncio.Semaphore(0)
@@ -183,12 +183,12 @@
 
     @property
     def order(self) -> list[str]:
-        """The tenants of what has come, in its order."""
+        """The tenants of the received requests, in order of arrival."""
         return [arrival.all("X-Tenant")[0].decode() for arrival in self.server.arrivals]
 
 
 def message(line: str, *headers: str, body: bytes = b"", host: str = "shop.example") -> bytes:
-    """A request; `line` is method and target."""
+    """An encoded request; `line` has its method and target."""
     lines = [f"{line} HTTP/1.1", *([f"Host: {host}"] if host else []), *headers]
     if body or line.startswith("POST"):
         lines.append(f"Content-Length: {len(body)}")
@@ -199,7 +199,7 @@
 async def running(
     folder: Path, pools: Mapping[str, Sequence[WebServer]], **site_options: str
 ) -> AsyncIterator[Running]:
-    """A daemon in front of these stand-ins, all of them ended with it."""
+    """A daemon in front of these fake servers; all are stopped at the end."""
     for servers in pools.values():
         for server in servers:
             if server.port == 0:
