--- a/tests/daemon/test_configuration_apply.py
+++ b/tests/daemon/test_configuration_apply.py
@@ -1,4 +1,4 @@
-"""A configuration that can't come into force changes nothing and leaves no socket behind."""
+"""A configuration that can't be applied changes nothing and leaves no socket bound."""
 
 from __future__ import annotations
 
--- a/tests/daemon/test_failover.py
+++ b/tests/daemon/test_failover.py
@@ -1,4 +1,4 @@
-"""Failover between pools: what may have run stays in its pool, and pools do not harm each other."""
+"""Failover between pools: a request that may have run stays in its pool, and pools are isolated."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def cut_off(_server: WebServer, _arrival: Arrival, line: Line) -> bytes:
-    """Half an answer, and the connection breaks."""
+    """Send half a response, then reset the connection."""
     line.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
     line.reset()
     return b""
@@ -34,7 +34,7 @@
 def test_a_request_that_may_have_run_is_retried_in_no_other_pool(
     tmp_path: Path, script: Script, status: int, headers: tuple[str, ...]
 ) -> None:
-    """After its last byte was written an unsafe request has one final failure, and arrives once in all."""
+    """Once its last byte is sent, an unsafe request is never retried: one server gets it, once."""
 
     async def test() -> None:
         first, second = WebServer(script), WebServer()
@@ -45,7 +45,7 @@
             await asyncio.sleep(0.05)
             assert first.count + second.count == 1
             assert (await client.ask(message("GET /%"))).status == 400
-            client.close()  # and nothing else stood between the two answers
+            client.close()  # the connection carried nothing between the two responses
 
     run(test)
 
@@ -62,7 +62,7 @@
             return [arrival.all("Idempotency-Key")[0] for server in servers for arrival in server.arrivals]
 
         ran = keys(*same_scope)
-        assert len(ran) > len(set(ran)) > 0  # repeated there
+        assert len(ran) > len(set(ran)) > 0  # some were retried within the dedup scope
         assert not set(ran) & set(keys(other, second))
 
     run(test)
@@ -82,7 +82,7 @@
                 assert await it.change(text)
             reply = await it.ask(message("POST /buy", body=b"coins"))
             assert (reply.status, reply.body) == (200, b"hello")
-        # a pool may try again, but leaves an attempt to the next one
+        # a pool may retry, but leaves one attempt for the next pool
         assert second.count == 1
         assert first.count in ((1, 2) if reason == "not run" else (0,))
 
@@ -111,7 +111,7 @@
             for _ in range(40):
                 assert (await it.ask(message("POST /buy"))).status == 503
             sent = sum(servers[0].count for servers in pools.values())
-        # a first attempt each; five reissues in hand, and a fifth of one earned by each first attempt
+        # 40 first attempts; the retry budget starts at 5, and each first attempt adds a fifth of a retry
         assert 20 < sent <= 40 + 5 + 40 / 5
 
     run(test)
