--- a/tests/daemon/test_fair_queue.py
+++ b/tests/daemon/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""A pool's door in a daemon: who goes next, who leaves, and that nobody is lost on the way."""
+"""A pool's fair queue in a daemon: which request is next, which is rejected, and that none is lost."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 async def fill_queue(it: Running, held: Held, queued: int) -> list[Client]:
-    """One request at the server, and so many of the same tenant at the door."""
+    """Start one request that the server holds, and fill the queue with more of the same tenant."""
     clients = [await start_request(it, "big")]
     await until(lambda: len(held.order) == 1)
     clients += [await start_request(it, "big") for _ in range(queued)]
@@ -64,7 +64,8 @@
             clients = await fill_queue(it, held, 5)
             clients.append(await start_request(it, "small"))
             await until(lambda: waiting(it)["small"] == 1)
-            held.release.release()  # with this answer two slots are free at most, and five wait before it
+            # This response frees at most two slots, and five requests were queued earlier.
+            held.release.release()
             await until(lambda: "small" in held.order)
             for _ in range(7):
                 held.release.release()
@@ -116,7 +117,7 @@
 
 
 def test_a_request_with_a_shorter_deadline_than_those_ahead_is_rejected_within_it(tmp_path: Path) -> None:
-    """And as one that never ran: 503, not the 504 of a time-out."""
+    """The status is 503, as the request never ran, and not the 504 of a timeout."""
 
     async def test() -> None:
         held = Held()
@@ -147,7 +148,8 @@
             assert reply.status == 200
             assert spare.count == 1
             small = await start_request(it, "small")
-            await until(lambda: spare.count == 2)  # one of the big tenant's made room
+            # A queued request of the big tenant is rejected to make room.
+            await until(lambda: spare.count == 2)
             assert waiting(it) == {"big": 1, "small": 1, "(others)": 0}
             for _ in range(3):
                 held.release.release()
@@ -172,7 +174,7 @@
                 assert waiting(it)["big"] == 3
                 assert it.daemon.status()["pools"]["main"]["fair"]["big"]["weight"] == 5
             else:
-                # let through at once: the module's one buffer takes one of them, and refuses the others
+                # all are admitted at once: the load balancer buffers one of them, and rejects the others
                 assert await it.change(text.replace(LONG_WAIT, ""))
                 assert it.daemon.status()["pools"]["main"]["fair"] == {}
             for _ in range(4):
@@ -251,7 +253,7 @@
 
 
 def test_handshakes_are_queued_and_hold_no_slot_once_they_are_websockets(tmp_path: Path) -> None:
-    """A burst of them, where slots open one answer at a time: each waits, and none is refused."""
+    """Slots become free one response at a time: in a burst each handshake waits, and none is rejected."""
 
     async def test() -> None:
         pool = SOCKETS + '\nfair = { max_wait = "14s" }'
