--- a/tests/daemon/test_fleet_limits.py
+++ b/tests/daemon/test_fleet_limits.py
@@ -1,4 +1,4 @@
-"""A daemon that is one of many instances: its limits of connections, connects and endpoints."""
+"""A daemon that is one of many instances: its limits on connections, connect rate and endpoints."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def test_connections_stay_within_the_limits_of_one_instance(tmp_path: Path) -> None:
-    """60 clients at once, and each server gets no more connections than it bears from 4 instances."""
+    """60 clients at once use at most a quarter of a server's 40 connections, as 4 instances share them."""
 
     async def test() -> None:
         servers = [WebServer(slowly(OK, 0.05)) for _ in range(4)]
@@ -61,7 +61,7 @@
 def test_over_the_connect_rate_a_request_is_rejected_with_retry_after(
     tmp_path: Path, machine_up_s: int
 ) -> None:
-    """The clock counts from the start of the machine, which may be less than a turn ago or many turns."""
+    """The clock counts from the boot of the machine, less than one connect interval ago or many."""
 
     async def test() -> None:
         began_us = clock_us()
@@ -74,16 +74,16 @@
             assert rate_limit is not None
             assert rate_limit.interval_us > 1_000_000_000
             assert began_us < rate_limit.next_us <= clock_us() + rate_limit.interval_us
-            # the drawn one may come at any moment
+            # the random initial value may allow a connect at any moment
             rate_limit.full_burst_us = clock_us() + rate_limit.interval_us * BURST
-            reply = await it.ask(message("GET /"))  # it waits for half its aim in the buffer
+            reply = await it.ask(message("GET /"))  # it is buffered for half its aim
             assert reply.status == 503
             assert float(reply.all("Retry-After")[0]) > 1
             assert sum(server.connections for server in servers) == 0
             # one connect is allowed, and no more
             rate_limit.full_burst_us = clock_us() + rate_limit.interval_us * (BURST - 1)
             assert (await it.ask(message("GET /"))).status == 200
-            # the one connection carries on, and there is no other
+            # the one connection is reused, and no other is opened
             assert [(await it.ask(message("GET /"))).status for _ in range(20)] == [200] * 20
             assert sum(server.connections for server in servers) == 1
 
@@ -95,7 +95,7 @@
 def test_a_request_that_waits_for_the_connect_rate_is_sent_when_it_allows(tmp_path: Path) -> None:
     async def test() -> None:
         servers = [WebServer()]
-        # a request waits for half its aim: far longer than any machine needs for this
+        # a request is buffered for half its aim, which is far longer than this test takes
         extra = 'share = { dials_per_s = 20.0 }\nclasses = { read = { aim = "15s" } }'
         async with running(
             tmp_path, {"main": servers}, routes=ROUTE, pool_extra=extra, head="[limits]\ninstances = 1000\n"
@@ -148,7 +148,7 @@
 
 
 def test_a_deduplicated_request_is_retried_within_its_whole_cell(tmp_path: Path) -> None:
-    """The one that got it breaks; the others of its cell are in the subset, however small that is."""
+    """When the server that got a request breaks, the others of its cell are in the subset, however small."""
 
     async def test() -> None:
         servers = [WebServer(row=f', cell = "c{number // 3}"') for number in range(12)]
@@ -183,9 +183,9 @@
             pool_extra="share = { connections = 100 }",
             head=head,
         ) as it:
-            assert it.daemon.services.pools.fleet_tracker.fleet.size == 50, "before anything is sent"
+            assert it.daemon.services.pools.fleet_tracker.fleet.size == 50, "before the first request"
             assert it.daemon.services.pools.fleet_tracker.rank == InstanceRank(None, 50), (
-                "it has no name in the list"
+                "the instance is not in the list"
             )
             previous = it.daemon.pools["main"].limits.connections
             path.write_text("".join(f"127.0.0.1:{9000 + n} id=app-{n}\n" for n in range(500)))
