--- a/tests/daemon/test_many_lists.py
+++ b/tests/daemon/test_many_lists.py
@@ -1,4 +1,4 @@
-"""Daemons with many pools on one reader of lists: starts, reloads, reads that hang, status."""
+"""Daemons with many pools that share one list reader: starts, reloads, hung reads and status."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
 async def serving(
     site: Site, files: BlockedFiles | None = None, blocking: bool = False
 ) -> AsyncIterator[Daemon]:
-    """As `serve` starts it, with no notifications; `blocking`: with nothing else on the loop meanwhile."""
+    """Start a daemon as `serve` does, without file notifications; `blocking` reads its lists on the loop."""
     lists = ListReader(files or BlockedFiles(), notifications=False)
     setup = load(str(site.path))
     initial_lists = None if blocking else await lists.first_read(watched_lists(setup))
@@ -86,7 +86,7 @@
 
 
 def ports(daemon: Daemon) -> dict[str, list[int]]:
-    """Those of the servers in force."""
+    """The ports of the endpoints in force, by pool."""
     return {
         name: [member.listed.address[1] for member in pool.registry.state.members.values()]
         for name, pool in daemon.pools.items()
@@ -146,7 +146,7 @@
             site.list_of("p9").write_bytes(whole[:9])
             scan(daemon)
             await until(lambda: [name for name, found in ports(daemon).items() if found != [2]] == ["p9"])
-            assert ports(daemon)["p9"] == [1]  # the last good one stays
+            assert ports(daemon)["p9"] == [1]  # the last good list stays
 
     run(test)
 
@@ -217,7 +217,7 @@
             text = setup_text(tmp_path, site.port, ["a", "b"])
             site.path.write_text(text.replace(f"{tmp_path}/b.list", f"{tmp_path}/a.list"))
             assert await daemon.reload()
-            assert ports(daemon) == {"a": [1], "b": [1]}  # in the same turn of the loop
+            assert ports(daemon) == {"a": [1], "b": [1]}  # in the same iteration of the event loop
             assert len(daemon.lists.sources.by_key) == 1
 
     run(test)
@@ -237,9 +237,8 @@
             site.path.write_text(text.replace(f"{tmp_path}/b.list", f"{tmp_path}/a.list"))
             assert await daemon.reload()
             assert ports(daemon) == {"a": [1], "b": [1]}
-            await until(
-                lambda: daemon.services.pools.pools_with_problems == {"a", "b"}
-            )  # both say that it hangs
+            # Both pools report the hung read.
+            await until(lambda: daemon.services.pools.pools_with_problems == {"a", "b"})
             files.let_go(site.list_of("a"))
             await until(
                 lambda: (
@@ -281,7 +280,7 @@
                     site.path.write_text(text)
                 await until(lambda: expected in daemon.status()["reload"]["problem"])  # noqa: B023
                 assert set(ports(daemon)) == {"a", "b"}
-            site.write(["b"])  # and from now on by the signal only
+            site.write(["b"])  # from now on it is reloaded on SIGHUP only
             await until(lambda: set(ports(daemon)) == {"b"})
             assert daemon.services.config_watcher.subscription is None
             assert daemon.status()["reload"] == {
@@ -325,9 +324,8 @@
             assert not daemon.services.pools.pools_with_problems
             site.list_of("p4").unlink()
             scan(daemon)
-            await until(
-                lambda: daemon.services.pools.pools_with_problems == {"p4"}
-            )  # it alone is said again and again
+            # Only the problem of p4 is logged regularly.
+            await until(lambda: daemon.services.pools.pools_with_problems == {"p4"})
             put(site.list_of("p4"), 2)
             scan(daemon)
             await until(lambda: not daemon.services.pools.pools_with_problems)
@@ -359,7 +357,7 @@
 
 @contextmanager
 def movable_clock() -> Iterator[Callable[[float], None]]:
-    """A clock that goes on while a daemon is built."""
+    """A clock that the test can advance while a daemon is built."""
     offset_us = 0
 
     def advance(seconds: float) -> None:
