--- a/tests/daemon/test_process.py
+++ b/tests/daemon/test_process.py
@@ -1,4 +1,4 @@
-"""The process: start, signals and stop."""
+"""The daemon process: startup, signals and shutdown."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 async def line_with(process: subprocess.Popen[str], words: str) -> str:
-    """The next line of its log that holds these words."""
+    """The next line of its log that contains these words."""
     assert process.stderr is not None
     async with asyncio.timeout(PATIENCE_S):
         while True:
--- a/tests/daemon/test_reload.py
+++ b/tests/daemon/test_reload.py
@@ -1,4 +1,4 @@
-"""Reloads under load: open requests keep their pools, and a configuration is taken in full or not at all."""
+"""Reloads under load: open requests keep their pools, and a configuration is applied fully or not at all."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 def through(*pools: str) -> str:
-    """One route, for purchases."""
+    """A single route, of the class for purchases."""
     names = ", ".join(f'"{name}"' for name in pools)
     return f'[[routes]]\nname = "all"\nclass = "buy"\npools = [{names}]\n'
 
 
 @asynccontextmanager
 async def held(count: int) -> AsyncIterator[tuple[list[WebServer], asyncio.Event]]:
-    """Stand-ins that answer once they are let go."""
+    """Fake servers that respond once the event is set."""
     release = asyncio.Event()
 
     async def script(_server: WebServer, _arrival: Arrival, _line: Line) -> bytes:
@@ -47,7 +47,7 @@
                 for number, client in enumerate(clients):
                     client.writer.write(message("POST /buy", f"X-Request-Id: {number}"))
                 await until(lambda: sum(server.count for server in old) == 200)
-                # the route moves, and the pool that it leaves vanishes
+                # the route moves to another pool, and its previous pool is removed
                 extra = "max_connections = 400"
                 assert await it.change(site(it.port, {"new": new}, routes=through("new"), pool_extra=extra))
                 for _ in range(20):
@@ -61,7 +61,7 @@
                 ]
                 assert sorted(request_ids) == sorted(str(number).encode() for number in range(200))
                 assert new[0].count == 20
-                # the connections serve on, under the new routes, and the old pool is let go
+                # the connections continue under the new routes, and the old pool is closed
                 assert (await clients[0].ask(message("POST /buy"))).body == b"hello"
                 await until(lambda: sum(len(server.lines) for server in old) == 0)
                 assert [pool.name for pool in it.daemon.dispatcher.pools] == ["new"]
@@ -72,7 +72,7 @@
 
 
 def test_no_attempt_is_sent_to_a_removed_pool(tmp_path: Path) -> None:
-    """Not even a further attempt of a request that began with it: as with servers that leave."""
+    """Not even a retry of a request that was first sent to it, as with removed endpoints."""
 
     async def test() -> None:
         reject = asyncio.Event()
@@ -106,7 +106,8 @@
                 began = time.monotonic()
                 assert await it.change(site(it.port, {"spare": [spare]}))
                 await until(lambda: spare.count == 1)
-                assert time.monotonic() - began < 0.4  # before half its aim, when the slot's wait would end
+                # Less than half the request's aim, the longest that it waits for a slot.
+                assert time.monotonic() - began < 0.4
                 release.set()
                 assert sorted([(await task).body for task in tasks]) == [b"hello", b"old"]
 
@@ -126,7 +127,7 @@
             text = it.path.read_text().replace(f'"{drained.address}"', f'"{drained.address}", drain = true')
             text = text.replace(removed.address, added.address)
             assert await it.change(text)
-            assert it.daemon.pools["main"].pool.balancer is balancer  # what it learnt stays
+            assert it.daemon.pools["main"].pool.balancer is balancer  # its statistics are kept
             before = drained.count, removed.count
             for _ in range(30):
                 assert (await it.ask(message("GET /"))).status == 200
@@ -135,7 +136,7 @@
             assert len(cold) == 1
             assert balancer.table.warm_up_fraction(cold[0], balancer.now_us) < 1.0
             assert await it.change(text.replace(", drain = true", ""))
-            assert len(balancer.endpoints) == 3  # and it is not cold, as it ran on
+            assert len(balancer.endpoints) == 3  # the endpoint kept running, so it doesn't warm up again
             assert sum(1 for server in balancer.endpoints.values() if server.listed.started_us) == 1
         added.stop()
 
@@ -219,7 +220,7 @@
                 *await asyncio.open_connection("127.0.0.1", it.daemon.addresses()["free"][1])
             )
             assert (await idle_client.ask(message("GET /"))).status == 200
-            assert await it.change(text)  # the listeners go, with their idle connections
+            assert await it.change(text)  # the listeners are removed, with their idle connections
             assert await idle_client.ended()
             assert set(it.daemon.services.listeners.active) == {"web"}
         taken.stop()
