--- a/tests/daemon/test_slow_start.py
+++ b/tests/daemon/test_slow_start.py
@@ -1,4 +1,4 @@
-"""A daemon of a fleet after a start and after a gap: few requests at once, more as answers come."""
+"""Slow start of a daemon in a fleet, after startup and after a pause."""
 
 from __future__ import annotations
 
@@ -37,9 +37,9 @@
 
 
 async def send_burst(it: Running, held: list[Held], size: int, at_once: int) -> list[int]:
-    """Send `size` requests at one moment, of which `at_once` are in flight together; returns the statuses.
+    """Send `size` requests at once, of which `at_once` are admitted; returns the statuses.
 
-    The rest is rejected before any of these is let go.
+    The others are rejected before any of the admitted ones is answered.
     """
     before = arrived(held)
     clients = [await send(it) for _ in range(size)]
@@ -80,7 +80,9 @@
             assert sorted(await send_burst(it, held, 6, 3)) == [200] * 3 + [503] * 3
             progress = it.daemon.status()["pools"]["main"]["admission"]
             assert progress == {"window": 6, "servers": 4, "refused": 3}
-            assert (await send_burst(it, held, 4, 4)) == [200] * 4, "as many as there are servers: over"
+            assert (await send_burst(it, held, 4, 4)) == [200] * 4, (
+                "the slow start ends once the limit reaches the number of servers"
+            )
             assert it.daemon.status()["pools"]["main"]["admission"] == {}
 
     run(test)
