--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -1,4 +1,4 @@
-"""A daemon whose process was paused reads its lists first, and sends nothing by what it knew before."""
+"""After a pause of its process a daemon reads its lists first, and sends nothing by outdated ones."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 @asynccontextmanager
 async def daemon_with_list(folder: Path) -> AsyncIterator[tuple[Running, Clock, Path, list[WebServer]]]:
-    """A daemon whose list holds the first of two servers, on a clock that may jump."""
+    """A daemon whose list has the first of two servers, on a clock that may jump."""
     path, servers = folder / "servers.txt", [WebServer(), WebServer()]
     for server in servers:
         await server.start()
@@ -80,9 +80,9 @@
 def test_a_list_that_changed_during_a_pause_applies_before_the_first_send(tmp_path: Path) -> None:
     async def test() -> None:
         async with daemon_with_list(tmp_path) as (it, clock, path, servers):
-            assert (await it.ask(message("GET /"))).status == 200  # by the only one that is known
+            assert (await it.ask(message("GET /"))).status == 200  # by the only server in the list
             client = await it.connect()
-            # in one turn of the loop: the process is paused, the list is replaced, and a request has come
+            # in one loop iteration: the process is paused, the list is replaced, and a request arrives
             write(path, servers, drained=0)
             client.writer.write(message("POST /buy", body=b"x"))
             clock.jump(PAUSE_S)
@@ -99,20 +99,20 @@
 def test_a_send_decided_in_a_paused_loop_iteration_waits_for_the_lists(tmp_path: Path) -> None:
     async def test() -> None:
         async with daemon_with_list(tmp_path) as (it, clock, path, servers):
-            # On an idle connection the send would be written in this very turn.
+            # On an idle connection the request would be written in the same iteration of the event loop.
             assert (await it.ask(message("GET /"))).status == 200
             dispatcher = it.daemon.dispatcher
             handle = dispatcher.pools[0].balancer.handle
             was_paused = False
 
             def pause_before_send(now_us: int, event: object) -> list[object]:
-                """The process is stopped once, after the module has decided and before that is done."""
+                """Pause the process once, between the balancer's decision to send and the sending."""
                 nonlocal was_paused
                 actions = handle(now_us, event)  # type: ignore[arg-type]
                 if not was_paused and any(type(action).__name__ == "Send" for action in actions):
                     was_paused = True
                     write(path, servers, drained=0)
-                    clock.jump(1.0)  # so that the idle connection is still of use
+                    clock.jump(1.0)  # short enough to keep the idle connection open
                 return actions  # type: ignore[return-value]
 
             dispatcher.pools[0].balancer.handle = pause_before_send  # type: ignore[method-assign, assignment]
@@ -143,7 +143,7 @@
                 assert server.count == 1
                 dispatcher.suspension.unread_us = original  # type: ignore[method-assign]
                 reply = await client.ask(message("POST /buy", "X-Deadline-Ms: 3000", body=b"x"))
-                assert reply.status == 200  # it came a moment ago, whatever was paused before
+                assert reply.status == 200  # it has just arrived, after the pause
                 client.close()
 
     run(test)
@@ -178,7 +178,7 @@
             clock.jump(PAUSE_S)
             await until_phase(it, "catching up")
             assert it.daemon.dispatcher.suspension.active
-            # one whose time is out meanwhile was sent nowhere, and is told when to come back
+            # a request whose deadline passes meanwhile isn't sent, and its response has a Retry-After header
             short = await it.ask(message("POST /buy", "X-Deadline-Ms: 100", body=b"x"))
             assert short.status == 503
             assert short.all("Retry-After")
--- a/tests/test_stopped_process.py
+++ b/tests/test_stopped_process.py
@@ -1,4 +1,4 @@
-"""A daemon with 200 services whose process is stopped for 5 s: what its lists told meanwhile holds."""
+"""A daemon with 200 services is stopped for 5 s: the lists that changed meanwhile apply afterwards."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Servers:
-    """Nine servers that all services share, one of which keeps the held request until it is let go."""
+    """Nine servers that all services share; the one that gets the held request waits for `release`."""
 
     def __init__(self) -> None:
         self.release = asyncio.Event()
@@ -37,16 +37,16 @@
 
     @property
     def count_at_first(self) -> int:
-        """Requests at the server that the lists drain."""
+        """The number of requests to the server that the changed lists drain."""
         return self.all[0].count
 
     def has_held_request(self) -> bool:
-        """Whether the held request has come."""
+        """Whether the held request has arrived."""
         return any(arrival.target == HELD.encode() for server in self.all for arrival in server.arrivals)
 
 
 async def until_stopped(pid: int) -> None:
-    """Until all threads of a process stand still: only then nothing of it runs beside what comes next."""
+    """Wait until all threads of a process are stopped, so that none runs during the next steps."""
 
     def stopped() -> bool:
         threads = list(Path(f"/proc/{pid}/task").iterdir())
@@ -56,7 +56,7 @@
 
 
 def write_with_long_deadlines(site: ServiceSite) -> None:
-    """Its files, with times that a busy machine keeps to."""
+    """Write the site's files, with an aim and a deadline that a busy machine can meet."""
     site.write()
     text = site.path.read_text()
     assert 'aim = "400ms"\ndeadline = "1200ms"' in text
@@ -68,7 +68,7 @@
 
 
 async def ask_all(clients: Sequence[Client], services: Sequence[str]) -> list[int]:
-    """One request for each service, spread over the connections."""
+    """Send one request to each service, spread over the connections."""
 
     async def ask_some(first: int) -> list[int]:
         own_services = services[first :: len(clients)]
@@ -79,7 +79,7 @@
 
 
 async def status_at_version(daemon: DaemonProcess, version: int) -> dict[str, Any]:
-    """Its status once each list has this version and nothing is left to recover."""
+    """The daemon's status once all lists have this version and the recovery is complete."""
     services = daemon.site.service_names()
     async with asyncio.timeout(PATIENCE_S):
         while True:
@@ -91,7 +91,7 @@
 
 
 async def change_while_stopped(daemon: DaemonProcess, site: ServiceSite, servers: Servers) -> None:
-    """All lists drain their first server, and a held answer comes, while the process is stopped."""
+    """Stop the process; meanwhile all lists drain their first server and the held request is answered."""
     replacements = [site.prepare(service, 2, first_drains=True) for service in site.service_names()]
     os.kill(daemon.process.pid, signal.SIGSTOP)
     await until_stopped(daemon.process.pid)
@@ -120,7 +120,7 @@
             await change_while_stopped(daemon, site, servers)
             before = servers.count_at_first
             await asyncio.sleep(STOPPED_S)
-            # written last: what had lain unread for longer than its deadline would be sent nowhere
+            # written last: a request that stays unread past its deadline is rejected
             new_clients = await connected(site.port, CLIENTS)
             for number, client in enumerate([*clients, *new_clients]):
                 client.writer.write(message(f"GET /{services[number]}"))
