--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits by key in a daemon: who is refused, what is told, and when a place is free again."""
+"""Limits by key in a daemon: which requests are rejected, what clients are told, when slots are released."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.websocket_site import live_site
 
 TENANTS = "".join(f"[tenants.{name}]\nallowance_per_s = 10\n" for name in ("big", "small"))
-SLOW = "rate_per_s = 0.01\nburst = 2"  # none comes free while a test runs
+SLOW = "rate_per_s = 0.01\nburst = 2"  # no further request is allowed during a test
 
 
 def limiter(by: str, text: str) -> str:
@@ -101,7 +101,7 @@
 
 @asynccontextmanager
 async def one_request_in_flight(folder: Path) -> AsyncIterator[tuple[Running, Held, Client]]:
-    """A client that may have one request at once has it at the server."""
+    """A client that is limited to one concurrent request, which the server holds."""
     held = Held()
     async with running(
         folder, {"main": [held.server]}, routes=routes(), head=limiter("client", "concurrent = 1")
@@ -127,8 +127,6 @@
 
 
 def test_a_request_that_the_pool_rejects_releases_its_slot(tmp_path: Path) -> None:
-    """One that the pool refuses gives its place back as well."""
-
     async def test() -> None:
         async with running(
             tmp_path, {"main": []}, routes=routes(), head=limiter("all", "concurrent = 1")
@@ -226,7 +224,7 @@
         async with live_site(tmp_path, [LiveServer()], routes=routed) as it:
             clients = [await it.connect() for _ in range(6)]
             found = []
-            for client in clients:  # while those before it are open
+            for client in clients:  # while the previous ones are open
                 found.append(await client.ask_socket("/"))
             assert found == [101] * 5 + [429]
             for client in clients:
