--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program that `run` in the deploy file starts: configuration, readiness, SIGTERM."""
+"""The program that the deploy file's `run` command starts: configuration, readiness and SIGTERM."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 async def until_listening(port: int) -> None:
-    """Until something takes connections there."""
+    """Wait until the port accepts connections."""
     while True:
         try:
             (await asyncio.open_connection("127.0.0.1", port))[1].close()
@@ -55,7 +55,7 @@
 
 
 def test_the_build_compiles_the_sources(tmp_path: Path) -> None:
-    with program(configuration(tmp_path)):  # which builds first
+    with program(configuration(tmp_path)):  # entering it builds the program
         for source in (*(ROOT / "plovertrail").rglob("*.py"), *(ROOT / "simulator").glob("*.py")):
             assert Path(cache_from_source(source)).exists()
 
@@ -110,7 +110,7 @@
         writer.write(OK)
 
     async def client(name: int, port: int, stopped: asyncio.Event, answered: set[str]) -> None:
-        """Sends one request after another; after the stop until its connection is closed."""
+        """Send one request after another, until the shutdown closes the connection."""
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         for number in range(10_000):
             request_id = f"{name}-{number}"
@@ -158,7 +158,7 @@
 
 
 def test_sigterm_answers_requests_whose_deadlines_outlast_the_stop(tmp_path: Path) -> None:
-    """Hazard: deadlines are what the settings say, and a stop that is shorter leaves requests unanswered."""
+    """Deadlines are configured: a shutdown that doesn't wait for them leaves requests unanswered."""
     stopped = asyncio.Event()
 
     async def slow(
@@ -215,7 +215,7 @@
 
 
 class UnansweredListener:
-    """A server whose requests are never answered by themselves."""
+    """A listener with open requests that only answer_all answers."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
@@ -234,13 +234,13 @@
 
 @pytest.mark.parametrize("longest_s", [0.15, 1.2, 3.0, 6.0])
 def test_a_stop_lets_requests_use_their_deadlines_and_ends_well_before_sigkill(longest_s: float) -> None:
-    """Also where the signal was heard a tenth of a second late: SIGKILL counts from when it was sent."""
+    """Also if SIGTERM is received a tenth of a second late, as SIGKILL follows its sending."""
     loop = VirtualLoop(1)
     server, began = UnansweredListener(loop), loop.time()
     loop.run_until_complete(drain(cast(PlatformListener, server), longest_s))
     sigkill_s = min(longest_s, 3.0) + 0.7
     assert loop.time() - began <= sigkill_s - 0.14
-    # whoever came last, 0.4 s after the signal, has had all its time, or what SIGKILL leaves of it
+    # the last request, 0.4 s after the signal, had its whole deadline, or what SIGKILL leaves of it
     assert server.answered_all_at - began >= min(longest_s, 3.0) + 0.4
     loop.close()
 
@@ -259,7 +259,7 @@
 def test_signals_during_a_stop_lose_no_response_and_the_program_exits_with_0(
     tmp_path: Path, signals: tuple[signal.Signals, ...], readable: bool
 ) -> None:
-    """Also with a configuration that has become unreadable, and while an upstream is at work."""
+    """Also if the configuration has become unreadable; an endpoint is at work on a request."""
     release = asyncio.Event()
 
     async def slow(
@@ -296,7 +296,7 @@
 
 
 def test_twenty_instances_become_ready_though_discovery_rejects_all_calls(tmp_path: Path) -> None:
-    """By the list as they last had it; none waits for a call, and each goes on calling."""
+    """They start with their stored endpoint list, don't wait for discovery, and continue to call it."""
     calls: Counter[str] = Counter()
 
     async def overloaded(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -330,7 +330,7 @@
                 for port in ports:
                     await until_listening(port)
                     await ready(port)
-                while calls["all"] < 21:  # turned away, they call again
+                while calls["all"] < 21:  # after a rejection they call again
                     await asyncio.sleep(0.05)
         discovery.close()
 
@@ -348,7 +348,7 @@
                 writer.write(request("pay", body=b"b", deadline_ms=1_000)[:-1])
                 process.send_signal(signal.SIGTERM)
                 await asyncio.sleep(0.05)
-                writer.write(b"b")  # its last byte comes while the stop is under way
+                writer.write(b"b")  # its last byte arrives during the shutdown
                 head, _ = await read_message(reader)
                 assert b" 503 " in head
                 writer.close()
