--- a/plovertrail/recovery_manager.py
+++ b/plovertrail/recovery_manager.py
@@ -16,7 +16,7 @@
 
 log = logging.getLogger(__name__)
 
-CATCH_UP_TURNS = 10  # event loop iterations that handle data waiting on sockets; a drain command takes four
+CATCH_UP_ITERATIONS = 10  # of the event loop, to handle data waiting on sockets; a drain command takes four
 UNSETTLED_FILE_INTERVAL_S = 0.05  # between reads of a file that has just changed
 
 
@@ -119,7 +119,7 @@
 
     async def _read_everything(self) -> None:
         """Handle data waiting on sockets, read all sources, and wait for a requested reload."""
-        for _ in range(CATCH_UP_TURNS):
+        for _ in range(CATCH_UP_ITERATIONS):
             await asyncio.sleep(0)
         await asyncio.gather(*(self._read(name, source) for name, source in self.subscriptions().items()))
         await self.reload_done()
