--- a/tests/daemon/test_failover.py
+++ b/tests/daemon/test_failover.py
@@ -1,4 +1,4 @@
-"""Failover between pools: what may have run stays in its pool, and pools do not harm each other."""
+"""Failover between pools: a request that may have run stays in its pool, and pools are isolated."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def cut_off(_server: WebServer, _arrival: Arrival, line: Line) -> bytes:
-    """Half an answer, and the connection breaks."""
+    """Send half a response, then reset the connection."""
     line.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
     line.reset()
     return b""
@@ -34,7 +34,7 @@
 def test_a_request_that_may_have_run_is_retried_in_no_other_pool(
     tmp_path: Path, script: Script, status: int, headers: tuple[str, ...]
 ) -> None:
-    """After its last byte was written an unsafe request has one final failure, and arrives once in all."""
+    """Once its last byte is sent, an unsafe request is never retried: one server gets it, once."""
 
     async def test() -> None:
         first, second = WebServer(script), WebServer()
@@ -45,46 +45,46 @@
             await asyncio.sleep(0.05)
             assert first.count + second.count == 1
             assert (await client.ask(message("GET /%"))).status == 400
-            client.close()  # and nothing else stood between the two answers
+            client.close()  # the connection carried nothing between the two responses
 
     run(test)
 
 
 def test_a_deduplicated_request_that_may_have_run_stays_in_its_dedup_scope(tmp_path: Path) -> None:
     async def test() -> None:
-        twins = [WebServer(breaking, row=', cell = "1", weight = 1000') for _ in range(2)]
+        same_scope = [WebServer(breaking, row=', cell = "1", weight = 1000') for _ in range(2)]
         other, second = WebServer(row=', cell = "2"'), WebServer()
-        async with running(tmp_path, {"cells": [*twins, other], "second": [second]}) as it:
+        async with running(tmp_path, {"cells": [*same_scope, other], "second": [second]}) as it:
             for number in range(12):
                 await it.ask(message("POST /mark", f"Idempotency-Key: {number}", "X-Deadline-Ms: 500"))
 
         def keys(*servers: WebServer) -> list[bytes]:
             return [arrival.all("Idempotency-Key")[0] for server in servers for arrival in server.arrivals]
 
-        ran = keys(*twins)
-        assert len(ran) > len(set(ran)) > 0  # repeated there
+        ran = keys(*same_scope)
+        assert len(ran) > len(set(ran)) > 0  # some were retried within the dedup scope
         assert not set(ran) & set(keys(other, second))
 
     run(test)
 
 
-@pytest.mark.parametrize("why", ["refused", "not run", "empty", "drained"])
-def test_a_request_that_never_ran_fails_over_to_the_next_pool(tmp_path: Path, why: str) -> None:
+@pytest.mark.parametrize("reason", ["refused", "not run", "empty", "drained"])
+def test_a_request_that_never_ran_fails_over_to_the_next_pool(tmp_path: Path, reason: str) -> None:
     async def test() -> None:
         first, second = WebServer(always(NOT_RUN)), WebServer()
         await first.start()
-        pools = {"first": [] if why == "empty" else [first], "second": [second]}
-        if why == "refused":
+        pools = {"first": [] if reason == "empty" else [first], "second": [second]}
+        if reason == "refused":
             first.stop()
         async with running(tmp_path, pools) as it:
-            if why == "drained":
+            if reason == "drained":
                 text = it.path.read_text().replace(f'"{first.address}"', f'"{first.address}", drain = true')
                 assert await it.change(text)
             reply = await it.ask(message("POST /buy", body=b"coins"))
             assert (reply.status, reply.body) == (200, b"hello")
-        # a pool may try again, but leaves an attempt to the next one
+        # a pool may retry, but leaves one attempt for the next pool
         assert second.count == 1
-        assert first.count in ((1, 2) if why == "not run" else (0,))
+        assert first.count in ((1, 2) if reason == "not run" else (0,))
 
     run(test)
 
@@ -111,13 +111,13 @@
             for _ in range(40):
                 assert (await it.ask(message("POST /buy"))).status == 503
             sent = sum(servers[0].count for servers in pools.values())
-        # a first attempt each; five reissues in hand, and a fifth of one earned by each first attempt
+        # 40 first attempts; the retry budget starts at 5, and each first attempt adds a fifth of a retry
         assert 20 < sent <= 40 + 5 + 40 / 5
 
     run(test)
 
 
-def test_a_pool_without_endpoints_rejects_at_once_and_harms_no_other(tmp_path: Path) -> None:
+def test_a_pool_without_endpoints_rejects_at_once_and_affects_no_other(tmp_path: Path) -> None:
     routes = (
         '[[routes]]\nname = "none"\npath = "/none"\nclass = "buy"\npools = ["empty"]\n'
         '[[routes]]\nname = "rest"\nclass = "read"\npools = ["main"]\n'
