--- a/plovertrail/decisions/routes.py
+++ b/plovertrail/decisions/routes.py
@@ -3,9 +3,8 @@
 Of the routes that match, the first in this order is selected: host (exact, the longest leading wildcard, the
 longest trailing wildcard, the first regular expression, any); priority (the highest); path (exact, regular
 expression, the longest prefix); a method predicate; more header predicates; more query predicates; position
-in the file. The order does not depend on the request, so the table is built once: a lookup makes one
-dictionary access for the host, one for the whole path and one for each prefix of the path, and runs one
-automaton for all regular expressions of the host.
+in the file. The order does not depend on the request, so the table is built once: a lookup accesses
+dictionaries by the host, the whole path and each prefix, and runs one automaton for all regular expressions.
 """
 
 from __future__ import annotations
@@ -392,12 +391,12 @@
             groups.setdefault(host, []).append(RankedRoute(route.rank(position), route))
     shadowed: dict[str, list[tuple[Route, Route]]] = {}
     for group in groups.values():
-        host_routes = HostRoutes()
+        index = HostRoutes()
         for entry in group:
-            host_routes.add(entry)
-        host_routes.compile_regexes()
+            index.add(entry)
+        index.compile_regexes()
         for entry in group:
-            candidates = _candidates(host_routes, entry.route)
+            candidates = _candidates(index, entry.route)
             shadowing = next(
                 (
                     other.route
@@ -412,13 +411,11 @@
     return [found[0] for found in shadowed.values() if len(found) == max(1, len(found[0][0].hosts))]
 
 
-def _candidates(host_routes: HostRoutes, route: Route) -> list[RankedRoute]:
+def _candidates(index: HostRoutes, route: Route) -> list[RankedRoute]:
     """Return the routes of a host that could match all paths of another route."""
     if route.path_kind is PathKind.REGEX:
-        return host_routes.prefix.get("", []) + [
-            entry for entry in host_routes.regex if entry.route.path == route.path
-        ]
-    return host_routes.by_path(route.path)
+        return index.prefix.get("", []) + [entry for entry in index.regex if entry.route.path == route.path]
+    return index.by_path(route.path)
 
 
 def regex_groups(route: Route, path: str) -> list[str]:
