--- a/plovertrail/listeners/websocket_relay.py
+++ b/plovertrail/listeners/websocket_relay.py
@@ -25,7 +25,7 @@
     WritingResumed,
 )
 from plovertrail.decisions.websocket_session import WebSocketSession
-from plovertrail.websocket.frames import Broken, Frame, Framing, Opcode
+from plovertrail.websocket.frames import Frame, Framing, InvalidFrame, Opcode
 
 READ_BYTES = 32 * 1024
 HIGH_WATER = 64 * 1024  # bytes; from here on the sender is not read,
@@ -150,9 +150,9 @@
         self._forward_frames(side)
         self._update_reading(side)
 
-    def _forward_frame(self, side: Side, frame: Frame | Broken, output: list[bytes]) -> Event | None:
+    def _forward_frame(self, side: Side, frame: Frame | InvalidFrame, output: list[bytes]) -> Event | None:
         """Append to `output` what the other peer gets; return an event if the frame ends something."""
-        if isinstance(frame, Broken):
+        if isinstance(frame, InvalidFrame):
             cause = CloseCause.CLIENT_PROTOCOL_ERROR if side is CLIENT else CloseCause.SERVER_PROTOCOL_ERROR
             return ProtocolViolated(self.session_id, cause, frame.code, frame.why)
         if isinstance(frame.payload, tuple):
--- a/plovertrail/websocket/frames.py
+++ b/plovertrail/websocket/frames.py
@@ -8,7 +8,7 @@
 
 from wsproto.frame_protocol import CloseReason, Frame, FrameProtocol, Opcode, ParseFailed
 
-__all__ = ["Broken", "Frame", "Framing", "Opcode"]
+__all__ = ["InvalidFrame", "Frame", "Framing", "Opcode"]
 
 MOST_CLOSE_REASON = 123  # bytes (section 5.5.1)
 FINAL = 0x80
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class InvalidFrame:
     """A peer has broken the protocol: the code to close with, and why."""
 
     code: int
@@ -40,7 +40,7 @@
         if not self.ended:
             self._protocol.receive_bytes(data)  # type: ignore[arg-type]  # they are added to a bytearray
 
-    def frames(self) -> Iterator[Frame | Broken]:
+    def frames(self) -> Iterator[Frame | InvalidFrame]:
         """What they bring; may be left, and asked for the rest later. A text's pieces are whole characters; a
         message may come in as many pieces as it had reads and frames."""
         if self.ended:
@@ -52,7 +52,7 @@
                 yield frame
         except ParseFailed as error:
             self.ended = True
-            yield Broken(int(error.code), str(error))
+            yield InvalidFrame(int(error.code), str(error))
 
     # For this peer
 
--- a/tests/websocket/test_frames.py
+++ b/tests/websocket/test_frames.py
@@ -8,11 +8,11 @@
 from wsproto.frame_protocol import FrameProtocol
 
 from fakes.frames import TEXT, close_frame, frame
-from plovertrail.websocket.frames import SHORT, Broken, Frame, Framing, Opcode, masked
+from plovertrail.websocket.frames import SHORT, Frame, Framing, InvalidFrame, Opcode, masked
 
 
-def read(framing: Framing, data: bytes, size: int = 1 << 20) -> list[Frame | Broken]:
-    found: list[Frame | Broken] = []
+def read(framing: Framing, data: bytes, size: int = 1 << 20) -> list[Frame | InvalidFrame]:
+    found: list[Frame | InvalidFrame] = []
     for at in range(0, len(data), size):
         framing.feed(data[at : at + size])
         found += framing.frames()
@@ -83,5 +83,5 @@
 
 def test_a_fault_tells_its_code() -> None:
     found = read(Framing(of_server=False), frame(TEXT, b"\xff", masked=True))
-    assert isinstance(found[0], Broken)
+    assert isinstance(found[0], InvalidFrame)
     assert found[0].code == 1007
