--- a/plovertrail/listeners/websocket_relay.py
+++ b/plovertrail/listeners/websocket_relay.py
@@ -25,7 +25,7 @@
     WritingResumed,
 )
 from plovertrail.decisions.websocket_session import WebSocketSession
-from plovertrail.websocket.frames import Frame, Framing, InvalidFrame, Opcode
+from plovertrail.websocket.frames import Frame, FrameCodec, InvalidFrame, Opcode
 
 READ_BYTES = 32 * 1024
 HIGH_WATER = 64 * 1024  # bytes; from here on the sender is not read,
@@ -71,7 +71,7 @@
     """The connection to one peer, with its frames and its flow control."""
 
     transport: asyncio.Transport
-    framing: Framing
+    framing: FrameCodec
     frames_wait: bool = False  # received frames wait for the next turn of the loop
     writing_paused: bool = False
     discarded_bytes: int = 0
@@ -94,8 +94,8 @@
         self.session = session
         self.session_id = session.session_id
         self.peers = (
-            _PeerConnection(client, Framing(of_server=False)),
-            _PeerConnection(server, Framing(of_server=True)),
+            _PeerConnection(client, FrameCodec(of_server=False)),
+            _PeerConnection(server, FrameCodec(of_server=True)),
         )
         self.handle_event = handle_event
         self.client_closed = client_closed
--- a/plovertrail/websocket/frames.py
+++ b/plovertrail/websocket/frames.py
@@ -8,7 +8,7 @@
 
 from wsproto.frame_protocol import CloseReason, Frame, FrameProtocol, Opcode, ParseFailed
 
-__all__ = ["InvalidFrame", "Frame", "Framing", "Opcode"]
+__all__ = ["InvalidFrame", "Frame", "FrameCodec", "Opcode"]
 
 MOST_CLOSE_REASON = 123  # bytes (section 5.5.1)
 FINAL = 0x80
@@ -24,7 +24,7 @@
     why: str
 
 
-class Framing:
+class FrameCodec:
     """One peer's frames. Bound: besides what is fed and not yet asked for, a head of 14 bytes or a control
     frame of 131 is held; pieces of messages are passed on as they come. After a close frame or a fault
     nothing more is read."""
