--- a/plovertrail/listeners/http_forwarding.py
+++ b/plovertrail/listeners/http_forwarding.py
@@ -28,9 +28,9 @@
 from plovertrail.listeners.websocket_service import HandshakeContext, WebSocketService
 from plovertrail.websocket.handshake import (
     OWN_HEADERS,
-    asks_for_socket,
     check_origin,
     check_request,
+    is_websocket_upgrade,
 )
 
 STATUSES_WITHOUT_BODY = (204, 304)
@@ -100,7 +100,7 @@
         client_name = client_of(route, request.head, client.address, self.trusted_header)
         headers, host = self._forwarded_headers(request, plan, request_id, client_name)
         exchange.plan = plan
-        if plan.websocket is not None and asks_for_socket(exchange.message.headers):
+        if plan.websocket is not None and is_websocket_upgrade(exchange.message.headers):
             headers = [header for header in headers if header[0].lower() not in OWN_HEADERS]
             self._request_session(exchange, plan, request_id, tenant_name)
         return ProxyRequest(
--- a/plovertrail/websocket/handshake.py
+++ b/plovertrail/websocket/handshake.py
@@ -49,7 +49,7 @@
     return [part.strip() for value in values(headers, name) for part in value.split(b",") if part.strip()]
 
 
-def asks_for_socket(headers: Headers) -> bool:
+def is_websocket_upgrade(headers: Headers) -> bool:
     """Whether WebSocket is among the protocols of an Upgrade, whatever else is wrong."""
     return b"websocket" in (part.lower() for part in tokens(headers, b"upgrade"))
 
@@ -121,7 +121,7 @@
 
 def check_answer(headers: Headers, key: bytes, offered: tuple[bytes, ...]) -> bytes:
     """A server's 101 (section 4.1): the subprotocol that it chose, or nothing. Raises ValueError."""
-    if not asks_for_socket(headers) or b"upgrade" not in [
+    if not is_websocket_upgrade(headers) or b"upgrade" not in [
         part.lower() for part in tokens(headers, b"connection")
     ]:
         raise ValueError("no Upgrade to websocket")
--- a/tests/websocket/test_handshake.py
+++ b/tests/websocket/test_handshake.py
@@ -9,10 +9,10 @@
     Headers,
     accept_value,
     answer_headers,
-    asks_for_socket,
     check_answer,
     check_origin,
     check_request,
+    is_websocket_upgrade,
     new_key,
     request_headers,
 )
@@ -38,8 +38,8 @@
 
 def test_a_good_handshake_gives_its_key_and_what_it_offers() -> None:
     assert check_request(b"GET", "1.1", GOOD) == (KEY, (b"live", b"quiet"))
-    assert asks_for_socket(GOOD)
-    assert not asks_for_socket([(b"Upgrade", b"h2c, foo")])
+    assert is_websocket_upgrade(GOOD)
+    assert not is_websocket_upgrade([(b"Upgrade", b"h2c, foo")])
 
 
 @pytest.mark.parametrize(
