--- a/plovertrail/listeners/websocket_service.py
+++ b/plovertrail/listeners/websocket_service.py
@@ -22,7 +22,7 @@
 from plovertrail.generation import RoutePlan
 from plovertrail.http1.heads import Headers
 from plovertrail.listeners.websocket_relay import WebSocketRelay
-from plovertrail.websocket.handshake import check_answer, new_key, request_headers
+from plovertrail.websocket.handshake import check_response, new_key, request_headers
 
 log = logging.getLogger(__name__)
 
@@ -69,7 +69,7 @@
 
     def checked_subprotocol(self, headers: Headers, key: bytes) -> bytes:
         """Return the subprotocol that an endpoint's answer chooses; raises ValueError if it is wrong."""
-        return check_answer(headers, key, self.subprotocols)
+        return check_response(headers, key, self.subprotocols)
 
     def excluded_endpoints(self, pool: str) -> Set[int]:
         """Return the endpoints of a pool that may take no further session."""
--- a/plovertrail/websocket/handshake.py
+++ b/plovertrail/websocket/handshake.py
@@ -119,7 +119,7 @@
     return headers
 
 
-def check_answer(headers: Headers, key: bytes, offered: tuple[bytes, ...]) -> bytes:
+def check_response(headers: Headers, key: bytes, offered: tuple[bytes, ...]) -> bytes:
     """A server's 101 (section 4.1): the subprotocol that it chose, or nothing. Raises ValueError."""
     if not is_websocket_upgrade(headers) or b"upgrade" not in [
         part.lower() for part in tokens(headers, b"connection")
