--- a/plovertrail/websocket/handshake.py
+++ b/plovertrail/websocket/handshake.py
@@ -135,7 +135,7 @@
     return chosen[0] if chosen else b""
 
 
-def answer_headers(key: bytes, subprotocol: bytes) -> Headers:
+def response_headers(key: bytes, subprotocol: bytes) -> Headers:
     """What tells the client that its socket is open."""
     headers = [(b"Upgrade", b"websocket"), (b"Sec-WebSocket-Accept", accept_value(key))]
     if subprotocol:
--- a/tests/websocket/test_handshake.py
+++ b/tests/websocket/test_handshake.py
@@ -8,13 +8,13 @@
     HandshakeError,
     Headers,
     accept_value,
-    answer_headers,
     check_origin,
     check_request,
     check_response,
     is_websocket_upgrade,
     new_key,
     request_headers,
+    response_headers,
 )
 
 KEY = b"dGhlIHNhbXBsZSBub25jZQ=="  # RFC 6455, section 1.3
@@ -91,9 +91,9 @@
     headers = request_headers(key, (b"live",))
     assert check_request(b"GET", "1.1", headers) == (key, (b"live",))
     assert new_key() != key
-    answer = [(b"Connection", b"Upgrade"), *answer_headers(key, b"live")]
+    answer = [(b"Connection", b"Upgrade"), *response_headers(key, b"live")]
     assert check_response(answer, key, (b"live",)) == b"live"
-    assert check_response([(b"Connection", b"Upgrade"), *answer_headers(key, b"")], key, ()) == b""
+    assert check_response([(b"Connection", b"Upgrade"), *response_headers(key, b"")], key, ()) == b""
 
 
 @pytest.mark.parametrize(
@@ -110,7 +110,7 @@
     ],
 )
 def test_each_fault_of_a_server_is_told(drop: bytes, add: Headers) -> None:
-    good = [(b"Connection", b"Upgrade"), *answer_headers(KEY, b"")]
+    good = [(b"Connection", b"Upgrade"), *response_headers(KEY, b"")]
     assert check_response(good, KEY, (b"live",)) == b""
     with pytest.raises(ValueError):
         check_response([pair for pair in good if pair[0] != drop] + add, KEY, (b"live",))
