--- a/plovertrail/listeners/http_forwarding.py
+++ b/plovertrail/listeners/http_forwarding.py
@@ -27,7 +27,7 @@
 from plovertrail.listeners.http_exchange import HttpExchange, LocalResponse
 from plovertrail.listeners.websocket_service import HandshakeContext, WebSocketService
 from plovertrail.websocket.handshake import (
-    OWN_HEADERS,
+    HANDSHAKE_HEADERS,
     check_origin,
     check_request,
     is_websocket_upgrade,
@@ -101,7 +101,7 @@
         headers, host = self._forwarded_headers(request, plan, request_id, client_name)
         exchange.plan = plan
         if plan.websocket is not None and is_websocket_upgrade(exchange.message.headers):
-            headers = [header for header in headers if header[0].lower() not in OWN_HEADERS]
+            headers = [header for header in headers if header[0].lower() not in HANDSHAKE_HEADERS]
             self._request_session(exchange, plan, request_id, tenant_name)
         return ProxyRequest(
             exchange.message.method,
--- a/plovertrail/listeners/http_listener.py
+++ b/plovertrail/listeners/http_listener.py
@@ -46,7 +46,7 @@
     PendingHandshake,
     WebSocketService,
 )
-from plovertrail.websocket.handshake import OWN_HEADERS, HandshakeError, response_headers
+from plovertrail.websocket.handshake import HANDSHAKE_HEADERS, HandshakeError, response_headers
 
 log = logging.getLogger(__name__)
 
@@ -291,7 +291,9 @@
             tunnel.close()
             handshake.abandon(CloseCause.CLIENT_LEFT_HANDSHAKE)
             return
-        headers = [header for header in end_to_end(result.headers) if header[0].lower() not in OWN_HEADERS]
+        headers = [
+            header for header in end_to_end(result.headers) if header[0].lower() not in HANDSHAKE_HEADERS
+        ]
         headers += response_headers(handshake.client_key, tunnel.subprotocol)
         transport.write(response_head(101, headers, None, b"Upgrade"))
         received = bytes(self.reader.unparsed + self.pending)
--- a/plovertrail/websocket/handshake.py
+++ b/plovertrail/websocket/handshake.py
@@ -18,7 +18,7 @@
 TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,128}")
 MOST_SUBPROTOCOLS = 32
 # of one connection; each side's are written anew
-OWN_HEADERS = frozenset(
+HANDSHAKE_HEADERS = frozenset(
     (
         b"sec-websocket-key",
         b"sec-websocket-version",
