--- a/plovertrail/listeners/websocket_relay.py
+++ b/plovertrail/listeners/websocket_relay.py
@@ -94,8 +94,8 @@
         self.session = session
         self.session_id = session.session_id
         self.peers = (
-            _PeerConnection(client, FrameCodec(of_server=False)),
-            _PeerConnection(server, FrameCodec(of_server=True)),
+            _PeerConnection(client, FrameCodec(peer_is_server=False)),
+            _PeerConnection(server, FrameCodec(peer_is_server=True)),
         )
         self.handle_event = handle_event
         self.client_closed = client_closed
--- a/plovertrail/websocket/frames.py
+++ b/plovertrail/websocket/frames.py
@@ -29,9 +29,9 @@
     frame of 131 is held; pieces of messages are passed on as they come. After a close frame or a fault
     nothing more is read."""
 
-    def __init__(self, of_server: bool) -> None:
-        self._protocol = FrameProtocol(client=of_server, extensions=[])
-        self._of_server = of_server
+    def __init__(self, peer_is_server: bool) -> None:
+        self._protocol = FrameProtocol(client=peer_is_server, extensions=[])
+        self._peer_is_server = peer_is_server
         self._inside = False  # a message for this peer has begun and not ended
         self.ended = False
 
@@ -80,14 +80,14 @@
 
     def _frame(self, first: int, payload: bytes) -> bytes:
         """Written here and not by wsproto, whose own writer took three times as long."""
-        length, bit = len(payload), 0x80 if self._of_server else 0
+        length, bit = len(payload), 0x80 if self._peer_is_server else 0
         if length < 126:
             head = bytes((first, bit | length))
         elif length < 1 << 16:
             head = bytes((first, bit | 126)) + length.to_bytes(2)
         else:
             head = bytes((first, bit | 127)) + length.to_bytes(8)
-        if not self._of_server:
+        if not self._peer_is_server:
             return head + payload
         key = os.urandom(4)  # nobody may foresee it (section 5.3)
         return head + key + masked(payload, key)
--- a/tests/websocket/test_frames.py
+++ b/tests/websocket/test_frames.py
@@ -19,19 +19,19 @@
     return found
 
 
-@pytest.mark.parametrize("of_server", [False, True])
+@pytest.mark.parametrize("peer_is_server", [False, True])
 @pytest.mark.parametrize("length", [0, 1, 125, 126, SHORT, SHORT + 1, 65_535, 65_536, 100_001])
-def test_a_frame_of_any_length_is_read_by_the_librarys_parser(of_server: bool, length: int) -> None:
+def test_a_frame_of_any_length_is_read_by_the_librarys_parser(peer_is_server: bool, length: int) -> None:
     payload = bytes(range(256)) * (length // 256 + 1)
-    peer = FrameProtocol(client=not of_server, extensions=[])
-    peer.receive_bytes(FrameCodec(of_server).message(payload[:length], False, True))
+    peer = FrameProtocol(client=not peer_is_server, extensions=[])
+    peer.receive_bytes(FrameCodec(peer_is_server).message(payload[:length], False, True))
     assert [(got.opcode, got.payload, got.message_finished) for got in peer.received_frames()] == [
         (Opcode.BINARY, payload[:length], True)
     ]
 
 
 def test_pieces_are_continuations_and_control_frames_may_come_between() -> None:
-    framing = FrameCodec(of_server=True)
+    framing = FrameCodec(peer_is_server=True)
     peer = FrameProtocol(client=False, extensions=[])
     data = framing.message(b"a", True, False) + framing.ping(b"p") + framing.message(b"b", True, True)
     peer.receive_bytes(data + framing.pong(b"q") + framing.message(b"", False, True))
@@ -53,7 +53,7 @@
     code: int, reason: str, payload: tuple[int, str]
 ) -> None:
     peer = FrameProtocol(client=True, extensions=[])
-    peer.receive_bytes(FrameCodec(of_server=False).close(code, reason))
+    peer.receive_bytes(FrameCodec(peer_is_server=False).close(code, reason))
     assert [got.payload for got in peer.received_frames()] == [payload]
 
 
@@ -66,7 +66,7 @@
 
 @given(st.text(max_size=200), st.integers(1, 7))
 def test_a_text_read_in_any_pieces_is_whole_characters(text: str, size: int) -> None:
-    found = read(FrameCodec(of_server=False), frame(TEXT, text.encode(), masked=True), size)
+    found = read(FrameCodec(peer_is_server=False), frame(TEXT, text.encode(), masked=True), size)
     pieces = [got.payload for got in found if isinstance(got, Frame)]
     assert "".join(piece for piece in pieces if isinstance(piece, str)) == text
     assert isinstance(found[-1], Frame)
@@ -75,13 +75,13 @@
 
 def test_nothing_is_read_or_held_behind_a_close_or_a_fault() -> None:
     for last in (close_frame(masked=True), frame(TEXT, b"unmasked")):
-        framing = FrameCodec(of_server=False)
+        framing = FrameCodec(peer_is_server=False)
         assert len(read(framing, last + frame(TEXT, b"after", masked=True))) == 1
         assert framing.ended
         assert read(framing, b"x" * 100_000) == []
 
 
 def test_a_fault_tells_its_code() -> None:
-    found = read(FrameCodec(of_server=False), frame(TEXT, b"\xff", masked=True))
+    found = read(FrameCodec(peer_is_server=False), frame(TEXT, b"\xff", masked=True))
     assert isinstance(found[0], InvalidFrame)
     assert found[0].code == 1007
