--- a/plovertrail/listeners/http_listener.py
+++ b/plovertrail/listeners/http_listener.py
@@ -164,7 +164,7 @@
             return error_response(error.status, error.why, [(b"Allow", allowed)] if allowed else [])
         except HandshakeError as error:
             # what follows may be frames already, and must not be read as requests
-            return error_response(error.status, error.why, error.headers, close=True)
+            return error_response(error.status, error.reason, error.headers, close=True)
         except HandshakeRejectedError as error:
             return error_response(503, str(error), retry_after_headers(error.retry_after_us))
         except RequestRefusedError as error:
--- a/plovertrail/listeners/websocket_relay.py
+++ b/plovertrail/listeners/websocket_relay.py
@@ -154,7 +154,7 @@
         """Append to `output` what the other peer gets; return an event if the frame ends something."""
         if isinstance(frame, InvalidFrame):
             cause = CloseCause.CLIENT_PROTOCOL_ERROR if side is CLIENT else CloseCause.SERVER_PROTOCOL_ERROR
-            return ProtocolViolated(self.session_id, cause, frame.code, frame.why)
+            return ProtocolViolated(self.session_id, cause, frame.code, frame.reason)
         if isinstance(frame.payload, tuple):
             code, reason = frame.payload
             return CloseReceived(self.session_id, side, int(code), reason)
--- a/plovertrail/websocket/frames.py
+++ b/plovertrail/websocket/frames.py
@@ -21,7 +21,7 @@
     """A peer has broken the protocol: the code to close with, and why."""
 
     code: int
-    why: str
+    reason: str
 
 
 class FrameCodec:
--- a/plovertrail/websocket/handshake.py
+++ b/plovertrail/websocket/handshake.py
@@ -32,10 +32,10 @@
 class HandshakeError(Exception):
     """A handshake that can't be taken: the status to answer with, why, and headers for the answer."""
 
-    def __init__(self, status: int, why: str, headers: Headers | None = None) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str, headers: Headers | None = None) -> None:
+        super().__init__(reason)
         self.status = status
-        self.why = why
+        self.reason = reason
         self.headers = headers or []
 
 
