--- a/plovertrail/websocket/handshake.py
+++ b/plovertrail/websocket/handshake.py
@@ -15,8 +15,8 @@
 
 ACCEPT_GUID = b"258EAFA5-E914-47DA-95CA-C5AB0DC85B11"
 VERSION = b"13"
-TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,128}")
-MOST_SUBPROTOCOLS = 32
+TOKEN_PATTERN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,128}")
+MAX_SUBPROTOCOLS = 32
 # of one connection; each side's are written anew
 HANDSHAKE_HEADERS = frozenset(
     (
@@ -39,19 +39,21 @@
         self.headers = headers or []
 
 
-def values(headers: Headers, name: bytes) -> list[bytes]:
+def header_values(headers: Headers, name: bytes) -> list[bytes]:
     """All values of a header; `name` is in lower case."""
     return [value for key, value in headers if key.lower() == name]
 
 
-def tokens(headers: Headers, name: bytes) -> list[bytes]:
+def list_elements(headers: Headers, name: bytes) -> list[bytes]:
     """The parts of a list header."""
-    return [part.strip() for value in values(headers, name) for part in value.split(b",") if part.strip()]
+    return [
+        part.strip() for value in header_values(headers, name) for part in value.split(b",") if part.strip()
+    ]
 
 
 def is_websocket_upgrade(headers: Headers) -> bool:
     """Whether WebSocket is among the protocols of an Upgrade, whatever else is wrong."""
-    return b"websocket" in (part.lower() for part in tokens(headers, b"upgrade"))
+    return b"websocket" in (part.lower() for part in list_elements(headers, b"upgrade"))
 
 
 def accept_value(key: bytes) -> bytes:
@@ -69,28 +71,31 @@
     HandshakeError."""
     if method != b"GET" or version != "1.1":
         raise HandshakeError(400, "a WebSocket handshake is a GET of HTTP/1.1")
-    if b"upgrade" not in (part.lower() for part in tokens(headers, b"connection")):
+    if b"upgrade" not in (part.lower() for part in list_elements(headers, b"connection")):
         raise HandshakeError(400, "Upgrade without Connection: Upgrade")
     # hazard: bytes that one side takes for a body and the other for frames
-    if values(headers, b"transfer-encoding") or values(headers, b"content-length") not in ([], [b"0"]):
+    if header_values(headers, b"transfer-encoding") or header_values(headers, b"content-length") not in (
+        [],
+        [b"0"],
+    ):
         raise HandshakeError(400, "a WebSocket handshake has no body")
-    if values(headers, b"sec-websocket-version") != [VERSION]:
+    if header_values(headers, b"sec-websocket-version") != [VERSION]:
         raise HandshakeError(
             426,
             "only WebSocket version 13 is spoken",
             [(b"Sec-WebSocket-Version", VERSION), (b"Upgrade", b"websocket")],
         )
-    keys = values(headers, b"sec-websocket-key")
+    keys = header_values(headers, b"sec-websocket-key")
     try:
-        whole = len(keys) == 1 and len(base64.b64decode(keys[0], validate=True)) == 16
+        is_valid = len(keys) == 1 and len(base64.b64decode(keys[0], validate=True)) == 16
     except binascii.Error:
-        whole = False
-    if not whole:
+        is_valid = False
+    if not is_valid:
         raise HandshakeError(400, "Sec-WebSocket-Key must be 16 bytes in base64")
-    offered = tuple(tokens(headers, b"sec-websocket-protocol"))
-    if len(offered) > MOST_SUBPROTOCOLS or len(set(offered)) < len(offered):
+    offered = tuple(list_elements(headers, b"sec-websocket-protocol"))
+    if len(offered) > MAX_SUBPROTOCOLS or len(set(offered)) < len(offered):
         raise HandshakeError(400, "a subprotocol is offered twice, or too many are")
-    if not all(TOKEN.fullmatch(name) for name in offered):
+    if not all(TOKEN_PATTERN.fullmatch(name) for name in offered):
         raise HandshakeError(400, "a subprotocol is no token")
     return keys[0], offered
 
@@ -101,7 +106,7 @@
     Hazard: browsers let any page open a socket, with the cookies of whom it shows itself to (section 10.2).
     Without `allowed`, any origin may; a client that sends none is no browser.
     """
-    for origin in values(headers, b"origin") if allowed else []:
+    for origin in header_values(headers, b"origin") if allowed else []:
         if origin.decode("latin-1").lower() not in allowed:
             raise HandshakeError(403, "this origin may not open sockets here")
 
@@ -122,14 +127,14 @@
 def check_response(headers: Headers, key: bytes, offered: tuple[bytes, ...]) -> bytes:
     """A server's 101 (section 4.1): the subprotocol that it chose, or nothing. Raises ValueError."""
     if not is_websocket_upgrade(headers) or b"upgrade" not in [
-        part.lower() for part in tokens(headers, b"connection")
+        part.lower() for part in list_elements(headers, b"connection")
     ]:
         raise ValueError("no Upgrade to websocket")
-    if values(headers, b"sec-websocket-accept") != [accept_value(key)]:
+    if header_values(headers, b"sec-websocket-accept") != [accept_value(key)]:
         raise ValueError("a wrong Sec-WebSocket-Accept")
-    if tokens(headers, b"sec-websocket-extensions"):
+    if list_elements(headers, b"sec-websocket-extensions"):
         raise ValueError("an extension that nobody asked for")
-    chosen = values(headers, b"sec-websocket-protocol")
+    chosen = header_values(headers, b"sec-websocket-protocol")
     if len(chosen) > 1 or (chosen and chosen[0] not in offered):
         raise ValueError("a subprotocol that nobody offered")
     return chosen[0] if chosen else b""
