--- a/plovertrail/websocket/handshake.py
+++ b/plovertrail/websocket/handshake.py
@@ -1,6 +1,7 @@
-"""The opening handshake of RFC 6455, section 4: checked as its server and as its client.
+"""The opening handshake of WebSocket (RFC 6455, section 4), for both the server and the client side.
 
-No extension is ever agreed on: a proxy that reads frames could pass none on unchanged (docs/websocket.md).
+No extension is ever negotiated: a proxy that parses frames could forward none of them unchanged
+(docs/websocket.md).
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 VERSION = b"13"
 TOKEN_PATTERN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,128}")
 MAX_SUBPROTOCOLS = 32
-# of one connection; each side's are written anew
+# Handshake headers apply to one connection. They aren't forwarded; each side gets its own.
 HANDSHAKE_HEADERS = frozenset(
     (
         b"sec-websocket-key",
@@ -30,7 +31,7 @@
 
 
 class HandshakeError(Exception):
-    """A handshake that can't be taken: the status to answer with, why, and headers for the answer."""
+    """A client's handshake is rejected, with this status, reason and headers in the response."""
 
     def __init__(self, status: int, reason: str, headers: Headers | None = None) -> None:
         super().__init__(reason)
@@ -40,40 +41,42 @@
 
 
 def header_values(headers: Headers, name: bytes) -> list[bytes]:
-    """All values of a header; `name` is in lower case."""
+    """Return all values of a header; `name` is in lower case."""
     return [value for key, value in headers if key.lower() == name]
 
 
 def list_elements(headers: Headers, name: bytes) -> list[bytes]:
-    """The parts of a list header."""
+    """Return the elements of a header whose value is a comma-separated list; `name` is in lower case."""
     return [
         part.strip() for value in header_values(headers, name) for part in value.split(b",") if part.strip()
     ]
 
 
 def is_websocket_upgrade(headers: Headers) -> bool:
-    """Whether WebSocket is among the protocols of an Upgrade, whatever else is wrong."""
+    """Whether the Upgrade header lists WebSocket, even if the handshake is invalid otherwise."""
     return b"websocket" in (part.lower() for part in list_elements(headers, b"upgrade"))
 
 
 def accept_value(key: bytes) -> bytes:
-    """Proof that a key was read (section 4.2.2)."""
+    """Compute Sec-WebSocket-Accept for a key (section 4.2.2)."""
     return base64.b64encode(hashlib.sha1(key + ACCEPT_GUID, usedforsecurity=False).digest())
 
 
 def new_key() -> bytes:
-    """For one attempt; none is used twice."""
+    """Return a random Sec-WebSocket-Key. Each attempt uses a new one."""
     return base64.b64encode(os.urandom(16))
 
 
 def check_request(method: bytes, version: str, headers: Headers) -> tuple[bytes, tuple[bytes, ...]]:
-    """A client's handshake (section 4.2.1): its key and the subprotocols that it offers. Raises
-    HandshakeError."""
+    """Check a client's handshake request (section 4.2.1); return its key and the subprotocols that it offers.
+
+    Raises HandshakeError.
+    """
     if method != b"GET" or version != "1.1":
         raise HandshakeError(400, "a WebSocket handshake is a GET of HTTP/1.1")
     if b"upgrade" not in (part.lower() for part in list_elements(headers, b"connection")):
         raise HandshakeError(400, "Upgrade without Connection: Upgrade")
-    # hazard: bytes that one side takes for a body and the other for frames
+    # With a body, one side could read bytes as the body that the other side reads as frames.
     if header_values(headers, b"transfer-encoding") or header_values(headers, b"content-length") not in (
         [],
         [b"0"],
@@ -103,8 +106,9 @@
 def check_origin(headers: Headers, allowed: frozenset[str]) -> None:
     """Check the Origin of a handshake; raises HandshakeError.
 
-    Hazard: browsers let any page open a socket, with the cookies of whom it shows itself to (section 10.2).
-    Without `allowed`, any origin may; a client that sends none is no browser.
+    Browsers let any page open a WebSocket, and send the user's cookies with it (section 10.2). If `allowed`
+    is empty, every origin is accepted. A request without an Origin header doesn't come from a browser, and
+    is accepted too.
     """
     for origin in header_values(headers, b"origin") if allowed else []:
         if origin.decode("latin-1").lower() not in allowed:
@@ -112,7 +116,7 @@
 
 
 def request_headers(key: bytes, subprotocols: tuple[bytes, ...]) -> Headers:
-    """What asks a server for a socket."""
+    """Build the headers of a handshake request to a server."""
     headers = [
         (b"Connection", b"Upgrade"),
         (b"Upgrade", b"websocket"),
@@ -125,23 +129,26 @@
 
 
 def check_response(headers: Headers, key: bytes, offered: tuple[bytes, ...]) -> bytes:
-    """A server's 101 (section 4.1): the subprotocol that it chose, or nothing. Raises ValueError."""
+    """Check the headers of a server's 101 response (section 4.1); return the subprotocol it chose, or b"".
+
+    Raises ValueError.
+    """
     if not is_websocket_upgrade(headers) or b"upgrade" not in [
         part.lower() for part in list_elements(headers, b"connection")
     ]:
         raise ValueError("no Upgrade to websocket")
     if header_values(headers, b"sec-websocket-accept") != [accept_value(key)]:
-        raise ValueError("a wrong Sec-WebSocket-Accept")
+        raise ValueError("wrong Sec-WebSocket-Accept")
     if list_elements(headers, b"sec-websocket-extensions"):
-        raise ValueError("an extension that nobody asked for")
+        raise ValueError("an extension that was not offered")
     chosen = header_values(headers, b"sec-websocket-protocol")
     if len(chosen) > 1 or (chosen and chosen[0] not in offered):
-        raise ValueError("a subprotocol that nobody offered")
+        raise ValueError("more than one subprotocol, or one that was not offered")
     return chosen[0] if chosen else b""
 
 
 def response_headers(key: bytes, subprotocol: bytes) -> Headers:
-    """What tells the client that its socket is open."""
+    """Build the headers of the 101 response to a client."""
     headers = [(b"Upgrade", b"websocket"), (b"Sec-WebSocket-Accept", accept_value(key))]
     if subprotocol:
         headers.append((b"Sec-WebSocket-Protocol", subprotocol))
