--- a/plovertrail/websocket/frames.py
+++ b/plovertrail/websocket/frames.py
@@ -10,10 +10,10 @@
 
 __all__ = ["InvalidFrame", "Frame", "FrameCodec", "Opcode"]
 
-MOST_CLOSE_REASON = 123  # bytes (section 5.5.1)
-FINAL = 0x80
-SHORT = 512  # bytes; up to here one exclusive or of long integers is faster than four tables
-XOR = [bytes(a ^ b for a in range(256)) for b in range(256)]
+MAX_CLOSE_REASON_BYTES = 123  # bytes (section 5.5.1)
+FIN_BIT = 0x80
+MAX_INTEGER_XOR_BYTES = 512  # bytes; up to here one exclusive or of long integers is faster than four tables
+XOR_TABLES = [bytes(a ^ b for a in range(256)) for b in range(256)]
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,15 +30,15 @@
     nothing more is read."""
 
     def __init__(self, peer_is_server: bool) -> None:
-        self._protocol = FrameProtocol(client=peer_is_server, extensions=[])
+        self._parser = FrameProtocol(client=peer_is_server, extensions=[])
         self._peer_is_server = peer_is_server
-        self._inside = False  # a message for this peer has begun and not ended
+        self._message_open = False  # a message for this peer has begun and not ended
         self.ended = False
 
     def feed(self, data: bytes | memoryview) -> None:
         """Bytes of the peer have come."""
         if not self.ended:
-            self._protocol.receive_bytes(data)  # type: ignore[arg-type]  # they are added to a bytearray
+            self._parser.receive_bytes(data)  # type: ignore[arg-type]  # they are added to a bytearray
 
     def frames(self) -> Iterator[Frame | InvalidFrame]:
         """What they bring; may be left, and asked for the rest later. A text's pieces are whole characters; a
@@ -46,7 +46,7 @@
         if self.ended:
             return
         try:
-            for frame in self._protocol.received_frames():
+            for frame in self._parser.received_frames():
                 if frame.opcode is Opcode.CLOSE:
                     self.ended = True
                 yield frame
@@ -56,50 +56,50 @@
 
     # For this peer
 
-    def message(self, payload: bytes, text: bool, final: bool) -> bytes:
+    def message(self, payload: bytes, is_text: bool, final: bool) -> bytes:
         """A frame with the next piece of a message."""
-        opcode = Opcode.CONTINUATION if self._inside else Opcode.TEXT if text else Opcode.BINARY
-        self._inside = not final
-        return self._frame(opcode | (FINAL if final else 0), payload)
+        opcode = Opcode.CONTINUATION if self._message_open else Opcode.TEXT if is_text else Opcode.BINARY
+        self._message_open = not final
+        return self._frame(opcode | (FIN_BIT if final else 0), payload)
 
     def ping(self, payload: bytes) -> bytes:
         """A ping frame with a payload of at most 125 bytes."""
-        return self._frame(Opcode.PING | FINAL, payload)
+        return self._frame(Opcode.PING | FIN_BIT, payload)
 
     def pong(self, payload: bytes) -> bytes:
         """A pong frame; its payload is that of the ping that it answers."""
-        return self._frame(Opcode.PONG | FINAL, payload)
+        return self._frame(Opcode.PONG | FIN_BIT, payload)
 
     def close(self, code: int, reason: str) -> bytes:
         """A close frame; 1005 stands for one without a code."""
         payload = b""
         if code != CloseReason.NO_STATUS_RCVD:
-            cut = reason.encode()[:MOST_CLOSE_REASON].decode(errors="ignore")
-            payload = code.to_bytes(2) + cut.encode()
-        return self._frame(Opcode.CLOSE | FINAL, payload)
+            truncated = reason.encode()[:MAX_CLOSE_REASON_BYTES].decode(errors="ignore")
+            payload = code.to_bytes(2) + truncated.encode()
+        return self._frame(Opcode.CLOSE | FIN_BIT, payload)
 
-    def _frame(self, first: int, payload: bytes) -> bytes:
+    def _frame(self, first_byte: int, payload: bytes) -> bytes:
         """Written here and not by wsproto, whose own writer took three times as long."""
-        length, bit = len(payload), 0x80 if self._peer_is_server else 0
+        length, mask_bit = len(payload), 0x80 if self._peer_is_server else 0
         if length < 126:
-            head = bytes((first, bit | length))
+            header = bytes((first_byte, mask_bit | length))
         elif length < 1 << 16:
-            head = bytes((first, bit | 126)) + length.to_bytes(2)
+            header = bytes((first_byte, mask_bit | 126)) + length.to_bytes(2)
         else:
-            head = bytes((first, bit | 127)) + length.to_bytes(8)
+            header = bytes((first_byte, mask_bit | 127)) + length.to_bytes(8)
         if not self._peer_is_server:
-            return head + payload
+            return header + payload
         key = os.urandom(4)  # nobody may foresee it (section 5.3)
-        return head + key + masked(payload, key)
+        return header + key + apply_mask(payload, key)
 
 
-def masked(payload: bytes, key: bytes) -> bytes:
+def apply_mask(payload: bytes, key: bytes) -> bytes:
     """A payload under a mask, or freed of it (section 5.3)."""
     length = len(payload)
-    if length <= SHORT:
+    if length <= MAX_INTEGER_XOR_BYTES:
         mask = int.from_bytes((key * (length // 4 + 1))[:length])
         return (int.from_bytes(payload) ^ mask).to_bytes(length)
     out = bytearray(length)
-    for place, byte in enumerate(key):
-        out[place::4] = payload[place::4].translate(XOR[byte])
+    for offset, byte in enumerate(key):
+        out[offset::4] = payload[offset::4].translate(XOR_TABLES[byte])
     return bytes(out)
--- a/tests/websocket/test_frames.py
+++ b/tests/websocket/test_frames.py
@@ -8,7 +8,14 @@
 from wsproto.frame_protocol import FrameProtocol
 
 from fakes.frames import TEXT, close_frame, frame
-from plovertrail.websocket.frames import SHORT, Frame, FrameCodec, InvalidFrame, Opcode, masked
+from plovertrail.websocket.frames import (
+    MAX_INTEGER_XOR_BYTES,
+    Frame,
+    FrameCodec,
+    InvalidFrame,
+    Opcode,
+    apply_mask,
+)
 
 
 def read(framing: FrameCodec, data: bytes, size: int = 1 << 20) -> list[Frame | InvalidFrame]:
@@ -20,7 +27,9 @@
 
 
 @pytest.mark.parametrize("peer_is_server", [False, True])
-@pytest.mark.parametrize("length", [0, 1, 125, 126, SHORT, SHORT + 1, 65_535, 65_536, 100_001])
+@pytest.mark.parametrize(
+    "length", [0, 1, 125, 126, MAX_INTEGER_XOR_BYTES, MAX_INTEGER_XOR_BYTES + 1, 65_535, 65_536, 100_001]
+)
 def test_a_frame_of_any_length_is_read_by_the_librarys_parser(peer_is_server: bool, length: int) -> None:
     payload = bytes(range(256)) * (length // 256 + 1)
     peer = FrameProtocol(client=not peer_is_server, extensions=[])
@@ -59,9 +68,9 @@
 
 @given(st.binary(max_size=2000), st.binary(min_size=4, max_size=4))
 def test_a_mask_is_taken_off_by_itself(payload: bytes, key: bytes) -> None:
-    hidden = masked(payload, key)
+    hidden = apply_mask(payload, key)
     assert hidden == bytes(byte ^ key[place % 4] for place, byte in enumerate(payload))
-    assert masked(hidden, key) == payload
+    assert apply_mask(hidden, key) == payload
 
 
 @given(st.text(max_size=200), st.integers(1, 7))
