--- a/plovertrail/websocket/__init__.py
+++ b/plovertrail/websocket/__init__.py
@@ -1,1 +1,1 @@
-"""WebSocket (RFC 6455): the handshake, both sides, and frames; no policy."""
+"""The WebSocket protocol (RFC 6455): the opening handshake, for both sides, and frames. It sets no policy."""
