--- a/plovertrail/store/endpoint_list_records.py
+++ b/plovertrail/store/endpoint_list_records.py
@@ -63,12 +63,12 @@
         old_layer = old_layers.pop(layer.source, None)
         if old_layer is layer:
             continue
-        unseen = {entry.id: entry for entry in old_layer.endpoints} if old_layer is not None else {}
+        old_entries = {entry.id: entry for entry in old_layer.endpoints} if old_layer is not None else {}
         for entry in layer.endpoints:
-            old_entry = unseen.pop(entry.id, None)
+            old_entry = old_entries.pop(entry.id, None)
             if old_entry is not entry and old_entry != entry:
                 yield (ENDPOINT, pool, layer.source, entry.id), _endpoint_value(entry)
-        for name in unseen:
+        for name in old_entries:
             yield (ENDPOINT, pool, layer.source, name), None
     for layer in old_layers.values():
         for entry in layer.endpoints:
@@ -169,18 +169,20 @@
     Endpoint ids begin anew, since they belong to one process.
     """
     try:
-        generation, by_hand, sources = records[POOL, pool]
-        found = _PoolRecords({str(source): [] for source, _, _ in sources})
+        generation, drained, sources = records[POOL, pool]
+        pool_records = _PoolRecords({str(source): [] for source, _, _ in sources})
         for key, value in records.items():
-            found.add(key, value, clock_offset_us, now_us)
+            pool_records.add(key, value, clock_offset_us, now_us)
         layers = tuple(
-            EndpointList(str(source), tuple(found.endpoints[source]), int(version), bool(by_operator))
+            EndpointList(str(source), tuple(pool_records.endpoints[source]), int(version), bool(by_operator))
             for source, version, by_operator in sources
         )
         state = EndpointListState(
-            generation=int(generation), drained_by_operator=frozenset(map(str, by_hand)), layers=layers
+            generation=int(generation), drained_by_operator=frozenset(map(str, drained)), layers=layers
+        )
+        return restore_state(
+            state, pool_records.started_us, pool_records.removed_in_order(), pool_records.held_until_us
         )
-        return restore_state(state, found.started_us, found.removed_in_order(), found.held_until_us)
     except (KeyError, ValueError, TypeError, IndexError) as error:
         raise InvalidRecordsError(f"what is kept of the pool {pool!r} makes no list: {error!r}") from None
 
@@ -203,19 +205,19 @@
         for name, member in state.members.items()
         if name not in held_until_us
     }
-    held = {name: until_us for name, until_us in held_until_us.items() if name in state.members}
-    leaving: dict[int, tuple[EndpointMember, int]] = {}
+    held_joins = {name: until_us for name, until_us in held_until_us.items() if name in state.members}
+    removed_members: dict[int, tuple[EndpointMember, int]] = {}
     last_id = state.last_endpoint_id
     for entry, since_us in removed:
         last_id += 1
-        leaving[last_id] = EndpointMember(last_id, entry, 0), since_us
+        removed_members[last_id] = EndpointMember(last_id, entry, 0), since_us
     return EndpointListState(
         stored.generation,
         True,
         state.layers,
         state.drained_by_operator,
         members,
-        leaving,
-        held_joins=held,
+        removed_members,
+        held_joins=held_joins,
         last_endpoint_id=last_id,
     )
--- a/plovertrail/store/format_1.py
+++ b/plovertrail/store/format_1.py
@@ -50,7 +50,9 @@
         EndpointList(source, tuple(itertools.islice(entries, count)), version, by_operator)
         for source, version, by_operator, count in raw["layers"]
     )
-    started_us = {name: min(now_us, came_us - clock_offset_us) for name, came_us in raw["came"]}
+    started_us = {
+        name: min(now_us, started_unix_us - clock_offset_us) for name, started_unix_us in raw["came"]
+    }
     removed = [(_endpoint(row), min(now_us, since_us - clock_offset_us)) for row, since_us in raw["leaving"]]
     state = EndpointListState(
         generation=raw["generation"], drained_by_operator=frozenset(raw["by_hand"]), layers=layers
--- a/plovertrail/store/frames.py
+++ b/plovertrail/store/frames.py
@@ -34,12 +34,12 @@
     number = 0
     while offset + FRAME_HEADER.size <= len(data):
         length, expected_digest = FRAME_HEADER.unpack_from(data, offset)
-        begin = offset + FRAME_HEADER.size
-        payload = data[begin : begin + length]
+        start = offset + FRAME_HEADER.size
+        payload = data[start : start + length]
         if length > MAX_PAYLOAD_BYTES or len(payload) < length:
             return
         if digest(nonce, number, payload) != expected_digest:
             return
-        offset = begin + length
+        offset = start + length
         yield payload, offset
         number += 1
--- a/plovertrail/store/service.py
+++ b/plovertrail/store/service.py
@@ -135,12 +135,12 @@
 
     def _report_failure(self, error: Exception) -> None:
         """Log a failed write and keep it for the status."""
-        why = error.strerror if isinstance(error, OSError) else repr(error)
-        self.problem = f"{self.path} can't be written: {why}"
+        reason = error.strerror if isinstance(error, OSError) else repr(error)
+        self.problem = f"{self.path} can't be written: {reason}"
         log.error(
             "state file write failed path=%s error=%s: a restart would restore the last one written",
             self.path,
-            why,
+            reason,
         )
 
     def _write(
--- a/plovertrail/store/snapshot_format.py
+++ b/plovertrail/store/snapshot_format.py
@@ -77,15 +77,15 @@
 ) -> bytes:
     """Encode a snapshot."""
     compressor = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL)
-    places: list[tuple[str, int, int, bytes]] = []
+    part_locations: list[tuple[str, int, int, bytes]] = []
     bodies: list[bytes] = []
     offset = 0
     for number, (name, records) in enumerate(parts.items(), 1):
         body = compressor.compress(encode_records(records))
-        places.append((name, offset, len(body), digest(nonce, number, body)))
+        part_locations.append((name, offset, len(body), digest(nonce, number, body)))
         bodies.append(body)
         offset += len(body)
-    header = SnapshotHeader(instance, clocks.boot_id, clock_offset_us, clocks.unix_us, nonce, places)
+    header = SnapshotHeader(instance, clocks.boot_id, clock_offset_us, clocks.unix_us, nonce, part_locations)
     return FIRST_LINE + encode_frame(HEADER_NONCE, 0, msgspec.json.encode(header)) + b"".join(bodies)
 
 
@@ -143,8 +143,8 @@
     def read_parts(self, data: bytes, body_offset: int) -> None:
         """Decode all parts that are intact."""
         for number, (name, offset, length, expected_digest) in enumerate(self.header.parts, 1):
-            begin = body_offset + offset
-            body = data[begin : begin + length]
+            start = body_offset + offset
+            body = data[start : start + length]
             try:
                 if len(body) < length or digest(self.header.nonce, number, body) != expected_digest:
                     raise ValueError("its bytes are damaged")
@@ -152,8 +152,8 @@
                 self.images[name] = dict(_decode_records(payload))
             except (ValueError, TypeError, zstandard.ZstdError) as error:
                 self.damaged.add(name)
-                what = f"what is kept of the pool {name!r}" if name else "what is kept beside lists"
-                self.problems.append(f"{what} is not used: {error}")
+                subject = f"what is kept of the pool {name!r}" if name else "what is kept beside lists"
+                self.problems.append(f"{subject} is not used: {error}")
 
     def replay(self, journal: bytes) -> None:
         """Apply the journal's steps to the parts."""
@@ -184,8 +184,8 @@
     def _apply(self, records: list[Record]) -> None:
         """Apply one step."""
         for key, value in records:
-            of_a_list = len(key) > 1 and key[0] in ENDPOINT_LIST_KINDS
-            part = key[1] if of_a_list else WARM_STATE_PART
+            is_list_record = len(key) > 1 and key[0] in ENDPOINT_LIST_KINDS
+            part = key[1] if is_list_record else WARM_STATE_PART
             if part in self.damaged:
                 continue  # changes to a list that is missing would make up another list
             image = self.images.setdefault(part, {})
--- a/plovertrail/store/state_files.py
+++ b/plovertrail/store/state_files.py
@@ -19,7 +19,7 @@
 
 # A journal longer than both of these is replaced by a new snapshot, which bounds the disk and the start.
 MIN_JOURNAL_BYTES = 256 << 10
-MAX_JOURNAL_TO_SNAPSHOT = 2
+MAX_JOURNAL_TO_SNAPSHOT_RATIO = 2
 
 
 class StateFiles:
@@ -81,8 +81,8 @@
     @property
     def needs_snapshot(self) -> bool:
         """Whether the next write must or should be a snapshot."""
-        max_bytes = max(MIN_JOURNAL_BYTES, MAX_JOURNAL_TO_SNAPSHOT * self.snapshot_bytes)
-        return self.journal_fd < 0 or self.journal_bytes > max_bytes
+        max_journal_bytes = max(MIN_JOURNAL_BYTES, MAX_JOURNAL_TO_SNAPSHOT_RATIO * self.snapshot_bytes)
+        return self.journal_fd < 0 or self.journal_bytes > max_journal_bytes
 
     def write_snapshot(
         self, parts: Mapping[str, Sequence[Record]], clock_offset_us: int, clocks: ClockReading
--- a/plovertrail/store/warm_state_records.py
+++ b/plovertrail/store/warm_state_records.py
@@ -111,15 +111,19 @@
 
 def warm_state_from_records(records: Mapping[Key, Any], clock_offset_us: int) -> StoredState:
     """Build what was learnt from its records; those that can't be read are left out and learnt anew."""
-    found = _WarmStateRecords()
+    warm_records = _WarmStateRecords()
     for key, value in records.items():
         with suppress(ValueError, TypeError, IndexError, AttributeError):
-            found.add(key, value, clock_offset_us)
+            warm_records.add(key, value, clock_offset_us)
     counters = None
     if (COUNTERS,) in records:
         with suppress(ValueError, TypeError):
             name, start_us, span_us, buckets = records[COUNTERS,]
             counters = PreviousIncarnation(
-                str(name), int(start_us) - clock_offset_us, int(span_us), int(buckets), found.counter_rows
+                str(name),
+                int(start_us) - clock_offset_us,
+                int(span_us),
+                int(buckets),
+                warm_records.counter_rows,
             )
-    return StoredState({}, found.pool_histories(), found.limiters(), counters)
+    return StoredState({}, warm_records.pool_histories(), warm_records.limiters(), counters)
