--- a/plovertrail/store/endpoint_list_records.py
+++ b/plovertrail/store/endpoint_list_records.py
@@ -1,4 +1,4 @@
-"""Records of a pool's endpoint lists: what changed between two states, and a state from its records."""
+"""Records of a pool's endpoint lists: the changes between two states, and a state rebuilt from records."""
 
 from __future__ import annotations
 
@@ -39,10 +39,10 @@
 def changed_records(
     pool: str, before: EndpointListState, after: EndpointListState, clock_offset_us: int
 ) -> list[Record]:
-    """List the records that lead from one state of a pool to another.
+    """List the records that turn one state of a pool into another.
 
-    What both states have in common is found by identity, so that one change among 10,000 endpoints costs one
-    comparison of references for each of them.
+    States share the objects that didn't change, so most are skipped by identity: after one change among
+    10,000 endpoints, each of the others costs one comparison of references.
     """
     if before is after:
         return []
@@ -57,7 +57,7 @@
 
 
 def _source_changes(pool: str, before: EndpointListState, after: EndpointListState) -> Iterator[Record]:
-    """Yield what changed in the lists of each source."""
+    """Yield records for the endpoints that changed in the list of each source."""
     old_layers = {layer.source: layer for layer in before.layers}
     for layer in after.layers:
         old_layer = old_layers.pop(layer.source, None)
@@ -78,7 +78,7 @@
 def _start_changes(
     pool: str, before: EndpointListState, after: EndpointListState, clock_offset_us: int
 ) -> Iterator[Record]:
-    """Yield the start times that changed; 0 stands for an endpoint that was always there."""
+    """Yield records for changed start times; 0 means listed since the beginning, and has no record."""
     for name, member in after.members.items():
         old_member = before.members.get(name)
         if old_member is member:
@@ -94,7 +94,10 @@
 def _removal_changes(
     pool: str, before: EndpointListState, after: EndpointListState, clock_offset_us: int
 ) -> Iterator[Record]:
-    """Yield the removed endpoints that changed, by their id: a name that was removed twice is there twice."""
+    """Yield records for the removed endpoints that changed.
+
+    They are keyed by endpoint id, since one name may have been removed more than once.
+    """
     for endpoint_id, (member, since_us) in after.removed.items():
         if endpoint_id not in before.removed:
             value = [member.listed.id, _endpoint_value(member.listed), since_us + clock_offset_us]
@@ -107,7 +110,7 @@
 def _hold_changes(
     pool: str, before: EndpointListState, after: EndpointListState, clock_offset_us: int
 ) -> Iterator[Record]:
-    """Yield the joins held back that changed."""
+    """Yield records for the held joins that changed: endpoints that flap and aren't admitted yet."""
     for name, until_us in after.held_joins.items():
         if before.held_joins.get(name) != until_us:
             yield (JOIN_HELD, pool, name), until_us + clock_offset_us
@@ -117,9 +120,9 @@
 
 
 def removal_records(pool: str, before: EndpointListState, clock_offset_us: int) -> list[Record]:
-    """List the records that forget a pool.
+    """List the records that delete a pool.
 
-    Without them a pool of the same name that is configured later would begin with outdated lists.
+    Without them, a pool configured later under the same name would start with outdated lists.
     """
     removed: list[Record] = [
         (key, None) for key, _ in changed_records(pool, EndpointListState(), before, clock_offset_us)
@@ -129,19 +132,19 @@
 
 @dataclass(slots=True)
 class _PoolRecords:
-    """One pool's records, by kind."""
+    """One pool's records, decoded and grouped by kind."""
 
     endpoints: dict[str, list[ListedEndpoint]]  # by source
     started_us: dict[str, int] = field(default_factory=dict)
     held_until_us: dict[str, int] = field(default_factory=dict)
-    removed: list[tuple[int, ListedEndpoint, int]] = field(
-        default_factory=list
-    )  # former id, endpoint, since_us
+    # former id, endpoint, removal time
+    removed: list[tuple[int, ListedEndpoint, int]] = field(default_factory=list)
 
     def add(self, key: Key, value: Any, clock_offset_us: int, now_us: int) -> None:
-        """Take one record over; raises KeyError, ValueError, TypeError or IndexError.
+        """Add one record; raises KeyError, ValueError, TypeError or IndexError.
 
-        By a clock that was set back some times lie in the future. They count as now, or as the longest hold.
+        If the system clock was set back, stored times may lie in the future. Start and removal times are
+        capped at now, and the end of a hold at the longest hold from now.
         """
         kind = key[0]
         if kind == ENDPOINT:
@@ -156,7 +159,7 @@
             self.removed.append((int(key[2]), _endpoint(name, endpoint), since_us))
 
     def removed_in_order(self) -> list[tuple[ListedEndpoint, int]]:
-        """List the removed endpoints in the order of their former ids."""
+        """List the removed endpoints and their removal times, ordered by former id."""
         in_order = sorted(self.removed, key=lambda each: each[0])
         return [(entry, since_us) for _, entry, since_us in in_order]
 
@@ -166,7 +169,7 @@
 ) -> EndpointListState:
     """Build a pool's state from its records; raises InvalidRecordsError.
 
-    Endpoint ids begin anew, since they belong to one process.
+    Endpoint ids are assigned anew, since they are valid within one process only.
     """
     try:
         generation, drained, sources = records[POOL, pool]
@@ -184,7 +187,7 @@
             state, pool_records.started_us, pool_records.removed_in_order(), pool_records.held_until_us
         )
     except (KeyError, ValueError, TypeError, IndexError) as error:
-        raise InvalidRecordsError(f"what is kept of the pool {pool!r} makes no list: {error!r}") from None
+        raise InvalidRecordsError(f"the stored records of the pool {pool!r} are invalid: {error!r}") from None
 
 
 def restore_state(
@@ -193,10 +196,10 @@
     removed: Iterable[tuple[ListedEndpoint, int]],
     held_until_us: Mapping[str, int],
 ) -> EndpointListState:
-    """Complete a state that has only its layers with members, removed endpoints and joins held back.
+    """Add members, removed endpoints and held joins to a state that has only its layers.
 
-    An endpoint that is held back is no member yet. As a member of a restored state it would count as one
-    that was always there, and so as warmed up.
+    An endpoint whose join is held isn't made a member: as a member of a restored state it would count as
+    listed since the beginning, and so as warmed up.
     """
     state = EndpointListState(layers=stored.layers, drained_by_operator=stored.drained_by_operator)
     state, _, _ = apply_list(state, None, 0, Guards(allow_empty=True, damping=False))
