--- a/plovertrail/store/service.py
+++ b/plovertrail/store/service.py
@@ -1,4 +1,4 @@
-"""Writes stored state off the event loop; a disk that fails costs nothing but a report."""
+"""Writes the state to disk off the event loop. A failing disk is reported and doesn't disturb requests."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 log = logging.getLogger(__name__)
 
-COALESCE_S = 0.05  # changes within this are written together; a crash may lose as much of endpoint lists
-RETRY_S = 2.0  # after a failed write: a drain by hand should not wait long for a disk that is back
+COALESCE_S = 0.05  # batches changes; a crash may lose the endpoint list changes of this period
+RETRY_S = 2.0  # after a failed write; short, so that an operator's drain is stored soon after a disk recovers
 CLOSE_TIMEOUT_S = 1.0
 ListStates = Callable[[], Mapping[str, EndpointListState]]
 
 
 def boot_id() -> str:
-    """Return the id of the machine's start, from which the monotonic clock counts; empty if unknown."""
+    """Return the id of the boot from which the monotonic clock counts; empty if unknown."""
     try:
         return Path("/proc/sys/kernel/random/boot_id").read_text().strip()
     except OSError:
@@ -39,18 +39,18 @@
 
 @dataclass(frozen=True, slots=True)
 class _Written:
-    """What the files hold by now."""
+    """What the files hold, as of the last successful write."""
 
     state: StoredState = field(default_factory=StoredState)
-    warm_state: StoredState = field(default_factory=StoredState)  # its endpoint lists are not looked at
-    warm_state_image: dict[Key, Any] = field(default_factory=dict)  # the same as records
+    warm_state: StoredState = field(default_factory=StoredState)  # its endpoint lists are ignored
+    warm_state_image: dict[Key, Any] = field(default_factory=dict)  # warm_state as records
 
 
 class StoreService:
-    """Writes the state of one daemon, one write at a time.
+    """Loads the state of one daemon and writes its changes, one write at a time.
 
-    Without a path it does nothing. `instance` names the daemon: what another instance learnt is not restored
-    from its files.
+    Without a path it does nothing. `instance` is the name of this instance: the warm state of another one
+    isn't restored.
     """
 
     def __init__(self, path: str, instance: str = "") -> None:
@@ -58,31 +58,32 @@
         self.boot_id = boot_id() if path else ""
         self.files: StateFiles | None = None
         if path:
-            from plovertrail.store.state_files import StateFiles  # loads the compression, which few need
+            # Imported only where a state file is configured: it loads zstandard.
+            from plovertrail.store.state_files import StateFiles
 
             self.files = StateFiles(path, instance)
         self.pending_lists: ListStates | None = None
         self.pending_warm_state: StoredState | None = None
         self.written = _Written()
-        self.problem = ""  # of the last write, or of the start
+        self.problem = ""  # of the last write, or of loading
         self.load_report: dict[str, Any] = {}
         self.write_task: asyncio.Task[None] | None = None
         self.closing = False
 
     def clocks(self) -> ClockReading:
-        """Read the monotonic and the system's clock."""
+        """Read the monotonic clock and the system clock."""
         return ClockReading(clock_us(), time.time_ns() // 1000, self.boot_id)
 
     def load(self) -> StoredState:
-        """Read what the last process stored; blocks, so it is called before the daemon serves."""
+        """Read the state that the last process stored; blocks, so it runs before the daemon serves."""
         if self.files is None:
             return StoredState()
         result = self.files.load(self.clocks())
         for problem in result.problems:
             log.error("state file problem: %s", problem)
         self.problem = "; ".join(result.problems)
-        # Until something new is learnt the first snapshot holds what was loaded: a process that is killed
-        # again by then must not have forgotten it.
+        # Until warm state is collected, snapshots include what was loaded. Otherwise a process that is killed
+        # before that would lose it.
         self.written = _Written(warm_state=result.stored)
         age_us = result.snapshot_age_us
         self.load_report = {
@@ -93,14 +94,14 @@
         return result.stored
 
     def store_lists(self, states: ListStates) -> None:
-        """Store changed endpoint lists; synced within COALESCE_S and the time of one write."""
+        """Store changed endpoint lists; they are synced after COALESCE_S and the time of one write."""
         self.pending_lists = states
         self._start_writing()
 
     def store_warm_state(self, warm_state: StoredState) -> None:
-        """Store everything beside endpoint lists.
+        """Store everything except endpoint lists.
 
-        It is not synced: it outlives the process, and perhaps not the machine.
+        It isn't synced: it survives a crash of the process, but perhaps not of the machine.
         """
         self.pending_warm_state = warm_state
         self._start_writing()
@@ -110,7 +111,7 @@
             self.write_task = asyncio.get_running_loop().create_task(self._write_pending(self.files))
 
     async def _write_pending(self, files: StateFiles) -> None:
-        """Write until nothing is pending, again and again after a failure."""
+        """Write until nothing is pending; retries after a failure."""
         while self.pending_lists is not None or self.pending_warm_state is not None:
             if not self.closing:
                 await asyncio.sleep(COALESCE_S)
@@ -118,15 +119,15 @@
             self.pending_lists = None
             warm_state = self.pending_warm_state
             self.pending_warm_state = None
-            # These are immutable values: the other thread sees the state of one moment.
+            # The values are immutable, so the thread that writes sees a consistent state.
             lists = self.written.state.endpoint_lists if pending_lists is None else dict(pending_lists())
             try:
                 await asyncio.to_thread(self._write, files, lists, warm_state, pending_lists is not None)
                 self.problem = ""
             except Exception as error:
-                # Whatever is wrong with one write, if this task ended so would all later writes, unseen.
+                # Any exception is caught: if this task ended, all later writes would fail unnoticed.
                 self._report_failure(error)
-                files.close()  # so the next write is a snapshot
+                files.close()  # makes the next write a snapshot
                 if self.closing:
                     return
                 self.pending_lists = self.pending_lists or pending_lists or partial(dict, lists)
@@ -134,11 +135,11 @@
                 await asyncio.sleep(RETRY_S)
 
     def _report_failure(self, error: Exception) -> None:
-        """Log a failed write and keep it for the status."""
+        """Log a failed write, and keep the problem for the status."""
         reason = error.strerror if isinstance(error, OSError) else repr(error)
         self.problem = f"{self.path} can't be written: {reason}"
         log.error(
-            "state file write failed path=%s error=%s: a restart would restore the last one written",
+            "state file write failed path=%s error=%s: a restart would restore the last state written",
             self.path,
             reason,
         )
@@ -150,7 +151,7 @@
         warm_state: StoredState | None,
         sync: bool,
     ) -> None:
-        """Write one snapshot or one step; runs on a thread, one call at a time."""
+        """Write one snapshot or append one step to the journal; runs on a thread, one call at a time."""
         warm_state = warm_state or self.written.warm_state
         if files.needs_snapshot:
             image = self._write_snapshot(files, lists, warm_state)
@@ -161,7 +162,7 @@
     def _write_snapshot(
         self, files: StateFiles, lists: Mapping[str, EndpointListState], warm_state: StoredState
     ) -> dict[Key, Any]:
-        """Write everything; returns the warm state as records."""
+        """Write everything to a new snapshot; returns the warm state as records."""
         from plovertrail.store.snapshot_format import WARM_STATE_PART
 
         clocks = self.clocks()
@@ -177,7 +178,7 @@
     def _append_changes(
         self, files: StateFiles, lists: Mapping[str, EndpointListState], warm_state: StoredState, sync: bool
     ) -> dict[Key, Any]:
-        """Write what changed since the last write; returns the warm state as records."""
+        """Append the changes since the last write to the journal; returns the warm state as records."""
         old_lists = self.written.state.endpoint_lists
         offset_us = files.clock_offset_us
         records: list[Record] = []
@@ -196,16 +197,16 @@
         return image
 
     async def close(self) -> None:
-        """Write what is pending, for CLOSE_TIMEOUT_S at most."""
+        """Write pending changes, for at most CLOSE_TIMEOUT_S, and close the files."""
         self.closing = True
         if self.write_task is not None and not self.write_task.done():
             try:
                 await asyncio.wait_for(self.write_task, CLOSE_TIMEOUT_S)
             except TimeoutError:
-                log.error("state file not written before the exit path=%s", self.path)
+                log.error("state file not written before exit path=%s", self.path)
         if self.files is not None and (self.write_task is None or self.write_task.done()):
             self.files.close()
 
     def status(self) -> str:
-        """Report for operators whether the state is stored, or what is wrong."""
+        """Return for operators whether state is stored, or the last problem."""
         return self.problem or ("kept" if self.path else "off")
