--- a/plovertrail/store/snapshot_format.py
+++ b/plovertrail/store/snapshot_format.py
@@ -1,10 +1,11 @@
 """The format of a snapshot and its journal (format 2).
 
-A snapshot is one line (the format), a frame that says what it is of and where each part lies, and the parts,
-compressed (Zstandard, RFC 8878): one for the lists of each pool, one for everything else. A journal is a
-sequence of frames, one a step. It belongs to the snapshot whose nonce it begins with, and to no other.
+A snapshot is a line that names the format, a header frame, and parts compressed with Zstandard (RFC 8878):
+one for the endpoint lists of each pool, and one for everything else. A journal is a sequence of frames. The
+first holds the nonce of the snapshot that the journal belongs to; each of the others holds one step, which is
+a list of records applied as a whole.
 
-The snapshot's first frame is JSON. Its keys, and what they stand for here:
+The header is JSON. Its keys, and the fields of SnapshotHeader:
 
     instance    instance
     boot        boot_id
@@ -40,15 +41,15 @@
 from plovertrail.store.warm_state_records import warm_state_from_records
 
 FIRST_LINE = b"plovertrail-state 2\n"
-HEADER_NONCE = bytes(NONCE_BYTES)  # the nonce stands within the header, so that has a fixed one
-WARM_STATE_PART = ""  # holds everything but endpoint lists; no pool has that name
+HEADER_NONCE = bytes(NONCE_BYTES)  # the header holds the nonce, so its own frame has a fixed one
+WARM_STATE_PART = ""  # holds everything but endpoint lists; no pool has an empty name
 COMPRESSION_LEVEL = 1
 
 Image = dict[Key, Any]  # all records of one part
 
 
 class SnapshotHeader(msgspec.Struct, frozen=True):
-    """What a snapshot says of itself, and where its parts lie."""
+    """The origin of a snapshot, and the locations of its parts."""
 
     instance: str
     boot_id: str = msgspec.field(name="boot")
@@ -60,7 +61,7 @@
 
 @dataclass(slots=True)
 class LoadResult:
-    """What was found at a start. The state that `problems` concern is learnt anew."""
+    """What was loaded at startup. State that a problem concerns isn't restored."""
 
     stored: StoredState = field(default_factory=StoredState)
     problems: list[str] = field(default_factory=list)
@@ -90,7 +91,7 @@
 
 
 def encode_records(records: Sequence[Record]) -> bytes:
-    """Encode records as JSON: a list for each, of its key's words and its value."""
+    """Encode records as a JSON array of arrays, each of the strings of a key and the value."""
     return msgspec.json.encode([[*key, value] for key, value in records])
 
 
@@ -101,13 +102,13 @@
 
 
 def decode_state(data: bytes, journal: bytes, instance: str, clocks: ClockReading) -> LoadResult:
-    """Decode a snapshot and its journal; raises StateFileError if nothing of them can be used.
+    """Decode a snapshot and its journal; raises StateFileError if nothing can be used.
 
-    Each part is used completely or not at all, and the journal up to the first frame that is damaged.
+    Each part is used completely or not at all, and the journal up to the first damaged frame.
     """
     if not data.startswith(FIRST_LINE):
         if format_1.FIRST_LINE.match(data) is None:
-            raise StateFileError("it has no first line of ours, or is of a format that is not known here")
+            raise StateFileError("it has no valid first line, or its format is unknown to this version")
         return LoadResult(StoredState(format_1.decode(data, clocks)))
     header, body_offset = _decode_header(data)
     reader = _SnapshotReader(header)
@@ -119,24 +120,24 @@
 
 
 def _decode_header(data: bytes) -> tuple[SnapshotHeader, int]:
-    """Decode the first frame; returns it and the offset behind it; raises StateFileError."""
+    """Decode the header; returns it and the offset after it; raises StateFileError."""
     first_frame = next(decode_frames(HEADER_NONCE, data, len(FIRST_LINE)), None)
     if first_frame is None:
-        raise StateFileError("it is damaged: what it is of can't be read")
+        raise StateFileError("it is damaged: its header can't be read")
     payload, body_offset = first_frame
     try:
         return msgspec.json.decode(payload, type=SnapshotHeader), body_offset
     except msgspec.MsgspecError as error:
-        raise StateFileError(f"it says nothing of what it is of: {error}") from None
+        raise StateFileError(f"its header is invalid: {error}") from None
 
 
 class _SnapshotReader:
-    """Decodes the parts of one snapshot, and lays the journal's steps on them."""
+    """Decodes the parts of one snapshot, and applies the steps of the journal to them."""
 
     def __init__(self, header: SnapshotHeader) -> None:
         self.header = header
-        self.images: dict[str, Image] = {}  # of the parts that are intact
-        self.damaged: set[str] = set()  # names of the others
+        self.images: dict[str, Image] = {}  # intact parts by name
+        self.damaged: set[str] = set()  # names of the damaged parts
         self.problems: list[str] = []
         self.replayed_steps = 0
 
@@ -147,12 +148,12 @@
             body = data[start : start + length]
             try:
                 if len(body) < length or digest(self.header.nonce, number, body) != expected_digest:
-                    raise ValueError("its bytes are damaged")
+                    raise ValueError("its length or digest is wrong")
                 payload = zstandard.ZstdDecompressor().decompress(body, max_output_size=MAX_PAYLOAD_BYTES)
                 self.images[name] = dict(_decode_records(payload))
             except (ValueError, TypeError, zstandard.ZstdError) as error:
                 self.damaged.add(name)
-                subject = f"what is kept of the pool {name!r}" if name else "what is kept beside lists"
+                subject = f"what is kept of the pool {name!r}" if name else "what is kept besides lists"
                 self.problems.append(f"{subject} is not used: {error}")
 
     def replay(self, journal: bytes) -> None:
@@ -164,7 +165,7 @@
             self.problems.append("the beginning of its journal is cut or damaged: no step of it is used")
             return
         if nonce != self.header.nonce:
-            return  # the journal of an earlier snapshot, all of which is in this one
+            return  # it belongs to an earlier snapshot, and this one includes its steps
         frames = decode_frames(nonce, journal)
         _, used_bytes = next(frames)  # the nonce
         for payload, end in frames:
@@ -187,7 +188,7 @@
             is_list_record = len(key) > 1 and key[0] in ENDPOINT_LIST_KINDS
             part = key[1] if is_list_record else WARM_STATE_PART
             if part in self.damaged:
-                continue  # changes to a list that is missing would make up another list
+                continue  # without the part, the changes alone would make up a wrong list
             image = self.images.setdefault(part, {})
             if value is None:
                 image.pop(key, None)
@@ -195,8 +196,8 @@
                 image[key] = value
 
     def stored_state(self, instance: str, clocks: ClockReading) -> StoredState:
-        """Build the state from all records."""
-        # Without a reboot the monotonic clock went on, and setting the system's clock moves nothing.
+        """Build the state from the records of all parts."""
+        # Without a reboot the monotonic clock continued, so setting the system clock shifts no stored time.
         same_boot = bool(clocks.boot_id) and self.header.boot_id == clocks.boot_id
         clock_offset_us = self.header.clock_offset_us if same_boot else clocks.offset_us
         lists: dict[str, EndpointListState] = {}
@@ -205,13 +206,13 @@
                 try:
                     lists[name] = state_from_records(image, name, clock_offset_us, clocks.now_us)
                 except InvalidRecordsError as error:
-                    self.problems.append(f"{error}; its lists are read anew")
+                    self.problems.append(f"{error}; its lists are read from their sources")
         warm_state = warm_state_from_records(self.images.get(WARM_STATE_PART, {}), clock_offset_us)
         if self.header.instance != instance:
-            # On a copied disk, what another instance admitted and learnt would count as this one's own.
+            # On a copied disk, the warm state of another instance would count as this one's own.
             warm_state = StoredState()
             self.problems.append(
                 f"it is of the instance {self.header.instance!r}, and this is {instance!r}: lists, "
-                "start times and drains are restored, endpoint histories, limits and counters learnt anew"
+                "start times and drains are restored; endpoint histories, limits and counters start empty"
             )
         return StoredState(lists, warm_state.pool_histories, warm_state.limiters, warm_state.counters)
