--- a/plovertrail/store/state_files.py
+++ b/plovertrail/store/state_files.py
@@ -1,7 +1,7 @@
-"""The snapshot and the journal of one daemon on a disk.
+"""The snapshot and journal files of one daemon.
 
-All calls block: they are made before the daemon serves, or on a thread, by one caller at a time. The
-snapshot is replaced atomically. The journal is appended to, one frame a step.
+All calls block. They are made before the daemon serves or on a thread, one at a time. The snapshot is
+replaced atomically. The journal is appended to, one frame for each step.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from plovertrail.store.records import Record
 from plovertrail.store.snapshot_format import LoadResult, decode_state, encode_records, encode_snapshot
 
-# A journal longer than both of these is replaced by a new snapshot, which bounds the disk and the start.
+# A journal longer than both limits is replaced by a new snapshot, which bounds disk usage and startup time.
 MIN_JOURNAL_BYTES = 256 << 10
 MAX_JOURNAL_TO_SNAPSHOT_RATIO = 2
 
@@ -30,7 +30,7 @@
         self.journal_path = f"{path}.journal"
         self.instance = instance
         self.disk = disk or Disk()
-        self.journal_fd = -1  # -1: the next write has to be a snapshot
+        self.journal_fd = -1  # -1: the next write must be a snapshot
         self.nonce = b""
         self.clock_offset_us = 0  # of the snapshot, and so of its journal
         self.journal_frames = 0
@@ -39,9 +39,9 @@
         self.snapshots_written = 0
 
     def load(self, clocks: ClockReading) -> LoadResult:
-        """Read what the last process left.
+        """Read the files of the last process.
 
-        Never raises: a file that can't be used is set aside, and the start goes on without it.
+        Never raises: a file that can't be used is set aside, and the daemon starts without it.
         """
         journal = b""
         try:
@@ -51,7 +51,7 @@
         except FileNotFoundError:
             return LoadResult()
         except OSError as error:
-            return LoadResult(problems=[f"{self.path} can't be read, and is not used: {error.strerror}"])
+            return LoadResult(problems=[f"{self.path} can't be read and is not used: {error.strerror}"])
         try:
             if max(len(data), len(journal)) > MAX_PAYLOAD_BYTES:
                 raise StateFileError(f"it holds more than {MAX_PAYLOAD_BYTES >> 20} MiB")
@@ -65,13 +65,13 @@
         return result
 
     def _set_aside(self) -> None:
-        """Rename both files for whoever looks into it."""
+        """Rename both files, so that an operator can inspect them."""
         for path in (self.path, self.journal_path):
             with suppress(OSError):
                 os.replace(path, f"{path}.bad")
 
     def _copy_aside(self) -> None:
-        """Link both files to names that stay; the files themselves hold until the next snapshot."""
+        """Keep both files under other names by hard links; they stay in use until the next snapshot."""
         for path in (self.path, self.journal_path):
             with suppress(OSError):
                 with suppress(FileNotFoundError):
@@ -80,14 +80,17 @@
 
     @property
     def needs_snapshot(self) -> bool:
-        """Whether the next write must or should be a snapshot."""
+        """Whether the next write has to be a snapshot: no journal is open, or it is too long."""
         max_journal_bytes = max(MIN_JOURNAL_BYTES, MAX_JOURNAL_TO_SNAPSHOT_RATIO * self.snapshot_bytes)
         return self.journal_fd < 0 or self.journal_bytes > max_journal_bytes
 
     def write_snapshot(
         self, parts: Mapping[str, Sequence[Record]], clock_offset_us: int, clocks: ClockReading
     ) -> None:
-        """Write a snapshot and begin its journal; raises OSError, after which the old files hold."""
+        """Write a snapshot and begin its journal.
+
+        Raises OSError. The files then hold the old state or the new one, and the next write is a snapshot.
+        """
         self.close()
         nonce = os.urandom(NONCE_BYTES)
         data = encode_snapshot(parts, self.instance, clock_offset_us, clocks, nonce)
@@ -109,9 +112,9 @@
         self.journal_bytes = len(first_frame)
 
     def append(self, records: Sequence[Record], sync: bool) -> None:
-        """Append one step to the journal; after a crash it is there completely or not at all.
+        """Append one step to the journal; after a crash it is restored completely or not at all.
 
-        Raises OSError. The next write is a snapshot then, since nothing behind a torn frame is ever read.
+        Raises OSError. The next write is a snapshot then, since nothing after a partial frame is ever read.
         """
         frame = encode_frame(self.nonce, self.journal_frames, encode_records(records))
         try:
@@ -125,7 +128,7 @@
         self.journal_bytes += len(frame)
 
     def close(self) -> None:
-        """Close the journal; may be called again."""
+        """Close the journal; further calls do nothing."""
         fd = self.journal_fd
         self.journal_fd = -1
         if fd >= 0:
