--- a/plovertrail/store/warm_state.py
+++ b/plovertrail/store/warm_state.py
@@ -1,4 +1,4 @@
-"""Collects what was learnt beside endpoint lists, in slices, and restores it after a start."""
+"""Collects the warm state (endpoint histories, rate limiters, shared counters) and restores it at startup."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 from plovertrail.store.records import StoredState
 from plovertrail.store.service import StoreService
 
-SLICE_LENGTH = 200  # endpoints or keys in one turn of the loop: under a millisecond
-MAX_UNCHANGED_POOLS = 200  # that are passed over in one turn of the loop
-# Once a second with few endpoints; with 10,000 of them as often as the share of the loop allows.
+SLICE_LENGTH = 200  # endpoints or keys in one turn of the event loop: under a millisecond
+MAX_UNCHANGED_POOLS = 200  # skipped in one turn of the event loop
+# Runs once a second with few endpoints; with 10,000 of them, as often as loop_fraction allows.
 COLLECTION = BackgroundTask(
     "state", Priority.STATE, interval_us=1_000_000, max_delay_us=10_000_000, loop_fraction=0.005
 )
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CollectedPool:
-    """What was collected of a pool, and what it was collected from."""
+    """The history collected from a pool, and the state of the pool at that time."""
 
     pool: ServerPool
     state: EndpointListState
@@ -47,10 +47,10 @@
     history: PoolHistory
 
     def is_current(self, pool: ServerPool, state: EndpointListState) -> bool:
-        """Whether nothing has happened to the pool since: what no event changes fades by its age alone.
+        """Whether the history is up to date: between events it changes by decay only, which its age tells.
 
-        An endpoint has no history until it has warmed up, which is no event. So the pool is collected anew
-        until all endpoints that were known by the last event have warmed up.
+        An endpoint has no history until it has warmed up, and no event marks that. So the pool is collected
+        again until all endpoints that were known at the last event have warmed up.
         """
         balancer = pool.balancer
         all_warm_us = self.last_event_us + balancer.settings.warm_up_us
@@ -59,14 +59,14 @@
 
 
 def address_text(address: Address) -> str:
-    """Format an address as records have it."""
+    """Format an address as in records."""
     return f"{address[0]}:{address[1]}"
 
 
 class WarmStateManager:
-    """Restores each part of what was stored at the start once, and collects what is to be stored.
+    """Restores each part of the stored warm state once, and collects the warm state to store.
 
-    What is collected may change between two slices: each endpoint and key is as it was at some moment of the
+    State may change between two slices of a run: each endpoint and key is collected as of some moment of the
     run.
     """
 
@@ -90,18 +90,18 @@
         self.restored: dict[str, int] = {"servers": 0, "limits": 0, "counts": 0}  # for the status
 
     def schedule(self, runner: BackgroundRunner) -> None:
-        """Collect in the background from now on, where there is a state file."""
+        """Start collecting in the background if there is a state file."""
         if self.store.path:
             runner.add(COLLECTION, self.collect, COLLECTION.interval_us)
 
     # Restoring
 
     def take_lists(self, pool: str) -> EndpointListState | None:
-        """Return a pool's endpoint lists as they were stored; once."""
+        """Return a pool's stored endpoint lists on the first call, then None."""
         return self.stored_lists.pop(pool, None)
 
     def restore_pool(self, name: str, pool: ServerPool, state: EndpointListState) -> None:
-        """Let a load balancer begin with the histories of its endpoints; called before its first list."""
+        """Give a load balancer the stored histories of its endpoints; called before its first list."""
         stored = self.stored_histories.pop(name, None)
         if stored is None:
             return
@@ -117,14 +117,14 @@
         pool.balancer.set_endpoint_restorer(restore)
 
     def restore_limiter(self, name: str, limiter: RateLimiter) -> None:
-        """Give a new limiter the levels that were stored under its name; once."""
+        """Give a new limiter the levels stored under its name; only the first limiter of a name gets them."""
         stored = self.stored_limiters.pop(name, None)
         if stored is not None:
             limiter.restore(stored, clock_us())
             self.restored["limits"] += len(limiter.keys)
 
     def restore_counters(self, counters: SharedCounters) -> None:
-        """Give new counters those that were stored, if they are of the same window; once."""
+        """Give new counters the stored ones if both have the same window; only the first call does."""
         stored = self.stored_counters
         self.stored_counters = None
         if stored is not None and counters.restore(stored, clock_us()):
@@ -133,13 +133,13 @@
     # Collecting
 
     def collect_now(self) -> None:
-        """Collect everything in one go, before the exit."""
+        """Collect everything without pauses, before exit."""
         if self.store.path:
             for _ in self.collect():
                 pass
 
     def collect(self) -> Iterator[None]:
-        """Collect everything and hand it to the store; yields after each slice."""
+        """Collect everything and pass it to the store; yields after each slice."""
         yield from self._collect_pools()
         limiters: dict[str, RateLimiterState] = {}
         yield from self._collect_limiters(limiters)
@@ -156,7 +156,7 @@
         self.store.store_warm_state(StoredState({}, histories, limiters, stored_counters))
 
     def _collect_pools(self) -> Iterator[None]:
-        """Collect the pools that something has happened to since the last run."""
+        """Collect the pools that may have changed since the last run; yields after each slice."""
         pools = dict(self.pools())
         unchanged_pools = 0
         self.collected = {name: each for name, each in self.collected.items() if name in pools}
@@ -177,7 +177,7 @@
         endpoints = (
             (member.endpoint_id, (endpoint_name, address_text(member.listed.address)))
             for endpoint_name, member in state.members.items()
-        )  # the state is immutable, so it may be iterated over several turns of the loop
+        )  # the state is immutable, so it may be iterated over several turns of the event loop
         while batch := list(islice(endpoints, SLICE_LENGTH)):
             histories |= collect_histories(pool.balancer, batch)
             yield
@@ -204,14 +204,14 @@
             yield
 
     def status(self) -> dict[str, Any]:
-        """Report for operators what was found at the start, and how much of it is in use."""
+        """Return for operators what was loaded at startup, and how much of it was restored."""
         return {**self.store.load_report, "taken_back": dict(self.restored)} if self.store.path else {}
 
 
 def _histories_by_id(stored: PoolHistory, state: EndpointListState) -> dict[int, EndpointHistory]:
-    """Find the stored history of each endpoint that is listed now.
+    """Find the stored histories of the endpoints that are listed now, by endpoint id.
 
-    One that started after they were recorded is another endpoint under the same name.
+    An endpoint that started after the histories were recorded is another one under the same name.
     """
     histories: dict[int, EndpointHistory] = {}
     for name, member in state.members.items():
