--- a/plovertrail/store/warm_state_records.py
+++ b/plovertrail/store/warm_state_records.py
@@ -1,4 +1,4 @@
-"""Records of what was learnt: endpoint histories, rate limiters and shared counters.
+"""Records of the warm state: endpoint histories, rate limiters and shared counters.
 
 An endpoint's history is a list, in this order: concurrency limit, relative latency, fault rate, failure
 penalty, no-response rate by class, consecutive attempts without a response by class.
@@ -27,7 +27,7 @@
 
 
 def warm_state_records(stored: StoredState, clock_offset_us: int) -> dict[Key, Any]:
-    """Make the records of everything that is stored beside endpoint lists."""
+    """Build the records of everything except endpoint lists."""
     records: dict[Key, Any] = {}
     for pool, pool_history in stored.pool_histories.items():
         recorded_us = pool_history.recorded_at_us + clock_offset_us
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True)
 class _WarmStateRecords:
-    """Records of what was learnt, by kind."""
+    """Warm state that is decoded from records, by kind."""
 
     recorded_at_us: dict[str, int] = field(default_factory=dict)  # by pool
     mean_latency_us: dict[str, dict[str, float]] = field(default_factory=dict)  # by pool and class
@@ -82,7 +82,7 @@
     counter_rows: dict[int, tuple[int, tuple[int, ...]]] = field(default_factory=dict)
 
     def add(self, key: Key, value: Any, clock_offset_us: int) -> None:
-        """Take one record over; raises ValueError, TypeError, IndexError or AttributeError."""
+        """Add one record; raises ValueError, TypeError, IndexError or AttributeError."""
         match key:
             case (kind, pool) if kind == MEAN_LATENCY:
                 self.recorded_at_us[pool] = int(value[0]) - clock_offset_us
@@ -97,7 +97,7 @@
                 self.counter_rows[int(counter, 16)] = int(value[0]), tuple(map(int, value[1]))
 
     def pool_histories(self) -> dict[str, PoolHistory]:
-        """Build the histories of each pool whose mean latencies are known."""
+        """Build the histories of each pool that has a record of mean latencies."""
         return {
             pool: PoolHistory(self.recorded_at_us[pool], self.histories.get(pool, {}), means)
             for pool, means in self.mean_latency_us.items()
@@ -105,12 +105,12 @@
         }
 
     def limiters(self) -> dict[str, RateLimiterState]:
-        """Build the levels of each rate limiter."""
+        """Build the state of each rate limiter that has a record of its salt."""
         return {name: RateLimiterState(salt, self.buckets.get(name, {})) for name, salt in self.salts.items()}
 
 
 def warm_state_from_records(records: Mapping[Key, Any], clock_offset_us: int) -> StoredState:
-    """Build what was learnt from its records; those that can't be read are left out and learnt anew."""
+    """Build the warm state from its records; records that can't be decoded are left out."""
     warm_records = _WarmStateRecords()
     for key, value in records.items():
         with suppress(ValueError, TypeError, IndexError, AttributeError):
