--- a/plovertrail/store/format_1.py
+++ b/plovertrail/store/format_1.py
@@ -1,6 +1,6 @@
-"""State files of format 1, which earlier versions wrote: read, never written.
+"""Decoder of state files of format 1, which earlier versions wrote.
 
-The file is one line (format, length and SHA-256 of what follows) and a JSON object.
+The file is one line (format, and length and SHA-256 of the rest) followed by a JSON object.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
     """Decode the states of all pools by name; raises StateFileError."""
     first_line = FIRST_LINE.match(data)
     if first_line is None:
-        raise StateFileError("it has no first line of ours")
+        raise StateFileError("it has no valid first line")
     body = data[first_line.end() :]
     if len(body) != int(first_line[1]) or hashlib.sha256(body).hexdigest().encode() != first_line[2]:
         raise StateFileError("it is damaged: its length or checksum is wrong")
     try:
         content = json.loads(body)
-        # After a reboot only Unix time tells how long ago something was. Without one the offset in the file
-        # holds, since the system's clock may have been set: an endpoint that started a moment ago would
-        # count as warmed up, or warm up for a day.
+        # After a reboot only Unix time tells how long ago something happened. Without a reboot the offset in
+        # the file stays valid, and the current one may be wrong because the system clock was set: an endpoint
+        # that has just started would count as warmed up, or would warm up for a day.
         same_boot = bool(clocks.boot_id) and content.get("boot") == clocks.boot_id
         clock_offset_us = int(content["ahead"]) if same_boot else clocks.offset_us
         return {pool: _state(raw, clock_offset_us, clocks.now_us) for pool, raw in content["pools"].items()}
     except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
-        raise StateFileError(f"it holds no states: {error!r}") from None
+        raise StateFileError(f"its content is invalid: {error!r}") from None
 
 
 def _endpoint(raw: Any) -> ListedEndpoint:
--- a/plovertrail/store/frames.py
+++ b/plovertrail/store/frames.py
@@ -1,7 +1,7 @@
-"""Checked frames: length, digest, payload.
+"""Frames that detect damage: length, digest, payload.
 
-A frame's digest covers the file's nonce and the frame's number, so no frame is mistaken for another: neither
-for one of an earlier file on the same blocks, nor for the next one where one is missing.
+The digest is keyed with the file's nonce and the frame's number. So a frame of an earlier file, left on the
+same disk blocks, isn't accepted, and neither is a frame whose predecessor is missing.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
 
 
 def decode_frames(nonce: bytes, data: bytes, offset: int = 0) -> Iterator[tuple[bytes, int]]:
-    """Yield the payload of each intact frame from `offset` on, and the offset behind it.
+    """Yield the payload of each intact frame from `offset` on, and the offset after it.
 
-    Ends before the first frame that is truncated or damaged, since the frames behind it build on it.
+    Stops at the first truncated or damaged frame, since later frames build on it.
     """
     number = 0
     while offset + FRAME_HEADER.size <= len(data):
--- a/plovertrail/store/records.py
+++ b/plovertrail/store/records.py
@@ -1,22 +1,22 @@
-"""Stored state as records: a key (words) and a value of JSON's kinds; a value of None removes the key.
+"""Stored state as records: a key of several strings and a JSON value; a value of None deletes the key.
 
-Times in records are Unix times in microseconds. They are made from the monotonic clock by one offset for a
-whole snapshot and its journal (`clock_offset_us`), so that setting the system's clock meanwhile doesn't move
-one of them against another.
+Times in records are Unix times in microseconds. They are converted from the monotonic clock by one offset for
+a whole snapshot and its journal (`clock_offset_us`), so setting the system clock doesn't shift some of them
+relative to others.
 
-The words that begin a key are part of the format. What each one stands for here:
+The first string of a key is the kind of the record, and part of the file format:
 
-    pool      POOL              generation, endpoints drained by hand, sources of a pool
+    pool      POOL              generation, endpoints drained by an operator, and sources of a pool
     row       ENDPOINT          an endpoint as one source lists it
-    came      STARTED           when an endpoint was first listed
-    leaving   REMOVED           an endpoint that was removed, with its connections still open
-    held      JOIN_HELD         until when a flapping endpoint is kept out
+    came      STARTED           the time at which an endpoint was first listed
+    leaving   REMOVED           a removed endpoint whose connections may still be open
+    held      JOIN_HELD         the time until which a flapping endpoint is kept out
     judged    ENDPOINT_HISTORY  what a pool's load balancer learnt about an endpoint
-    means     MEAN_LATENCY      the mean latency of each class of a pool
+    means     MEAN_LATENCY      the mean latency of each request class of a pool
     limit     LIMITER           a rate limiter's salt
-    bucket    BUCKET            the theoretical arrival time of one key (GCRA, ITU-T I.371)
+    bucket    BUCKET            the theoretical arrival time of one key of a limiter (GCRA, ITU-T I.371)
     counts    COUNTERS          the window of the shared counters
-    count     COUNTER           one row of them
+    count     COUNTER           one row of the shared counters
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredState:
-    """Everything that is stored, as immutable values that another thread may read."""
+    """Everything that is stored, as immutable values that other threads may read."""
 
     endpoint_lists: Mapping[str, EndpointListState] = field(default_factory=dict)  # by pool
     pool_histories: Mapping[str, PoolHistory] = field(default_factory=dict)  # by pool
