--- a/plovertrail/store/disk.py
+++ b/plovertrail/store/disk.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Disk:
-    """The system calls that change something; tests replace them."""
+    """The system calls that write; tests replace them to inject faults."""
 
     write: Callable[[int, Any], int] = os.write
     sync: Callable[[int], None] = os.fsync
@@ -18,7 +18,7 @@
 
 
 def write_all(fd: int, data: bytes, disk: Disk) -> None:
-    """Write all bytes to a file descriptor; raises OSError."""
+    """Write all bytes to a file descriptor, over several calls if needed; raises OSError."""
     remaining = memoryview(data)
     while remaining:
         remaining = remaining[disk.write(fd, remaining) :]
@@ -27,8 +27,8 @@
 def replace_file(path: str, data: bytes, disk: Disk | None = None) -> None:
     """Replace a file's contents atomically; raises OSError.
 
-    A reader finds the old bytes or the new ones, even if the process is killed meanwhile: they are written
-    to a file beside it, synced and renamed, and the directory is synced.
+    A reader finds either the old contents or the new, even if the process is killed meanwhile: the new file
+    is written under a temporary name, synced and renamed, and the directory is synced.
     """
     disk = disk or Disk()
     temporary_path = f"{path}.new"
@@ -47,8 +47,8 @@
 
 
 def read_bounded(path: str, max_bytes: int) -> bytes:
-    """Read a file, but at most `max_bytes` and one more; raises OSError."""
-    # Without O_NONBLOCK a named pipe at this path would block the start.
+    """Read at most `max_bytes` + 1 bytes of a file, so that a longer one can be told; raises OSError."""
+    # Without O_NONBLOCK, opening a named pipe at this path would block startup.
     fd = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
     with open(fd, "rb") as file:
         return file.read(max_bytes + 1)
--- a/plovertrail/store/errors.py
+++ b/plovertrail/store/errors.py
@@ -4,12 +4,12 @@
 
 
 class StoreError(Exception):
-    """Base class of the errors that the store raises."""
+    """Base class of the store's errors."""
 
 
 class StateFileError(StoreError):
-    """A state file that can't be used; the text says why."""
+    """A state file can't be used; the message gives the reason."""
 
 
 class InvalidRecordsError(StoreError):
-    """Records that make up no state; the text says why."""
+    """Records don't form a valid state; the message gives the reason."""
