--- a/tests/store/test_stored_data.py
+++ b/tests/store/test_stored_data.py
@@ -1,6 +1,6 @@
-"""State files of an earlier version are read whole, and mean what they meant to the version that wrote them.
+"""State files of an earlier version are read completely, with the meaning they had in that version.
 
-`data/README.md` says how the files and the recorded answers were made.
+`data/README.md` says how the files and the recorded results were made.
 """
 
 from __future__ import annotations
@@ -42,8 +42,8 @@
 from plovertrail.store.warm_state_records import warm_state_records
 
 DATA = Path(__file__).parent / "data"
-ANSWERS: dict[str, dict[str, Any]] = json.loads((DATA / "answers.json").read_text())
-WITH_HISTORIES = [name for name, recorded in ANSWERS.items() if "in_use" in recorded]
+RECORDED_CASES: dict[str, dict[str, Any]] = json.loads((DATA / "answers.json").read_text())
+WITH_HISTORIES = [name for name, recorded in RECORDED_CASES.items() if "in_use" in recorded]
 S = 1_000_000
 TENANTS = ("ann", "bob", "carol", "dora")
 WINDOW = CountingWindow(60 * S, 6)
@@ -61,8 +61,8 @@
 )
 
 
-def read(folder: Path, recorded: dict[str, Any]) -> LoadResult:
-    """What the store finds in a copy of the files, by the clocks of a recorded case."""
+def load_case(folder: Path, recorded: dict[str, Any]) -> LoadResult:
+    """Load a copy of the files with the clock readings of a recorded case."""
     shutil.copy(DATA / recorded["file"], folder / "state")
     if recorded["journal"]:
         shutil.copy(DATA / "state.journal", folder / "state.journal")
@@ -71,11 +71,11 @@
 
 
 def as_json(value: object) -> Any:
-    """A value as it comes back from JSON, where a tuple is a list."""
+    """Convert a value to JSON and back, so that tuples become lists."""
     return json.loads(json.dumps(value))
 
 
-def lists_in(state: EndpointListState) -> dict[str, Any]:
+def list_state_as_dict(state: EndpointListState) -> dict[str, Any]:
     return {
         "generation": state.generation,
         "started": state.started,
@@ -102,22 +102,20 @@
     }
 
 
-def histories_in(pool_history: PoolHistory) -> dict[str, Any]:
+def pool_history_as_dict(pool_history: PoolHistory) -> dict[str, Any]:
     return {
         "at_us": pool_history.recorded_at_us,
         "mean_latency_us": dict(pool_history.mean_latency_us),
-        "endpoints": {
-            " ".join(called): astuple(history) for called, history in pool_history.endpoints.items()
-        },
+        "endpoints": {" ".join(key): astuple(history) for key, history in pool_history.endpoints.items()},
     }
 
 
-def all_in(stored: StoredState) -> dict[str, Any]:
+def stored_state_as_dict(stored: StoredState) -> dict[str, Any]:
     counters = stored.counters
     return {
-        "lists": {name: lists_in(state) for name, state in stored.endpoint_lists.items()},
+        "lists": {name: list_state_as_dict(state) for name, state in stored.endpoint_lists.items()},
         "endpoint_histories": {
-            name: histories_in(pool_history) for name, pool_history in stored.pool_histories.items()
+            name: pool_history_as_dict(pool_history) for name, pool_history in stored.pool_histories.items()
         },
         "limits": {
             name: {
@@ -139,51 +137,51 @@
 
 
 def balancer_with(pool_history: PoolHistory, now_us: int) -> tuple[LoadBalancer, dict[int, tuple[str, str]]]:
-    """A load balancer whose endpoints begin with their histories, and what each endpoint id is called."""
+    """Return a load balancer whose endpoints start with their histories, and the key of each endpoint id."""
     classes = [
         RequestClass("read", 250_000, 2 * S),
         RequestClass("buy", 400_000, 5 * S, effect="at_most_once"),
     ]
     balancer = LoadBalancer(Settings(classes=classes, warm_up_us=0), 1, now_us)
     restore_mean_latencies(balancer, pool_history, now_us)
-    called = dict(enumerate(sorted(pool_history.endpoints), 1))
+    endpoint_keys = dict(enumerate(sorted(pool_history.endpoints), 1))
     balancer.set_endpoint_restorer(
         lambda endpoint: restore_endpoint(
             balancer,
             endpoint,
-            pool_history.endpoints[called[endpoint.listed.id]],
+            pool_history.endpoints[endpoint_keys[endpoint.listed.id]],
             now_us - pool_history.recorded_at_us,
         )
     )
-    endpoints = [Endpoint(endpoint_id) for endpoint_id in called]
+    endpoints = [Endpoint(endpoint_id) for endpoint_id in endpoint_keys]
     balancer.handle(now_us, EndpointsUpdated(ListKind.CACHED, endpoints))
-    return balancer, called
+    return balancer, endpoint_keys
 
 
-def admitted_by(limiter: RateLimiter, now_us: int) -> dict[str, Any]:
-    """How many of a tenant's ten requests are admitted, and the first Retry-After of the others."""
+def admissions_by_tenant(limiter: RateLimiter, now_us: int) -> dict[str, Any]:
+    """Count the admitted of ten requests of each tenant, with the first Retry-After of those rejected."""
     found = {}
     for tenant in TENANTS:
         results = [admit([limiter], tenant, f"10.9.0.{len(tenant)}", now_us) for _ in range(10)]
-        over = [result.retry_after_us for result in results if isinstance(result, LimitExceeded)]
-        found[tenant] = {"admitted": 10 - len(over), "retry_after_us": over[:1]}
+        rejected = [result.retry_after_us for result in results if isinstance(result, LimitExceeded)]
+        found[tenant] = {"admitted": 10 - len(rejected), "retry_after_us": rejected[:1]}
     return found
 
 
-@pytest.mark.parametrize("case", ANSWERS)
-def test_a_state_file_of_an_earlier_version_is_read_whole(tmp_path: Path, case: str) -> None:
-    recorded = ANSWERS[case]
-    found = read(tmp_path, recorded)
+@pytest.mark.parametrize("case", RECORDED_CASES)
+def test_a_state_file_of_an_earlier_version_is_read_completely(tmp_path: Path, case: str) -> None:
+    recorded = RECORDED_CASES[case]
+    found = load_case(tmp_path, recorded)
     assert len(found.problems) == recorded["problems"] == (recorded["instance"] != "n1")
     assert (found.replayed_steps, found.snapshot_age_us) == (recorded["journal_frames"], recorded["age_us"])
-    assert as_json(all_in(found.stored)) == recorded["kept"]
+    assert as_json(stored_state_as_dict(found.stored)) == recorded["kept"]
     assert not (tmp_path / "state.bad").exists()
 
 
-@pytest.mark.parametrize("case", ANSWERS)
-def test_what_was_read_is_written_again_as_the_earlier_version_would(tmp_path: Path, case: str) -> None:
-    recorded = ANSWERS[case]
-    stored = read(tmp_path, recorded).stored
+@pytest.mark.parametrize("case", RECORDED_CASES)
+def test_loaded_state_is_written_with_the_records_of_the_earlier_version(tmp_path: Path, case: str) -> None:
+    recorded = RECORDED_CASES[case]
+    stored = load_case(tmp_path, recorded).stored
     clock_offset_us = recorded["unix_us"] - recorded["now_us"]
     records = {
         name: changed_records(name, EndpointListState(), state, clock_offset_us)
@@ -195,37 +193,39 @@
 
 
 @pytest.mark.parametrize("case", WITH_HISTORIES)
-def test_endpoints_begin_with_the_histories_that_an_earlier_version_kept(tmp_path: Path, case: str) -> None:
-    recorded = ANSWERS[case]
-    now_us, in_use = recorded["now_us"], recorded["in_use"]
-    stored = read(tmp_path, recorded).stored
-    assert stored.pool_histories.keys() == in_use["endpoint_histories"].keys()
+def test_endpoints_start_with_the_histories_stored_by_an_earlier_version(tmp_path: Path, case: str) -> None:
+    recorded = RECORDED_CASES[case]
+    now_us, expected = recorded["now_us"], recorded["in_use"]
+    stored = load_case(tmp_path, recorded).stored
+    assert stored.pool_histories.keys() == expected["endpoint_histories"].keys()
     for pool, pool_history in stored.pool_histories.items():
-        balancer, called = balancer_with(pool_history, now_us)
+        balancer, endpoint_keys = balancer_with(pool_history, now_us)
         histories = {
             " ".join(each): astuple(history)
-            for each, history in collect_histories(balancer, called.items()).items()
+            for each, history in collect_histories(balancer, endpoint_keys.items()).items()
         }
-        assert as_json(histories) == in_use["endpoint_histories"][pool]
+        assert as_json(histories) == expected["endpoint_histories"][pool]
         classes = [kind.name for kind in balancer.settings.classes]
-        assert dict(zip(classes, balancer.latencies.mean_us, strict=True)) == in_use["mean_latency_us"][pool]
+        assert (
+            dict(zip(classes, balancer.latencies.mean_us, strict=True)) == expected["mean_latency_us"][pool]
+        )
 
 
 @pytest.mark.parametrize("settings", LIMITERS, ids=lambda settings: settings.name)
 @pytest.mark.parametrize("case", WITH_HISTORIES)
-def test_limits_go_on_from_what_an_earlier_version_admitted(
+def test_rate_limiters_continue_from_the_levels_stored_by_an_earlier_version(
     tmp_path: Path, case: str, settings: RateLimiterSettings
 ) -> None:
-    recorded = ANSWERS[case]
+    recorded = RECORDED_CASES[case]
     limiter = RateLimiter(settings, random.Random(3).random)
-    limiter.restore(read(tmp_path, recorded).stored.limiters[settings.name], recorded["now_us"])
-    assert admitted_by(limiter, recorded["now_us"]) == recorded["in_use"]["admitted"][settings.name]
+    limiter.restore(load_case(tmp_path, recorded).stored.limiters[settings.name], recorded["now_us"])
+    assert admissions_by_tenant(limiter, recorded["now_us"]) == recorded["in_use"]["admitted"][settings.name]
 
 
 @pytest.mark.parametrize("case", WITH_HISTORIES)
-def test_counters_go_on_from_what_an_earlier_version_counted(tmp_path: Path, case: str) -> None:
-    recorded = ANSWERS[case]
-    now_us, stored = recorded["now_us"], read(tmp_path, recorded).stored.counters
+def test_counters_continue_from_the_counts_stored_by_an_earlier_version(tmp_path: Path, case: str) -> None:
+    recorded = RECORDED_CASES[case]
+    now_us, stored = recorded["now_us"], load_case(tmp_path, recorded).stored.counters
     assert stored is not None
     counters = SharedCounters("n1", 3, WINDOW, now_us)
     assert counters.restore(stored, now_us) == recorded["in_use"]["counters_taken"]
@@ -236,14 +236,14 @@
     assert counted == recorded["in_use"]["counted"]
 
 
-def test_the_recorded_answers_hold_something_of_every_kind() -> None:
-    kept = ANSWERS["the machine was started again"]["kept"]
-    main = kept["lists"]["main"]
+def test_the_recorded_results_contain_every_kind_of_state() -> None:
+    stored = RECORDED_CASES["the machine was started again"]["kept"]
+    main = stored["lists"]["main"]
     for part in ("drained_by_hand", "leaving", "joins_held_until_us"):
         assert main[part]
     assert [bool(layer["entries"]) for layer in main["layers"]] == [True, True]
-    assert all(pool_history["endpoints"] for pool_history in kept["endpoint_histories"].values())
-    assert [bool(limit["free_us"]) for limit in kept["limits"].values()] == [True, True]
-    assert kept["counters"]["rows"]
-    assert "old" not in kept["lists"]
-    assert "late" in kept["lists"]
+    assert all(pool_history["endpoints"] for pool_history in stored["endpoint_histories"].values())
+    assert [bool(limit["free_us"]) for limit in stored["limits"].values()] == [True, True]
+    assert stored["counters"]["rows"]
+    assert "old" not in stored["lists"]
+    assert "late" in stored["lists"]
