--- a/tests/store/__init__.py
+++ b/tests/store/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the journal and the snapshots."""
+"""Tests of the store: snapshots, the journal and the warm state."""
--- a/tests/store/test_warm_state.py
+++ b/tests/store/test_warm_state.py
@@ -1,4 +1,4 @@
-"""What is collected for the state file: only pools that something has happened to."""
+"""Collecting warm state for the state file: only pools that may have changed are collected again."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from tests.daemons import Running, message, run, site
 from tests.net import until
 
-Called = tuple[int, tuple[str, str]]
+IdentifiedEndpoint = tuple[int, tuple[str, str]]
 ROUTES = """
 [[routes]]
 name = "other"
@@ -34,66 +34,68 @@
 """
 
 
-class CountedCollections:
-    """Stands in for `collect_histories`, and counts by LoadBalancer how often it was called."""
+class CollectionRecorder:
+    """Replaces `collect_histories` and records the load balancers that it is called with."""
 
     def __init__(self) -> None:
         self.balancers: list[LoadBalancer] = []
 
     def __call__(
-        self, balancer: LoadBalancer, servers: Iterable[Called]
+        self, balancer: LoadBalancer, servers: Iterable[IdentifiedEndpoint]
     ) -> dict[tuple[str, str], EndpointHistory]:
         self.balancers.append(balancer)
         return collect_histories(balancer, servers)
 
 
-def made(folder: Path, servers: list[WebServer], warm_up: str) -> Daemon:
+def make_daemon(folder: Path, servers: list[WebServer], warm_up: str) -> Daemon:
     path = folder / "site.toml"
     pools = {"main": servers[:1], "other": servers[1:]}
-    head = f'[daemon]\nstate_file = "{folder}/state"\n'
-    path.write_text(site(free_port(), pools, ROUTES, pool_extra=f'warm_up = "{warm_up}"', head=head))
+    daemon_settings = f'[daemon]\nstate_file = "{folder}/state"\n'
+    path.write_text(
+        site(free_port(), pools, ROUTES, pool_extra=f'warm_up = "{warm_up}"', head=daemon_settings)
+    )
     daemon = Daemon(load(str(path)), Environment(new_seed=itertools.count(1).__next__))
-    daemon.services.background.remove("state")  # only the test itself collects
+    daemon.services.background.remove("state")  # only the test collects
     return daemon
 
 
-async def collected_pools(daemon: Daemon, counted: CountedCollections) -> set[str]:
-    """The pools that one run looks at."""
-    counted.balancers.clear()
+async def collected_pools(daemon: Daemon, recorder: CollectionRecorder) -> set[str]:
+    """Collect once, and return the names of the pools whose histories were collected."""
+    recorder.balancers.clear()
     daemon.services.warm_state.collect_now()
     by_balancer = {id(each.pool.balancer): name for name, each in daemon.pools.items()}
-    return {by_balancer[id(balancer)] for balancer in counted.balancers}
+    return {by_balancer[id(balancer)] for balancer in recorder.balancers}
 
 
 def test_only_changed_pools_are_collected_and_all_are_stored(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    counted = CountedCollections()
-    monkeypatch.setattr(warm_state, "collect_histories", counted)
+    recorder = CollectionRecorder()
+    monkeypatch.setattr(warm_state, "collect_histories", recorder)
 
     async def test() -> None:
         servers = [WebServer(always(ERROR)), WebServer(always(OK))]
         for server in servers:
             await server.start()
-        daemon = made(tmp_path, servers, warm_up="1ms")
-        it = Running(daemon, daemon.addresses()["web"][1], tmp_path / "site.toml")
+        daemon = make_daemon(tmp_path, servers, warm_up="1ms")
+        running = Running(daemon, daemon.addresses()["web"][1], tmp_path / "site.toml")
         for _ in range(5):
-            await it.ask(message("GET /"))
+            await running.ask(message("GET /"))
         pools = daemon.pools.values()
-        # all servers are warm a moment after the last event
+        # all servers have warmed up 1 ms after the last event
         await until(lambda: all(clock_us() > p.pool.balancer.now_us + 2_000 for p in pools))
-        assert await collected_pools(daemon, counted) == {"main", "other"}
+        assert await collected_pools(daemon, recorder) == {"main", "other"}
         before = daemon.services.warm_state.collected["main"].history
-        assert before.endpoints, "the failing server is judged"
-        assert await collected_pools(daemon, counted) == set()
+        assert before.endpoints, "the failing server has a history"
+        assert await collected_pools(daemon, recorder) == set()
         assert daemon.services.warm_state.collected["main"].history == before
 
-        await it.ask(message("GET /other"))
-        assert await collected_pools(daemon, counted) == {"other"}
+        await running.ask(message("GET /other"))
+        assert await collected_pools(daemon, recorder) == {"other"}
         assert daemon.services.warm_state.collected["main"].history == before
 
         daemon.drain("main", "main0", True)
-        assert await collected_pools(daemon, counted) >= {"main"}
+        assert await collected_pools(daemon, recorder) >= {"main"}
         await daemon.stop()
         for server in servers:
             server.stop()
@@ -101,19 +103,19 @@
     run(test)
 
 
-def test_a_pool_whose_endpoints_may_warm_up_is_collected_anew(
+def test_a_pool_with_endpoints_that_are_warming_up_is_collected_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    counted = CountedCollections()
-    monkeypatch.setattr(warm_state, "collect_histories", counted)
+    recorder = CollectionRecorder()
+    monkeypatch.setattr(warm_state, "collect_histories", recorder)
 
     async def test() -> None:
         servers = [WebServer(), WebServer()]
         for server in servers:
             await server.start()
-        daemon = made(tmp_path, servers, warm_up="1h")
+        daemon = make_daemon(tmp_path, servers, warm_up="1h")
         for _ in range(2):
-            assert await collected_pools(daemon, counted) == {"main", "other"}
+            assert await collected_pools(daemon, recorder) == {"main", "other"}
         await daemon.stop()
         for server in servers:
             server.stop()
