--- a/plovertrail/store/service.py
+++ b/plovertrail/store/service.py
@@ -43,7 +43,7 @@
 
     state: StoredState = field(default_factory=StoredState)
     warm_state: StoredState = field(default_factory=StoredState)  # its endpoint lists are ignored
-    warm_state_image: dict[Key, Any] = field(default_factory=dict)  # warm_state as records
+    warm_state_records: dict[Key, Any] = field(default_factory=dict)  # warm_state as records
 
 
 class StoreService:
@@ -154,10 +154,10 @@
         """Write one snapshot or append one step to the journal; runs on a thread, one call at a time."""
         warm_state = warm_state or self.written.warm_state
         if files.needs_snapshot:
-            image = self._write_snapshot(files, lists, warm_state)
+            warm_records = self._write_snapshot(files, lists, warm_state)
         else:
-            image = self._append_changes(files, lists, warm_state, sync)
-        self.written = _Written(StoredState(lists), warm_state, image)
+            warm_records = self._append_changes(files, lists, warm_state, sync)
+        self.written = _Written(StoredState(lists), warm_state, warm_records)
 
     def _write_snapshot(
         self, files: StateFiles, lists: Mapping[str, EndpointListState], warm_state: StoredState
@@ -167,13 +167,13 @@
 
         clocks = self.clocks()
         offset_us = clocks.offset_us
-        image = warm_state_records(warm_state, offset_us)
+        warm_records = warm_state_records(warm_state, offset_us)
         parts = {
             pool: changed_records(pool, EndpointListState(), state, offset_us)
             for pool, state in lists.items()
         }
-        files.write_snapshot({**parts, WARM_STATE_PART: list(image.items())}, offset_us, clocks)
-        return image
+        files.write_snapshot({**parts, WARM_STATE_PART: list(warm_records.items())}, offset_us, clocks)
+        return warm_records
 
     def _append_changes(
         self, files: StateFiles, lists: Mapping[str, EndpointListState], warm_state: StoredState, sync: bool
@@ -186,15 +186,17 @@
             records += changed_records(pool, old_lists.get(pool, EndpointListState()), state, offset_us)
         for pool in old_lists.keys() - lists.keys():
             records += removal_records(pool, old_lists[pool], offset_us)
-        image = self.written.warm_state_image
+        warm_records = self.written.warm_state_records
         if warm_state is not self.written.warm_state:
-            old_image = image
-            image = warm_state_records(warm_state, offset_us)
-            records += [(key, value) for key, value in image.items() if old_image.get(key) != value]
-            records += [(key, None) for key in old_image.keys() - image.keys()]
+            old_warm_records = warm_records
+            warm_records = warm_state_records(warm_state, offset_us)
+            records += [
+                (key, value) for key, value in warm_records.items() if old_warm_records.get(key) != value
+            ]
+            records += [(key, None) for key in old_warm_records.keys() - warm_records.keys()]
         if records:
             files.append(records, sync)
-        return image
+        return warm_records
 
     async def close(self) -> None:
         """Write pending changes, for at most CLOSE_TIMEOUT_S, and close the files."""
--- a/plovertrail/store/snapshot_format.py
+++ b/plovertrail/store/snapshot_format.py
@@ -45,7 +45,7 @@
 WARM_STATE_PART = ""  # holds everything but endpoint lists; no pool has an empty name
 COMPRESSION_LEVEL = 1
 
-Image = dict[Key, Any]  # all records of one part
+PartRecords = dict[Key, Any]  # all records of one part
 
 
 class SnapshotHeader(msgspec.Struct, frozen=True):
@@ -136,7 +136,7 @@
 
     def __init__(self, header: SnapshotHeader) -> None:
         self.header = header
-        self.images: dict[str, Image] = {}  # intact parts by name
+        self.parts: dict[str, PartRecords] = {}  # intact parts by name
         self.damaged: set[str] = set()  # names of the damaged parts
         self.problems: list[str] = []
         self.replayed_steps = 0
@@ -150,7 +150,7 @@
                 if len(body) < length or digest(self.header.nonce, number, body) != expected_digest:
                     raise ValueError("its length or digest is wrong")
                 payload = zstandard.ZstdDecompressor().decompress(body, max_output_size=MAX_PAYLOAD_BYTES)
-                self.images[name] = dict(_decode_records(payload))
+                self.parts[name] = dict(_decode_records(payload))
             except (ValueError, TypeError, zstandard.ZstdError) as error:
                 self.damaged.add(name)
                 subject = f"what is kept of the pool {name!r}" if name else "what is kept besides lists"
@@ -189,11 +189,11 @@
             part = key[1] if is_list_record else WARM_STATE_PART
             if part in self.damaged:
                 continue  # without the part, the changes alone would make up a wrong list
-            image = self.images.setdefault(part, {})
+            part_records = self.parts.setdefault(part, {})
             if value is None:
-                image.pop(key, None)
+                part_records.pop(key, None)
             else:
-                image[key] = value
+                part_records[key] = value
 
     def stored_state(self, instance: str, clocks: ClockReading) -> StoredState:
         """Build the state from the records of all parts."""
@@ -201,13 +201,13 @@
         same_boot = bool(clocks.boot_id) and self.header.boot_id == clocks.boot_id
         clock_offset_us = self.header.clock_offset_us if same_boot else clocks.offset_us
         lists: dict[str, EndpointListState] = {}
-        for name, image in self.images.items():
-            if name != WARM_STATE_PART and image:
+        for name, part_records in self.parts.items():
+            if name != WARM_STATE_PART and part_records:
                 try:
-                    lists[name] = state_from_records(image, name, clock_offset_us, clocks.now_us)
+                    lists[name] = state_from_records(part_records, name, clock_offset_us, clocks.now_us)
                 except InvalidRecordsError as error:
                     self.problems.append(f"{error}; its lists are read from their sources")
-        warm_state = warm_state_from_records(self.images.get(WARM_STATE_PART, {}), clock_offset_us)
+        warm_state = warm_state_from_records(self.parts.get(WARM_STATE_PART, {}), clock_offset_us)
         if self.header.instance != instance:
             # On a copied disk, the warm state of another instance would count as this one's own.
             warm_state = StoredState()
--- a/tests/store/test_restart.py
+++ b/tests/store/test_restart.py
@@ -65,7 +65,7 @@
             penalty = round(failing.failure_penalty, 2)  # rounded as it is stored
             assert penalty > 0.2
             running.daemon.services.background.make_due("state")
-            await until(lambda: bool(running.daemon.services.store.written.warm_state_image))
+            await until(lambda: bool(running.daemon.services.store.written.warm_state_records))
             shutil.copytree(folder, copy)  # the files that a kill at this moment would leave
         async with running_daemon(copy, servers) as running:
             balancer = running.daemon.pools["main"].pool.balancer
