--- a/plovertrail/websocket/frames.py
+++ b/plovertrail/websocket/frames.py
@@ -8,7 +8,7 @@
 
 from wsproto.frame_protocol import CloseReason, Frame, FrameProtocol, Opcode, ParseFailed
 
-__all__ = ["InvalidFrame", "Frame", "FrameCodec", "Opcode"]
+__all__ = ["Frame", "FrameCodec", "InvalidFrame", "Opcode"]
 
 MAX_CLOSE_REASON_BYTES = 123  # section 5.5.1
 FIN_BIT = 0x80
