--- a/plovertrail/listeners/http_listener.py
+++ b/plovertrail/listeners/http_listener.py
@@ -46,7 +46,7 @@
     PendingHandshake,
     WebSocketService,
 )
-from plovertrail.websocket.handshake import OWN_HEADERS, HandshakeError, answer_headers
+from plovertrail.websocket.handshake import HANDSHAKE_HEADERS, HandshakeError, response_headers
 
 log = logging.getLogger(__name__)
 
@@ -164,7 +164,7 @@
             return error_response(error.status, error.why, [(b"Allow", allowed)] if allowed else [])
         except HandshakeError as error:
             # what follows may be frames already, and must not be read as requests
-            return error_response(error.status, error.why, error.headers, close=True)
+            return error_response(error.status, error.reason, error.headers, close=True)
         except HandshakeRejectedError as error:
             return error_response(503, str(error), retry_after_headers(error.retry_after_us))
         except RequestRefusedError as error:
@@ -291,8 +291,10 @@
             tunnel.close()
             handshake.abandon(CloseCause.CLIENT_LEFT_HANDSHAKE)
             return
-        headers = [header for header in end_to_end(result.headers) if header[0].lower() not in OWN_HEADERS]
-        headers += answer_headers(handshake.client_key, tunnel.subprotocol)
+        headers = [
+            header for header in end_to_end(result.headers) if header[0].lower() not in HANDSHAKE_HEADERS
+        ]
+        headers += response_headers(handshake.client_key, tunnel.subprotocol)
         transport.write(response_head(101, headers, None, b"Upgrade"))
         received = bytes(self.reader.unparsed + self.pending)
         self.reader.release()
--- a/plovertrail/listeners/websocket_relay.py
+++ b/plovertrail/listeners/websocket_relay.py
@@ -25,7 +25,7 @@
     WritingResumed,
 )
 from plovertrail.decisions.websocket_session import WebSocketSession
-from plovertrail.websocket.frames import Broken, Frame, Framing, Opcode
+from plovertrail.websocket.frames import Frame, FrameCodec, InvalidFrame, Opcode
 
 READ_BYTES = 32 * 1024
 HIGH_WATER = 64 * 1024  # bytes; from here on the sender is not read,
@@ -71,7 +71,7 @@
     """The connection to one peer, with its frames and its flow control."""
 
     transport: asyncio.Transport
-    framing: Framing
+    framing: FrameCodec
     frames_wait: bool = False  # received frames wait for the next turn of the loop
     writing_paused: bool = False
     discarded_bytes: int = 0
@@ -94,8 +94,8 @@
         self.session = session
         self.session_id = session.session_id
         self.peers = (
-            _PeerConnection(client, Framing(of_server=False)),
-            _PeerConnection(server, Framing(of_server=True)),
+            _PeerConnection(client, FrameCodec(peer_is_server=False)),
+            _PeerConnection(server, FrameCodec(peer_is_server=True)),
         )
         self.handle_event = handle_event
         self.client_closed = client_closed
@@ -150,11 +150,11 @@
         self._forward_frames(side)
         self._update_reading(side)
 
-    def _forward_frame(self, side: Side, frame: Frame | Broken, output: list[bytes]) -> Event | None:
+    def _forward_frame(self, side: Side, frame: Frame | InvalidFrame, output: list[bytes]) -> Event | None:
         """Append to `output` what the other peer gets; return an event if the frame ends something."""
-        if isinstance(frame, Broken):
+        if isinstance(frame, InvalidFrame):
             cause = CloseCause.CLIENT_PROTOCOL_ERROR if side is CLIENT else CloseCause.SERVER_PROTOCOL_ERROR
-            return ProtocolViolated(self.session_id, cause, frame.code, frame.why)
+            return ProtocolViolated(self.session_id, cause, frame.code, frame.reason)
         if isinstance(frame.payload, tuple):
             code, reason = frame.payload
             return CloseReceived(self.session_id, side, int(code), reason)
