--- a/plovertrail/decisions/routes.py
+++ b/plovertrail/decisions/routes.py
@@ -290,10 +290,8 @@
         return Match(None, frozenset(allowed))
 
     def explain(self, head: Head) -> list[tuple[Route, Miss | None]]:
-        """Return every route with the reason why it was not selected; None for the selected one.
-
-        This checks all routes one by one, so it is also the reference that `lookup` is tested against.
-        """
+        """Return every route with the reason why it was not selected; None for the selected one."""
+        # This checks all routes one by one, so it is also the reference that `lookup` is tested against.
         results: list[tuple[Route, Miss | None]] = []
         best: tuple[tuple[int, ...], int] | None = None
         for position, route in enumerate(self.routes):
