--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -90,9 +90,9 @@
     """Does not count the permits that it lends."""
 
     def handle_loan_request(
-        self, loan_request: LoanRequest, sender: InstanceIncarnation, max_count: int, now_us: int
+        self, request: LoanRequest, sender: InstanceIncarnation, max_count: int, now_us: int
     ) -> LoanAnswer | None:
-        loan_answer = super().handle_loan_request(loan_request, sender, max_count, now_us)
+        loan_answer = super().handle_loan_request(request, sender, max_count, now_us)
         for state in self.slots.values():
             state.batch.lent.clear()
         return loan_answer
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -18,7 +18,7 @@
 MAX_LINES = 450
 # by path, the modules that are longer, with their present lengths: a list that only shrinks
 NOT_SPLIT_YET = {
-    "leases.py": 477,
+    "leases.py": 476,
 }
 # in classes and functions of the modules besides load balancing, which has none
 OTHER_FIGURES: dict[str, set[float]] = {
