--- a/plovertrail/__main__.py
+++ b/plovertrail/__main__.py
@@ -84,12 +84,12 @@
     await asyncio.sleep(ACCEPT_AFTER_STOP_S)
     listener.drain_backlog()
     listener.stop_idle()
-    while listener.owes_responses() and loop.time() < ends_at:
+    while listener.has_pending_responses() and loop.time() < ends_at:
         await asyncio.sleep(STOP_POLL_S)
         listener.stop_idle()
     listener.answer_all()
     ends_at = loop.time() + FLUSH_S
-    while listener.owes_responses() and loop.time() < ends_at:
+    while listener.has_pending_responses() and loop.time() < ends_at:
         await asyncio.sleep(STOP_POLL_S)
 
 
--- a/plovertrail/daemon/listeners.py
+++ b/plovertrail/daemon/listeners.py
@@ -116,7 +116,7 @@
 
     def has_open_requests(self) -> bool:
         """Whether a connection may still bring a request or has part of a response to come."""
-        return any(listener.owes_responses() for listener in self.all)
+        return any(listener.has_pending_responses() for listener in self.all)
 
 
 def _bind_problem(listener: ListenerSetup, error: OSError) -> Problem:
--- a/plovertrail/listeners/listener.py
+++ b/plovertrail/listeners/listener.py
@@ -210,7 +210,7 @@
                 if is_quiet and client.transport is not None and client.has_nothing_unread():
                     client.linger()
 
-    def owes_responses(self) -> bool:
+    def has_pending_responses(self) -> bool:
         """Whether any connection may still bring a request or has part of a response to come."""
         return any(
             state is not ConnectionState.ENDING or client.is_writing()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -224,7 +224,7 @@
     def answer_all(self) -> None:
         self.rest_at = self.loop.time()
 
-    def owes_responses(self) -> bool:
+    def has_pending_responses(self) -> bool:
         return True
 
     def __getattr__(self, name: str) -> Callable[..., None]:
