--- a/plovertrail/listeners/listener.py
+++ b/plovertrail/listeners/listener.py
@@ -135,14 +135,14 @@
         Without a bound no descriptor would be left for endpoints and discovery. Connections that still read a
         response go last.
         """
-        client = self._least_useful(is_writing=False) or self._least_useful(is_writing=True)
+        client = self._eviction_candidate(is_writing=False) or self._eviction_candidate(is_writing=True)
         if client is None:
             return False
         client.abort()
         self.remove(client)
         return True
 
-    def _least_useful(self, is_writing: bool) -> ClientConnection | None:
+    def _eviction_candidate(self, is_writing: bool) -> ClientConnection | None:
         """Return the connection to evict, of those that read a response or of the others."""
         now = time.monotonic()
         for rule in EVICTION_ORDER:
