--- a/plovertrail/listeners/client_connection.py
+++ b/plovertrail/listeners/client_connection.py
@@ -78,7 +78,9 @@
         Clients open a limited number of connections, so on a crowded listener those that send one request and
         stay would keep others from theirs.
         """
-        only_one = self.state is ConnectionState.OPEN and self.responses == 0 and self.listener.is_crowded()
+        only_one = (
+            self.state is ConnectionState.OPEN and self.responses == 0 and self.listener.is_over_half_full()
+        )
         return self.listener.stopping or only_one
 
     def linger(self) -> None:
--- a/plovertrail/listeners/listener.py
+++ b/plovertrail/listeners/listener.py
@@ -57,7 +57,7 @@
         """Return the number of connections in all states."""
         return sum(len(group) for group in self.clients.values())
 
-    def is_crowded(self) -> bool:
+    def is_over_half_full(self) -> bool:
         """Whether so many connections are open that new ones should not stay."""
         return self.count() > self.max_clients // 2
 
