--- a/plovertrail/listeners/client_connection.py
+++ b/plovertrail/listeners/client_connection.py
@@ -78,10 +78,10 @@
         Clients open a limited number of connections, so on a crowded listener those that send one request and
         stay would keep others from theirs.
         """
-        only_one = (
+        close_after_first = (
             self.state is ConnectionState.OPEN and self.responses == 0 and self.listener.is_over_half_full()
         )
-        return self.listener.stopping or only_one
+        return self.listener.stopping or close_after_first
 
     def linger(self) -> None:
         """Start a lingering close (RFC 9112, section 9.6); only while no request is open.
