--- a/plovertrail/listeners/http_listener.py
+++ b/plovertrail/listeners/http_listener.py
@@ -91,7 +91,7 @@
             return
         self.received_bytes += len(data)
         self.reader.feed(data)
-        self._proceed()
+        self._process_pending()
 
     def pause_writing(self) -> None:
         """The client reads slowly: no further request is taken."""
@@ -101,9 +101,9 @@
         """The client has read: go on with the requests that wait."""
         self.writing_paused = False
         if self.state is not ConnectionState.ENDING:
-            self._proceed()
+            self._process_pending()
 
-    def _proceed(self) -> None:
+    def _process_pending(self) -> None:
         """Take the requests that have come, one at a time, and none while the client does not read."""
         if self.taking_requests:
             return
@@ -211,7 +211,7 @@
             self._forward_error(result, exchange.plan.retry_safe)
         else:
             self._respond(_response_without_result(response))
-        self._proceed()
+        self._process_pending()
 
     def _forward_error(self, result: TransportResult, retry_safe: bool) -> None:
         """Forward an endpoint's error response, unless it invites a retry that is not safe.
