--- a/plovertrail/listeners/http_listener.py
+++ b/plovertrail/listeners/http_listener.py
@@ -109,7 +109,7 @@
             return
         self.taking_requests = True
         try:
-            while self.state not in BUSY_STATES and not self.writing_paused and self._take_next():
+            while self.state not in BUSY_STATES and not self.writing_paused and self._process_next():
                 pass
         finally:
             self.taking_requests = False
@@ -122,7 +122,7 @@
             self.reader.expects_continue = False
             self.transport.write(CONTINUE)
 
-    def _take_next(self) -> bool:
+    def _process_next(self) -> bool:
         """Take the next request, or read on; return False if nothing has come."""
         if self.reader.messages:
             self._take(self.reader.messages.popleft())
