--- a/plovertrail/listeners/http_listener.py
+++ b/plovertrail/listeners/http_listener.py
@@ -66,7 +66,7 @@
         self.reader = RequestReader(limits.max_head, limits.max_body)
         self.pending = bytearray()  # not given to the reader yet
         self.exchange: HttpExchange | None = None
-        self.taking_requests = False
+        self.processing_pending = False
         self.writing_paused = False
         self.address = ""
 
@@ -105,14 +105,14 @@
 
     def _process_pending(self) -> None:
         """Take the requests that have come, one at a time, and none while the client does not read."""
-        if self.taking_requests:
+        if self.processing_pending:
             return
-        self.taking_requests = True
+        self.processing_pending = True
         try:
             while self.state not in BUSY_STATES and not self.writing_paused and self._process_next():
                 pass
         finally:
-            self.taking_requests = False
+            self.processing_pending = False
         if self.state in BUSY_STATES:
             return
         if (self.reader.partial or self.received_bytes) and self.state is ConnectionState.IDLE:
