--- a/plovertrail/listeners/http_listener.py
+++ b/plovertrail/listeners/http_listener.py
@@ -125,7 +125,7 @@
     def _process_next(self) -> bool:
         """Take the next request, or read on; return False if nothing has come."""
         if self.reader.messages:
-            self._take(self.reader.messages.popleft())
+            self._submit(self.reader.messages.popleft())
         elif self.reader.error is not None:
             self._respond(error_response(self.reader.error.status, self.reader.error.reason, close=True))
         elif self.pending:
@@ -139,7 +139,7 @@
             return False
         return True
 
-    def _take(self, message: RequestMessage) -> None:
+    def _submit(self, message: RequestMessage) -> None:
         """Find the route of a complete request and submit it."""
         exchange = self.exchange = HttpExchange(message)
         self.server.set_state(self, ConnectionState.OPEN)
