--- a/plovertrail/listeners/http_listener.py
+++ b/plovertrail/listeners/http_listener.py
@@ -59,10 +59,10 @@
 class HttpConnection(ClientConnection):
     """One connection of a client. Pipelined requests are served one after the other, in their order."""
 
-    def __init__(self, server: HttpListener, sock: socket.socket) -> None:
-        super().__init__(server, sock)
-        self.server = server
-        limits = server.current.generation.setup.limits
+    def __init__(self, http_listener: HttpListener, sock: socket.socket) -> None:
+        super().__init__(http_listener, sock)
+        self.http_listener = http_listener
+        limits = http_listener.current.generation.setup.limits
         self.reader = RequestReader(limits.max_head, limits.max_body)
         self.pending = bytearray()  # not given to the reader yet
         self.exchange: HttpExchange | None = None
@@ -116,7 +116,7 @@
         if self.state in BUSY_STATES:
             return
         if (self.reader.partial or self.received_bytes) and self.state is ConnectionState.IDLE:
-            self.server.set_state(self, ConnectionState.READING)
+            self.http_listener.set_state(self, ConnectionState.READING)
             self.received_bytes = max(self.received_bytes, 1)
         if self.reader.expects_continue and self.transport is not None:
             self.reader.expects_continue = False
@@ -142,13 +142,13 @@
     def _submit(self, message: RequestMessage) -> None:
         """Find the route of a complete request and submit it."""
         exchange = self.exchange = HttpExchange(message)
-        self.server.set_state(self, ConnectionState.OPEN)
+        self.http_listener.set_state(self, ConnectionState.OPEN)
         prepared = self._prepare_or_reject(exchange)
         if isinstance(prepared, LocalResponse):
             self._respond(prepared)
             return
         assert exchange.plan is not None
-        self.request_id = self.server.dispatcher.submit(
+        self.request_id = self.http_listener.dispatcher.submit(
             prepared, self.answer, exchange.plan.pools, exchange.plan.limiters
         )
 
@@ -178,7 +178,7 @@
     def prepare(self, exchange: HttpExchange) -> ProxyRequest | LocalResponse:
         """Return the request to submit, or a response to give at once; raises what its checks raise."""
         client = ClientContext(self._peer_address(), self.last_byte_us(), self.is_disconnected)
-        return self.server.forwarder.prepare(exchange, self.server.current.generation, client)
+        return self.http_listener.forwarder.prepare(exchange, self.http_listener.current.generation, client)
 
     def _peer_address(self) -> str:
         if not self.address and self.transport is not None:
@@ -278,7 +278,7 @@
             exchange.end_hooks(response.outcome, response.status)
         self.received_bytes = 0
         if keep_alive:
-            self.server.set_state(self, ConnectionState.IDLE)
+            self.http_listener.set_state(self, ConnectionState.IDLE)
         else:
             self.linger()
 
@@ -301,11 +301,11 @@
         exchange, self.exchange = self.exchange, None
         if exchange is not None:
             exchange.end_hooks(SERVED, 101)
-        self.server.set_state(self, ConnectionState.UPGRADED)
-        self.server.websockets.open(handshake, transport, tunnel, received, self._session_ended)
+        self.http_listener.set_state(self, ConnectionState.UPGRADED)
+        self.http_listener.websockets.open(handshake, transport, tunnel, received, self._session_ended)
 
     def _session_ended(self) -> None:
-        self.server.remove(self)
+        self.http_listener.remove(self)
 
 
 def _connection_header(message: RequestMessage | None, keep_alive: bool) -> bytes:
