--- a/plovertrail/listeners/platform_listener.py
+++ b/plovertrail/listeners/platform_listener.py
@@ -44,9 +44,9 @@
 class PlatformConnection(ClientConnection):
     """One connection of the application."""
 
-    def __init__(self, server: PlatformListener, sock: socket.socket) -> None:
-        super().__init__(server, sock)
-        self.server = server
+    def __init__(self, platform_listener: PlatformListener, sock: socket.socket) -> None:
+        super().__init__(platform_listener, sock)
+        self.platform_listener = platform_listener
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.pipelined = False  # bytes came while a request was open
         self.close_after_response = False
@@ -117,7 +117,7 @@
             self._receive_pipelined(data)
             return
         if self.state is ConnectionState.IDLE:
-            self.server.set_state(self, ConnectionState.READING)
+            self.platform_listener.set_state(self, ConnectionState.READING)
         self.received_bytes += len(data)
         self.last_received = time.monotonic()
         try:
@@ -138,7 +138,7 @@
         if self.discarded_bytes > MAX_PIPELINED_BYTES:
             # the client's end would lie behind a flood, unseen, while attempts are sent for nobody
             self.close_after_response = True
-            self.server.dispatcher.expire(self.request_id)
+            self.platform_listener.dispatcher.expire(self.request_id)
 
     def _parse(self, data: bytes) -> None:
         """Feed bytes to the parser; raises InvalidRequestError."""
@@ -162,19 +162,23 @@
         if self.parser.get_http_version() not in SUPPORTED_VERSIONS:
             raise InvalidRequestError(400, "not HTTP/1.1")
         if self.target == READINESS_TARGET and method == b"GET":
-            self._write(200 if self.server.is_ready else 503, b"")
+            self._write(200 if self.platform_listener.is_ready else 503, b"")
             return
-        request = self.server.catalog.make_request(method, self.target, self.headers, bytes(self.body))
+        request = self.platform_listener.catalog.make_request(
+            method, self.target, self.headers, bytes(self.body)
+        )
         request.client_disconnected = self.is_disconnected
-        if not self.server.recent_ids.add(request.external_id):
+        if not self.platform_listener.recent_ids.add(request.external_id):
             # an endpoint that has it already rejects it, and its response might go to the wrong client
             raise InvalidRequestError(409, "this X-Request-Id has been used")
         if self.transport.get_write_buffer_size() > 0:
             # unread responses would fill the memory
             raise InvalidRequestError(400, "the last answer was not read")
-        self.server.set_state(self, ConnectionState.OPEN)
-        request.deadline_us = self.server.limited_deadline_us(request)
-        self.request_id = self.server.dispatcher.submit(request, self.answer, self.server.pools)
+        self.platform_listener.set_state(self, ConnectionState.OPEN)
+        request.deadline_us = self.platform_listener.limited_deadline_us(request)
+        self.request_id = self.platform_listener.dispatcher.submit(
+            request, self.answer, self.platform_listener.pools
+        )
 
     # Writing
 
@@ -215,7 +219,7 @@
             self.linger()
         else:
             self._reset()
-            self.server.set_state(self, ConnectionState.IDLE)
+            self.platform_listener.set_state(self, ConnectionState.IDLE)
 
 
 class PlatformListener(Listener):
