--- a/plovertrail/listeners/http_listener.py
+++ b/plovertrail/listeners/http_listener.py
@@ -149,7 +149,7 @@
             return
         assert exchange.plan is not None
         self.request_id = self.http_listener.dispatcher.submit(
-            prepared, self.answer, exchange.plan.pools, exchange.plan.limiters
+            prepared, self.handle_response, exchange.plan.pools, exchange.plan.limiters
         )
 
     def _prepare_or_reject(self, exchange: HttpExchange) -> ProxyRequest | LocalResponse:
@@ -188,7 +188,7 @@
 
     # Responding
 
-    def answer(self, response: ProxyResponse) -> None:
+    def handle_response(self, response: ProxyResponse) -> None:
         """Take the dispatcher's final response to the open request."""
         exchange = self.exchange
         result = response.result
--- a/plovertrail/listeners/platform_listener.py
+++ b/plovertrail/listeners/platform_listener.py
@@ -177,12 +177,12 @@
         self.platform_listener.set_state(self, ConnectionState.OPEN)
         request.deadline_us = self.platform_listener.limited_deadline_us(request)
         self.request_id = self.platform_listener.dispatcher.submit(
-            request, self.answer, self.platform_listener.pools
+            request, self.handle_response, self.platform_listener.pools
         )
 
     # Writing
 
-    def answer(self, response: ProxyResponse) -> None:
+    def handle_response(self, response: ProxyResponse) -> None:
         """Write the final response to the open request, if its client still waits for it."""
         if self.state is not ConnectionState.OPEN:
             return
