--- a/plovertrail/listeners/listener.py
+++ b/plovertrail/listeners/listener.py
@@ -1,4 +1,4 @@
-"""A listener: accepts connections of clients and bounds their number and time, whatever the protocol."""
+"""Base class of the listeners: accepts client connections, limits their number and applies timeouts."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 log = logging.getLogger(__name__)
 
 SWEEP_INTERVAL_S = 0.1
-MAX_ACCEPTS_PER_TURN = 16  # hundreds of connections at once would block the open ones
+MAX_ACCEPTS_PER_TURN = 16  # accepting hundreds in one turn of the event loop would delay the open connections
 ACCEPT_PAUSE_S = 0.05
 BACKLOG = 1024
 
 
 class Listener:
-    """All connections of one listener."""
+    """Accepts connections on one listening socket and tracks them by state."""
 
     def __init__(
         self, dispatcher: Dispatcher, max_clients: int, timeouts: ConnectionTimeouts | None = None
@@ -36,7 +36,7 @@
         self.dispatcher = dispatcher
         self.max_clients = max_clients
         self.timeouts = timeouts or ConnectionTimeouts()
-        # each in the order in which its state began, so that the oldest is found at once
+        # each state in the order of entry, so that the connection that entered it first comes first
         self.clients: dict[ConnectionState, dict[ClientConnection, None]] = {
             state: {} for state in ConnectionState
         }
@@ -58,7 +58,7 @@
         return sum(len(group) for group in self.clients.values())
 
     def is_over_half_full(self) -> bool:
-        """Whether so many connections are open that new ones should not stay."""
+        """Whether more than half of the allowed connections are open; new ones should then close early."""
         return self.count() > self.max_clients // 2
 
     # Accepting
@@ -68,23 +68,24 @@
         self.listen_on(socket.create_server(address, backlog=BACKLOG))
 
     def listen_on(self, sock: socket.socket) -> None:
-        """Accept connections on a socket that listens already."""
+        """Accept connections on a socket that is already listening."""
         self.sock = sock
         self.sock.setblocking(False)
         self.loop.add_reader(self.sock, self.accept)
         self._sweep()
 
     def accept(self) -> None:
-        """Accept the connections that wait, in small batches.
+        """Accept one small batch of waiting connections.
 
-        asyncio's own server accepts all that wait at once, and stops for a second without a free descriptor.
+        asyncio's own server accepts all waiting connections at once, and stops accepting for a second when
+        the process has no free file descriptor.
         """
         self._accept_batch()
 
     def _accept_batch(self) -> bool:
-        """Accept a batch; return whether more may wait."""
+        """Accept one batch; return whether more connections may be waiting."""
         assert self.sock is not None
-        # a connection that was evicted keeps its descriptor until the next turn of the loop
+        # a small batch: an evicted connection keeps its descriptor until the next turn of the event loop
         for _ in range(max(1, min(MAX_ACCEPTS_PER_TURN, self.max_clients // 16))):
             if self.count() >= self.max_clients and not self._evict_one():
                 self._pause_accepting()
@@ -94,7 +95,7 @@
             except BlockingIOError:
                 return False
             except OSError as error:
-                log.warning("connection not accepted error=%r", error)
+                log.warning("failed to accept a connection error=%r", error)
                 self._evict_one()
                 self._pause_accepting()
                 return False
@@ -110,7 +111,7 @@
         task.add_done_callback(self.accepting.discard)
 
     async def _connect(self, client: ClientConnection, sock: socket.socket) -> None:
-        """Bring up an accepted connection; one that has ended already is forgotten."""
+        """Attach the protocol to an accepted socket; a connection that has already ended is removed."""
         try:
             await self.loop.connect_accepted_socket(lambda: client, sock)
         except OSError:
@@ -118,7 +119,7 @@
             sock.close()
 
     def _pause_accepting(self) -> None:
-        """Accept nothing for a moment; otherwise the loop would turn without waiting."""
+        """Stop accepting for ACCEPT_PAUSE_S; with connections waiting, the loop would spin otherwise."""
         if self.sock is not None:
             self.loop.remove_reader(self.sock)
             self.loop.call_later(ACCEPT_PAUSE_S, self._resume_accepting)
@@ -127,13 +128,13 @@
         if self.sock is not None:
             self.loop.add_reader(self.sock, self.accept)
 
-    # Room for new connections
+    # Eviction
 
     def _evict_one(self) -> bool:
         """Close a connection without an open request; return False if there is none.
 
-        Without a bound no descriptor would be left for endpoints and discovery. Connections that still read a
-        response go last.
+        The number of client connections is limited so that descriptors remain for endpoints and discovery.
+        Connections whose client is still reading a response are evicted last.
         """
         client = self._eviction_candidate(is_writing=False) or self._eviction_candidate(is_writing=True)
         if client is None:
@@ -143,7 +144,7 @@
         return True
 
     def _eviction_candidate(self, is_writing: bool) -> ClientConnection | None:
-        """Return the connection to evict, of those that read a response or of the others."""
+        """Return the connection to evict among those that are (or are not) still writing a response."""
         now = time.monotonic()
         for rule in EVICTION_ORDER:
             for client in self.clients[rule.state]:
@@ -162,7 +163,7 @@
             and (rule.state is ConnectionState.ENDING or client.has_nothing_unread())
         )
 
-    # States and their times
+    # States and timeouts
 
     def set_state(self, client: ClientConnection, state: ConnectionState) -> None:
         """Change the state of a connection, unless it was removed."""
@@ -173,13 +174,13 @@
             self.clients[state][client] = None
 
     def remove(self, client: ClientConnection) -> None:
-        """Forget a connection."""
+        """Stop tracking a connection."""
         self.clients[client.state].pop(client, None)
 
     def _sweep(self) -> None:
-        """End the connections whose state has lasted too long, and schedule the next sweep.
+        """Time out the connections that have been in one state for too long, and schedule the next sweep.
 
-        A client that sends nothing, or half a request, would hold its connection for ever.
+        Otherwise a client that sends nothing, or half a request, would hold its connection forever.
         """
         if self.sock is None and not self.count():
             return
@@ -194,12 +195,12 @@
             for client in timed_out:
                 client.state_timed_out()
 
-    # The stop
+    # Shutdown
 
     def stop_idle(self) -> None:
-        """End idle connections; from now on each response is the last one of its connection.
+        """Close idle connections; from now on each connection closes after its next response.
 
-        A new connection whose first request is on its way keeps the time for that.
+        A new connection is kept for FIRST_REQUEST_GRACE_S, because its first request may be in transit.
         """
         self.stopping = True
         newest = time.monotonic() - FIRST_REQUEST_GRACE_S
@@ -211,7 +212,7 @@
                     client.linger()
 
     def has_pending_responses(self) -> bool:
-        """Whether any connection may still bring a request or has part of a response to come."""
+        """Whether any connection may still send a request or has part of a response left to write."""
         return any(
             state is not ConnectionState.ENDING or client.is_writing()
             for state, group in self.clients.items()
@@ -219,16 +220,17 @@
         )
 
     def drain_backlog(self) -> None:
-        """Accept what the kernel has accepted already, then stop listening.
+        """Accept the connections in the kernel's backlog, then stop listening.
 
-        Closed with the socket, such a connection would be reset, with the request that may have come on it.
+        Closing the listening socket resets the connections in its backlog, and a request that was already
+        received on one of them is lost.
         """
         while self.sock is not None and self._accept_batch():
             pass
         self.stop_listening()
 
     def stop_listening(self) -> None:
-        """Close the listening socket; open connections go on."""
+        """Close the listening socket; open connections stay open."""
         if self.sock is not None:
             self.loop.remove_reader(self.sock)
             self.sock.close()
