--- a/plovertrail/listeners/client_connection.py
+++ b/plovertrail/listeners/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client, from its accept to its end, whatever protocol it speaks."""
+"""Base class of client connections: their state, timeouts and closing, whatever the protocol."""
 
 from __future__ import annotations
 
@@ -31,17 +31,17 @@
         self.state = ConnectionState.NEW
         self.state_since = time.monotonic()
         self.received_bytes = 0  # of the message that is being read
-        self.last_received = 0.0  # when its last bytes came
-        self.request_id = 0  # the dispatcher's, of the open request
+        self.last_received = 0.0  # when its last bytes arrived
+        self.request_id = 0  # the dispatcher's id of the open request
         self.discarded_bytes = 0
         self.responses = 0
 
     @abstractmethod
     def reject_incomplete(self, status: int) -> None:
-        """Answer a request that did not come in full, and end."""
+        """Respond to an incomplete request with a status, and close the connection."""
 
     def is_writing(self) -> bool:
-        """Whether the client is still reading a response and has time left for it."""
+        """Whether part of a response is still to be written and its time is not over."""
         return (
             self.transport is not None
             and not self.transport.is_closing()
@@ -50,33 +50,33 @@
         )
 
     def release(self) -> None:
-        """Release what holds the connection, which has ended."""
+        """Release the resources of the connection after it has ended."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up; one that was evicted meanwhile is aborted."""
+        """Store the transport; abort a connection that was evicted in the meantime."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         if self.state is ConnectionState.ENDING:
             transport.abort()
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """The connection has ended: an open request is cancelled."""
+        """Remove the connection, and tell the dispatcher if a request was open."""
         self.listener.remove(self)
         self.release()
         if self.state is ConnectionState.OPEN:
             self.listener.dispatcher.disconnected(self.request_id)
 
     def discard(self, data: bytes) -> None:
-        """Drop bytes that nobody will read."""
+        """Drop received bytes; stop reading after MAX_DISCARDED_BYTES."""
         self.discarded_bytes += len(data)
         if self.discarded_bytes > MAX_DISCARDED_BYTES and self.transport is not None:
-            self.transport.pause_reading()  # to read it all, only to drop it, takes the CPU
+            self.transport.pause_reading()  # reading any amount only to drop it wastes CPU time
 
     def is_last_response(self) -> bool:
-        """Whether the connection should end with this response.
+        """Whether the connection should close after this response.
 
-        Clients open a limited number of connections, so on a crowded listener those that send one request and
-        stay would keep others from theirs.
+        The number of connections is limited. With more than half of them open, clients that send one request
+        and stay connected would keep other clients out.
         """
         close_after_first = (
             self.state is ConnectionState.OPEN and self.responses == 0 and self.listener.is_over_half_full()
@@ -86,18 +86,18 @@
     def linger(self) -> None:
         """Start a lingering close (RFC 9112, section 9.6); only while no request is open.
 
-        Sending ends behind what is being written, what still comes is read and dropped, and the client
-        closes. A close over unread bytes would reset the connection: the client could lose its response,
-        and a request that crosses the close could not be told from one that was taken.
+        The sending side is shut down after the pending data, later input is read and dropped, and the client
+        closes. Closing with unread bytes would reset the connection: the client could lose its response, and
+        could not tell whether a request that crosses the close was processed.
         """
         assert self.transport is not None
         self.listener.set_state(self, ConnectionState.ENDING)
         self.transport.write_eof()
 
     def peek_unread(self) -> bytes | None:
-        """Return the next byte that has come and was not read; None if there is none.
+        """Return the next unread byte without consuming it; empty at the end of input, None if there is none.
 
-        Raises OSError if the connection has broken.
+        Raises OSError if the connection is broken.
         """
         try:
             return self.sock.recv(1, socket.MSG_PEEK)
@@ -105,53 +105,53 @@
             return None
 
     def has_nothing_unread(self) -> bool:
-        """Whether everything that has come was read."""
+        """Whether all received bytes have been read."""
         try:
             return not self.peek_unread()
         except OSError:
             return True
 
     def is_disconnected(self) -> bool:
-        """Whether the client has closed its connection, even if the event loop has not read that yet.
+        """Whether the client has closed its connection, even if the event loop has not noticed it yet.
 
-        A client that only ends its sending counts as disconnected: nothing distinguishes the two.
+        A client that has only shut down its sending side counts as disconnected: both look the same here.
         """
         if self.transport is None or self.transport.is_closing():
             return True
         try:
             unread = self.peek_unread()
-            # the end may lie behind bytes that came while the request was open
+            # the end of input may follow unread bytes that arrived while the request was open
             disconnected = unread == b"" or (unread is not None and self._is_half_closed())
         except OSError:
             disconnected = True
         if disconnected:
-            self.transport.abort()  # while nothing is read any more, the end would never be noticed
+            self.transport.abort()  # with reading paused, the end of input would never be noticed
         return disconnected
 
     def _is_half_closed(self) -> bool:
-        """Whether the kernel has the end of the client's sending, whatever came before it."""
+        """Whether the kernel has received the end of the client's input, even behind unread bytes."""
         poll = select.poll()
         poll.register(self.sock, select.POLLRDHUP)
         return bool(poll.poll(0))
 
     def abort(self) -> None:
-        """End at once, to free the descriptor or because the client has lingered for too long."""
+        """Close at once, to free the descriptor or because the client has not closed in time."""
         if self.transport is None:
-            self.listener.set_state(self, ConnectionState.ENDING)  # it is aborted when it comes up
+            self.listener.set_state(self, ConnectionState.ENDING)  # connection_made() aborts it
             return
         if self.state is ConnectionState.ENDING:
-            # a close over unread bytes is a reset, and the last response may be on its way
+            # closing with unread bytes resets the connection, and the last response may be in transit
             with contextlib.suppress(OSError):
                 self.sock.recv(MAX_DISCARDED_BYTES)
         self.listener.set_state(self, ConnectionState.ENDING)
         self.transport.abort()
 
     def last_byte_us(self) -> int:
-        """Return when the last byte of the request that has just been read came, by the monotonic clock."""
+        """Return when the last byte of the request just read arrived, on the monotonic clock."""
         return clock_us() - self.listener.dispatcher.suspension.unread_us(self.sock)
 
     def state_timed_out(self) -> None:
-        """End what has lasted too long."""
+        """Close the connection, or reject its incomplete request, after its state has timed out."""
         if self.state in (ConnectionState.NEW, ConnectionState.READING) and self.received_bytes:
             timeouts = self.listener.timeouts
             slow_until = self.state_since + timeouts.slow_read
