--- a/plovertrail/listeners/connection_state.py
+++ b/plovertrail/listeners/connection_state.py
@@ -1,7 +1,7 @@
-"""The states of client connections, how long each may last, and which connections make room for others.
+"""The states of client connections, their timeouts, and the order in which connections are evicted.
 
-The platform bounds how long a request may take from its last byte on, but not how long its bytes or those
-of a response may take. The times here bound what a client may hold without asking for anything.
+The platform limits the time of a request from its last byte on, but not the time to send its bytes or to
+read the response. The timeouts here limit how long a client may hold a connection without an open request.
 """
 
 from __future__ import annotations
@@ -9,28 +9,28 @@
 import enum
 from dataclasses import dataclass, field
 
-READ_TIMEOUT_S = 2.4  # to connect and send a complete request, and to send each later one;
-SLOW_READ_TIMEOUT_S = 6.0  # or this long while its bytes keep coming
-READ_GAP_TIMEOUT_S = 0.8
+READ_TIMEOUT_S = 2.4  # to connect and send the first complete request, or to send each later one
+SLOW_READ_TIMEOUT_S = 6.0  # instead of READ_TIMEOUT_S, while the bytes of the request keep arriving
+READ_GAP_TIMEOUT_S = 0.8  # between these bytes, once READ_TIMEOUT_S is over
 IDLE_TIMEOUT_S = 60.0
 LINGER_TIMEOUT_S = 1.0  # for the client to close, once everything has been written
-WRITE_TIMEOUT_S = 30.0  # for a client to read its response
-FIRST_REQUEST_GRACE_S = 0.25  # the first request of a new connection may be on its way for this long
-MAX_DISCARDED_BYTES = 64 * 1024  # received on a connection that ends; the rest is not read
+WRITE_TIMEOUT_S = 30.0  # for the client to read its response
+FIRST_REQUEST_GRACE_S = 0.25  # the first request of a new connection may be in transit for this long
+MAX_DISCARDED_BYTES = 64 * 1024  # of input on a closing connection; the rest is not read
 
 
 class ConnectionState(enum.Enum):
     """The state of a client connection."""
 
-    NEW = enum.auto()  # no complete request has come yet
+    NEW = enum.auto()  # no complete request received yet
     IDLE = enum.auto()  # between requests
-    READING = enum.auto()  # part of a further request has come
-    OPEN = enum.auto()  # a request has been taken and not answered
-    ENDING = enum.auto()  # it has its last response
-    UPGRADED = enum.auto()  # it carries a WebSocket session, which has limits of its own
+    READING = enum.auto()  # part of a further request received
+    OPEN = enum.auto()  # a request was accepted and its response is not written yet
+    ENDING = enum.auto()  # closing; no further request is read
+    UPGRADED = enum.auto()  # carries a WebSocket session, which has its own limits
 
 
-# an open request has its own deadline
+# an open request has its own deadline, and a WebSocket session its own limits
 STATE_TIMEOUTS_S = {
     ConnectionState.NEW: READ_TIMEOUT_S,
     ConnectionState.IDLE: IDLE_TIMEOUT_S,
@@ -41,15 +41,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionTimeouts:
-    """How long a listener's connections may take, in seconds."""
+    """The timeouts of a listener's connections, in seconds."""
 
     states: dict[ConnectionState, float] = field(default_factory=lambda: STATE_TIMEOUTS_S)
-    slow_read: float = SLOW_READ_TIMEOUT_S  # for a request whose bytes keep coming
-    read_gap: float = READ_GAP_TIMEOUT_S  # between its bytes, once the state's time is over
+    slow_read: float = SLOW_READ_TIMEOUT_S  # for a request whose bytes keep arriving
+    read_gap: float = READ_GAP_TIMEOUT_S  # between its bytes, once the timeout of the state is over
 
     @classmethod
     def of(cls, read_s: float, idle_s: float) -> ConnectionTimeouts:
-        """Return one time to send a request, however its bytes come, and one between requests."""
+        """Return timeouts with one limit to send a request, even slowly, and one between requests."""
         states = {
             ConnectionState.NEW: read_s,
             ConnectionState.IDLE: idle_s,
@@ -65,10 +65,10 @@
 
     state: ConnectionState
     min_age_s: float = 0.0  # in that state
-    partial_requests: bool = True  # also those that have sent part of a request
+    partial_requests: bool = True  # including those that have sent part of a request
 
 
-# the first rule that finds a connection decides
+# tried in this order until a rule matches a connection
 EVICTION_ORDER = (
     EvictionRule(ConnectionState.ENDING),
     EvictionRule(ConnectionState.NEW, min_age_s=FIRST_REQUEST_GRACE_S, partial_requests=False),
