--- a/plovertrail/listeners/http_exchange.py
+++ b/plovertrail/listeners/http_exchange.py
@@ -1,4 +1,4 @@
-"""One request of an ordinary HTTP client and its response, from its route to its end."""
+"""The open request of an HTTP client, and the responses to it that need no endpoint."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from plovertrail.http1.requests import RequestMessage
 from plovertrail.listeners.websocket_service import PendingHandshake
 
-# outcomes of a request in the words of the hooks' interface (docs/hook-abi.md)
+# outcomes of a request, as the hook interface names them (docs/hook-abi.md)
 SERVED = b"served"
 REJECTED = b"refused"
 FAILED = b"failed"
@@ -22,21 +22,21 @@
 
 @dataclass(slots=True)
 class HttpExchange:
-    """The open request of a connection; what is known of it grows until it is forwarded."""
+    """The open request of a connection; the fields after the message are set while it is prepared."""
 
     message: RequestMessage
     plan: RoutePlan | None = None
-    hooks: Trail | None = None  # its way through its route's hooks
-    handshake: PendingHandshake | None = None  # of the WebSocket session that it asks for
+    hooks: Trail | None = None  # the run of its route's hooks on it
+    handshake: PendingHandshake | None = None  # of the requested WebSocket session
 
     def end_hooks(self, outcome: bytes, status: int) -> None:
-        """Tell the hooks once that the request is over for its client."""
+        """Report the end of the request to the hooks, at most once."""
         hooks, self.hooks = self.hooks, None
         if hooks is not None:
             hooks.end(outcome, status)
 
     def cancel(self) -> None:
-        """The client has left."""
+        """Abandon the handshake and end the hooks, because the client has disconnected."""
         if self.handshake is not None:
             self.handshake.abandon(CloseCause.CLIENT_LEFT_HANDSHAKE)
             self.handshake = None
@@ -45,13 +45,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalResponse:
-    """A response that is made here, without an endpoint."""
+    """A response that the balancer generates itself, without an endpoint."""
 
     status: int
     body: bytes
     headers: Headers
     outcome: bytes = REJECTED
-    close: bool = False  # the connection ends behind it
+    close: bool = False  # close the connection after it
     has_length: bool = True  # False: the status allows no body
 
 
@@ -72,7 +72,7 @@
 
 
 def limit_exceeded_headers(exceeded: LimitExceeded) -> Headers:
-    """Return Retry-After, and the limit if its operator wants it named."""
+    """Return Retry-After, and the RateLimit headers if the limiter is configured to send them."""
     headers = retry_after_headers(exceeded.retry_after_us)
     if exceeded.limiter.send_headers:
         headers += [
