--- a/plovertrail/listeners/http_forwarding.py
+++ b/plovertrail/listeners/http_forwarding.py
@@ -1,4 +1,4 @@
-"""What an ordinary HTTP request becomes for the dispatcher: its route, its hooks and its headers."""
+"""Prepares HTTP requests for the dispatcher: finds the route, runs its hooks and builds the headers."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientContext:
-    """Where a request came from, and when its last byte did."""
+    """The client of a request: its address, and when the last byte of the request arrived."""
 
     address: str
     arrived_us: int
@@ -53,7 +53,7 @@
 
     exchange: HttpExchange
     client: ClientContext
-    headers: dict[bytes, bytes]  # by names in lower case; repeated ones joined
+    headers: dict[bytes, bytes]  # by lower-case name; repeated ones are joined with commas
     head: Head
     path: str  # as it is forwarded
     authority: bytes
@@ -68,16 +68,16 @@
         self.configure(listener)
 
     def configure(self, listener: ListenerSetup) -> None:
-        """Follow a new setup of the listener."""
+        """Apply a new configuration of the listener."""
         self.listener = listener
         self.replaced_headers = headers_replaced_by(listener)
-        # the header in which the proxy in front names addresses; empty: none is trusted
+        # the header in which a trusted proxy in front passes client addresses; empty if none is trusted
         self.trusted_header = listener.forwarded.encode() if listener.trust_forwarded else b""
 
     def prepare(
         self, exchange: HttpExchange, generation: Generation, client: ClientContext
     ) -> ProxyRequest | LocalResponse:
-        """Find the route of an exchange; return the request to forward, or the route's own response.
+        """Find the route of an exchange; return the request to forward, or the route's fixed response.
 
         Fills in the plan, hooks and handshake of the exchange. Raises RequestRejectedError, HandshakeError,
         HandshakeRejectedError or RequestRefusedError.
@@ -137,7 +137,7 @@
         return _RoutedRequest(exchange, client, headers, head, path, authority, routed)
 
     def _request_id(self, request: _RoutedRequest) -> bytes:
-        """Return the client's own id of a request, or a new one if it has none that is valid."""
+        """Return the request id that the client sent, or a new one if that is missing or invalid."""
         request_id = request.headers.get(self.listener.request_id_header.lower(), b"")
         if IDENTIFIER.fullmatch(request_id):
             return request_id
@@ -161,16 +161,15 @@
             tenant_name,
         )
         hooks = Trail(plan.hook_chain, seen, client.arrived_us + wait_us, clock_us)
-        request.exchange.hooks = (
-            hooks  # before it runs, as it is told the end also of a request that it refuses
-        )
+        # set before the hooks run, because they are also told the end of a request that they refuse
+        request.exchange.hooks = hooks
         hooks.request()
         return hooks
 
     def _forwarded_headers(
         self, request: _RoutedRequest, plan: RoutePlan, request_id: bytes, client_name: str
     ) -> tuple[Headers, bytes]:
-        """Return the headers and the host that go to an endpoint."""
+        """Return the headers and the host to send to an endpoint."""
         exchange = request.exchange
         headers = end_to_end(exchange.message.headers, plan.removed_headers | self.replaced_headers)
         if exchange.hooks is not None:
@@ -190,7 +189,7 @@
         return headers, host
 
     def _forwarded_header(self, request: _RoutedRequest) -> tuple[bytes, bytes]:
-        """Return where the request came from (RFC 7239), behind what a trusted client says of it."""
+        """Return the header with the client address (RFC 7239), appended to the value of a trusted proxy."""
         listener = self.listener
         own = request.client.address.encode()
         if listener.forwarded == "forwarded":
@@ -204,7 +203,7 @@
     def _template_values(
         self, request: _RoutedRequest, request_id: bytes, client_name: str
     ) -> dict[str, str]:
-        """Return what the route's templates are filled with."""
+        """Return the values for the variables of the route's templates."""
         routed = request.routed
         return template_values(
             routed.head,
@@ -231,7 +230,7 @@
 
 
 def fixed_response(fixed: FixedResponse, values: dict[str, str]) -> LocalResponse:
-    """Return the response of a route that answers by itself."""
+    """Return the response of a route that has a fixed response."""
     body = fixed.body.render(values).encode() if fixed.body is not None else b""
     headers: Headers = [(b"Content-Type", fixed.content_type.encode("latin-1"))] if body else []
     if fixed.location is not None:
