--- a/plovertrail/listeners/http_listener.py
+++ b/plovertrail/listeners/http_listener.py
@@ -1,4 +1,4 @@
-"""Listeners for ordinary HTTP clients: any method, host and path; routes decide where requests go."""
+"""The listeners for HTTP clients: any method, host and path; routes decide where requests are sent."""
 
 from __future__ import annotations
 
@@ -50,21 +50,21 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PENDING_BYTES = 64 * 1024  # that come while a request is open, before reading stops
+MAX_PENDING_BYTES = 64 * 1024  # received while a request is open, before reading is paused
 RETRY_INVITING_STATUSES = (429, 503)
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 BUSY_STATES = (ConnectionState.OPEN, ConnectionState.ENDING, ConnectionState.UPGRADED)
 
 
 class HttpConnection(ClientConnection):
-    """One connection of a client. Pipelined requests are served one after the other, in their order."""
+    """One connection of an HTTP client; pipelined requests are served one at a time, in order."""
 
     def __init__(self, http_listener: HttpListener, sock: socket.socket) -> None:
         super().__init__(http_listener, sock)
         self.http_listener = http_listener
         limits = http_listener.current.generation.setup.limits
         self.reader = RequestReader(limits.max_head, limits.max_body)
-        self.pending = bytearray()  # not given to the reader yet
+        self.pending = bytearray()  # received, but not passed to the reader yet
         self.exchange: HttpExchange | None = None
         self.processing_pending = False
         self.writing_paused = False
@@ -79,7 +79,7 @@
     # Reading
 
     def data_received(self, data: bytes) -> None:
-        """Read on; bytes behind an open request wait, up to MAX_PENDING_BYTES of them."""
+        """Parse received bytes; during an open request keep them, and pause reading at MAX_PENDING_BYTES."""
         if self.state is ConnectionState.ENDING:
             self.discard(data)
             return
@@ -94,17 +94,17 @@
         self._process_pending()
 
     def pause_writing(self) -> None:
-        """The client reads slowly: no further request is taken."""
+        """Stop processing requests: the client does not read its responses fast enough."""
         self.writing_paused = True
 
     def resume_writing(self) -> None:
-        """The client has read: go on with the requests that wait."""
+        """Resume processing requests: the client has read its responses."""
         self.writing_paused = False
         if self.state is not ConnectionState.ENDING:
             self._process_pending()
 
     def _process_pending(self) -> None:
-        """Take the requests that have come, one at a time, and none while the client does not read."""
+        """Process the received requests one at a time; none while the client does not read responses."""
         if self.processing_pending:
             return
         self.processing_pending = True
@@ -123,7 +123,7 @@
             self.transport.write(CONTINUE)
 
     def _process_next(self) -> bool:
-        """Take the next request, or read on; return False if nothing has come."""
+        """Process the next request, parser error or pending bytes; return False if there is nothing."""
         if self.reader.messages:
             self._submit(self.reader.messages.popleft())
         elif self.reader.error is not None:
@@ -156,14 +156,14 @@
         try:
             prepared = self.prepare(exchange)
             if isinstance(prepared, ProxyRequest) and exchange.handshake is None and exchange.message.upgrade:
-                exchange.message.upgrade = False  # to another protocol than WebSocket
+                exchange.message.upgrade = False  # to a protocol other than WebSocket
                 self.reader.ignore_upgrade()
             return prepared
         except RequestRejectedError as error:
             allowed = ", ".join(sorted(error.allowed)).encode()
             return error_response(error.status, error.why, [(b"Allow", allowed)] if allowed else [])
         except HandshakeError as error:
-            # what follows may be frames already, and must not be read as requests
+            # the following bytes may be WebSocket frames, and must not be parsed as requests
             return error_response(error.status, error.why, error.headers, close=True)
         except HandshakeRejectedError as error:
             return error_response(503, str(error), retry_after_headers(error.retry_after_us))
@@ -171,12 +171,12 @@
             headers = [PLAIN_TEXT, *retry_after_headers(error.retry_after_us)]
             return LocalResponse(error.status, error.body, headers)
         except Exception:
-            # a fault in one request must end neither the process nor other requests
-            log.exception("request not taken")
+            # an error in one request must not end the process or other requests
+            log.exception("unexpected error while preparing a request")
             return error_response(500, "this request could not be taken", close=True)
 
     def prepare(self, exchange: HttpExchange) -> ProxyRequest | LocalResponse:
-        """Return the request to submit, or a response to give at once; raises what its checks raise."""
+        """Return the request to submit, or a local response; raises as RequestForwarder.prepare() does."""
         client = ClientContext(self._peer_address(), self.last_byte_us(), self.is_disconnected)
         return self.http_listener.forwarder.prepare(exchange, self.http_listener.current.generation, client)
 
@@ -189,7 +189,7 @@
     # Responding
 
     def handle_response(self, response: ProxyResponse) -> None:
-        """Take the dispatcher's final response to the open request."""
+        """Write the dispatcher's final response to the open request."""
         exchange = self.exchange
         result = response.result
         if self.state is not ConnectionState.OPEN or exchange is None or exchange.plan is None:
@@ -216,7 +216,7 @@
     def _forward_error(self, result: TransportResult, retry_safe: bool) -> None:
         """Forward an endpoint's error response, unless it invites a retry that is not safe.
 
-        A 429 or 503 without the endpoint's word that nothing has run reads as permission to retry.
+        Clients take a 429 or 503 as permission to retry, but the endpoint has not said that nothing has run.
         """
         status = result.status
         if status in RETRY_INVITING_STATUSES and not retry_safe:
@@ -226,7 +226,7 @@
             self._forward(result, FAILED)
 
     def _forward(self, result: TransportResult, outcome: bytes) -> None:
-        """Forward an endpoint's response, with its headers as the route's hooks leave them."""
+        """Forward an endpoint's response, with its headers as changed by the route's hooks."""
         assert self.exchange is not None
         headers = end_to_end(result.headers)
         if self.exchange.hooks is not None:
@@ -246,13 +246,13 @@
         self._write(response, len(response.body) if response.has_length else None)
 
     def reject_incomplete(self, status: int) -> None:
-        """Answer a request that has not come in full in time, and close the connection."""
+        """Respond to a request that was not received in time, and close the connection."""
         self._respond(error_response(status, "the request did not come in time", close=True))
 
     def _write(self, response: LocalResponse, length: int | None) -> None:
         """Write a response and report its outcome to the hooks.
 
-        `length` is the Content-Length, None where there is none.
+        `length` is the Content-Length, or None to send none.
         """
         exchange, self.exchange = self.exchange, None
         if self.transport is None or self.transport.is_closing():
@@ -285,7 +285,7 @@
     # Upgrades
 
     def _upgrade(self, handshake: PendingHandshake, result: TransportResult, tunnel: Tunnel) -> None:
-        """Both handshakes are correct: the connection carries a WebSocket session from now on."""
+        """Switch the connection to a WebSocket session, after both handshakes have succeeded."""
         transport = self.transport
         if transport is None or transport.is_closing():
             tunnel.close()
@@ -315,7 +315,7 @@
 
 
 def _response_without_result(response: ProxyResponse) -> LocalResponse:
-    """Return the response to a request that no endpoint has answered."""
+    """Return the response to a request for which there is no endpoint's response to forward."""
     result = response.result
     if response.limit_exceeded is not None:
         headers: Headers = limit_exceeded_headers(response.limit_exceeded)
@@ -329,7 +329,7 @@
 
 
 class HttpListener(Listener):
-    """One listener of the operator's file."""
+    """One HTTP listener of the configuration."""
 
     def __init__(
         self,
@@ -345,14 +345,14 @@
         self.forwarder = RequestForwarder(listener, websockets)
 
     def configure(self, listener: ListenerSetup) -> None:
-        """Follow a new setup; the address stays."""
+        """Apply a new configuration; the address stays the same."""
         self.setup = listener
         self.max_clients = listener.max_connections
         self.timeouts = _timeouts(listener)
         self.forwarder.configure(listener)
 
     def make_connection(self, sock: socket.socket) -> HttpConnection:
-        """Return the protocol of a new connection."""
+        """Return the protocol object of a new connection."""
         return HttpConnection(self, sock)
 
 
