--- a/plovertrail/listeners/platform_listener.py
+++ b/plovertrail/listeners/platform_listener.py
@@ -1,4 +1,4 @@
-"""The listener of the platform's application: reads its requests over HTTP/1.1 and writes their responses."""
+"""The listener for the platform's application: reads HTTP/1.1 requests and writes their responses."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 MAX_BODY_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 16 * 1024
-MAX_PIPELINED_BYTES = 2 * (MAX_BODY_BYTES + MAX_HEAD_BYTES)  # no next request that came early is longer
+MAX_PIPELINED_BYTES = 2 * (MAX_BODY_BYTES + MAX_HEAD_BYTES)  # one pipelined request always fits
 READINESS_TARGET = b"/up"
 SUPPORTED_VERSIONS = ("1.0", "1.1")
 REASONS = {
@@ -48,12 +48,12 @@
         super().__init__(platform_listener, sock)
         self.platform_listener = platform_listener
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
-        self.pipelined = False  # bytes came while a request was open
+        self.pipelined = False  # bytes arrived while a request was open
         self.close_after_response = False
         self._reset()
 
     def _reset(self) -> None:
-        """Get ready to read the next request."""
+        """Reset the parsing state for the next request."""
         self.complete = False
         self.head_complete = False
         self.target = b""
@@ -64,12 +64,12 @@
 
     def release(self) -> None:
         """Release the parser once the connection has ended."""
-        self.parser = None  # the two refer to each other and would wait for a rare full collection
+        self.parser = None  # breaks a reference cycle that only a rare full garbage collection would free
 
-    # Callbacks of the parser
+    # Parser callbacks
 
     def on_message_begin(self) -> None:
-        """Parser callback: a request begins; behind a complete one it is pipelined."""
+        """Parser callback: a request begins; after a complete one it is pipelined."""
         if self.complete:
             self.pipelined = True
 
@@ -79,15 +79,15 @@
             self.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Parser callback: one header. Raises InvalidRequestError on a body that is not accepted."""
+        """Parser callback: one header. Raises InvalidRequestError if it announces a body that is rejected."""
         if self.complete:
             return
         lower_name = name.lower()
         if lower_name == b"transfer-encoding":
-            # readers that go by it and readers that go by the length see the next request at different places
+            # a parser that uses it and one that uses Content-Length find the next request at different places
             raise InvalidRequestError(400, "no chunked requests")
         if lower_name == b"content-length" and int(value) > MAX_BODY_BYTES:
-            raise InvalidRequestError(413, "the body is too long")  # before the body is read for nothing
+            raise InvalidRequestError(413, "the body is too long")  # without reading the body
         self.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
@@ -103,13 +103,13 @@
         """Parser callback: the request is complete."""
         assert self.parser is not None
         if not self.complete and not self.parser.should_keep_alive():
-            self.close_after_response = True  # once the parser has gone on, it says that all stay open
+            self.close_after_response = True  # once it parses on, the parser always reports keep-alive
         self.complete = True
 
     # Reading
 
     def data_received(self, data: bytes) -> None:
-        """Read on; input that is not accepted is answered with its status, and the connection is closed."""
+        """Parse received bytes; respond to invalid input with an error status and close the connection."""
         if self.state is ConnectionState.ENDING:
             self.discard(data)
             return
@@ -127,16 +127,16 @@
         except InvalidRequestError as error:
             self._write(error.status, str(error).encode() + b"\n", last=True)
         except Exception:
-            # a fault in one request must end neither the process nor other requests
-            log.exception("request not read")
+            # an error in one request must not end the process or other requests
+            log.exception("unexpected error while reading a request")
             self._write(500, b"", last=True)
 
     def _receive_pipelined(self, data: bytes) -> None:
-        """The open request is answered, then the connection ends."""
+        """Drop pipelined bytes; the connection closes after the response to the open request."""
         self.pipelined = True
         self.discarded_bytes += len(data)
         if self.discarded_bytes > MAX_PIPELINED_BYTES:
-            # the client's end would lie behind a flood, unseen, while attempts are sent for nobody
+            # a disconnect behind that many bytes would go unnoticed, and attempts would be sent for nobody
             self.close_after_response = True
             self.platform_listener.dispatcher.expire(self.request_id)
 
@@ -149,7 +149,7 @@
             cause = error.__context__
             raise cause if isinstance(cause, InvalidRequestError) else error from None
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            # bytes behind a complete request that are no request show that its length was wrong
+            # if the bytes after a complete request are no request, its length was wrong
             raise InvalidRequestError(400, "malformed request") from None
         if not self.head_complete and self.received_bytes > MAX_HEAD_BYTES:
             raise InvalidRequestError(413, "the head is too long")
@@ -169,10 +169,10 @@
         )
         request.client_disconnected = self.is_disconnected
         if not self.platform_listener.recent_ids.add(request.external_id):
-            # an endpoint that has it already rejects it, and its response might go to the wrong client
+            # an endpoint that has already seen it rejects it, and its response might go to the wrong client
             raise InvalidRequestError(409, "this X-Request-Id has been used")
         if self.transport.get_write_buffer_size() > 0:
-            # unread responses would fill the memory
+            # unread responses would accumulate in memory
             raise InvalidRequestError(400, "the last answer was not read")
         self.platform_listener.set_state(self, ConnectionState.OPEN)
         request.deadline_us = self.platform_listener.limited_deadline_us(request)
@@ -183,7 +183,7 @@
     # Writing
 
     def handle_response(self, response: ProxyResponse) -> None:
-        """Write the final response to the open request, if its client still waits for it."""
+        """Write the final response to the open request, if its client is still waiting for it."""
         if self.state is not ConnectionState.OPEN:
             return
         if response.kind is ResponseKind.SERVED:
@@ -198,11 +198,11 @@
             self._write(500, b"")
 
     def reject_incomplete(self, status: int) -> None:
-        """Answer with a bare status and close the connection."""
+        """Respond with a status and an empty body, and close the connection."""
         self._write(status, b"", last=True)
 
     def _write(self, status: int, body: bytes, head: bytes = b"", last: bool = False) -> None:
-        """Write a response with further header lines in `head`; behind the `last` one the connection ends."""
+        """Write a response with extra header lines in `head`; the connection closes after the `last` one."""
         assert self.transport is not None
         if self.transport.is_closing():
             return
@@ -223,7 +223,7 @@
 
 
 class PlatformListener(Listener):
-    """All connections of the application."""
+    """Accepts the connections of the application."""
 
     def __init__(
         self, dispatcher: Dispatcher, pool: ServerPool, settings: Settings, max_clients: int
@@ -232,24 +232,24 @@
         self.pools = (pool,)
         self.catalog = RequestCatalog(settings)
         self.recent_ids = RecentRequestIds(max(kind.deadline_us for kind in settings.classes) / 1e6)
-        self.process_ends_us: int | None = None  # once the process is being stopped
+        self.process_ends_us: int | None = None  # set during a shutdown
 
     def make_connection(self, sock: socket.socket) -> PlatformConnection:
-        """Return the protocol of a new connection."""
+        """Return the protocol object of a new connection."""
         return PlatformConnection(self, sock)
 
     def finish_by(self, ends_us: int) -> None:
-        """The process ends at this time of the monotonic clock: no request from now on may take longer."""
+        """Limit all later requests to the end of the process, a time on the monotonic clock."""
         self.process_ends_us = ends_us
 
     def limited_deadline_us(self, request: ProxyRequest) -> int:
-        """Return a request's time; one whose bytes came slowly must not outlast a stop that is under way."""
+        """Return a request's deadline; one whose bytes arrived slowly must not outlast a shutdown."""
         if self.process_ends_us is None:
             return request.deadline_us
         return min(request.deadline_us, self.process_ends_us - request.arrived_us)
 
     def answer_all(self) -> None:
-        """The process ends now: answer open requests, and reject those that have come in part."""
+        """Expire open requests and reject incomplete ones, because the process is about to end."""
         for client in list(self.clients[ConnectionState.OPEN]):
             self.dispatcher.expire(client.request_id)
         for state in (ConnectionState.READING, ConnectionState.NEW):
