--- a/plovertrail/listeners/platform_requests.py
+++ b/plovertrail/listeners/platform_requests.py
@@ -1,6 +1,6 @@
-"""The platform's requests: which are valid, and what they say to the dispatcher.
+"""Validates the platform's requests and converts them for the dispatcher.
 
-This is the edge of the platform's protocol: its header names are read here and nowhere else.
+The header names of the platform's protocol are read in this module and nowhere else.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from plovertrail.dispatch.types import ProxyRequest
 
 MAX_NUMBER_DIGITS = 9
-# of this connection, or written anew for each attempt
+# not forwarded: hop-by-hop, or set anew for each attempt
 OWN_HEADERS = frozenset(
     (
         b"host",
@@ -29,7 +29,7 @@
         b"x-deadline-ms",
     )
 )
-# of two with one name, the endpoint might go by the other one
+# a repeated one is rejected, because the endpoint might use the other value
 SINGLE_HEADERS = frozenset(
     (
         b"host",
@@ -51,7 +51,7 @@
 
 
 class InvalidRequestError(Exception):
-    """A request that is not accepted: it is answered with this status, and the connection is closed."""
+    """Raised for a request to reject with the given status; the connection is closed."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -66,7 +66,7 @@
 
 
 def read_headers(headers: list[tuple[bytes, bytes]]) -> dict[bytes, bytes]:
-    """Return the headers by their names in lower case; raises InvalidRequestError."""
+    """Return the headers by their lower-case names; raises InvalidRequestError."""
     found: dict[bytes, bytes] = {}
     for name, value in headers:
         lower_name = name.lower()
@@ -79,7 +79,7 @@
 
 
 class RequestCatalog:
-    """The classes and tenants that requests name."""
+    """The request classes and tenants by name, and the checks of requests against them."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -89,10 +89,10 @@
     def make_request(
         self, method: bytes, target: bytes, headers: list[tuple[bytes, bytes]], body: bytes
     ) -> ProxyRequest:
-        """Check a request and return it for the dispatcher; raises InvalidRequestError.
+        """Validate a request and return it in the dispatcher's form; raises InvalidRequestError.
 
-        Requests that the protocol does not allow end here: endpoints would reject them or close the
-        connection, at the cost of the requests behind.
+        Endpoints would reject an invalid request or close the connection, at the cost of the requests that
+        follow on it.
         """
         found = read_headers(headers)
         class_index = self._class_index(target, found)
@@ -110,7 +110,7 @@
             [(name, value) for name, value in headers if name.lower() not in OWN_HEADERS],
             body,
             clock_us(),
-            # a client's own deadline could lie years ahead
+            # a client could ask for a deadline years ahead
             deadline_us=min(deadline_us, request_class.deadline_us),
             class_index=class_index,
             external_id=found[b"x-request-id"],
@@ -148,7 +148,7 @@
 class RecentRequestIds:
     """The ids of open and recent requests, in two generations of `period_s` seconds each.
 
-    No request may be open for longer than the period.
+    The period has to be at least as long as the longest time that a request may be open.
     """
 
     def __init__(self, period_s: float) -> None:
@@ -158,7 +158,7 @@
         self.rotated_at = time.monotonic()
 
     def add(self, request_id: bytes) -> bool:
-        """Remember an id; return False if it is known already."""
+        """Record an id; return False if it is already known."""
         now = time.monotonic()
         if now > self.rotated_at + self.period_s:
             self.previous = self.current if now <= self.rotated_at + 2 * self.period_s else set()
