--- a/plovertrail/listeners/listener.py
+++ b/plovertrail/listeners/listener.py
@@ -203,12 +203,12 @@
         A new connection is kept for FIRST_REQUEST_GRACE_S, because its first request may be in transit.
         """
         self.stopping = True
-        newest = time.monotonic() - FIRST_REQUEST_GRACE_S
+        grace_start = time.monotonic() - FIRST_REQUEST_GRACE_S
         for state in (ConnectionState.IDLE, ConnectionState.NEW):
             for client in list(self.clients[state]):
-                may_send = state is ConnectionState.NEW and client.state_since > newest
-                is_quiet = client.received_bytes == 0 and not may_send
-                if is_quiet and client.transport is not None and client.has_nothing_unread():
+                in_grace = state is ConnectionState.NEW and client.state_since > grace_start
+                may_close = client.received_bytes == 0 and not in_grace
+                if may_close and client.transport is not None and client.has_nothing_unread():
                     client.linger()
 
     def has_pending_responses(self) -> bool:
