--- a/plovertrail/listeners/http_forwarding.py
+++ b/plovertrail/listeners/http_forwarding.py
@@ -191,14 +191,14 @@
     def _forwarded_header(self, request: _RoutedRequest) -> tuple[bytes, bytes]:
         """Return the header with the client address (RFC 7239), appended to the value of a trusted proxy."""
         listener = self.listener
-        own = request.client.address.encode()
+        element = request.client.address.encode()
         if listener.forwarded == "forwarded":
-            own = b"for=" + own + b";proto=http"
+            element = b"for=" + element + b";proto=http"
             if request.authority:
-                own += b';host="' + request.authority.replace(b'"', b"") + b'"'
-        earlier = request.headers.get(listener.forwarded.encode(), b"") if listener.trust_forwarded else b""
+                element += b';host="' + request.authority.replace(b'"', b"") + b'"'
+        received = request.headers.get(listener.forwarded.encode(), b"") if listener.trust_forwarded else b""
         name = b"Forwarded" if listener.forwarded == "forwarded" else b"X-Forwarded-For"
-        return name, earlier + b", " + own if earlier else own
+        return name, received + b", " + element if received else element
 
     def _template_values(
         self, request: _RoutedRequest, request_id: bytes, client_name: str
