--- a/plovertrail/listeners/platform_listener.py
+++ b/plovertrail/listeners/platform_listener.py
@@ -231,7 +231,9 @@
         super().__init__(dispatcher, max_clients)
         self.pools = (pool,)
         self.catalog = RequestCatalog(settings)
-        self.recent_ids = RecentRequestIds(max(kind.deadline_us for kind in settings.classes) / 1e6)
+        self.recent_ids = RecentRequestIds(
+            max(request_class.deadline_us for request_class in settings.classes) / 1e6
+        )
         self.process_ends_us: int | None = None  # set during a shutdown
 
     def make_connection(self, sock: socket.socket) -> PlatformConnection:
--- a/plovertrail/listeners/platform_requests.py
+++ b/plovertrail/listeners/platform_requests.py
@@ -83,7 +83,9 @@
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        self.classes = {kind.name.encode(): index for index, kind in enumerate(settings.classes)}
+        self.classes = {
+            request_class.name.encode(): index for index, request_class in enumerate(settings.classes)
+        }
         self.tenants = {tenant.name.encode(): index for index, tenant in enumerate(settings.tenants)}
 
     def make_request(
