--- a/tests/listeners/test_connections.py
+++ b/tests/listeners/test_connections.py
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize("half", [False, True])
-def test_a_slot_that_frees_before_the_close_was_read_sends_nothing(
+def test_freed_slot_is_not_used_for_a_client_whose_close_is_unread(
     monkeypatch: pytest.MonkeyPatch, half: bool
 ) -> None:
     """Who ends its sending alone counts as gone, too."""
@@ -125,7 +125,7 @@
     run(test)
 
 
-def test_a_client_that_left_behind_a_flood_gets_no_further_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_flood_behind_an_open_request_ends_it_without_a_retry(monkeypatch: pytest.MonkeyPatch) -> None:
     """What comes behind an open request is not kept, and its end would lie behind it, unseen."""
     servers: list[platform_listener.PlatformListener] = captured(monkeypatch, "PlatformListener")
 
@@ -148,7 +148,7 @@
     run(test)
 
 
-def test_one_that_is_sent_too_early_costs_the_open_request_nothing() -> None:
+def test_pipelined_request_does_not_affect_the_open_request() -> None:
     async def test() -> None:
         release = asyncio.Event()
         upstream = Upstream(released(OK, release))
@@ -169,7 +169,7 @@
     run(test)
 
 
-def test_a_close_behind_bytes_that_nobody_reads_is_seen_before_the_next_attempt(tmp_path: Path) -> None:
+def test_close_behind_unread_bytes_is_noticed_before_a_retry(tmp_path: Path) -> None:
     """An ordinary client's next requests wait, and the system keeps what is beyond them, its end as well.
     What doesn't fit into what the system keeps is not known of, and neither is an end behind it."""
 
@@ -213,9 +213,7 @@
 
 
 @pytest.mark.parametrize("state", ["idle", "stop"])
-def test_a_request_that_crosses_a_close_finds_an_end_and_no_reset(
-    monkeypatch: pytest.MonkeyPatch, state: str
-) -> None:
+def test_request_that_crosses_a_close_gets_no_reset(monkeypatch: pytest.MonkeyPatch, state: str) -> None:
     """It comes between the look for unread bytes and the close; its client sends it again elsewhere."""
     quiet = ClientConnection.has_nothing_unread
 
@@ -264,9 +262,7 @@
 
 
 @pytest.mark.parametrize("how", ["stop", "room"])
-def test_an_answer_that_its_client_is_slow_to_read_comes_whole(
-    monkeypatch: pytest.MonkeyPatch, how: str
-) -> None:
+def test_slowly_read_response_is_delivered_in_full(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
     """Neither a stop nor the want of room cuts it."""
     narrow(monkeypatch)
     servers: list[platform_listener.PlatformListener] = captured(monkeypatch, "PlatformListener")
@@ -300,7 +296,7 @@
     run(test)
 
 
-def test_clients_that_read_nothing_keep_nobody_out(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_clients_that_read_nothing_do_not_block_new_clients(monkeypatch: pytest.MonkeyPatch) -> None:
     """As many of them as there may be clients: the one that has read for longest goes."""
     narrow(monkeypatch)
     servers: list[platform_listener.PlatformListener] = captured(monkeypatch, "PlatformListener")
@@ -325,7 +321,7 @@
     run(test)
 
 
-def test_a_connection_that_came_just_before_the_stop_has_its_request_served() -> None:
+def test_request_of_a_connection_opened_just_before_shutdown_is_served() -> None:
     async def test() -> None:
         async with sidecar(Upstream(answering(OK))) as it:
             reader, writer = await it.connect()
@@ -350,7 +346,7 @@
         request().replace(b"HTTP/1.1", b"HTTP/1.0"),
     ],
 )
-def test_a_client_that_wants_the_end_after_its_answer_has_it(data: bytes) -> None:
+def test_connection_closes_after_the_response_if_the_client_asks_for_it(data: bytes) -> None:
     """One that waits for it would wait for as long as an idle connection may stay."""
 
     async def test() -> None:
@@ -366,9 +362,7 @@
     run(test)
 
 
-def test_ordinary_clients_that_rest_do_not_hold_up_a_stop(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_idle_http_clients_do_not_delay_shutdown(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Their end is awaited for as long as connections linger, and not by the process."""
     monkeypatch.setattr(connection_state, "LINGER_TIMEOUT_S", 600.0)
 
@@ -385,7 +379,7 @@
     run(test)
 
 
-def test_one_that_rests_until_it_is_ended_does_not_hold_up_the_end() -> None:
+def test_idle_platform_clients_do_not_delay_shutdown() -> None:
     async def test() -> None:
         async with sidecar(Upstream(answering(OK))) as it:
             resting = [await raw(it) for _ in range(5)]
