--- a/tests/listeners/test_connections.py
+++ b/tests/listeners/test_connections.py
@@ -34,14 +34,14 @@
 )
 
 
-def patient() -> list[RequestClass]:
+def long_deadline_classes() -> list[RequestClass]:
     """A class whose requests wait for long."""
     return [
         RequestClass("pay", latency_objective_us=40_000_000, deadline_us=60_000_000, effect="at_most_once")
     ]
 
 
-def released(first: bytes, release: asyncio.Event) -> Script:
+def respond_after(first: bytes, release: asyncio.Event) -> Script:
     """Gives the first answer once it is told to, and OK ever after."""
 
     async def script(
@@ -54,63 +54,63 @@
     return script
 
 
-def captured(monkeypatch: pytest.MonkeyPatch, name: str) -> list[Any]:
+def record_instances(monkeypatch: pytest.MonkeyPatch, name: str) -> list[Any]:
     """What the program makes of a class from now on."""
     made: list[Any] = []
-    kind = getattr(program, name)
+    original = getattr(program, name)
 
-    def make(*args: Any, **more: Any) -> Any:
-        made.append(kind(*args, **more))
+    def make(*args: Any, **kwargs: Any) -> Any:
+        made.append(original(*args, **kwargs))
         return made[-1]
 
     monkeypatch.setattr(program, name, make)
     return made
 
 
-async def raw(it: Sidecar, room: int = 0) -> socket.socket:
+async def connect_socket(it: Sidecar, receive_buffer: int = 0) -> socket.socket:
     """A connection whose bytes and end reach the sidecar while its loop is held; with `room`, one that takes
     few bytes before they are read."""
     sock = socket.socket()
     sock.setblocking(False)
-    if room:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, room)
+    if receive_buffer:
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
     await asyncio.get_running_loop().sock_connect(sock, ("127.0.0.1", it.port))
     return sock
 
 
-async def everything(sock: socket.socket) -> bytes:
+async def read_to_end(sock: socket.socket) -> bytes:
     """What comes till the other side ends; raises ConnectionResetError if it is cut."""
-    loop, whole = asyncio.get_running_loop(), b""
+    loop, received = asyncio.get_running_loop(), b""
     async with asyncio.timeout(PATIENCE_S):
         while data := await loop.sock_recv(sock, 65_536):
-            whole += data
-    return whole
+            received += data
+    return received
 
 
 # A client that has gone
 
 
-@pytest.mark.parametrize("half", [False, True])
+@pytest.mark.parametrize("half_close", [False, True])
 def test_freed_slot_is_not_used_for_a_client_whose_close_is_unread(
-    monkeypatch: pytest.MonkeyPatch, half: bool
+    monkeypatch: pytest.MonkeyPatch, half_close: bool
 ) -> None:
     """Who ends its sending alone counts as gone, too."""
-    pools: list[ConnectionPool] = captured(monkeypatch, "ConnectionPool")
-    servers: list[platform_listener.PlatformListener] = captured(monkeypatch, "PlatformListener")
+    pools: list[ConnectionPool] = record_instances(monkeypatch, "ConnectionPool")
+    listeners: list[platform_listener.PlatformListener] = record_instances(monkeypatch, "PlatformListener")
 
     async def test() -> None:
         release = asyncio.Event()
-        upstream = Upstream(released(b"", release))
-        async with sidecar(upstream, classes=patient()) as it:
-            first, second = await raw(it), await raw(it)
+        upstream = Upstream(respond_after(b"", release))
+        async with sidecar(upstream, classes=long_deadline_classes()) as it:
+            first, second = await connect_socket(it), await connect_socket(it)
             first.send(request("pay"))
             await until(lambda: len(upstream.requests) == 1)
             second.send(request("pay", "waits"))
-            dispatcher = servers[0].dispatcher
+            dispatcher = listeners[0].dispatcher
             await until(lambda: len(dispatcher.requests) == 2)
             [connection] = [one for group in pools[0].connections.values() for one in group]
             # from here on the loop has no turn: the close lies in the system, the answer comes first
-            if half:
+            if half_close:
                 second.shutdown(socket.SHUT_WR)
             else:
                 second.close()
@@ -127,12 +127,12 @@
 
 def test_flood_behind_an_open_request_ends_it_without_a_retry(monkeypatch: pytest.MonkeyPatch) -> None:
     """What comes behind an open request is not kept, and its end would lie behind it, unseen."""
-    servers: list[platform_listener.PlatformListener] = captured(monkeypatch, "PlatformListener")
+    listeners: list[platform_listener.PlatformListener] = record_instances(monkeypatch, "PlatformListener")
 
     async def test() -> None:
         release = asyncio.Event()
-        upstream = Upstream(released(NOT_RUN, release))
-        async with sidecar(upstream, classes=patient()) as it:
+        upstream = Upstream(respond_after(NOT_RUN, release))
+        async with sidecar(upstream, classes=long_deadline_classes()) as it:
             reader, writer = await it.connect()
             writer.write(request("pay"))
             await until(lambda: len(upstream.requests) == 1)
@@ -141,7 +141,7 @@
             assert b" 500 " in head
             assert b"Connection: close" in head
             release.set()
-            await until(lambda: not servers[0].dispatcher.requests)
+            await until(lambda: not listeners[0].dispatcher.requests)
             assert len(upstream.requests) == 1
             writer.close()
 
@@ -151,8 +151,8 @@
 def test_pipelined_request_does_not_affect_the_open_request() -> None:
     async def test() -> None:
         release = asyncio.Event()
-        upstream = Upstream(released(OK, release))
-        async with sidecar(upstream, classes=patient()) as it:
+        upstream = Upstream(respond_after(OK, release))
+        async with sidecar(upstream, classes=long_deadline_classes()) as it:
             reader, writer = await it.connect()
             writer.write(request("pay"))
             await until(lambda: len(upstream.requests) == 1)
@@ -175,18 +175,18 @@
 
     async def test() -> None:
         held = Held()
-        held.server.script = never_ran(held)
+        held.server.script = not_run_after_release(held)
         async with running(tmp_path, {"main": [held.server]}) as it:
             client = await it.connect()
             client.writer.write(message("POST /buy", body=b"1"))
             await until(lambda: len(held.server.arrivals) == 1)
             # more than is kept while a request is open: reading stops, and the end is not read
             client.writer.write(b"".join(message("POST /buy", body=b"z" * 30_000) for _ in range(3)))
-            [front] = it.daemon.services.listeners.active.values()
+            [listener] = it.daemon.services.listeners.active.values()
             await until(
                 lambda: any(
                     not one.transport.is_reading()
-                    for one in front.clients[ConnectionState.OPEN]
+                    for one in listener.clients[ConnectionState.OPEN]
                     if one.transport is not None
                 )
             )
@@ -201,7 +201,7 @@
     run(test)
 
 
-def never_ran(held: Held) -> web.Script:
+def not_run_after_release(held: Held) -> web.Script:
     async def script(server: web.WebServer, arrival: web.Arrival, line: web.Line) -> bytes:
         await held.release.acquire()
         return web.NOT_RUN
@@ -215,28 +215,28 @@
 @pytest.mark.parametrize("state", ["idle", "stop"])
 def test_request_that_crosses_a_close_gets_no_reset(monkeypatch: pytest.MonkeyPatch, state: str) -> None:
     """It comes between the look for unread bytes and the close; its client sends it again elsewhere."""
-    quiet = ClientConnection.has_nothing_unread
+    original = ClientConnection.has_nothing_unread
 
     async def test() -> None:
         upstream = Upstream(answering(OK))
         async with sidecar(upstream) as it:
-            sock = await raw(it)
+            sock = await connect_socket(it)
             loop = asyncio.get_running_loop()
             sock.send(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
             assert b" 200 " in await loop.sock_recv(sock, 1000)
 
-            def crossed(client: ClientConnection) -> bool:
-                found = quiet(client)
+            def send_during_check(client: ClientConnection) -> bool:
+                found = original(client)
                 if found and client.responses and client.state is ConnectionState.IDLE:
                     sock.send(request("read", "crosses"))
                 return found
 
-            monkeypatch.setattr(ClientConnection, "has_nothing_unread", crossed)
+            monkeypatch.setattr(ClientConnection, "has_nothing_unread", send_during_check)
             if state == "stop":
                 it.stop.set()
             else:
                 monkeypatch.setitem(connection_state.STATE_TIMEOUTS_S, ConnectionState.IDLE, 0.0)
-            assert await everything(sock) == b""
+            assert await read_to_end(sock) == b""
             assert not upstream.requests
             sock.close()
             if state == "stop":
@@ -245,50 +245,50 @@
     run(test)
 
 
-def narrow(monkeypatch: pytest.MonkeyPatch) -> None:
+def limit_send_buffers(monkeypatch: pytest.MonkeyPatch) -> None:
     """The sidecar's side takes few bytes as well: an answer of 60 KB stays with it until its client reads."""
     make = platform_listener.PlatformListener.make_connection
 
-    def connection(
-        server: platform_listener.PlatformListener, sock: socket.socket
+    def make_limited_connection(
+        listener: platform_listener.PlatformListener, sock: socket.socket
     ) -> platform_listener.PlatformConnection:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
-        return make(server, sock)
+        return make(listener, sock)
 
-    monkeypatch.setattr(platform_listener.PlatformListener, "make_connection", connection)
+    monkeypatch.setattr(platform_listener.PlatformListener, "make_connection", make_limited_connection)
 
 
-LONG = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"z" * 60_000
+LONG_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"z" * 60_000
 
 
-@pytest.mark.parametrize("how", ["stop", "room"])
+@pytest.mark.parametrize("how", ["stop", "eviction"])
 def test_slowly_read_response_is_delivered_in_full(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
     """Neither a stop nor the want of room cuts it."""
-    narrow(monkeypatch)
-    servers: list[platform_listener.PlatformListener] = captured(monkeypatch, "PlatformListener")
+    limit_send_buffers(monkeypatch)
+    listeners: list[platform_listener.PlatformListener] = record_instances(monkeypatch, "PlatformListener")
 
     async def test() -> None:
-        async with sidecar(Upstream(answering(LONG))) as it:  # 200 descriptors
-            sock = await raw(it, 2048)
-            last = "Connection: close\r\n" if how == "room" else ""
+        async with sidecar(Upstream(answering(LONG_RESPONSE))) as it:  # 200 descriptors
+            sock = await connect_socket(it, 2048)
+            last = "Connection: close\r\n" if how == "eviction" else ""
             sock.send(request(extra=last))
             await until(
-                lambda: any(one.is_writing() for group in servers[0].clients.values() for one in group)
+                lambda: any(one.is_writing() for group in listeners[0].clients.values() for one in group)
             )
             others = []
             if how == "stop":
                 it.stop.set()
-                await until(lambda: servers[0].stopping)
+                await until(lambda: listeners[0].stopping)
             else:
-                for _ in range(servers[0].max_clients + 10):
+                for _ in range(listeners[0].max_clients + 10):
                     others.append(await it.connect())
                 # the last of them took the places of others
-                await until(lambda: servers[0].count() >= servers[0].max_clients - 1)
+                await until(lambda: listeners[0].count() >= listeners[0].max_clients - 1)
             assert [
-                one.state for group in servers[0].clients.values() for one in group if one.is_writing()
+                one.state for group in listeners[0].clients.values() for one in group if one.is_writing()
             ] == [ConnectionState.ENDING]
-            whole = await everything(sock)
-            assert whole.endswith(b"z" * 60_000)
+            received = await read_to_end(sock)
+            assert received.endswith(b"z" * 60_000)
             sock.close()
             for _, writer in others:
                 writer.close()
@@ -298,23 +298,23 @@
 
 def test_clients_that_read_nothing_do_not_block_new_clients(monkeypatch: pytest.MonkeyPatch) -> None:
     """As many of them as there may be clients: the one that has read for longest goes."""
-    narrow(monkeypatch)
-    servers: list[platform_listener.PlatformListener] = captured(monkeypatch, "PlatformListener")
+    limit_send_buffers(monkeypatch)
+    listeners: list[platform_listener.PlatformListener] = record_instances(monkeypatch, "PlatformListener")
 
     async def test() -> None:
-        upstream = Upstream(answering(LONG))
+        upstream = Upstream(answering(LONG_RESPONSE))
 
-        def asked(number: int) -> bool:
+        def request_arrived(number: int) -> bool:
             return len(upstream.requests) > number
 
         async with sidecar(upstream) as it:  # 200 descriptors
             slow = []
-            for number in range(servers[0].max_clients + 10):
-                sock = await raw(it, 2048)
+            for number in range(listeners[0].max_clients + 10):
+                sock = await connect_socket(it, 2048)
                 sock.send(request())
                 slow.append(sock)
-                await until(partial(asked, number))  # for less long than an answer may be read
-            assert servers[0].count() <= servers[0].max_clients
+                await until(partial(request_arrived, number))  # for less long than an answer may be read
+            assert listeners[0].count() <= listeners[0].max_clients
             for sock in slow:
                 sock.close()
 
@@ -382,12 +382,12 @@
 def test_idle_platform_clients_do_not_delay_shutdown() -> None:
     async def test() -> None:
         async with sidecar(Upstream(answering(OK))) as it:
-            resting = [await raw(it) for _ in range(5)]
+            idle = [await connect_socket(it) for _ in range(5)]
             it.stop.set()
             async with asyncio.timeout(PATIENCE_S):
                 await it.task
-            for sock in resting:
-                assert await everything(sock) == b""
+            for sock in idle:
+                assert await read_to_end(sock) == b""
                 sock.close()
 
     run(test)
