--- a/tests/listeners/test_connections.py
+++ b/tests/listeners/test_connections.py
@@ -1,4 +1,4 @@
-"""Where the end of a client's connection crosses something else: a request, a stop, a freed slot, a flood."""
+"""Tests of races of a closing client connection with a request, a shutdown, a freed slot or a flood."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
 
 
 def long_deadline_classes() -> list[RequestClass]:
-    """A class whose requests wait for long."""
+    """Return a request class with a long deadline."""
     return [
         RequestClass("pay", latency_objective_us=40_000_000, deadline_us=60_000_000, effect="at_most_once")
     ]
 
 
 def respond_after(first: bytes, release: asyncio.Event) -> Script:
-    """Gives the first answer once it is told to, and OK ever after."""
+    """Return a script that sends the first response after `release` is set, and OK to later requests."""
 
     async def script(
         upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -55,7 +55,7 @@
 
 
 def record_instances(monkeypatch: pytest.MonkeyPatch, name: str) -> list[Any]:
-    """What the program makes of a class from now on."""
+    """Return a list to which each further instance that the program makes of a class is added."""
     made: list[Any] = []
     original = getattr(program, name)
 
@@ -68,8 +68,10 @@
 
 
 async def connect_socket(it: Sidecar, receive_buffer: int = 0) -> socket.socket:
-    """A connection whose bytes and end reach the sidecar while its loop is held; with `room`, one that takes
-    few bytes before they are read."""
+    """Connect a plain socket, whose bytes and close reach the sidecar even while the event loop is blocked.
+
+    `receive_buffer` limits its receive buffer in bytes, so that responses stay unsent until they are read.
+    """
     sock = socket.socket()
     sock.setblocking(False)
     if receive_buffer:
@@ -79,7 +81,7 @@
 
 
 async def read_to_end(sock: socket.socket) -> bytes:
-    """What comes till the other side ends; raises ConnectionResetError if it is cut."""
+    """Read to the end of the stream; raises ConnectionResetError if the connection is reset."""
     loop, received = asyncio.get_running_loop(), b""
     async with asyncio.timeout(PATIENCE_S):
         while data := await loop.sock_recv(sock, 65_536):
@@ -87,14 +89,14 @@
     return received
 
 
-# A client that has gone
+# Disconnected clients
 
 
 @pytest.mark.parametrize("half_close", [False, True])
 def test_freed_slot_is_not_used_for_a_client_whose_close_is_unread(
     monkeypatch: pytest.MonkeyPatch, half_close: bool
 ) -> None:
-    """Who ends its sending alone counts as gone, too."""
+    """A client that has only shut down its sending side counts as disconnected, too."""
     pools: list[ConnectionPool] = record_instances(monkeypatch, "ConnectionPool")
     listeners: list[platform_listener.PlatformListener] = record_instances(monkeypatch, "PlatformListener")
 
@@ -109,7 +111,7 @@
             dispatcher = listeners[0].dispatcher
             await until(lambda: len(dispatcher.requests) == 2)
             [connection] = [one for group in pools[0].connections.values() for one in group]
-            # from here on the loop has no turn: the close lies in the system, the answer comes first
+            # the event loop does not run from here on: the response is handled before the close is read
             if half_close:
                 second.shutdown(socket.SHUT_WR)
             else:
@@ -126,7 +128,7 @@
 
 
 def test_flood_behind_an_open_request_ends_it_without_a_retry(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What comes behind an open request is not kept, and its end would lie behind it, unseen."""
+    """Bytes after an open request are dropped, and a disconnect behind many of them would go unnoticed."""
     listeners: list[platform_listener.PlatformListener] = record_instances(monkeypatch, "PlatformListener")
 
     async def test() -> None:
@@ -170,8 +172,10 @@
 
 
 def test_close_behind_unread_bytes_is_noticed_before_a_retry(tmp_path: Path) -> None:
-    """An ordinary client's next requests wait, and the system keeps what is beyond them, its end as well.
-    What doesn't fit into what the system keeps is not known of, and neither is an end behind it."""
+    """Pipelined requests are buffered; the kernel keeps the bytes beyond them, and the end of the stream.
+
+    Bytes that do not fit into the kernel's buffer, and a disconnect behind them, cannot be noticed.
+    """
 
     async def test() -> None:
         held = Held()
@@ -180,7 +184,7 @@
             client = await it.connect()
             client.writer.write(message("POST /buy", body=b"1"))
             await until(lambda: len(held.server.arrivals) == 1)
-            # more than is kept while a request is open: reading stops, and the end is not read
+            # more than is buffered while a request is open: reading is paused, and the close is not read
             client.writer.write(b"".join(message("POST /buy", body=b"z" * 30_000) for _ in range(3)))
             [listener] = it.daemon.services.listeners.active.values()
             await until(
@@ -214,7 +218,7 @@
 
 @pytest.mark.parametrize("state", ["idle", "stop"])
 def test_request_that_crosses_a_close_gets_no_reset(monkeypatch: pytest.MonkeyPatch, state: str) -> None:
-    """It comes between the look for unread bytes and the close; its client sends it again elsewhere."""
+    """It arrives between the check for unread bytes and the close; its client can send it again elsewhere."""
     original = ClientConnection.has_nothing_unread
 
     async def test() -> None:
@@ -246,7 +250,7 @@
 
 
 def limit_send_buffers(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The sidecar's side takes few bytes as well: an answer of 60 KB stays with it until its client reads."""
+    """Limit the sidecar's send buffers, so that it holds most of a 60 KB response until its client reads."""
     make = platform_listener.PlatformListener.make_connection
 
     def make_limited_connection(
@@ -263,7 +267,7 @@
 
 @pytest.mark.parametrize("how", ["stop", "eviction"])
 def test_slowly_read_response_is_delivered_in_full(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
-    """Neither a stop nor the want of room cuts it."""
+    """Neither a shutdown nor the eviction of connections truncates it."""
     limit_send_buffers(monkeypatch)
     listeners: list[platform_listener.PlatformListener] = record_instances(monkeypatch, "PlatformListener")
 
@@ -282,7 +286,7 @@
             else:
                 for _ in range(listeners[0].max_clients + 10):
                     others.append(await it.connect())
-                # the last of them took the places of others
+                # the last of them were accepted by evicting others
                 await until(lambda: listeners[0].count() >= listeners[0].max_clients - 1)
             assert [
                 one.state for group in listeners[0].clients.values() for one in group if one.is_writing()
@@ -297,7 +301,7 @@
 
 
 def test_clients_that_read_nothing_do_not_block_new_clients(monkeypatch: pytest.MonkeyPatch) -> None:
-    """As many of them as there may be clients: the one that has read for longest goes."""
+    """They use all allowed connections; the one that has been reading for the longest time is evicted."""
     limit_send_buffers(monkeypatch)
     listeners: list[platform_listener.PlatformListener] = record_instances(monkeypatch, "PlatformListener")
 
@@ -313,7 +317,9 @@
                 sock = await connect_socket(it, 2048)
                 sock.send(request())
                 slow.append(sock)
-                await until(partial(request_arrived, number))  # for less long than an answer may be read
+                await until(
+                    partial(request_arrived, number)
+                )  # in less time than a client may take to read a response
             assert listeners[0].count() <= listeners[0].max_clients
             for sock in slow:
                 sock.close()
@@ -327,7 +333,7 @@
             reader, writer = await it.connect()
             await asyncio.sleep(0)
             it.stop.set()
-            await asyncio.sleep(0.05)  # the stop is under way
+            await asyncio.sleep(0.05)  # the shutdown has begun
             writer.write(request())
             head, body = await read_message(reader)
             assert b" 200 " in head
@@ -347,7 +353,7 @@
     ],
 )
 def test_connection_closes_after_the_response_if_the_client_asks_for_it(data: bytes) -> None:
-    """One that waits for it would wait for as long as an idle connection may stay."""
+    """Otherwise a client that waits for the close would wait until the idle timeout."""
 
     async def test() -> None:
         async with sidecar(Upstream(answering(OK))) as it:
@@ -363,7 +369,7 @@
 
 
 def test_idle_http_clients_do_not_delay_shutdown(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Their end is awaited for as long as connections linger, and not by the process."""
+    """The process does not wait until lingering connections are closed by their clients."""
     monkeypatch.setattr(connection_state, "LINGER_TIMEOUT_S", 600.0)
 
     async def test() -> None:
@@ -372,7 +378,7 @@
             assert (await client.ask(message("GET /"))).status == 200
             began = time.monotonic()
             await it.daemon.stop()
-            assert time.monotonic() - began < 10.0  # requests may take 15
+            assert time.monotonic() - began < 10.0  # requests may take 15 s
             assert await client.ended()
             client.close()
 
