--- a/tests/listeners/test_descriptors.py
+++ b/tests/listeners/test_descriptors.py
@@ -32,7 +32,7 @@
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-def test_idle_clients_keep_neither_the_list_nor_requests_nor_up_from_a_descriptor() -> None:
+def test_idle_clients_leave_descriptors_for_discovery_and_requests() -> None:
     """More of them than the process may hold descriptors; discovery comes to life only then."""
 
     async def test() -> None:
@@ -97,7 +97,7 @@
         return Greeting(self, sock)
 
 
-def test_accepts_without_a_descriptor_neither_spin_nor_stall(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failed_accepts_neither_spin_nor_stall(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each failed one is followed by a pause, and the connection is taken once there is room."""
     monkeypatch.setattr(listener_module, "ACCEPT_PAUSE_S", 0.02)
 
@@ -118,7 +118,7 @@
     run(test)
 
 
-def test_a_reader_of_an_answer_and_a_new_client_both_have_room() -> None:
+def test_connection_with_a_recent_request_is_not_evicted() -> None:
     """One that has just asked is not cut for those that come behind it."""
 
     async def test() -> None:
