--- a/tests/listeners/test_descriptors.py
+++ b/tests/listeners/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle clients may fill the descriptors, also while discovery is down."""
+"""Tests of listeners that run out of file descriptors, also while discovery is down."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def test_idle_clients_leave_descriptors_for_discovery_and_requests() -> None:
-    """More of them than the process may hold descriptors; discovery comes to life only then."""
+    """There are more idle clients than descriptors, and discovery comes back only after they connected."""
 
     async def test() -> None:
         old, new, discovery = Upstream(answering(OK)), Upstream(answering(OK)), Discovery()
@@ -65,7 +65,7 @@
 
 
 class FailingSocket:
-    """A listening socket that has no descriptor left for what comes, a few times over."""
+    """A listening socket whose first accepts fail for lack of a descriptor."""
 
     def __init__(self, sock: socket.socket, failures: int) -> None:
         self.sock = sock
@@ -89,7 +89,7 @@
         transport.write(b"hello")
 
     def reject_incomplete(self, status: int) -> None:
-        raise AssertionError("nobody asks")
+        raise AssertionError("no request is sent")
 
 
 class GreetingListener(Listener):
@@ -98,7 +98,7 @@
 
 
 def test_failed_accepts_neither_spin_nor_stall(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each failed one is followed by a pause, and the connection is taken once there is room."""
+    """Each failed accept is followed by a pause; the connection is accepted once a descriptor is free."""
     monkeypatch.setattr(listener_module, "ACCEPT_PAUSE_S", 0.02)
 
     async def test() -> None:
@@ -109,8 +109,10 @@
         reader, writer = await asyncio.open_connection(*failing_socket.sock.getsockname())
         async with asyncio.timeout(PATIENCE_S):
             assert await reader.readexactly(5) == b"hello"
-        assert time.monotonic() - began >= 5 * 0.02  # five pauses at the least, however slow the machine
-        assert failing_socket.accept_calls <= 5 + 3  # the one taken, and looks that find nothing more
+        assert time.monotonic() - began >= 5 * 0.02  # at least five pauses, on a machine of any speed
+        assert (
+            failing_socket.accept_calls <= 5 + 3
+        )  # the successful one, and calls that find no more connections
         writer.close()
         listener.stop_listening()
         await until(lambda: not listener.count())
@@ -119,7 +121,7 @@
 
 
 def test_connection_with_a_recent_request_is_not_evicted() -> None:
-    """One that has just asked is not cut for those that come behind it."""
+    """A connection that has just had a request is not evicted for the connections that follow."""
 
     async def test() -> None:
         async with sidecar(Upstream(answering(OK))) as it:  # 200 descriptors
