--- a/tests/listeners/test_http_listener.py
+++ b/tests/listeners/test_http_listener.py
@@ -18,7 +18,7 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
-def test_an_answer_comes_back_whole_without_the_headers_of_its_connection(tmp_path: Path) -> None:
+def test_response_is_forwarded_without_hop_by_hop_headers(tmp_path: Path) -> None:
     async def test() -> None:
         server = WebServer(
             always(
@@ -39,7 +39,7 @@
     run(test)
 
 
-def test_a_request_goes_on_with_what_ordinary_clients_send(tmp_path: Path) -> None:
+def test_request_is_forwarded_with_end_to_end_headers(tmp_path: Path) -> None:
     async def test() -> None:
         server = WebServer(echo)
         async with running(tmp_path, {"main": [server]}, listener='forwarded = "x-forwarded-for"') as it:
@@ -79,7 +79,7 @@
         ('forwarded = "off"', "X-Forwarded-For", b"6.6.6.6"),
     ],
 )
-def test_where_a_request_came_from_is_told_as_set(
+def test_forwarded_header_follows_the_listener_settings(
     tmp_path: Path, setting: str, name: str, value: bytes
 ) -> None:
     async def test() -> None:
@@ -108,7 +108,7 @@
     run(test)
 
 
-def test_heads_and_answers_without_a_body(tmp_path: Path) -> None:
+def test_head_requests_and_responses_without_a_body(tmp_path: Path) -> None:
     def script(server: WebServer, arrival: Arrival, line: Line) -> bytes:
         return {
             b"/304": b"HTTP/1.1 304 Not Modified\r\nETag: x\r\nContent-Length: 9\r\n\r\n",
@@ -141,7 +141,7 @@
     run(test)
 
 
-def test_an_answer_may_end_with_its_connection(tmp_path: Path) -> None:
+def test_response_may_be_delimited_by_connection_close(tmp_path: Path) -> None:
     async def script(server: WebServer, arrival: Arrival, line: Line) -> bytes:
         line.write(b"HTTP/1.0 200 OK\r\n\r\nhalf ")
         await asyncio.sleep(0.02)
@@ -158,7 +158,7 @@
     run(test)
 
 
-def test_an_answer_cut_short_or_too_long_is_no_answer(tmp_path: Path) -> None:
+def test_truncated_or_oversized_response_is_reported_as_502(tmp_path: Path) -> None:
     def script(server: WebServer, arrival: Arrival, line: Line) -> bytes:
         if arrival.target == b"/buy/long":
             return b"HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n"
@@ -216,7 +216,7 @@
     run(test)
 
 
-def test_a_body_is_asked_for_when_its_client_waits(tmp_path: Path) -> None:
+def test_expect_100_continue(tmp_path: Path) -> None:
     async def test() -> None:
         server = WebServer(echo)
         async with running(tmp_path, {"main": [server]}) as it:
@@ -236,7 +236,7 @@
     run(test)
 
 
-def test_a_chunked_request_goes_on_with_a_length(tmp_path: Path) -> None:
+def test_chunked_request_is_forwarded_with_content_length(tmp_path: Path) -> None:
     async def test() -> None:
         server = WebServer(echo)
         async with running(tmp_path, {"main": [server]}) as it:
@@ -262,7 +262,7 @@
         b"POST /buy HTTP/1.1\r\nHost: a\r\nX: a\rb\r\n\r\n",
     ],
 )
-def test_shapes_that_smuggle_are_refused_and_closed(tmp_path: Path, data: bytes) -> None:
+def test_request_smuggling_is_rejected_and_the_connection_closed(tmp_path: Path, data: bytes) -> None:
     async def test() -> None:
         server = WebServer()
         async with running(tmp_path, {"main": [server]}) as it:
@@ -274,7 +274,7 @@
     run(test)
 
 
-def test_hosts_however_they_are_written(tmp_path: Path) -> None:
+def test_hosts_match_in_all_their_spellings(tmp_path: Path) -> None:
     routes = '[[routes]]\nname = "shop"\nhosts = ["shop.example"]\nclass = "read"\npools = ["main"]\n'
 
     async def test() -> None:
@@ -292,7 +292,7 @@
     run(test)
 
 
-def test_path_tricks_do_not_pass_a_protected_prefix(tmp_path: Path) -> None:
+def test_path_normalization_does_not_bypass_a_protected_prefix(tmp_path: Path) -> None:
     routes = (
         '[[routes]]\nname = "admin"\npath = "/admin"\nclass = "read"\npools = ["closed"]\n'
         '[[routes]]\nname = "buy"\npath = "/buy"\nclass = "read"\npools = ["main"]\n'
@@ -317,7 +317,7 @@
     run(test)
 
 
-def test_turned_away_requests_leave_the_connection_to_the_next(tmp_path: Path) -> None:
+def test_rejected_requests_leave_the_connection_open(tmp_path: Path) -> None:
     routes = '[[routes]]\nname = "m"\npath = "/mark"\nmethods = ["POST"]\nclass = "mark"\npools = ["main"]\n'
 
     async def test() -> None:
@@ -337,7 +337,7 @@
     run(test)
 
 
-def test_a_servers_own_error_comes_back_but_never_as_leave_to_repeat(tmp_path: Path) -> None:
+def test_endpoint_error_is_forwarded_unless_it_invites_an_unsafe_retry(tmp_path: Path) -> None:
     busy = b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 4\r\n\r\nbusy"
 
     async def test() -> None:
@@ -362,7 +362,7 @@
     run(test)
 
 
-def test_what_never_ran_is_refused_with_a_time_to_come_back(tmp_path: Path) -> None:
+def test_request_that_never_ran_gets_503_with_retry_after(tmp_path: Path) -> None:
     async def test() -> None:
         server = WebServer(always(NOT_RUN))
         async with running(tmp_path, {"main": [server]}) as it:
@@ -374,7 +374,7 @@
     run(test)
 
 
-def test_a_client_that_does_not_read_takes_no_more_than_its_bound(tmp_path: Path) -> None:
+def test_client_that_does_not_read_occupies_a_bounded_amount(tmp_path: Path) -> None:
     body = b"x" * 1_000_000
     big = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
@@ -393,7 +393,7 @@
     run(test)
 
 
-def test_a_slow_answer_outlives_the_wait_of_a_connection_that_ends(tmp_path: Path) -> None:
+def test_response_may_take_longer_than_the_idle_timeout(tmp_path: Path) -> None:
     async def test() -> None:
         server = WebServer(slowly(OK, 0.1))
         async with running(tmp_path, {"main": [server]}, listener='idle_timeout = "50ms"') as it:
@@ -406,7 +406,7 @@
     run(test)
 
 
-def test_half_a_request_is_answered_408(tmp_path: Path) -> None:
+def test_incomplete_request_gets_408(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(tmp_path, {"main": [WebServer()]}, listener='read_timeout = "200ms"') as it:
             client = await it.connect()
