--- a/tests/listeners/test_http_listener.py
+++ b/tests/listeners/test_http_listener.py
@@ -33,8 +33,8 @@
         assert reply.body == b"abc"
         assert reply.all("Set-Cookie") == ["a=1", "b=2"]
         assert reply.all("ETag") == ['"e"']
-        for gone in ("X-Own", "Keep-Alive", "Transfer-Encoding", "X-Trailer"):
-            assert not reply.all(gone)
+        for removed in ("X-Own", "Keep-Alive", "Transfer-Encoding", "X-Trailer"):
+            assert not reply.all(removed)
 
     run(test)
 
@@ -55,9 +55,9 @@
                     host="Shop.Example:80",
                 )
             )
-            kept = await it.ask(message("GET /", "X-Request-Id: mine"))
+            second_reply = await it.ask(message("GET /", "X-Request-Id: mine"))
         assert reply.body == b"/buy/a?q=%2e&r|body"
-        assert kept.status == 200
+        assert second_reply.status == 200
         first, second = server.arrivals
         assert first.all("Host") == [b"Shop.Example:80"]
         assert first.all("Cookie") == [b"c"]
@@ -181,8 +181,8 @@
     async def test() -> None:
         async with running(tmp_path, {"main": [WebServer()]}) as it:
             client = await it.connect()
-            kept = await client.ask(b"GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n")
-            assert kept.all("Connection") == ["keep-alive"]
+            second_reply = await client.ask(b"GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n")
+            assert second_reply.all("Connection") == ["keep-alive"]
             last = await client.ask(b"GET / HTTP/1.0\r\n\r\n")
             assert last.all("Connection") == ["close"]
             assert await client.ended()
@@ -301,16 +301,16 @@
     async def test() -> None:
         server, closed = WebServer(), WebServer()
         async with running(tmp_path, {"main": [server], "closed": [closed]}, routes=routes) as it:
-            for trick in (
+            for target in (
                 "/buy/../admin",
                 "/buy/%2e%2e/admin",
                 "/buy/.%2E//admin/x",
                 "//admin",
                 "/./%61dmin",
             ):
-                assert (await it.ask(message(f"GET {trick}"))).status == 200
-            for trick in ("/buy/..%2fadmin", "/buy/..;/admin", "/buy/..%5cadmin", "/buy/%00/../admin"):
-                assert (await it.ask(message(f"GET {trick}"))).status == 400
+                assert (await it.ask(message(f"GET {target}"))).status == 200
+            for target in ("/buy/..%2fadmin", "/buy/..;/admin", "/buy/..%5cadmin", "/buy/%00/../admin"):
+                assert (await it.ask(message(f"GET {target}"))).status == 400
         assert server.count == 0
         assert closed.count == 5
 
