--- a/tests/listeners/test_http_listener.py
+++ b/tests/listeners/test_http_listener.py
@@ -1,4 +1,4 @@
-"""Ordinary HTTP clients over loopback sockets: what goes on, what comes back, what is refused."""
+"""Tests of HTTP listeners over loopback sockets: forwarded requests, responses and rejected requests."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def echo(server: WebServer, arrival: Arrival, line: Line) -> bytes:
-    """The target, and the body behind it."""
+    """Respond with the target and the body of the request."""
     body = arrival.target + b"|" + arrival.body
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
@@ -61,7 +61,7 @@
         first, second = server.arrivals
         assert first.all("Host") == [b"Shop.Example:80"]
         assert first.all("Cookie") == [b"c"]
-        assert first.all("X-Forwarded-For") == [b"127.0.0.1"]  # a client's own word is not trusted
+        assert first.all("X-Forwarded-For") == [b"127.0.0.1"]  # the client's own value is not trusted
         assert not first.all("X-Own")
         assert not first.all("TE")
         assert len(first.all("X-Request-Id")[0]) == 32
@@ -121,7 +121,7 @@
         server = WebServer(script)
         async with running(tmp_path, {"main": [server]}) as it:
             client = await it.connect()
-            for _ in range(2):  # on one connection: the next answer begins where it should
+            for _ in range(2):  # on one connection: the next response begins at the right byte
                 head = await client.ask(message("HEAD /head"))
                 assert head.status == 200
                 assert head.all("Content-Length") == ["7000000"]
@@ -328,7 +328,7 @@
             refused = await client.ask(message("PUT /mark"))
             assert refused.status == 405
             assert refused.all("Allow") == ["POST"]
-            assert (await client.ask(message("POST /mark"))).status == 400  # no key
+            assert (await client.ask(message("POST /mark"))).status == 400  # no Idempotency-Key
             assert (await client.ask(message("POST /mark", "Idempotency-Key: k"))).status == 200
             client.close()
         assert server.count == 1
@@ -385,7 +385,7 @@
             client.writer.write(message("GET /") * 16)
             await until(lambda: server.count >= 1)
             await asyncio.sleep(0.3)
-            assert server.count <= 9  # what fits into the sockets' own buffers
+            assert server.count <= 9  # what fits into the socket buffers
             for _ in range(16):
                 assert len((await client.reply()).body) == len(body)
             client.close()
@@ -401,7 +401,7 @@
             client = await it.connect()
             client.writer.write(b"GET / HTTP/1.1\r\nHost")
             assert (await client.ask(b": a\r\n\r\n")).status == 200
-            assert await client.ended()  # idle for longer than it may be
+            assert await client.ended()  # closed by the idle timeout
 
     run(test)
 
