--- a/tests/listeners/test_routes_of_their_own.py
+++ b/tests/listeners/test_routes_of_their_own.py
@@ -38,7 +38,7 @@
         ("GET /", 200, "", b"hello"),
     ],
 )
-def test_a_route_answers_by_itself(
+def test_route_with_a_fixed_response(
     line: str, status: int, location: str, body: bytes, tmp_path: Path
 ) -> None:
     async def test() -> None:
@@ -56,7 +56,7 @@
     run(test)
 
 
-def test_a_head_of_a_route_that_answers_has_no_body(tmp_path: Path) -> None:
+def test_head_request_to_a_fixed_response_has_no_body(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(tmp_path, {"main": [WebServer()]}, routes=ANSWERS) as it:
             client = await it.connect()
@@ -69,7 +69,7 @@
     run(test)
 
 
-def test_headers_are_filled_with_what_the_request_tells(tmp_path: Path) -> None:
+def test_header_templates_are_filled_with_request_values(tmp_path: Path) -> None:
     async def test() -> None:
         server = WebServer()
         headers = (
@@ -104,7 +104,7 @@
     run(test)
 
 
-def test_a_body_that_is_too_long_for_its_route_reaches_no_server(tmp_path: Path) -> None:
+def test_body_over_the_limit_of_its_route_is_not_forwarded(tmp_path: Path) -> None:
     async def test() -> None:
         server = WebServer()
         async with running(
@@ -119,7 +119,7 @@
     run(test)
 
 
-def test_listeners_have_routes_of_their_own(tmp_path: Path) -> None:
+def test_routes_may_be_limited_to_listeners(tmp_path: Path) -> None:
     async def test() -> None:
         server, inner = WebServer(), free_port()
         head = f'[listeners.inner]\naddress = "127.0.0.1:{inner}"\n'
