--- a/tests/listeners/test_routes_of_their_own.py
+++ b/tests/listeners/test_routes_of_their_own.py
@@ -17,7 +17,7 @@
     return f'[[routes]]\nname = "{name}"\n{text}\n'
 
 
-ANSWERS = (
+FIXED_RESPONSE_ROUTES = (
     route("moved", 'path = "/old"\nrespond = { status = 301, location = "https://{host}{uri}" }')
     + route(
         "group", "path_regex = '/u/([a-z]+)/(.*)'\nrespond = { status = 302, location = \"/{2}?by={1}\" }"
@@ -43,7 +43,7 @@
 ) -> None:
     async def test() -> None:
         server = WebServer()
-        async with running(tmp_path, {"main": [server]}, routes=ANSWERS) as it:
+        async with running(tmp_path, {"main": [server]}, routes=FIXED_RESPONSE_ROUTES) as it:
             client = await it.connect()
             for _ in range(2):  # the connection goes on
                 reply = await client.ask(message(line, host="Shop.Example:8080"))
@@ -58,7 +58,7 @@
 
 def test_head_request_to_a_fixed_response_has_no_body(tmp_path: Path) -> None:
     async def test() -> None:
-        async with running(tmp_path, {"main": [WebServer()]}, routes=ANSWERS) as it:
+        async with running(tmp_path, {"main": [WebServer()]}, routes=FIXED_RESPONSE_ROUTES) as it:
             client = await it.connect()
             reply = await client.ask(message("HEAD /tea"))
             assert reply.status == 418
@@ -78,7 +78,7 @@
         )
         routes = route("all", f"path_regex = '/([a-z]+).*'\nset_headers = {headers}\n{PROXIED}")
         async with running(tmp_path, {"main": [server]}, routes=routes) as it:
-            asked = message(
+            data = message(
                 "GET /ab/c?d=1",
                 "X-Forwarded-For: 203.0.113.7",
                 "X-Request-Id: 42",
@@ -86,10 +86,10 @@
                 "X-First: forged",
                 host="Shop.Example:99",
             )
-            assert (await it.ask(asked)).status == 200
-            got = server.arrivals[0]
+            assert (await it.ask(data)).status == 200
+            arrival = server.arrivals[0]
             assert [
-                got.all(name)
+                arrival.all(name)
                 for name in ("X-Real-IP", "X-Forwarded-For", "X-Uri", "Host", "X-Id", "X-Plain", "X-First")
             ] == [
                 [b"127.0.0.1"],
