--- a/tests/listeners/test_routes_of_their_own.py
+++ b/tests/listeners/test_routes_of_their_own.py
@@ -1,4 +1,4 @@
-"""Routes that answer by themselves, fill headers, and take some listeners, hosts and bodies only."""
+"""Tests of route settings: fixed responses, header templates, listeners and body limits."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
         server = WebServer()
         async with running(tmp_path, {"main": [server]}, routes=FIXED_RESPONSE_ROUTES) as it:
             client = await it.connect()
-            for _ in range(2):  # the connection goes on
+            for _ in range(2):  # the connection stays open
                 reply = await client.ask(message(line, host="Shop.Example:8080"))
                 assert (reply.status, reply.body) == (status, body)
                 assert reply.all("Location") == ([location] if location else [])
