--- a/tests/listeners/test_http_listener.py
+++ b/tests/listeners/test_http_listener.py
@@ -181,8 +181,8 @@
     async def test() -> None:
         async with running(tmp_path, {"main": [WebServer()]}) as it:
             client = await it.connect()
-            second_reply = await client.ask(b"GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n")
-            assert second_reply.all("Connection") == ["keep-alive"]
+            kept_alive = await client.ask(b"GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n")
+            assert kept_alive.all("Connection") == ["keep-alive"]
             last = await client.ask(b"GET / HTTP/1.0\r\n\r\n")
             assert last.all("Connection") == ["close"]
             assert await client.ended()
