--- a/tests/listeners/test_connections.py
+++ b/tests/listeners/test_connections.py
@@ -317,9 +317,8 @@
                 sock = await connect_socket(it, 2048)
                 sock.send(request())
                 slow.append(sock)
-                await until(
-                    partial(request_arrived, number)
-                )  # in less time than a client may take to read a response
+                # in less time than a client may take to read a response
+                await until(partial(request_arrived, number))
             assert listeners[0].count() <= listeners[0].max_clients
             for sock in slow:
                 sock.close()
